--- a/crates/onyxshed-dispatch/src/dispatch.rs
+++ b/crates/onyxshed-dispatch/src/dispatch.rs
@@ -119,7 +119,7 @@
             } => {
                 self.cancel(now, request, id, is_forwarded);
             }
-            Input::Forwarded {
+            Input::ForwardEnded {
                 request,
                 id,
                 answer,
@@ -132,8 +132,8 @@
             Input::Members {
                 members,
                 gone,
-                sharers,
-                live,
+                zone_hosts: sharers,
+                live_hosts: live,
             } => {
                 self.gone = gone.into_iter().collect();
                 self.set_members(now, members, sharers, live);
@@ -146,10 +146,13 @@
                 self.log_read(now, oldest, next, &records);
             }
             Input::LogLost => self.log_lost(now),
-            Input::Appended { batch, result } => self.appended(now, batch, result),
+            Input::AppendEnded { batch, result } => self.appended(now, batch, result),
             Input::AttemptEnded { attempt, report } => self.attempt_ended(now, attempt, report),
             Input::StopEnded { attempt, report } => self.stop_ended(now, attempt, report),
-            Input::Sighted { attempt, sighting } => self.sighted(now, attempt, sighting),
+            Input::QueryEnded {
+                attempt,
+                status: sighting,
+            } => self.sighted(now, attempt, sighting),
             Input::Drain => self.is_draining = true,
             Input::Tick => {}
         }
@@ -214,7 +217,7 @@
     fn note(&mut self, mut event: Event) {
         let job = event.submission.and_then(|id| self.jobs.get(id));
         event.class = event.class.or_else(|| Some(job?.class().clone()));
-        self.outputs.push(Output::Note(event));
+        self.outputs.push(Output::Emit(event));
     }
 
     fn claiming_mut(&mut self, id: SubmissionId) -> Option<&mut Claiming> {
--- a/crates/onyxshed-dispatch/src/dispatch/ask.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/ask.rs
@@ -53,7 +53,7 @@
             return;
         }
         let (task, executor) = (attempt.task, attempt.executor.clone());
-        self.outputs.push(Output::Ask {
+        self.outputs.push(Output::Query {
             attempt: id,
             task,
             executor,
--- a/crates/onyxshed-dispatch/src/dispatch/status.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/status.rs
@@ -29,7 +29,7 @@
     }
 
     /// Gets the offset of the claims stream to read from next.
-    pub fn log_next(&self) -> Offset {
+    pub fn next_log_offset(&self) -> Offset {
         self.book.next()
     }
 
--- a/crates/onyxshed-dispatch/src/input.rs
+++ b/crates/onyxshed-dispatch/src/input.rs
@@ -79,7 +79,7 @@
         is_forwarded: bool,
     },
     /// A peer answered a request passed on to it, or could not be reached.
-    Forwarded {
+    ForwardEnded {
         /// The request to answer.
         request: RequestId,
         /// The submission it was about.
@@ -98,9 +98,9 @@
         /// Incarnations held to be gone for good.
         gone: Vec<Incarnation>,
         /// Live entry hosts of this zone, this one included.
-        sharers: u32,
+        zone_hosts: u32,
         /// Live entry hosts of all zones, this one included.
-        live: u32,
+        live_hosts: u32,
     },
     /// Records of the claims stream were read.
     LogRead {
@@ -114,7 +114,7 @@
     /// The claims stream can't be read.
     LogLost,
     /// An append of claims ended.
-    Appended {
+    AppendEnded {
         /// The batch's number.
         batch: u64,
         /// Where it stands, or why it may not.
@@ -135,11 +135,11 @@
         report: Option<StopReport>,
     },
     /// An executor told what has become of a task; none if it did not answer.
-    Sighted {
+    QueryEnded {
         /// The attempt asked about.
         attempt: AttemptId,
         /// What the executor answered.
-        sighting: Option<TaskSighting>,
+        status: Option<TaskSighting>,
     },
     /// The process begins to drain: no new work.
     Drain,
--- a/crates/onyxshed-dispatch/src/output.rs
+++ b/crates/onyxshed-dispatch/src/output.rs
@@ -90,7 +90,7 @@
         executor: ExecutorName,
     },
     /// Ask an executor, on another connection, what has become of a task.
-    Ask {
+    Query {
         /// The attempt to report.
         attempt: AttemptId,
         /// The task.
@@ -99,5 +99,5 @@
         executor: ExecutorName,
     },
     /// Tell log, metrics and time line.
-    Note(Event),
+    Emit(Event),
 }
--- a/crates/onyxshed-dispatch/tests/machine.rs
+++ b/crates/onyxshed-dispatch/tests/machine.rs
@@ -110,8 +110,8 @@
         Input::Members {
             members,
             gone,
-            sharers: 1,
-            live: 2,
+            zone_hosts: 1,
+            live_hosts: 2,
         },
     );
 }
--- a/crates/onyxshed-dispatch/tests/search/world.rs
+++ b/crates/onyxshed-dispatch/tests/search/world.rs
@@ -248,7 +248,7 @@
             let me = lives[index];
             let others = lives.iter().filter(|life| **life != me);
             let members = others.map(|life| member_of(*life)).collect();
-            let live = u32::try_from(lives.len()).expect("few hosts");
+            let live_hosts = u32::try_from(lives.len()).expect("few hosts");
             self.feed(index, Input::Configured(config.clone()));
             self.feed(index, Input::Executors(executors.clone()));
             self.feed(
@@ -256,8 +256,8 @@
                 Input::Members {
                     members,
                     gone: Vec::new(),
-                    sharers: live,
-                    live,
+                    zone_hosts: live_hosts,
+                    live_hosts,
                 },
             );
             self.read_on(index);
@@ -281,7 +281,7 @@
         }
         self.is_relaying = matches!(
             &input,
-            Input::Forwarded {
+            Input::ForwardEnded {
                 answer: Some(_),
                 ..
             }
@@ -344,7 +344,7 @@
                     executor,
                 });
             }
-            Output::Ask {
+            Output::Query {
                 attempt,
                 task,
                 executor,
@@ -357,7 +357,7 @@
                     executor,
                 });
             }
-            Output::Note(event) => self.trace.push(format!("{from} {event:?}")),
+            Output::Emit(event) => self.trace.push(format!("{from} {event:?}")),
         }
     }
 }
--- a/crates/onyxshed-dispatch/tests/search/world/callers.rs
+++ b/crates/onyxshed-dispatch/tests/search/world/callers.rs
@@ -116,7 +116,7 @@
             .collect();
         for asker in lost {
             if let Asker::Peer { from, request, id } = asker {
-                let input = Input::Forwarded {
+                let input = Input::ForwardEnded {
                     request,
                     id,
                     answer: None,
--- a/crates/onyxshed-dispatch/tests/search/world/wire.rs
+++ b/crates/onyxshed-dispatch/tests/search/world/wire.rs
@@ -46,8 +46,8 @@
                 task,
                 executor,
             } => {
-                let sighting = (!is_lost).then(|| self.executors.sight(executor, task));
-                self.give(from, Input::Sighted { attempt, sighting });
+                let status = (!is_lost).then(|| self.executors.sight(executor, task));
+                self.give(from, Input::QueryEnded { attempt, status });
             }
             Message::Forward {
                 from,
@@ -66,7 +66,7 @@
                 let answer = (!is_lost).then_some(answer);
                 self.give(
                     to,
-                    Input::Forwarded {
+                    Input::ForwardEnded {
                         request,
                         id,
                         answer,
@@ -100,7 +100,7 @@
                 }
             }
         };
-        let input = Input::Appended {
+        let input = Input::AppendEnded {
             batch: batch.batch,
             result,
         };
@@ -114,7 +114,7 @@
         self.hosts[index].is_reading = false;
         let input = match self.is_log_down {
             true => Input::LogLost,
-            false => self.page(self.hosts[index].machine.log_next()),
+            false => self.page(self.hosts[index].machine.next_log_offset()),
         };
         self.feed(index, input);
         self.read_on(index);
@@ -226,7 +226,7 @@
         let Some(index) = self.index_of(to).filter(|_| !is_lost) else {
             return self.give(
                 from,
-                Input::Forwarded {
+                Input::ForwardEnded {
                     request,
                     id,
                     answer: None,
--- a/crates/onyxshed-entry/src/claim_log.rs
+++ b/crates/onyxshed-entry/src/claim_log.rs
@@ -63,7 +63,7 @@
                 true => AppendFailure::AnswerLost,
                 false => AppendFailure::NotAppended,
             });
-            log.engine.feed(Input::Appended {
+            log.engine.feed(Input::AppendEnded {
                 batch: number,
                 result,
             });
@@ -85,7 +85,7 @@
         let mut client = PlatformClient::new(self.platform_address, self.options);
         let mut is_lost = false;
         loop {
-            let from = self.engine.look(Dispatch::log_next);
+            let from = self.engine.look(Dispatch::next_log_offset);
             match client.read(CLAIMS_STREAM, from, self.read_wait()).await {
                 Ok(page) => {
                     if std::mem::replace(&mut is_lost, false) {
--- a/crates/onyxshed-entry/src/control_port.rs
+++ b/crates/onyxshed-entry/src/control_port.rs
@@ -79,8 +79,8 @@
         engine.feed(Input::Members {
             members: snapshot.members,
             gone: snapshot.gone,
-            sharers: snapshot.sharers,
-            live: snapshot.live,
+            zone_hosts: snapshot.sharers,
+            live_hosts: snapshot.live,
         });
         if let Some(config) = snapshot.config {
             engine.feed(Input::Configured(config));
--- a/crates/onyxshed-entry/src/engine.rs
+++ b/crates/onyxshed-entry/src/engine.rs
@@ -88,7 +88,7 @@
     fn carry_out(&self, output: Output) {
         match output {
             Output::Answer { request, answer } => self.answer(request, answer),
-            Output::Note(event) => self.kernel.emit(event),
+            Output::Emit(event) => self.kernel.emit(event),
             Output::Append(batch) => self.service::<ClaimLog>(CLAIM_LOG).append(batch),
             Output::Forward { request, to, call } => {
                 let address = self
@@ -98,7 +98,7 @@
                     .map(|member| member.peer_address);
                 self.service::<Peers>(PEERS).forward(request, address, call);
             }
-            output @ (Output::Start { .. } | Output::Stop { .. } | Output::Ask { .. }) => {
+            output @ (Output::Start { .. } | Output::Stop { .. } | Output::Query { .. }) => {
                 self.service::<Upstreams>(UPSTREAMS).carry_out(output);
             }
         }
--- a/crates/onyxshed-entry/src/peers.rs
+++ b/crates/onyxshed-entry/src/peers.rs
@@ -61,7 +61,7 @@
                 None => None,
             };
             if let Ok(engine) = peers.kernel.find::<Engine>(ENGINE) {
-                engine.feed(Input::Forwarded {
+                engine.feed(Input::ForwardEnded {
                     request,
                     id,
                     answer,
--- a/crates/onyxshed-entry/src/upstreams.rs
+++ b/crates/onyxshed-entry/src/upstreams.rs
@@ -142,13 +142,13 @@
                 let report = self.stop(&executor, StopCall { attempt, task }).await;
                 self.report(Input::StopEnded { attempt, report });
             }
-            Output::Ask {
+            Output::Query {
                 attempt,
                 task,
                 executor,
             } => {
-                let sighting = self.ask(&executor, task).await;
-                self.report(Input::Sighted { attempt, sighting });
+                let status = self.ask(&executor, task).await;
+                self.report(Input::QueryEnded { attempt, status });
             }
             _ => {}
         }
