--- a/crates/onyxshed-cli/src/target/log.rs
+++ b/crates/onyxshed-cli/src/target/log.rs
@@ -4,7 +4,7 @@
 
 use onyxshed_core::{Millis, Offset, Revision, UnixMs};
 use onyxshed_platform::{PlatformClient, PlatformOptions};
-use onyxshed_state::{ChangeFate, ConfigFold, FoldStep};
+use onyxshed_state::{ChangeOutcome, ConfigFold, FoldOutcome};
 use onyxshed_wire::platform::{CONFIG_STREAM, Page, Record};
 use onyxshed_wire::record::{ConfigChange, ConfigRecord};
 
@@ -124,11 +124,11 @@
             earlier.change.change_id == logged.change.change_id && earlier.offset < logged.offset
         });
         match self.fold.find_change(logged.change.change_id) {
-            ChangeFate::Accepted(revision) if is_copy => Fate::Copy(revision),
-            ChangeFate::Accepted(revision) => Fate::Accepted(revision),
-            ChangeFate::Raced { found, .. } => Fate::Raced(found),
-            ChangeFate::Invalid => Fate::Ignored,
-            ChangeFate::NotSeen => Fate::Unjudged,
+            ChangeOutcome::Accepted(revision) if is_copy => Fate::Copy(revision),
+            ChangeOutcome::Accepted(revision) => Fate::Accepted(revision),
+            ChangeOutcome::Raced { found, .. } => Fate::Raced(found),
+            ChangeOutcome::Invalid => Fate::Ignored,
+            ChangeOutcome::NotSeen => Fate::Unjudged,
         }
     }
 
@@ -140,15 +140,15 @@
         }
     }
 
-    fn note(&mut self, record: &Record, step: FoldStep) {
+    fn note(&mut self, record: &Record, step: FoldOutcome) {
         let Ok(ConfigRecord::ChangeV1(change)) = ConfigRecord::decode(&record.data) else {
             return;
         };
         let fate = match step {
-            FoldStep::Accepted(revision) => Fate::Accepted(revision),
-            FoldStep::Raced { found, .. } => Fate::Raced(found),
-            FoldStep::Ignored => Fate::Ignored,
-            FoldStep::Nothing => Fate::Unjudged,
+            FoldOutcome::Accepted(revision) => Fate::Accepted(revision),
+            FoldOutcome::Raced { found, .. } => Fate::Raced(found),
+            FoldOutcome::Ignored => Fate::Ignored,
+            FoldOutcome::Nothing => Fate::Unjudged,
         };
         self.changes.push(Logged {
             offset: record.offset,
--- a/crates/onyxshed-cli/src/target/publish.rs
+++ b/crates/onyxshed-cli/src/target/publish.rs
@@ -5,7 +5,7 @@
 use async_io::Timer;
 use onyxshed_core::{ChangeId, Millis, Revision};
 use onyxshed_state::config::proposal::{Ready, Sent};
-use onyxshed_state::config::{Appended, Judged};
+use onyxshed_state::config::{AppendStep, ProposalStatus};
 use onyxshed_state::{AppendFailure, Proposal};
 use onyxshed_wire::record::{ChangeBody, ConfigChange};
 use serde::Serialize;
@@ -100,7 +100,7 @@
 ) -> Result<Proposal<Ready>> {
     let change = ConfigChange {
         change_id: ChangeId(Ulid::generate()),
-        based_on: based_on.unwrap_or(log.fold().folded().revision),
+        based_on: based_on.unwrap_or(log.fold().folded_config().revision),
         body,
     };
     Ok(Proposal::prepare(change, log.fold())?)
@@ -132,14 +132,14 @@
     async fn append(&mut self, proposal: Proposal<Ready>) -> Result<Next> {
         let appended = self.log.append(proposal.record()).await;
         let result = appended.as_ref().copied().map_err(failure);
-        let step = proposal.appended(result);
-        self.may_be_sent |= matches!(step, Appended::Sent(_));
+        let step = proposal.apply_append_result(result);
+        self.may_be_sent |= matches!(step, AppendStep::Sent(_));
         if let Err(error) = appended {
             self.pause(&error).await?;
         }
         Ok(match step {
-            Appended::Retry(proposal) => Next::Append(proposal),
-            Appended::Sent(proposal) => Next::Read(proposal),
+            AppendStep::Retry(proposal) => Next::Append(proposal),
+            AppendStep::Sent(proposal) => Next::Read(proposal),
         })
     }
 
@@ -151,17 +151,19 @@
                 return Ok(Next::Read(proposal));
             }
         };
-        match proposal.judge(self.log.fold(), end) {
-            Judged::Accepted(revision) => Ok(Next::Done(revision)),
-            Judged::Raced { based_on, found } => Err(Error::ChangeRaced { based_on, found }),
-            Judged::Invalid => Err(Error::ChangeInvalid {
+        match proposal.resolve(self.log.fold(), end) {
+            ProposalStatus::Accepted(revision) => Ok(Next::Done(revision)),
+            ProposalStatus::Raced { based_on, found } => {
+                Err(Error::ChangeRaced { based_on, found })
+            }
+            ProposalStatus::Invalid => Err(Error::ChangeInvalid {
                 reason: SmolStr::new_static("by the time it was read, the change broke a rule"),
             }),
-            Judged::Repeat(_) | Judged::Undecided(_) if self.log.is_late() => {
+            ProposalStatus::Repeat(_) | ProposalStatus::Undecided(_) if self.log.is_late() => {
                 Err(self.undecided("it was not read back"))
             }
-            Judged::Repeat(proposal) => Ok(Next::Append(proposal)),
-            Judged::Undecided(proposal) => {
+            ProposalStatus::Repeat(proposal) => Ok(Next::Append(proposal)),
+            ProposalStatus::Undecided(proposal) => {
                 // A log that does not wait for records as asked is not asked without a pause.
                 Timer::after(RETRY_PAUSE).await;
                 Ok(Next::Read(proposal))
--- a/crates/onyxshed-cli/src/target/show.rs
+++ b/crates/onyxshed-cli/src/target/show.rs
@@ -1,7 +1,7 @@
 //! Shows targets, and the changes that made them.
 
 use onyxshed_core::{ChangeId, ClassName, ClassTarget, Offset, ResultCode, Revision, UnixMs};
-use onyxshed_state::ChangeFate;
+use onyxshed_state::ChangeOutcome;
 use onyxshed_wire::record::ChangeBody;
 use serde::Serialize;
 use smol_str::format_smolstr;
@@ -129,7 +129,7 @@
 /// Tells what became of a change whose record is not on the log: a snapshot may still know it.
 fn expired(log: &ConfigLog, change_id: ChangeId, format: Format) -> Result<String> {
     match log.fold().find_change(change_id) {
-        ChangeFate::Accepted(revision) => Ok(match format {
+        ChangeOutcome::Accepted(revision) => Ok(match format {
             Format::Json => json(&Expired {
                 change_id,
                 fate: "accepted",
--- a/crates/onyxshed-control/src/knowledge.rs
+++ b/crates/onyxshed-control/src/knowledge.rs
@@ -8,7 +8,7 @@
 use onyxshed_kernel::{Descriptor, Kernel, LocalFuture, Result, Service, ServiceName};
 use onyxshed_proto::{ExecutorEntry, Snapshot};
 use onyxshed_state::{
-    Config, ConfigFold, ConfigOptions, FoldStep, Handover, Member, RepublishStep,
+    Config, ConfigFold, ConfigOptions, FoldOutcome, Handover, Member, RepublishStep,
 };
 use onyxshed_wire::platform::Page;
 
@@ -105,7 +105,7 @@
     /// Takes in what a peer handed over.
     pub fn adopt(&self, told: Handover) {
         let step = self.facts.borrow_mut().fold.adopt_handover(told);
-        if let FoldStep::Accepted(_) = step {
+        if let FoldOutcome::Accepted(_) = step {
             self.facts.borrow_mut().has_config = true;
             self.tell(&step, Offset::default());
             self.notify();
@@ -123,16 +123,17 @@
         self.facts.borrow_mut().fold.republish(now, seed)
     }
 
-    fn tell(&self, step: &FoldStep, offset: Offset) {
+    fn tell(&self, step: &FoldOutcome, offset: Offset) {
         let event = match step {
-            FoldStep::Accepted(revision) => Event::new(EventKind::ConfigInForce)
+            FoldOutcome::Accepted(revision) => Event::new(EventKind::ConfigInForce)
                 .detail(smol_str::format_smolstr!("revision {revision}")),
-            FoldStep::Raced { based_on, found } => Event::new(EventKind::ConfigChangeLost).detail(
-                smol_str::format_smolstr!("based on {based_on}, found {found}"),
-            ),
-            FoldStep::Ignored => Event::new(EventKind::ConfigRecordIgnored)
+            FoldOutcome::Raced { based_on, found } => Event::new(EventKind::ConfigChangeLost)
+                .detail(smol_str::format_smolstr!(
+                    "based on {based_on}, found {found}"
+                )),
+            FoldOutcome::Ignored => Event::new(EventKind::ConfigRecordIgnored)
                 .detail(smol_str::format_smolstr!("offset {offset}")),
-            FoldStep::Nothing => return,
+            FoldOutcome::Nothing => return,
         };
         self.kernel.emit(event);
     }
--- a/crates/onyxshed-control/src/peers.rs
+++ b/crates/onyxshed-control/src/peers.rs
@@ -18,8 +18,8 @@
 use onyxshed_process::{listen, serve_rpc};
 use onyxshed_proto::onyxshed_capnp::peer_port;
 use onyxshed_proto::{EntryStatus, rpc};
-use onyxshed_state::member::{Gossip, Outgoing};
-use onyxshed_state::{Heartbeat, MemberOptions, MemberTable, Note};
+use onyxshed_state::member::{Gossip, OutgoingGossip};
+use onyxshed_state::{Heartbeat, MemberOptions, MemberTable, MembershipEvent};
 use onyxshed_wire::platform::HostList;
 
 use crate::entry_link::EntryLink;
@@ -67,7 +67,7 @@
     /// Takes in the platform's list of hosts.
     pub fn listed(&self, list: &HostList) {
         if let Some(table) = self.table.borrow_mut().as_mut() {
-            table.listed(self.kernel.clock().now(), list);
+            table.apply_host_list(self.kernel.clock().now(), list);
         }
         self.last_list.replace(Some(list.clone()));
         // The entry counts on the number of hosts that comes with the list.
@@ -77,14 +77,14 @@
     /// Takes in a peer's message and gets the answer; none while this host has no entry.
     fn hear(&self, gossip: &Gossip) -> Option<Gossip> {
         let now = self.kernel.clock().now();
-        let heard = self.table.borrow_mut().as_mut()?.hear(now, gossip);
-        self.tell(heard.notes);
+        let heard = self.table.borrow_mut().as_mut()?.apply_gossip(now, gossip);
+        self.tell(heard.events);
         self.share();
         Some(heard.answer)
     }
 
     /// Does one round for the entry whose status is given.
-    fn round(&self, status: &EntryStatus) -> Vec<Outgoing> {
+    fn round(&self, status: &EntryStatus) -> Vec<OutgoingGossip> {
         let now = self.kernel.clock().now();
         let mut held = self.table.borrow_mut();
         let mut notes = Vec::new();
@@ -98,9 +98,9 @@
             }
         };
         let revision = status.config_revision.unwrap_or_default();
-        table.set_own(status.load, revision, status.is_draining);
+        table.set_own_status(status.load, revision, status.is_draining);
         notes.extend(table.tick(now));
-        let outgoing = table.round(now);
+        let outgoing = table.start_round(now);
         drop(held);
         self.tell(notes);
         self.share();
@@ -113,7 +113,7 @@
         let seeds = self.options.seeds.clone();
         let mut table = MemberTable::new(me, self.options.members.clone(), seeds, rand::random());
         if let Some(list) = self.last_list.borrow().as_ref() {
-            table.listed(now, list);
+            table.apply_host_list(now, list);
         }
         table
     }
@@ -143,12 +143,15 @@
             return;
         };
         let count = |found: usize| u32::try_from(found).unwrap_or(u32::MAX);
-        let (sharers, live) = (count(table.live_in_zone()), count(table.known_hosts()));
+        let (sharers, live) = (
+            count(table.live_hosts_in_zone()),
+            count(table.known_hosts()),
+        );
         self.knowledge
             .set_members(table.members(), table.gone(), sharers, live);
     }
 
-    fn tell(&self, notes: Vec<Note>) {
+    fn tell(&self, notes: Vec<MembershipEvent>) {
         for note in notes {
             self.kernel.emit(event_of(&note));
         }
@@ -182,24 +185,27 @@
 }
 
 fn is_of(table: &MemberTable, status: &EntryStatus) -> bool {
-    table.me().incarnation == status.incarnation && table.me().peer_address == status.peer_address
+    table.own_heartbeat().incarnation == status.incarnation
+        && table.own_heartbeat().peer_address == status.peer_address
 }
 
-fn event_of(note: &Note) -> Event {
+fn event_of(note: &MembershipEvent) -> Event {
     let (kind, party, detail) = match note {
-        Note::Joined(who) => (EventKind::PeerJoined, Some(who), ""),
-        Note::Suspected(who) => (EventKind::PeerSuspected, Some(who), ""),
-        Note::Refuted(who) => (EventKind::PeerJoined, Some(who), "heard again"),
-        Note::Gone(who) => (EventKind::PeerGone, Some(who), ""),
-        Note::Paused(_) => (EventKind::PauseDetected, None, ""),
-        Note::HeldGone => (
+        MembershipEvent::Joined(who) => (EventKind::PeerJoined, Some(who), ""),
+        MembershipEvent::Suspected(who) => (EventKind::PeerSuspected, Some(who), ""),
+        MembershipEvent::Refuted(who) => (EventKind::PeerJoined, Some(who), "heard again"),
+        MembershipEvent::Gone(who) => (EventKind::PeerGone, Some(who), ""),
+        MembershipEvent::Paused(_) => (EventKind::PauseDetected, None, ""),
+        MembershipEvent::DeclaredGone => (
             EventKind::PeerGone,
             None,
             "a peer holds this host to be gone",
         ),
     };
     let event = match note {
-        Note::Paused(span) => Event::new(kind).detail(smol_str::format_smolstr!("{span}")),
+        MembershipEvent::Paused(span) => {
+            Event::new(kind).detail(smol_str::format_smolstr!("{span}"))
+        }
         _ => Event::new(kind).detail(detail),
     };
     match party {
--- a/crates/onyxshed-control/src/peers/calls.rs
+++ b/crates/onyxshed-control/src/peers/calls.rs
@@ -9,7 +9,7 @@
 use onyxshed_proto::onyxshed_capnp::peer_port;
 use onyxshed_proto::{gossip, handover, rpc};
 use onyxshed_state::Handover;
-use onyxshed_state::member::{Gossip, Outgoing};
+use onyxshed_state::member::{Gossip, OutgoingGossip};
 
 use super::Peers;
 
@@ -19,7 +19,7 @@
 
 impl Peers {
     /// Tells one peer, takes in its answer, and fetches its configuration if that is newer.
-    pub(super) async fn send(self: Rc<Self>, outgoing: Outgoing) {
+    pub(super) async fn send(self: Rc<Self>, outgoing: OutgoingGossip) {
         let answer = within(CALL_TIMEOUT, self.exchange(&outgoing))
             .await
             .flatten();
@@ -38,7 +38,7 @@
         self.knowledge.revision().unwrap_or_default() < theirs
     }
 
-    async fn exchange(&self, outgoing: &Outgoing) -> Option<Gossip> {
+    async fn exchange(&self, outgoing: &OutgoingGossip) -> Option<Gossip> {
         let client = self.client(outgoing.to).await?;
         let mut request = client.exchange_request();
         let stamp = self.kernel.clock().stamp();
--- a/crates/onyxshed-dispatch/src/dispatch/admit.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/admit.rs
@@ -133,14 +133,14 @@
         self.put_claiming(id, job, deadline);
         match entry {
             Entry::Claim => {
-                self.book.consult(now, id, content);
+                self.book.request_start(now, id, content);
             }
             Entry::StartUnclaimed => {
                 self.start_unclaimed(now, id, "the log can't be reached");
             }
             Entry::TakeOver(gone) => self.take_over(now, id, content, *gone),
             _ => {
-                self.book.consult(now, id, content);
+                self.book.request_start(now, id, content);
                 self.grant(now, id, true);
             }
         }
--- a/crates/onyxshed-dispatch/src/dispatch/claim.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/claim.rs
@@ -3,7 +3,7 @@
 use onyxshed_core::{Event, EventKind, Incarnation, Now, Offset, ResultCode, SubmissionId};
 use onyxshed_policy::Work;
 use onyxshed_state::claim::AppendFailure;
-use onyxshed_state::{ClaimStep, Settled, Verdict};
+use onyxshed_state::{ClaimOutcome, ClaimStep, SettledClaim};
 use onyxshed_wire::ContentHash;
 use onyxshed_wire::caller::{Answer, CopyMark, Submission};
 use onyxshed_wire::platform::Record;
@@ -17,14 +17,14 @@
     pub(super) fn log_read(&mut self, now: Now, oldest: Offset, next: Offset, records: &[Record]) {
         self.book.skip_to(now, oldest);
         for record in records {
-            let settled = self.book.read(now, record.offset, &record.data);
+            let settled = self.book.apply_record(now, record.offset, &record.data);
             self.settle_all(now, settled);
         }
-        self.book.caught_up(next);
+        self.book.mark_caught_up(next);
     }
 
     pub(super) fn log_lost(&mut self, now: Now) {
-        let failed = self.book.lost_log();
+        let failed = self.book.mark_log_unreachable();
         self.settle_all(now, failed);
     }
 
@@ -34,7 +34,7 @@
         self.settle_all(now, overdue);
     }
 
-    fn settle_all(&mut self, now: Now, settled: Vec<Settled>) {
+    fn settle_all(&mut self, now: Now, settled: Vec<SettledClaim>) {
         for one in settled {
             self.settle(now, one);
         }
@@ -49,24 +49,24 @@
                     .detail(detail),
             );
         }
-        let settled = self.book.appended(now, batch, result);
+        let settled = self.book.apply_append_result(now, batch, result);
         self.settle_all(now, settled);
     }
 
-    fn settle(&mut self, now: Now, settled: Settled) {
+    fn settle(&mut self, now: Now, settled: SettledClaim) {
         let id = settled.submission;
-        match settled.verdict {
-            Verdict::Won => {
+        match settled.outcome {
+            ClaimOutcome::Won => {
                 self.note(Event::new(EventKind::ClaimWon).submission(id));
                 self.grant(now, id, true);
             }
-            Verdict::HeldBy(holder) => {
+            ClaimOutcome::HeldBy(holder) => {
                 let party = smol_str::format_smolstr!("{holder}");
                 self.note(Event::new(EventKind::ClaimLost).submission(id).party(party));
                 self.hand_over(id, holder);
             }
-            Verdict::OtherContent => self.end_unclaimed(now, id, ResultCode::OtherContent),
-            Verdict::Failed => self.claim_failed(now, id),
+            ClaimOutcome::OtherContent => self.end_unclaimed(now, id, ResultCode::OtherContent),
+            ClaimOutcome::Failed => self.claim_failed(now, id),
         }
     }
 
--- a/crates/onyxshed-entry/src/process.rs
+++ b/crates/onyxshed-entry/src/process.rs
@@ -122,7 +122,7 @@
             skew_ms: settings.skew_ms,
             retention_ms: settings.platform_retention_ms,
             log_appends_per_s: settings.log_appends_per_s,
-            patience_ms: settings.claim_patience_ms,
+            read_back_timeout_ms: settings.claim_patience_ms,
             ..ClaimOptions::default()
         },
         policy: PolicyOptions {
--- a/crates/onyxshed-state/examples/slopes.rs
+++ b/crates/onyxshed-state/examples/slopes.rs
@@ -103,7 +103,7 @@
 fn read_claims(records: &[String]) -> ClaimBook {
     let mut book = ClaimBook::new(Incarnation(99), ClaimOptions::default());
     for (offset, data) in (0..).zip(records) {
-        black_box(book.read(now(START_MS), Offset(offset), data));
+        black_box(book.apply_record(now(START_MS), Offset(offset), data));
     }
     book
 }
@@ -116,7 +116,7 @@
     let read = nanos_each(started.elapsed(), count);
     let started = Instant::now();
     for number in 0..count {
-        black_box(book.consult(now(START_MS), id(number), ContentHash(0)));
+        black_box(book.request_start(now(START_MS), id(number), ContentHash(0)));
     }
     let consult = nanos_each(started.elapsed(), count);
     let started = Instant::now();
@@ -201,13 +201,13 @@
             let at = now(START_MS + round * 1_000 + sender as u64);
             let started = Instant::now();
             tables[sender].tick(at);
-            let outgoing = tables[sender].round(at);
+            let outgoing = tables[sender].start_round(at);
             spent += started.elapsed();
             for message in outgoing {
                 let to = usize::from(message.to.port() - 10_000);
                 let started = Instant::now();
-                let answer = tables[to].hear(at, &message.gossip).answer;
-                tables[sender].hear(at, &answer);
+                let answer = tables[to].apply_gossip(at, &message.gossip).answer;
+                tables[sender].apply_gossip(at, &answer);
                 spent += started.elapsed();
                 let sizes = [&message.gossip, &answer].map(serde_json::to_string);
                 bytes += sizes.iter().flatten().map(String::len).sum::<usize>();
--- a/crates/onyxshed-state/src/claim.rs
+++ b/crates/onyxshed-state/src/claim.rs
@@ -26,7 +26,7 @@
 pub use self::options::ClaimOptions;
 use self::pace::Pace;
 use self::queue::ClaimQueue;
-pub use self::step::{BatchStep, ClaimCounts, ClaimStep, Settled, Verdict};
+pub use self::step::{BatchStep, ClaimCounts, ClaimOutcome, ClaimStep, SettledClaim};
 use self::table::{ClaimTable, Standing};
 pub use crate::append::AppendFailure;
 
@@ -104,7 +104,7 @@
     }
 
     /// Decides about a submission that this host has no job for, and queues a claim if it needs one.
-    pub fn consult(&mut self, now: Now, id: SubmissionId, content: ContentHash) -> ClaimStep {
+    pub fn request_start(&mut self, now: Now, id: SubmissionId, content: ContentHash) -> ClaimStep {
         self.consult_claim(
             now,
             Claim {
@@ -189,12 +189,12 @@
     ///
     /// A batch that was not appended goes out again while its jobs wait. One whose answer was lost
     /// is awaited: it may be read back any time.
-    pub fn appended(
+    pub fn apply_append_result(
         &mut self,
         now: Now,
         batch: u64,
         result: Result<Offset, AppendFailure>,
-    ) -> Vec<Settled> {
+    ) -> Vec<SettledClaim> {
         let Some(sent) = self.outbox.take_sent(batch) else {
             return Vec::new();
         };
@@ -212,14 +212,14 @@
 
     /// Settles as failed every claim that was not read back in time, and drops what the horizon
     /// made needless.
-    pub fn tick(&mut self, now: Now) -> Vec<Settled> {
+    pub fn tick(&mut self, now: Now) -> Vec<SettledClaim> {
         self.expire(now);
         let overdue = self.queue.take_overdue(now.mono);
         overdue.into_iter().map(failed).collect()
     }
 
     /// Takes in a record of the `claims` stream.
-    pub fn read(&mut self, now: Now, offset: Offset, data: &str) -> Vec<Settled> {
+    pub fn apply_record(&mut self, now: Now, offset: Offset, data: &str) -> Vec<SettledClaim> {
         if offset < self.next {
             return Vec::new();
         }
@@ -265,14 +265,14 @@
     ///
     /// Before that no claim goes out: it could not be read back before the whole backlog, and its
     /// caller would wait for nothing.
-    pub fn caught_up(&mut self, next: Offset) {
+    pub fn mark_caught_up(&mut self, next: Offset) {
         if self.next >= next {
             self.is_caught_up = true;
         }
     }
 
     /// Notes that the log can't be reached, and fails at once every claim that a job waits for.
-    pub fn lost_log(&mut self) -> Vec<Settled> {
+    pub fn mark_log_unreachable(&mut self) -> Vec<SettledClaim> {
         self.is_caught_up = false;
         self.queue.take_all().into_iter().map(failed).collect()
     }
@@ -318,9 +318,9 @@
     }
 }
 
-fn failed(submission: SubmissionId) -> Settled {
-    Settled {
+fn failed(submission: SubmissionId) -> SettledClaim {
+    SettledClaim {
         submission,
-        verdict: Verdict::Failed,
+        outcome: ClaimOutcome::Failed,
     }
 }
--- a/crates/onyxshed-state/src/claim/consult.rs
+++ b/crates/onyxshed-state/src/claim/consult.rs
@@ -31,7 +31,7 @@
             }
             ClaimStep::Start => self.table.set_standing(id.ulid, Standing::Started),
             ClaimStep::Wait if self.queue.get(id.ulid).is_none() => {
-                let until = now.mono + self.options.patience_ms;
+                let until = now.mono + self.options.read_back_timeout_ms;
                 self.queue.push(claim, until);
             }
             _ => {}
--- a/crates/onyxshed-state/src/claim/fold.rs
+++ b/crates/onyxshed-state/src/claim/fold.rs
@@ -4,11 +4,11 @@
 use onyxshed_wire::record::{Claim, ClaimBatch};
 
 use super::ClaimBook;
-use super::step::{Settled, Verdict};
+use super::step::{ClaimOutcome, SettledClaim};
 use super::table::{Found, Standing};
 
 impl ClaimBook {
-    pub(super) fn fold(&mut self, now: Now, batch: &ClaimBatch) -> Vec<Settled> {
+    pub(super) fn fold(&mut self, now: Now, batch: &ClaimBatch) -> Vec<SettledClaim> {
         for id in &batch.releases {
             self.table.release(batch.by, id);
         }
@@ -21,7 +21,7 @@
             .collect()
     }
 
-    fn fold_claim(&mut self, now: Now, batch: &ClaimBatch, claim: &Claim) -> Option<Settled> {
+    fn fold_claim(&mut self, now: Now, batch: &ClaimBatch, claim: &Claim) -> Option<SettledClaim> {
         let id = claim.submission;
         let is_own = batch.by == self.me;
         let found = if is_own {
@@ -35,19 +35,19 @@
             Found::Taken | Found::Earlier => self.table.get(id.ulid),
         };
         let verdict = match holding {
-            None => Verdict::Failed,
-            Some(held) if held.content != pending.content => Verdict::OtherContent,
+            None => ClaimOutcome::Failed,
+            Some(held) if held.content != pending.content => ClaimOutcome::OtherContent,
             Some(held) if held.by == self.me => self.judge_own(id)?,
             Some(held) if !is_own && pending.replaces == Some(held.by) => return None,
-            Some(held) => Verdict::HeldBy(held.by),
+            Some(held) => ClaimOutcome::HeldBy(held.by),
         };
         self.queue.remove(id.ulid);
-        if verdict == Verdict::Won {
+        if verdict == ClaimOutcome::Won {
             self.table.set_standing(id.ulid, Standing::Started);
         }
-        Some(Settled {
+        Some(SettledClaim {
             submission: id,
-            verdict,
+            outcome: verdict,
         })
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Judges a claim of ours that holds: not decided while a release of it is still to be read.
-    fn judge_own(&self, id: SubmissionId) -> Option<Verdict> {
-        (self.standing(id) != Some(Standing::ReleaseSent)).then_some(Verdict::Won)
+    fn judge_own(&self, id: SubmissionId) -> Option<ClaimOutcome> {
+        (self.standing(id) != Some(Standing::ReleaseSent)).then_some(ClaimOutcome::Won)
     }
 }
--- a/crates/onyxshed-state/src/claim/options.rs
+++ b/crates/onyxshed-state/src/claim/options.rs
@@ -24,7 +24,7 @@
     /// refused. Default 1,000,000.
     pub claims_max: usize,
     /// How long a consult waits for its claim to be read back. Default 2 s.
-    pub patience_ms: Millis,
+    pub read_back_timeout_ms: Millis,
     /// How long a batch that was not appended waits before the next try. Default 50 ms.
     pub retry_ms: Millis,
     /// How long a release waits for a batch of claims to ride on. Default 250 ms.
@@ -41,7 +41,7 @@
             appends_per_s: RatePerS(30),
             batch_max: 500,
             claims_max: 1_000_000,
-            patience_ms: Millis(2_000),
+            read_back_timeout_ms: Millis(2_000),
             retry_ms: Millis(50),
             release_delay_ms: Millis(250),
         }
--- a/crates/onyxshed-state/src/claim/step.rs
+++ b/crates/onyxshed-state/src/claim/step.rs
@@ -26,7 +26,7 @@
 
 /// How a claim ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ClaimOutcome {
     /// This host holds the submission and may start it.
     Won,
     /// Another incarnation holds it.
@@ -40,11 +40,11 @@
 
 /// A claim that was decided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Settled {
+pub struct SettledClaim {
     /// The submission.
     pub submission: SubmissionId,
     /// How the claim ended.
-    pub verdict: Verdict,
+    pub outcome: ClaimOutcome,
 }
 
 /// What to do about the log now.
--- a/crates/onyxshed-state/src/config.rs
+++ b/crates/onyxshed-state/src/config.rs
@@ -31,11 +31,11 @@
 use onyxshed_wire::record::{ConfigChange, ConfigRecord};
 use serde::{Deserialize, Serialize};
 
-pub use self::fate::{ChangeFate, RECENT_CHANGES};
+pub use self::fate::{ChangeOutcome, RECENT_CHANGES};
 use self::fate::{Fates, RecentChanges};
 pub use self::handover::Handover;
 use self::parts::Parts;
-pub use self::proposal::{Appended, Judged, Proposal};
+pub use self::proposal::{AppendStep, Proposal, ProposalStatus};
 pub use self::republish::RepublishStep;
 pub use self::rules::CLASSES_MAX;
 
@@ -54,7 +54,7 @@
 
 /// What one record did to the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum FoldStep {
+pub enum FoldOutcome {
     /// It was accepted and this revision is in force.
     Accepted(Revision),
     /// It was based on another revision and lost.
@@ -154,7 +154,7 @@
     }
 
     /// Gets the configuration as folded from the log alone.
-    pub fn folded(&self) -> &Config {
+    pub fn folded_config(&self) -> &Config {
         &self.config
     }
 
@@ -175,9 +175,9 @@
     }
 
     /// Looks up what became of a change, as far as the log was read.
-    pub fn find_change(&self, change_id: ChangeId) -> ChangeFate {
+    pub fn find_change(&self, change_id: ChangeId) -> ChangeOutcome {
         match self.recent.revision_of(change_id, self.config.revision) {
-            Some(revision) => ChangeFate::Accepted(revision),
+            Some(revision) => ChangeOutcome::Accepted(revision),
             None => self.fates.get(change_id),
         }
     }
@@ -191,12 +191,12 @@
 
     /// Takes in the record at `offset`, appended at an unknown time. Prefer [`Self::apply_record`],
     /// which knows when the record expires.
-    pub fn apply(&mut self, offset: Offset, data: &str) -> FoldStep {
+    pub fn apply(&mut self, offset: Offset, data: &str) -> FoldOutcome {
         self.apply_at(offset, UnixMs::default(), data)
     }
 
     /// Takes in a record as it was read.
-    pub fn apply_record(&mut self, record: &Record) -> FoldStep {
+    pub fn apply_record(&mut self, record: &Record) -> FoldOutcome {
         self.apply_at(record.offset, record.at_ms, &record.data)
     }
 
@@ -211,9 +211,9 @@
         self.partial = Some(Partial::new(oldest, at));
     }
 
-    fn apply_at(&mut self, offset: Offset, at: UnixMs, data: &str) -> FoldStep {
+    fn apply_at(&mut self, offset: Offset, at: UnixMs, data: &str) -> FoldOutcome {
         if offset < self.next {
-            return FoldStep::Nothing;
+            return FoldOutcome::Nothing;
         }
         self.skip_to(offset, at);
         self.next = offset.next();
@@ -224,16 +224,16 @@
             }
             Ok(ConfigRecord::SnapshotV1(part)) => match self.parts.add(at, part) {
                 Some(whole) => self.take_snapshot(offset, &whole),
-                None => FoldStep::Nothing,
+                None => FoldOutcome::Nothing,
             },
             Err(_) => {
                 self.counts.unreadable += 1;
-                FoldStep::Ignored
+                FoldOutcome::Ignored
             }
         }
     }
 
-    fn take_change(&mut self, offset: Offset, at: UnixMs, change: ConfigChange) -> FoldStep {
+    fn take_change(&mut self, offset: Offset, at: UnixMs, change: ConfigChange) -> FoldOutcome {
         let Some(partial) = &mut self.partial else {
             return self.fold_change(at, change);
         };
@@ -243,34 +243,34 @@
         {
             partial.from = dropped.offset.next();
         }
-        FoldStep::Nothing
+        FoldOutcome::Nothing
     }
 
-    fn fold_change(&mut self, at: UnixMs, change: ConfigChange) -> FoldStep {
+    fn fold_change(&mut self, at: UnixMs, change: ConfigChange) -> FoldOutcome {
         let found = self.config.revision;
         let id = change.change_id;
         if self.recent.contains(id) {
-            return FoldStep::Nothing;
+            return FoldOutcome::Nothing;
         }
         if change.based_on != found {
             self.counts.raced += 1;
             let based_on = change.based_on;
             if self.remembers(based_on) {
-                self.fates.put(id, ChangeFate::Raced { based_on, found });
+                self.fates.put(id, ChangeOutcome::Raced { based_on, found });
             }
-            return FoldStep::Raced { based_on, found };
+            return FoldOutcome::Raced { based_on, found };
         }
         if rules::check(&self.config, &change.body).is_err() {
             self.counts.invalid += 1;
-            self.fates.put(id, ChangeFate::Invalid);
-            return FoldStep::Ignored;
+            self.fates.put(id, ChangeOutcome::Invalid);
+            return FoldOutcome::Ignored;
         }
         rules::apply(&mut self.config.classes, change.body);
         self.config.revision = found.next();
         self.recent.push(id);
         self.anchor.get_or_insert(at);
         self.drop_adopted();
-        FoldStep::Accepted(self.config.revision)
+        FoldOutcome::Accepted(self.config.revision)
     }
 }
 
--- a/crates/onyxshed-state/src/config/fate.rs
+++ b/crates/onyxshed-state/src/config/fate.rs
@@ -15,7 +15,7 @@
 
 /// What became of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ChangeFate {
+pub enum ChangeOutcome {
     /// It made this revision.
     Accepted(Revision),
     /// It was based on another revision than the one it found.
@@ -75,18 +75,21 @@
 /// The fates of refused changes, the newest ones.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Fates {
-    by_id: BTreeMap<ChangeId, ChangeFate>,
+    by_id: BTreeMap<ChangeId, ChangeOutcome>,
     order: VecDeque<ChangeId>,
 }
 
 impl Fates {
     /// Gets the fate of a change.
-    pub(super) fn get(&self, id: ChangeId) -> ChangeFate {
-        self.by_id.get(&id).copied().unwrap_or(ChangeFate::NotSeen)
+    pub(super) fn get(&self, id: ChangeId) -> ChangeOutcome {
+        self.by_id
+            .get(&id)
+            .copied()
+            .unwrap_or(ChangeOutcome::NotSeen)
     }
 
     /// Notes the fate of a change; the last one counts if it came more than once.
-    pub(super) fn put(&mut self, id: ChangeId, fate: ChangeFate) {
+    pub(super) fn put(&mut self, id: ChangeId, fate: ChangeOutcome) {
         if self.by_id.insert(id, fate).is_none() {
             self.order.push_back(id);
         }
--- a/crates/onyxshed-state/src/config/handover.rs
+++ b/crates/onyxshed-state/src/config/handover.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::fate::RecentChanges;
-use super::{Config, ConfigFold, FoldStep};
+use super::{Config, ConfigFold, FoldOutcome};
 
 /// A configuration with its place in the log, as one process hands it to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -46,7 +46,7 @@
     ///
     /// For processes that don't read the log, and for what is known of a peer's configuration but
     /// its revision and classes.
-    pub fn adopt(&mut self, config: Config) -> FoldStep {
+    pub fn adopt(&mut self, config: Config) -> FoldOutcome {
         self.adopt_handover(Handover {
             config,
             ..Handover::default()
@@ -57,7 +57,7 @@
     /// partial fold if the peer's is complete and ends within what was read here.
     ///
     /// A complete fold goes on from the log alone, so a peer that is wrong can't lead it astray.
-    pub fn adopt_handover(&mut self, told: Handover) -> FoldStep {
+    pub fn adopt_handover(&mut self, told: Handover) -> FoldOutcome {
         let before = self.config().revision;
         if told.is_complete {
             self.heal(&told);
@@ -83,7 +83,7 @@
     ///
     /// If records between the two are lost, nothing is done: a change among them may have been
     /// accepted, and one in the backlog that lost to it would look valid.
-    pub(super) fn rebase(&mut self, told: &Handover, at: Option<UnixMs>) -> FoldStep {
+    pub(super) fn rebase(&mut self, told: &Handover, at: Option<UnixMs>) -> FoldOutcome {
         if told.folded_to < self.read_from() {
             return self.adopt_unjoined(told);
         }
@@ -98,7 +98,7 @@
         self.step_since(before)
     }
 
-    pub(super) fn adopt_unjoined(&mut self, told: &Handover) -> FoldStep {
+    pub(super) fn adopt_unjoined(&mut self, told: &Handover) -> FoldOutcome {
         let before = self.config().revision;
         if told.config.revision > before {
             self.adopted = Some(told.clone());
@@ -121,12 +121,12 @@
         fold
     }
 
-    pub(super) fn step_since(&self, before: Revision) -> FoldStep {
+    pub(super) fn step_since(&self, before: Revision) -> FoldOutcome {
         let revision = self.config().revision;
         if revision > before {
-            FoldStep::Accepted(revision)
+            FoldOutcome::Accepted(revision)
         } else {
-            FoldStep::Nothing
+            FoldOutcome::Nothing
         }
     }
 
--- a/crates/onyxshed-state/src/config/proposal.rs
+++ b/crates/onyxshed-state/src/config/proposal.rs
@@ -7,7 +7,7 @@
 use onyxshed_core::{Offset, Revision};
 use onyxshed_wire::record::{ConfigChange, ConfigRecord};
 
-use super::{ChangeFate, ConfigFold, rules};
+use super::{ChangeOutcome, ConfigFold, rules};
 use crate::append::AppendFailure;
 use crate::error::{Error, Result};
 
@@ -30,7 +30,7 @@
 
 /// What is known of a change that was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Judged {
+pub enum ProposalStatus {
     /// It made this revision.
     Accepted(Revision),
     /// Another change came first.
@@ -54,14 +54,14 @@
         if !fold.is_complete() {
             return Err(Error::Incomplete);
         }
-        let found = fold.folded().revision;
+        let found = fold.folded_config().revision;
         if change.based_on != found {
             return Err(Error::Stale {
                 based_on: change.based_on,
                 found,
             });
         }
-        rules::check(fold.folded(), &change.body)?;
+        rules::check(fold.folded_config(), &change.body)?;
         Ok(Proposal {
             change,
             state: Ready,
@@ -79,13 +79,16 @@
     }
 
     /// Takes in how the append went. One that was not appended may be tried again.
-    pub fn appended(self, result: std::result::Result<Offset, AppendFailure>) -> Appended {
+    pub fn apply_append_result(
+        self,
+        result: std::result::Result<Offset, AppendFailure>,
+    ) -> AppendStep {
         let offset = match result {
-            Err(AppendFailure::NotAppended) => return Appended::Retry(self),
+            Err(AppendFailure::NotAppended) => return AppendStep::Retry(self),
             Err(AppendFailure::AnswerLost) => None,
             Ok(offset) => Some(offset),
         };
-        Appended::Sent(Proposal {
+        AppendStep::Sent(Proposal {
             change: self.change,
             state: Sent { offset },
         })
@@ -94,7 +97,7 @@
 
 /// What an append made of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Appended {
+pub enum AppendStep {
     /// It is provably not in the log.
     Retry(Proposal<Ready>),
     /// It may be in the log.
@@ -109,19 +112,21 @@
 
     /// Judges the change. `end` is the log's next offset as told after the append failed or
     /// succeeded; the fold must have read up to there before anything is said.
-    pub fn judge(self, fold: &ConfigFold, end: Offset) -> Judged {
+    pub fn resolve(self, fold: &ConfigFold, end: Offset) -> ProposalStatus {
         if !fold.is_complete() {
-            return Judged::Undecided(self);
+            return ProposalStatus::Undecided(self);
         }
         match fold.find_change(self.change.change_id) {
-            ChangeFate::Accepted(revision) => Judged::Accepted(revision),
-            ChangeFate::Raced { based_on, found } => Judged::Raced { based_on, found },
-            ChangeFate::Invalid => Judged::Invalid,
-            ChangeFate::NotSeen if self.is_missing(fold, end) => Judged::Repeat(Proposal {
-                change: self.change,
-                state: Ready,
-            }),
-            ChangeFate::NotSeen => Judged::Undecided(self),
+            ChangeOutcome::Accepted(revision) => ProposalStatus::Accepted(revision),
+            ChangeOutcome::Raced { based_on, found } => ProposalStatus::Raced { based_on, found },
+            ChangeOutcome::Invalid => ProposalStatus::Invalid,
+            ChangeOutcome::NotSeen if self.is_missing(fold, end) => {
+                ProposalStatus::Repeat(Proposal {
+                    change: self.change,
+                    state: Ready,
+                })
+            }
+            ChangeOutcome::NotSeen => ProposalStatus::Undecided(self),
         }
     }
 
--- a/crates/onyxshed-state/src/config/snapshot.rs
+++ b/crates/onyxshed-state/src/config/snapshot.rs
@@ -13,11 +13,11 @@
 use super::fate::RecentChanges;
 use super::handover::Handover;
 use super::parts::{Whole, fingerprint_of};
-use super::{ConfigFold, FoldStep, Partial};
+use super::{ConfigFold, FoldOutcome, Partial};
 
 impl ConfigFold {
     /// Takes in a snapshot whose last part stands at `offset`.
-    pub(super) fn take_snapshot(&mut self, offset: Offset, whole: &Whole) -> FoldStep {
+    pub(super) fn take_snapshot(&mut self, offset: Offset, whole: &Whole) -> FoldOutcome {
         let told = &whole.handover;
         if told.folded_to > offset {
             return self.contradict();
@@ -27,12 +27,12 @@
         }
         let order = told.config.revision.cmp(&self.config.revision);
         if order == Ordering::Less {
-            return FoldStep::Nothing;
+            return FoldOutcome::Nothing;
         }
         if told.config == self.config {
             self.anchor = Some(whole.at);
             self.is_tentative &= !told.is_complete;
-            return FoldStep::Nothing;
+            return FoldOutcome::Nothing;
         }
         if self.yields_to(told, order) {
             self.switch_to(told, Some(whole.at))
@@ -56,7 +56,7 @@
 
     /// Moves to another history. Changes read since its fold ended would have to be judged anew on
     /// top of it and are not kept; then the fold is partial until the next snapshot.
-    pub(super) fn switch_to(&mut self, told: &Handover, at: Option<UnixMs>) -> FoldStep {
+    pub(super) fn switch_to(&mut self, told: &Handover, at: Option<UnixMs>) -> FoldOutcome {
         let before = self.config().revision;
         if self.changed_to <= told.folded_to {
             self.next = self.next.max(told.folded_to);
@@ -80,9 +80,9 @@
         self.drop_adopted();
     }
 
-    pub(super) fn contradict(&mut self) -> FoldStep {
+    pub(super) fn contradict(&mut self) -> FoldOutcome {
         self.counts.contradictions += 1;
-        FoldStep::Ignored
+        FoldOutcome::Ignored
     }
 
     /// Drops what a peer told once the fold has got there.
--- a/crates/onyxshed-state/src/lib.rs
+++ b/crates/onyxshed-state/src/lib.rs
@@ -12,12 +12,14 @@
 pub mod member;
 
 pub use append::AppendFailure;
-pub use claim::{BatchStep, ClaimBook, ClaimCounts, ClaimOptions, ClaimStep, Settled, Verdict};
+pub use claim::{
+    BatchStep, ClaimBook, ClaimCounts, ClaimOptions, ClaimOutcome, ClaimStep, SettledClaim,
+};
 pub use config::{
-    ChangeFate, Config, ConfigCounts, ConfigFold, ConfigOptions, FoldStep, Handover, Proposal,
-    RepublishStep,
+    ChangeOutcome, Config, ConfigCounts, ConfigFold, ConfigOptions, FoldOutcome, Handover,
+    Proposal, RepublishStep,
 };
 pub use error::{Error, Result};
 pub use member::{
-    Gossip, Heartbeat, LoadDigest, Member, MemberOptions, MemberState, MemberTable, Note,
+    Gossip, Heartbeat, LoadDigest, Member, MemberOptions, MemberState, MemberTable, MembershipEvent,
 };
--- a/crates/onyxshed-state/src/member.rs
+++ b/crates/onyxshed-state/src/member.rs
@@ -17,7 +17,7 @@
 use onyxshed_wire::platform::{EntryHost, HostList};
 use serde::{Deserialize, Serialize};
 
-pub use self::gossip::{Gossip, Heard, Outgoing};
+pub use self::gossip::{Gossip, GossipOutcome, OutgoingGossip};
 pub use self::options::MemberOptions;
 
 /// How a peer is judged.
@@ -82,7 +82,7 @@
 
 /// Something that changed, for the log and the time line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Note {
+pub enum MembershipEvent {
     /// An incarnation became known.
     Joined(Incarnation),
     /// An incarnation has not been heard for a while.
@@ -94,7 +94,7 @@
     /// This process was frozen or starved for that long.
     Paused(Millis),
     /// A peer holds this incarnation to be gone: take no more work, and start anew.
-    HeldGone,
+    DeclaredGone,
 }
 
 #[derive(Debug, Clone)]
@@ -126,7 +126,7 @@
     listed: Option<Listed>,
     round: u64,
     last: Option<Now>,
-    notes: Vec<Note>,
+    notes: Vec<MembershipEvent>,
 }
 
 impl MemberTable {
@@ -149,12 +149,17 @@
     }
 
     /// Gets what this host tells about itself.
-    pub fn me(&self) -> &Heartbeat {
+    pub fn own_heartbeat(&self) -> &Heartbeat {
         &self.me
     }
 
     /// Sets what the next heartbeat tells.
-    pub fn set_own(&mut self, load: LoadDigest, config_revision: Revision, is_draining: bool) {
+    pub fn set_own_status(
+        &mut self,
+        load: LoadDigest,
+        config_revision: Revision,
+        is_draining: bool,
+    ) {
         self.me.load = load;
         self.me.config_revision = config_revision;
         self.me.is_draining = is_draining;
@@ -197,7 +202,7 @@
     }
 
     /// Gets the number of hosts of this zone that take work, this one included, for sharing slots.
-    pub fn live_in_zone(&self) -> usize {
+    pub fn live_hosts_in_zone(&self) -> usize {
         let shares = |peer: &&Peer| {
             let is_live = peer.state == MemberState::Live;
             is_live && peer.beat.zone == self.me.zone && !peer.beat.is_draining
@@ -214,7 +219,7 @@
     }
 
     /// Takes in the platform's list of hosts.
-    pub fn listed(&mut self, now: Now, list: &HostList) {
+    pub fn apply_host_list(&mut self, now: Now, list: &HostList) {
         let as_of = Mono(
             now.mono
                 .0
--- a/crates/onyxshed-state/src/member/gossip.rs
+++ b/crates/onyxshed-state/src/member/gossip.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{Heartbeat, MemberState, MemberTable, Note, Peer};
+use super::{Heartbeat, MemberState, MemberTable, MembershipEvent, Peer};
 
 /// A message between control processes; the answer has the same shape.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
 
 /// A message to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingGossip {
     /// The receiver's control address.
     pub to: SocketAddr,
     /// What to tell.
@@ -32,9 +32,9 @@
 
 /// What a message brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Heard {
+pub struct GossipOutcome {
     /// What changed.
-    pub notes: Vec<Note>,
+    pub events: Vec<MembershipEvent>,
     /// The answer, if the message was a request.
     pub answer: Gossip,
 }
@@ -42,7 +42,7 @@
 impl MemberTable {
     /// Counts a heartbeat and picks whom to tell it: peers of the own zone and of others in turn,
     /// and now and then an address from the settings, so that a split heals by itself.
-    pub fn round(&mut self, now: Now) -> Vec<Outgoing> {
+    pub fn start_round(&mut self, now: Now) -> Vec<OutgoingGossip> {
         self.notice_pause(now);
         self.me.counter += 1;
         self.round += 1;
@@ -56,7 +56,7 @@
         if is_alone || self.round.is_multiple_of(self.options.seed_every.max(1)) {
             targets.extend(self.pick(self.unmet_seeds(), self.round, 1));
         }
-        let tell = |to| Outgoing {
+        let tell = |to| OutgoingGossip {
             to,
             gossip: self.digest(to, &[]),
         };
@@ -64,7 +64,7 @@
     }
 
     /// Takes in a message, or the answer to one.
-    pub fn hear(&mut self, now: Now, gossip: &Gossip) -> Heard {
+    pub fn apply_gossip(&mut self, now: Now, gossip: &Gossip) -> GossipOutcome {
         self.notice_pause(now);
         let sender = gossip.from.incarnation;
         self.hear_beat(now, &gossip.from, true);
@@ -72,12 +72,12 @@
             self.hear_beat(now, beat, false);
         }
         if gossip.gone == Some(self.me.incarnation) {
-            self.notes.push(Note::HeldGone);
+            self.notes.push(MembershipEvent::DeclaredGone);
         }
         let mut answer = self.digest(gossip.from.control_address, &gossip.others);
         answer.gone = self.is_gone(sender).then_some(sender);
-        Heard {
-            notes: std::mem::take(&mut self.notes),
+        GossipOutcome {
+            events: std::mem::take(&mut self.notes),
             answer,
         }
     }
@@ -97,7 +97,7 @@
                 peer.sent = 0;
                 if peer.state == MemberState::Suspect {
                     peer.state = MemberState::Live;
-                    self.notes.push(Note::Refuted(incarnation));
+                    self.notes.push(MembershipEvent::Refuted(incarnation));
                 }
             }
             return;
@@ -110,9 +110,9 @@
     fn hear_other_life(&mut self, now: Now, beat: &Heartbeat, is_direct: bool) {
         if beat.started_at_ms < self.me.started_at_ms {
             self.gone.insert(beat.incarnation, now.mono);
-            self.notes.push(Note::Gone(beat.incarnation));
+            self.notes.push(MembershipEvent::Gone(beat.incarnation));
         } else if is_direct {
-            self.notes.push(Note::HeldGone);
+            self.notes.push(MembershipEvent::DeclaredGone);
         }
     }
 
@@ -140,7 +140,7 @@
             sent: 0,
         };
         self.peers.insert(beat.incarnation, peer);
-        self.notes.push(Note::Joined(beat.incarnation));
+        self.notes.push(MembershipEvent::Joined(beat.incarnation));
     }
 
     /// Makes the message for `to`: the live peers' heartbeats passed on least since they changed,
--- a/crates/onyxshed-state/src/member/judge.rs
+++ b/crates/onyxshed-state/src/member/judge.rs
@@ -3,7 +3,7 @@
 use onyxshed_core::{HostName, Incarnation, Micros, Millis, Mono, Now};
 use onyxshed_wire::platform::HostState;
 
-use super::{Heartbeat, MemberState, MemberTable, Note};
+use super::{Heartbeat, MemberState, MemberTable, MembershipEvent};
 
 /// What to do about a silent peer.
 enum Judgement {
@@ -14,7 +14,7 @@
 
 impl MemberTable {
     /// Judges every peer; called at least once a round.
-    pub fn tick(&mut self, now: Now) -> Vec<Note> {
+    pub fn tick(&mut self, now: Now) -> Vec<MembershipEvent> {
         self.notice_pause(now);
         let incarnations: Vec<Incarnation> = self.peers.keys().copied().collect();
         for incarnation in incarnations {
@@ -31,11 +31,11 @@
 
     /// Goes on for a new life of this host, whose former one is gone. What is known of peers stays;
     /// in a table made afresh the former life, which still holds claims, would be unknown.
-    pub fn restart(&mut self, now: Now, me: Heartbeat) -> Vec<Note> {
+    pub fn restart(&mut self, now: Now, me: Heartbeat) -> Vec<MembershipEvent> {
         let former = std::mem::replace(&mut self.me, me);
         if former.incarnation != self.me.incarnation {
             self.gone.insert(former.incarnation, now.mono);
-            self.notes.push(Note::Gone(former.incarnation));
+            self.notes.push(MembershipEvent::Gone(former.incarnation));
         }
         std::mem::take(&mut self.notes)
     }
@@ -57,14 +57,14 @@
         for peer in self.peers.values_mut() {
             peer.heard_at = peer.heard_at + ran_on;
         }
-        self.notes.push(Note::Paused(span));
+        self.notes.push(MembershipEvent::Paused(span));
     }
 
     /// Holds an incarnation to be gone for good.
     pub(super) fn bury(&mut self, now: Now, incarnation: Incarnation) {
         if self.peers.remove(&incarnation).is_some() {
             self.gone.insert(incarnation, now.mono);
-            self.notes.push(Note::Gone(incarnation));
+            self.notes.push(MembershipEvent::Gone(incarnation));
         }
     }
 
@@ -90,7 +90,7 @@
     fn suspect(&mut self, incarnation: Incarnation) {
         if let Some(peer) = self.peers.get_mut(&incarnation) {
             peer.state = MemberState::Suspect;
-            self.notes.push(Note::Suspected(incarnation));
+            self.notes.push(MembershipEvent::Suspected(incarnation));
         }
     }
 
--- a/crates/onyxshed-state/tests/claim_pace.rs
+++ b/crates/onyxshed-state/tests/claim_pace.rs
@@ -40,7 +40,7 @@
         for (place, book) in (0..).zip(&mut books) {
             for n in (ms * per_s / 1_000)..((ms + 1) * per_s / 1_000) {
                 let ulid = Ulid::from_parts(at(ms).wall.0, u128::from(n << 8 | place));
-                book.consult(at(ms), SubmissionId::unbound(ulid), CONTENT);
+                book.request_start(at(ms), SubmissionId::unbound(ulid), CONTENT);
             }
             let Some(batch) = send(book, at(ms)) else {
                 continue;
@@ -61,7 +61,7 @@
     let BatchStep::Append(batch) = book.next_batch(now) else {
         return None;
     };
-    book.appended(now, batch.batch, Ok(Offset(0)));
+    book.apply_append_result(now, batch.batch, Ok(Offset(0)));
     Some(batch)
 }
 
@@ -93,7 +93,7 @@
     let mut book = host(1, ClaimOptions::default());
     book.set_live_hosts(1);
     let sent = (0..1_000).filter(|ms| {
-        book.consult(at(*ms), id(*ms), CONTENT);
+        book.request_start(at(*ms), id(*ms), CONTENT);
         send(&mut book, at(*ms)).is_some()
     });
     assert!(sent.count() <= 30);
@@ -109,7 +109,7 @@
     };
     let mut book = host(1, options);
     for ms in 0..2_000 {
-        book.consult(at(ms), id(ms), CONTENT);
+        book.request_start(at(ms), id(ms), CONTENT);
     }
     let batch = take_batch(&mut book, at(2_000));
     let bytes = ClaimRecord::ClaimsV1(batch.clone()).encode().len();
--- a/crates/onyxshed-state/tests/claim_search.rs
+++ b/crates/onyxshed-state/tests/claim_search.rs
@@ -10,7 +10,7 @@
     Incarnation, Micros, Millis, Mono, Now, Offset, RatePerS, SubmissionId, UnixMs,
 };
 use onyxshed_state::{
-    AppendFailure, BatchStep, ClaimBook, ClaimOptions, ClaimStep, Settled, Verdict,
+    AppendFailure, BatchStep, ClaimBook, ClaimOptions, ClaimOutcome, ClaimStep, SettledClaim,
 };
 use onyxshed_wire::ContentHash;
 use onyxshed_wire::record::{ClaimBatch, ClaimRecord};
@@ -162,7 +162,7 @@
         retention_ms: Millis(2_100),
         log_appends_per_s: RatePerS(1_000),
         appends_per_s: RatePerS(500),
-        patience_ms: Millis(60),
+        read_back_timeout_ms: Millis(60),
         retry_ms: Millis(1),
         release_delay_ms: Millis(5),
         ..ClaimOptions::default()
@@ -276,7 +276,7 @@
                 self.hosts[host] = self.new_host(self.hosts[host].skew_ms);
             }
             Op::LoseLog { host } => {
-                let settled = self.hosts[host].book.lost_log();
+                let settled = self.hosts[host].book.mark_log_unreachable();
                 self.settle(host, &settled);
             }
             Op::StepClock { host, skew_ms } => self.hosts[host].skew_ms = skew_ms,
@@ -303,7 +303,7 @@
             bound_to,
         };
         let now = self.now(host);
-        self.consult(host, id, |book| book.consult(now, id, ContentHash(1)));
+        self.consult(host, id, |book| book.request_start(now, id, ContentHash(1)));
     }
 
     fn take_over(&mut self, host: usize, id: usize) {
@@ -359,7 +359,9 @@
                 Err(AppendFailure::AnswerLost)
             }
         };
-        let settled = self.hosts[host].book.appended(now, batch.batch, result);
+        let settled = self.hosts[host]
+            .book
+            .apply_append_result(now, batch.batch, result);
         self.settle(host, &settled);
     }
 
@@ -384,18 +386,20 @@
         let end = next.saturating_add(count).min(self.log.len() as u64);
         for offset in from..end {
             let (_, data) = &self.log[usize::try_from(offset).expect("small")];
-            let settled = self.hosts[host].book.read(now, Offset(offset), data);
+            let settled = self.hosts[host]
+                .book
+                .apply_record(now, Offset(offset), data);
             self.settle(host, &settled);
         }
         self.hosts[host]
             .book
-            .caught_up(Offset(self.log.len() as u64));
+            .mark_caught_up(Offset(self.log.len() as u64));
     }
 
-    fn settle(&mut self, host: usize, settled: &[Settled]) {
-        for Settled {
+    fn settle(&mut self, host: usize, settled: &[SettledClaim]) {
+        for SettledClaim {
             submission,
-            verdict,
+            outcome: verdict,
         } in settled
         {
             let number = self.number();
@@ -406,7 +410,7 @@
                 "a verdict nobody waits for"
             );
             match verdict {
-                Verdict::Won => jobs.insert(*submission, Job::Ready(number)),
+                ClaimOutcome::Won => jobs.insert(*submission, Job::Ready(number)),
                 _ => jobs.remove(submission),
             };
         }
--- a/crates/onyxshed-state/tests/claim_traps.rs
+++ b/crates/onyxshed-state/tests/claim_traps.rs
@@ -6,7 +6,7 @@
 use claims::{CONTENT, at, host, id, take_batch};
 use onyxshed_core::{Incarnation, Millis, Now, Offset, SubmissionId};
 use onyxshed_state::{
-    AppendFailure, BatchStep, ClaimBook, ClaimOptions, ClaimStep, Settled, Verdict,
+    AppendFailure, BatchStep, ClaimBook, ClaimOptions, ClaimOutcome, ClaimStep, SettledClaim,
 };
 use onyxshed_wire::ContentHash;
 use onyxshed_wire::record::{ClaimBatch, ClaimRecord};
@@ -23,12 +23,12 @@
     }
 
     /// Reads everything that the host has not read.
-    fn read(&self, book: &mut ClaimBook, now: Now) -> Vec<Settled> {
+    fn read(&self, book: &mut ClaimBook, now: Now) -> Vec<SettledClaim> {
         let mut settled = Vec::new();
         for (offset, data) in (0..).zip(&self.0) {
-            settled.extend(book.read(now, Offset(offset), data));
+            settled.extend(book.apply_record(now, Offset(offset), data));
         }
-        book.caught_up(Offset(self.0.len() as u64));
+        book.mark_caught_up(Offset(self.0.len() as u64));
         settled
     }
 
@@ -37,7 +37,7 @@
         let batch = take_batch(book, now);
         let number = batch.batch;
         let offset = self.append(batch);
-        book.appended(now, number, Ok(offset));
+        book.apply_append_result(now, number, Ok(offset));
     }
 }
 
@@ -53,13 +53,13 @@
 
 /// Has `book` claim `id` and win it.
 fn win(log: &mut Log, book: &mut ClaimBook, now: Now, id: SubmissionId) {
-    assert_eq!(book.consult(now, id, CONTENT), ClaimStep::Wait);
+    assert_eq!(book.request_start(now, id, CONTENT), ClaimStep::Wait);
     log.send(book, now);
-    assert_eq!(verdicts(&log.read(book, now)), [Verdict::Won]);
+    assert_eq!(verdicts(&log.read(book, now)), [ClaimOutcome::Won]);
 }
 
-fn verdicts(settled: &[Settled]) -> Vec<Verdict> {
-    settled.iter().map(|settled| settled.verdict).collect()
+fn verdicts(settled: &[SettledClaim]) -> Vec<ClaimOutcome> {
+    settled.iter().map(|settled| settled.outcome).collect()
 }
 
 /// The caller sends to both hosts at once, which both append before either has read. Both records
@@ -69,12 +69,15 @@
 fn two_claims_in_one_interval_have_one_winner() {
     let (mut log, mut a, mut b) = hosts();
     for book in [&mut a, &mut b] {
-        assert_eq!(book.consult(at(0), id(0), CONTENT), ClaimStep::Wait);
+        assert_eq!(book.request_start(at(0), id(0), CONTENT), ClaimStep::Wait);
         log.send(book, at(0));
     }
     assert!(!a.may_start(at(0), id(0)), "appended is not yet claimed");
-    assert_eq!(verdicts(&log.read(&mut b, at(1))), [Verdict::HeldBy(A)]);
-    assert_eq!(verdicts(&log.read(&mut a, at(1))), [Verdict::Won]);
+    assert_eq!(
+        verdicts(&log.read(&mut b, at(1))),
+        [ClaimOutcome::HeldBy(A)]
+    );
+    assert_eq!(verdicts(&log.read(&mut a, at(1))), [ClaimOutcome::Won]);
     assert!(a.may_start(at(1), id(0)) && !b.may_start(at(1), id(0)));
 }
 
@@ -83,9 +86,9 @@
 #[test]
 fn two_consults_make_one_claim() {
     let (_, mut a, _) = hosts();
-    assert_eq!(a.consult(at(0), id(0), CONTENT), ClaimStep::Wait);
-    assert_eq!(a.consult(at(0), id(0), CONTENT), ClaimStep::Wait);
-    let other = a.consult(at(0), id(0), ContentHash(8));
+    assert_eq!(a.request_start(at(0), id(0), CONTENT), ClaimStep::Wait);
+    assert_eq!(a.request_start(at(0), id(0), CONTENT), ClaimStep::Wait);
+    let other = a.request_start(at(0), id(0), ContentHash(8));
     assert_eq!(other, ClaimStep::OtherContent);
     assert_eq!(take_batch(&mut a, at(0)).claims.len(), 1);
 }
@@ -95,14 +98,14 @@
 #[test]
 fn lost_answer_is_read_back() {
     let (mut log, mut a, _) = hosts();
-    a.consult(at(0), id(0), CONTENT);
+    a.request_start(at(0), id(0), CONTENT);
     let batch = take_batch(&mut a, at(0));
     log.append(batch);
     assert!(
-        a.appended(at(10), 1, Err(AppendFailure::AnswerLost))
+        a.apply_append_result(at(10), 1, Err(AppendFailure::AnswerLost))
             .is_empty()
     );
-    assert_eq!(verdicts(&log.read(&mut a, at(20))), [Verdict::Won]);
+    assert_eq!(verdicts(&log.read(&mut a, at(20))), [ClaimOutcome::Won]);
 }
 
 /// The answer is lost and the claim turns up after the job was told "not run". The claim is this
@@ -113,15 +116,15 @@
 #[case::resubmitted_elsewhere(false)]
 fn late_claim_starts_no_job_that_was_given_up(#[case] is_here: bool) {
     let (mut log, mut a, mut b) = hosts();
-    a.consult(at(0), id(0), CONTENT);
+    a.request_start(at(0), id(0), CONTENT);
     let batch = take_batch(&mut a, at(0));
-    a.appended(at(10), 1, Err(AppendFailure::AnswerLost));
-    assert_eq!(verdicts(&a.tick(at(2_000))), [Verdict::Failed]);
+    a.apply_append_result(at(10), 1, Err(AppendFailure::AnswerLost));
+    assert_eq!(verdicts(&a.tick(at(2_000))), [ClaimOutcome::Failed]);
     log.append(batch);
     assert!(log.read(&mut a, at(2_100)).is_empty());
     assert!(!a.may_start(at(2_100), id(0)));
     if is_here {
-        assert_eq!(a.consult(at(2_200), id(0), CONTENT), ClaimStep::Start);
+        assert_eq!(a.request_start(at(2_200), id(0), CONTENT), ClaimStep::Start);
         assert_eq!(
             a.next_batch(at(9_000)),
             BatchStep::Idle,
@@ -133,7 +136,10 @@
         log.read(&mut b, at(2_500));
         win(&mut log, &mut b, at(2_500), id(0));
         log.read(&mut a, at(2_600));
-        assert_eq!(a.consult(at(2_600), id(0), CONTENT), ClaimStep::HeldBy(B));
+        assert_eq!(
+            a.request_start(at(2_600), id(0), CONTENT),
+            ClaimStep::HeldBy(B)
+        );
     }
 }
 
@@ -142,23 +148,26 @@
 #[test]
 fn refused_append_is_retried_until_the_log_is_lost() {
     let (log, mut a, _) = hosts();
-    a.consult(at(0), id(0), CONTENT);
+    a.request_start(at(0), id(0), CONTENT);
     take_batch(&mut a, at(0));
     assert!(
-        a.appended(at(5), 1, Err(AppendFailure::NotAppended))
+        a.apply_append_result(at(5), 1, Err(AppendFailure::NotAppended))
             .is_empty()
     );
     let retry = at(55).mono;
     assert_eq!(a.next_batch(at(5)), BatchStep::WaitUntil(retry));
     assert_eq!(take_batch(&mut a, at(55)).claims.len(), 1);
     assert!(
-        a.appended(at(60), 2, Err(AppendFailure::NotAppended))
+        a.apply_append_result(at(60), 2, Err(AppendFailure::NotAppended))
             .is_empty()
     );
-    assert_eq!(verdicts(&a.lost_log()), [Verdict::Failed]);
-    assert_eq!(a.consult(at(70), id(1), CONTENT), ClaimStep::Unavailable);
+    assert_eq!(verdicts(&a.mark_log_unreachable()), [ClaimOutcome::Failed]);
+    assert_eq!(
+        a.request_start(at(70), id(1), CONTENT),
+        ClaimStep::Unavailable
+    );
     log.read(&mut a, at(80));
-    assert_eq!(a.consult(at(80), id(1), CONTENT), ClaimStep::Wait);
+    assert_eq!(a.request_start(at(80), id(1), CONTENT), ClaimStep::Wait);
 }
 
 /// The holder is frozen between its claim and its first start and thaws past the horizon. Others
@@ -193,9 +202,12 @@
         ..ClaimOptions::default()
     };
     let mut a = host(1, options);
-    assert_eq!(a.consult(at(0), id(0), CONTENT), ClaimStep::Wait);
+    assert_eq!(a.request_start(at(0), id(0), CONTENT), ClaimStep::Wait);
     assert_eq!(a.peek(at(0), id(1), Some(CONTENT)), ClaimStep::Unavailable);
-    assert_eq!(a.consult(at(0), id(1), CONTENT), ClaimStep::Unavailable);
+    assert_eq!(
+        a.request_start(at(0), id(1), CONTENT),
+        ClaimStep::Unavailable
+    );
     assert_eq!(a.peek(at(0), id(0), Some(CONTENT)), ClaimStep::Wait);
 }
 
@@ -212,7 +224,7 @@
     b.tick(at(forgets_ms));
     assert_eq!(b.counts().held, 0);
     let slowest = at(forgets_ms - SKEW_MS);
-    assert_eq!(a.consult(slowest, id(0), CONTENT), ClaimStep::TooOld);
+    assert_eq!(a.request_start(slowest, id(0), CONTENT), ClaimStep::TooOld);
 }
 
 /// The wall clock steps back after a claim was forgotten. Judged by the stepped clock the id would
@@ -226,7 +238,7 @@
         mono: at(700_000).mono,
         wall: at(10).wall,
     };
-    assert_eq!(a.consult(back, id(0), CONTENT), ClaimStep::TooOld);
+    assert_eq!(a.request_start(back, id(0), CONTENT), ClaimStep::TooOld);
     assert!(!a.may_start(back, id(0)));
     assert_eq!(
         a.clock_behind_ms(back),
@@ -242,7 +254,7 @@
 #[case::from_the_future(SKEW_MS + 1, 0, ClaimStep::FromFuture)]
 fn age_of_ids(#[case] id_ms: u64, #[case] now_ms: u64, #[case] step: ClaimStep) {
     let (_, mut a, _) = hosts();
-    assert_eq!(a.consult(at(now_ms), id(id_ms), CONTENT), step);
+    assert_eq!(a.request_start(at(now_ms), id(id_ms), CONTENT), step);
 }
 
 /// A host wins, refuses the job for want of room ("not run"), and says so in the log. The caller's
@@ -255,11 +267,14 @@
     a.release(at(10), id(0));
     assert!(!a.may_start(at(10), id(0)));
     log.send(&mut a, at(300));
-    assert_eq!(a.consult(at(301), id(0), CONTENT), ClaimStep::Wait);
+    assert_eq!(a.request_start(at(301), id(0), CONTENT), ClaimStep::Wait);
     log.read(&mut b, at(302));
     win(&mut log, &mut b, at(302), id(0));
     log.send(&mut a, at(303));
-    assert_eq!(verdicts(&log.read(&mut a, at(304))), [Verdict::HeldBy(B)]);
+    assert_eq!(
+        verdicts(&log.read(&mut a, at(304))),
+        [ClaimOutcome::HeldBy(B)]
+    );
 }
 
 /// A release is under way when the submission comes back, and is claimed again in a later batch.
@@ -271,13 +286,16 @@
     win(&mut log, &mut a, at(0), id(0));
     a.release(at(10), id(0));
     let release = take_batch(&mut a, at(300));
-    a.appended(at(310), release.batch, Err(AppendFailure::AnswerLost));
+    a.apply_append_result(at(310), release.batch, Err(AppendFailure::AnswerLost));
     win(&mut log, &mut a, at(320), id(0));
     log.append(release);
     log.read(&mut a, at(330));
     log.read(&mut b, at(330));
     assert!(a.may_start(at(330), id(0)));
-    assert_eq!(b.consult(at(330), id(0), CONTENT), ClaimStep::HeldBy(A));
+    assert_eq!(
+        b.request_start(at(330), id(0), CONTENT),
+        ClaimStep::HeldBy(A)
+    );
     assert_eq!(b.counts().stale_batches, 1);
 }
 
@@ -287,25 +305,28 @@
 #[test]
 fn claim_read_after_its_release_was_sent_is_no_new_claim() {
     let (mut log, mut a, mut b) = hosts();
-    a.consult(at(0), id(0), CONTENT);
+    a.request_start(at(0), id(0), CONTENT);
     let first = take_batch(&mut a, at(0));
     log.append(first);
-    a.appended(at(5), 1, Err(AppendFailure::AnswerLost));
+    a.apply_append_result(at(5), 1, Err(AppendFailure::AnswerLost));
     a.release(at(6), id(0));
-    a.consult(at(10), id(0), CONTENT);
+    a.request_start(at(10), id(0), CONTENT);
     let second = take_batch(&mut a, at(100));
-    a.read(at(110), Offset(0), &log.0[0]);
+    a.apply_record(at(110), Offset(0), &log.0[0]);
     a.release(at(120), id(0));
     log.append(second);
-    a.appended(at(130), 2, Ok(Offset(1)));
+    a.apply_append_result(at(130), 2, Ok(Offset(1)));
     log.send(&mut a, at(500));
-    assert_eq!(a.consult(at(510), id(0), CONTENT), ClaimStep::Wait);
-    a.read(at(520), Offset(1), &log.0[1]);
+    assert_eq!(a.request_start(at(510), id(0), CONTENT), ClaimStep::Wait);
+    a.apply_record(at(520), Offset(1), &log.0[1]);
     assert!(!a.may_start(at(520), id(0)));
     log.read(&mut b, at(530));
     win(&mut log, &mut b, at(530), id(0));
     log.read(&mut a, at(540));
-    assert_eq!(a.consult(at(540), id(0), CONTENT), ClaimStep::HeldBy(B));
+    assert_eq!(
+        a.request_start(at(540), id(0), CONTENT),
+        ClaimStep::HeldBy(B)
+    );
 }
 
 /// The append of a release is refused. It goes out again with a later batch, and the submission can
@@ -316,7 +337,7 @@
     win(&mut log, &mut a, at(0), id(0));
     a.release(at(10), id(0));
     let refused = take_batch(&mut a, at(300));
-    a.appended(at(310), refused.batch, Err(AppendFailure::NotAppended));
+    a.apply_append_result(at(310), refused.batch, Err(AppendFailure::NotAppended));
     log.send(&mut a, at(900));
     log.read(&mut b, at(910));
     win(&mut log, &mut b, at(910), id(0));
@@ -329,7 +350,7 @@
     let (mut log, mut a, _) = hosts();
     win(&mut log, &mut a, at(0), id(0));
     win(&mut log, &mut a, at(100), id(1));
-    assert!(a.read(at(200), Offset(0), &log.0[0]).is_empty());
+    assert!(a.apply_record(at(200), Offset(0), &log.0[0]).is_empty());
     assert_eq!((a.next(), a.counts().stale_batches), (Offset(2), 0));
 }
 
@@ -343,7 +364,10 @@
         id(0)
     ));
     log.read(&mut b, at(10));
-    assert_eq!(b.consult(at(10), id(0), CONTENT), ClaimStep::HeldBy(A));
+    assert_eq!(
+        b.request_start(at(10), id(0), CONTENT),
+        ClaimStep::HeldBy(A)
+    );
 }
 
 /// The holder's host dies and its class may run twice. Two hosts take the submission over; the log
@@ -355,13 +379,19 @@
     win(&mut log, &mut a, at(0), id(0));
     for book in [&mut b, &mut c] {
         log.read(book, at(10));
-        assert_eq!(book.consult(at(10), id(0), CONTENT), ClaimStep::HeldBy(A));
+        assert_eq!(
+            book.request_start(at(10), id(0), CONTENT),
+            ClaimStep::HeldBy(A)
+        );
         assert_eq!(book.take_over(at(10), id(0), CONTENT, A), ClaimStep::Wait);
     }
     log.send(&mut b, at(20));
     log.send(&mut c, at(20));
-    assert_eq!(verdicts(&log.read(&mut b, at(30))), [Verdict::Won]);
-    assert_eq!(verdicts(&log.read(&mut c, at(30))), [Verdict::HeldBy(B)]);
+    assert_eq!(verdicts(&log.read(&mut b, at(30))), [ClaimOutcome::Won]);
+    assert_eq!(
+        verdicts(&log.read(&mut c, at(30))),
+        [ClaimOutcome::HeldBy(B)]
+    );
     log.read(&mut a, at(40));
     assert!(
         !a.may_start(at(40), id(0)),
@@ -380,7 +410,7 @@
     let mut reborn = host(9, ClaimOptions::default());
     log.read(&mut reborn, at(100));
     assert_eq!(
-        reborn.consult(at(100), id(0), CONTENT),
+        reborn.request_start(at(100), id(0), CONTENT),
         ClaimStep::HeldBy(A)
     );
 }
@@ -395,31 +425,37 @@
     if id.bound_to.is_none() {
         win(&mut log, &mut a, at(0), id);
     } else {
-        a.lost_log();
+        a.mark_log_unreachable();
         assert_eq!(
-            a.consult(at(0), id, CONTENT),
+            a.request_start(at(0), id, CONTENT),
             ClaimStep::Start,
             "needs no log"
         );
     }
-    assert_eq!(a.consult(at(50), id, CONTENT), ClaimStep::AlreadyStarted);
     assert_eq!(
-        a.consult(at(50), id, ContentHash(8)),
+        a.request_start(at(50), id, CONTENT),
+        ClaimStep::AlreadyStarted
+    );
+    assert_eq!(
+        a.request_start(at(50), id, ContentHash(8)),
         ClaimStep::OtherContent
     );
     log.read(&mut b, at(50));
-    assert_eq!(b.consult(at(50), id, CONTENT), ClaimStep::HeldBy(A));
+    assert_eq!(b.request_start(at(50), id, CONTENT), ClaimStep::HeldBy(A));
     a.release(at(60), id);
-    assert_eq!(a.consult(at(70), id, CONTENT), ClaimStep::Start);
+    assert_eq!(a.request_start(at(70), id, CONTENT), ClaimStep::Start);
 }
 
 /// The same id comes with other content to another host: refused there from the log alone.
 #[test]
 fn other_content_is_refused_everywhere() {
     let (mut log, mut a, mut b) = hosts();
-    b.consult(at(0), id(0), ContentHash(8));
+    b.request_start(at(0), id(0), ContentHash(8));
     win(&mut log, &mut a, at(0), id(0));
-    assert_eq!(verdicts(&log.read(&mut b, at(1))), [Verdict::OtherContent]);
+    assert_eq!(
+        verdicts(&log.read(&mut b, at(1))),
+        [ClaimOutcome::OtherContent]
+    );
 }
 
 /// A host starts, or comes back from an outage. Until it has read the log to its end it claims
@@ -429,11 +465,20 @@
     let (mut log, mut a, _) = hosts();
     win(&mut log, &mut a, at(0), id(0));
     let mut late = ClaimBook::new(B, ClaimOptions::default());
-    assert_eq!(late.consult(at(10), id(0), CONTENT), ClaimStep::Unavailable);
-    late.caught_up(Offset(1));
-    assert_eq!(late.consult(at(10), id(0), CONTENT), ClaimStep::Unavailable);
+    assert_eq!(
+        late.request_start(at(10), id(0), CONTENT),
+        ClaimStep::Unavailable
+    );
+    late.mark_caught_up(Offset(1));
+    assert_eq!(
+        late.request_start(at(10), id(0), CONTENT),
+        ClaimStep::Unavailable
+    );
     log.read(&mut late, at(20));
-    assert_eq!(late.consult(at(20), id(0), CONTENT), ClaimStep::HeldBy(A));
+    assert_eq!(
+        late.request_start(at(20), id(0), CONTENT),
+        ClaimStep::HeldBy(A)
+    );
 }
 
 /// Records expire before a host has read them. The claims in them are older than the retention, so
@@ -448,9 +493,12 @@
     let mut late = ClaimBook::new(B, options);
     let now = at(2_000_000);
     late.skip_to(now, Offset(1));
-    late.caught_up(Offset(1));
-    assert_eq!(late.consult(now, id(0), CONTENT), ClaimStep::TooOld);
-    assert_eq!(late.consult(now, id(1_999_000), CONTENT), ClaimStep::Wait);
+    late.mark_caught_up(Offset(1));
+    assert_eq!(late.request_start(now, id(0), CONTENT), ClaimStep::TooOld);
+    assert_eq!(
+        late.request_start(now, id(1_999_000), CONTENT),
+        ClaimStep::Wait
+    );
 }
 
 /// More claims come than the book has room for. It forgets the oldest and from then on refuses ids
@@ -464,12 +512,12 @@
     let mut log = Log::default();
     let (mut a, mut b) = (host(1, ClaimOptions::default()), host(2, options));
     for ms in 0..5 {
-        a.consult(at(ms), id(ms), CONTENT);
+        a.request_start(at(ms), id(ms), CONTENT);
     }
     log.send(&mut a, at(5));
     log.read(&mut b, at(6));
     assert_eq!((b.counts().held, b.counts().evicted), (3, 2));
-    assert_eq!(b.consult(at(6), id(1), CONTENT), ClaimStep::TooOld);
-    assert_eq!(b.consult(at(6), id(2), CONTENT), ClaimStep::HeldBy(A));
-    assert_eq!(b.consult(at(6), id(6), CONTENT), ClaimStep::Wait);
+    assert_eq!(b.request_start(at(6), id(1), CONTENT), ClaimStep::TooOld);
+    assert_eq!(b.request_start(at(6), id(2), CONTENT), ClaimStep::HeldBy(A));
+    assert_eq!(b.request_start(at(6), id(6), CONTENT), ClaimStep::Wait);
 }
--- a/crates/onyxshed-state/tests/config_fold.rs
+++ b/crates/onyxshed-state/tests/config_fold.rs
@@ -5,9 +5,9 @@
 
 use configs::{Log, RETENTION_MS, put};
 use onyxshed_core::{ChangeId, ClassName, Offset, Revision, UnixMs};
-use onyxshed_state::config::{Appended, Judged};
+use onyxshed_state::config::{AppendStep, ProposalStatus};
 use onyxshed_state::{
-    AppendFailure, ChangeFate, Config, ConfigFold, Error, FoldStep, Handover, Proposal,
+    AppendFailure, ChangeOutcome, Config, ConfigFold, Error, FoldOutcome, Handover, Proposal,
     RepublishStep,
 };
 use onyxshed_wire::platform::RECORD_MAX_BYTES;
@@ -93,13 +93,13 @@
     unreadable: Ignored
     removed: Accepted(Revision(2))
     ");
-    let fates: Vec<ChangeFate> = (1..=6)
+    let fates: Vec<ChangeOutcome> = (1..=6)
         .map(|n| fold.find_change(ChangeId(Ulid(n))))
         .collect();
     insta::assert_snapshot!(format!("{fates:?}"), @"[Accepted(Revision(1)), Raced { based_on: Revision(0), found: Revision(1) }, Invalid, Invalid, Accepted(Revision(2)), NotSeen]");
     assert_eq!(
         fold.apply(Offset(0), &records[0].1),
-        FoldStep::Nothing,
+        FoldOutcome::Nothing,
         "read twice"
     );
 }
@@ -139,7 +139,7 @@
     late.adopt_handover(reader(&log).handover());
     assert_eq!((late.is_complete(), revision(&late)), (true, 3));
     let fate = late.find_change(ChangeId(Ulid(11)));
-    assert!(matches!(fate, ChangeFate::Raced { .. }), "{fate:?}");
+    assert!(matches!(fate, ChangeOutcome::Raced { .. }), "{fate:?}");
 }
 
 /// Someone appends a snapshot that is wrong, or old. Whoever has read the log knows better, counts
@@ -187,7 +187,7 @@
     if is_by_peer {
         assert_eq!(
             cut_off.adopt_handover(other.handover()),
-            FoldStep::Accepted(Revision(5))
+            FoldOutcome::Accepted(Revision(5))
         );
     } else {
         publish(&mut log, &mut other, RETENTION_MS);
@@ -225,25 +225,25 @@
     let mut fold = reader(&log);
     let ready = Proposal::prepare(put(900, 2, "locks", 100), &fold).expect("it is valid");
     log.append(0, &change(ready.change().clone()));
-    let Appended::Sent(sent) = ready.appended(Err(AppendFailure::AnswerLost)) else {
+    let AppendStep::Sent(sent) = ready.apply_append_result(Err(AppendFailure::AnswerLost)) else {
         panic!("it may be in the log");
     };
     let mut other = fold.clone();
     read(&log, &mut other, 0);
     fold.skip_to(log.next(), UnixMs(0));
-    let Judged::Undecided(sent) = sent.judge(&fold, log.next()) else {
+    let ProposalStatus::Undecided(sent) = sent.resolve(&fold, log.next()) else {
         panic!("judged on a partial fold");
     };
-    let told = sent.clone().judge(&other, log.next());
-    assert_eq!(told, Judged::Accepted(Revision(3)));
+    let told = sent.clone().resolve(&other, log.next());
+    assert_eq!(told, ProposalStatus::Accepted(Revision(3)));
     for n in 3..300 {
         log.append(0, &change(put(n, n, "prices", 100)));
     }
     log.append(0, &change(sent.change().clone()));
     read(&log, &mut other, 0);
     assert!(matches!(
-        sent.judge(&other, log.next()),
-        Judged::Undecided(_)
+        sent.resolve(&other, log.next()),
+        ProposalStatus::Undecided(_)
     ));
 }
 
@@ -274,17 +274,17 @@
     let mut born = ConfigFold::default();
     assert_eq!(
         born.adopt(peer.config().clone()),
-        FoldStep::Accepted(Revision(3))
+        FoldOutcome::Accepted(Revision(3))
     );
     let older = reader(&log_of(2)).config().clone();
-    assert_eq!(born.adopt(older), FoldStep::Nothing);
-    assert_eq!(born.adopt(Config::default()), FoldStep::Nothing);
+    assert_eq!(born.adopt(older), FoldOutcome::Nothing);
+    assert_eq!(born.adopt(Config::default()), FoldOutcome::Nothing);
     assert_eq!(born.config(), peer.config());
     for (read, record) in (1..).zip(&log.records) {
         born.apply_record(record);
         assert_eq!(revision(&born), 3, "after {read} records");
     }
-    assert_eq!(born.folded(), peer.config());
+    assert_eq!(born.folded_config(), peer.config());
     let json = serde_json::to_string(&peer.handover()).expect("it can be written");
     let told: Handover = serde_json::from_str(&json).expect("it was written");
     assert_eq!(told, peer.handover());
@@ -544,17 +544,19 @@
         log.append(0, &record);
     }
     log.append(0, &change(put(10, 3, "other", 100)));
-    let sent = match ready.appended(Err(AppendFailure::AnswerLost)) {
-        Appended::Sent(sent) => sent,
+    let sent = match ready.apply_append_result(Err(AppendFailure::AnswerLost)) {
+        AppendStep::Sent(sent) => sent,
         other => panic!("{other:?}"),
     };
-    let Judged::Undecided(sent) = sent.judge(&fold, log.next()) else {
+    let ProposalStatus::Undecided(sent) = sent.resolve(&fold, log.next()) else {
         panic!("judged before the log was read");
     };
     read(&log, &mut fold, 0);
-    match sent.judge(&fold, log.next()) {
-        Judged::Accepted(revision) => assert_eq!((has_landed, revision), (true, Revision(3))),
-        Judged::Repeat(ready) => {
+    match sent.resolve(&fold, log.next()) {
+        ProposalStatus::Accepted(revision) => {
+            assert_eq!((has_landed, revision), (true, Revision(3)))
+        }
+        ProposalStatus::Repeat(ready) => {
             assert!(!has_landed && ready.record() == record.encode());
             for _ in 0..2 {
                 log.append(0, &record);
@@ -575,12 +577,12 @@
     let sent = [20, 21].map(|number| {
         let ready = Proposal::prepare(put(number, 1, "locks", number), &fold).expect("valid");
         let offset = log.append(0, &change(ready.change().clone()));
-        match ready.appended(Ok(offset)) {
-            Appended::Sent(sent) => sent,
+        match ready.apply_append_result(Ok(offset)) {
+            AppendStep::Sent(sent) => sent,
             other => panic!("{other:?}"),
         }
     });
     read(&log, &mut fold, 0);
-    let verdicts = sent.map(|sent| sent.judge(&fold, log.next()));
+    let verdicts = sent.map(|sent| sent.resolve(&fold, log.next()));
     insta::assert_snapshot!(format!("{verdicts:?}"), @"[Accepted(Revision(2)), Raced { based_on: Revision(1), found: Revision(2) }]");
 }
--- a/crates/onyxshed-state/tests/config_search.rs
+++ b/crates/onyxshed-state/tests/config_search.rs
@@ -11,8 +11,8 @@
 
 use configs::{Log, RETENTION_MS, put};
 use onyxshed_core::{ChangeId, Offset, UnixMs};
-use onyxshed_state::config::{Appended, Judged, proposal::Sent};
-use onyxshed_state::{AppendFailure, ChangeFate, Config, ConfigFold, Proposal, RepublishStep};
+use onyxshed_state::config::{AppendStep, ProposalStatus, proposal::Sent};
+use onyxshed_state::{AppendFailure, ChangeOutcome, Config, ConfigFold, Proposal, RepublishStep};
 use onyxshed_wire::record::{ConfigChange, ConfigRecord};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as RunnerConfig, RngSeed, TestRunner};
@@ -190,7 +190,7 @@
     fn propose(&mut self, host: usize, fate: u8) {
         self.number += 1;
         let class = format!("class-{}", fate % 5);
-        let based_on = self.folds[host].folded().revision.0;
+        let based_on = self.folds[host].folded_config().revision.0;
         let change = put(self.number, based_on, &class, self.number);
         if let Ok(ready) = Proposal::prepare(change, &self.folds[host]) {
             self.send(host, ready, fate);
@@ -217,7 +217,7 @@
             }
             _ => Err(AppendFailure::NotAppended),
         };
-        if let Appended::Sent(sent) = ready.appended(result) {
+        if let AppendStep::Sent(sent) = ready.apply_append_result(result) {
             self.sent[host].push((sent, self.log.next()));
         }
     }
@@ -225,24 +225,24 @@
     fn judge(&mut self, host: usize) {
         for (sent, end) in std::mem::take(&mut self.sent[host]) {
             let id = sent.change().change_id;
-            match sent.judge(&self.folds[host], end) {
-                Judged::Accepted(revision) => {
+            match sent.resolve(&self.folds[host], end) {
+                ProposalStatus::Accepted(revision) => {
                     self.tally.accepted += 1;
                     let truth = self.truth.find_change(id);
                     assert!(
-                        !self.has_keeper || truth == ChangeFate::Accepted(revision),
+                        !self.has_keeper || truth == ChangeOutcome::Accepted(revision),
                         "{id}"
                     );
                 }
-                Judged::Raced { .. } | Judged::Invalid => {
+                ProposalStatus::Raced { .. } | ProposalStatus::Invalid => {
                     self.tally.raced += 1;
                     self.told_lost.insert(id);
                 }
-                Judged::Repeat(ready) => {
+                ProposalStatus::Repeat(ready) => {
                     self.tally.repeats += 1;
                     self.send(host, ready, 0);
                 }
-                Judged::Undecided(sent) => self.sent[host].push((sent, end)),
+                ProposalStatus::Undecided(sent) => self.sent[host].push((sent, end)),
             }
         }
     }
@@ -291,7 +291,7 @@
             if self.has_keeper {
                 prop_assert_eq!(Some(fold.config()), self.truth_by_revision.get(&revision));
                 let place = usize::try_from(fold.next().0).expect("small");
-                let is_exact = fold.folded().revision.0 == self.truth_at[place];
+                let is_exact = fold.folded_config().revision.0 == self.truth_at[place];
                 prop_assert!(is_exact || !fold.is_complete(), "folded wrongly at {place}");
             }
         }
@@ -300,13 +300,13 @@
             let are_certain = a.handover().is_complete && b.handover().is_complete;
             let are_level = are_certain && a.next() == b.next();
             prop_assert!(
-                !are_level || a.folded() == b.folded(),
+                !are_level || a.folded_config() == b.folded_config(),
                 "hosts {:?} differ",
                 pair
             );
         }
         let is_accepted =
-            |id: &&ChangeId| matches!(self.truth.find_change(**id), ChangeFate::Accepted(_));
+            |id: &&ChangeId| matches!(self.truth.find_change(**id), ChangeOutcome::Accepted(_));
         let wronged = self.told_lost.iter().find(is_accepted);
         prop_assert!(
             !self.has_keeper || wronged.is_none(),
--- a/crates/onyxshed-state/tests/member.rs
+++ b/crates/onyxshed-state/tests/member.rs
@@ -6,7 +6,7 @@
 use members::{Network, at, beat, list};
 use onyxshed_core::{Incarnation, Millis, Now, UnixMs};
 use onyxshed_state::{
-    Gossip, Heartbeat, LoadDigest, MemberOptions, MemberState, MemberTable, Note,
+    Gossip, Heartbeat, LoadDigest, MemberOptions, MemberState, MemberTable, MembershipEvent,
 };
 use rstest::rstest;
 
@@ -26,7 +26,7 @@
 }
 
 /// Has `table` run, and hear nobody, until `ms`.
-fn idle(table: &mut MemberTable, from_ms: u64, ms: u64) -> Vec<Note> {
+fn idle(table: &mut MemberTable, from_ms: u64, ms: u64) -> Vec<MembershipEvent> {
     (from_ms..=ms)
         .step_by(1_000)
         .flat_map(|ms| table.tick(at(ms)))
@@ -49,10 +49,10 @@
     #[case] state: MemberState,
 ) {
     let mut table = table();
-    table.hear(at(0), &from(beat(3)));
+    table.apply_gossip(at(0), &from(beat(3)));
     idle(&mut table, 0, silent_ms);
     if let Some((hosts, age_ms)) = listed {
-        table.listed(at(silent_ms), &list(&hosts, age_ms));
+        table.apply_host_list(at(silent_ms), &list(&hosts, age_ms));
     }
     table.tick(at(silent_ms));
     assert_eq!(table.state(PEER), Some(state));
@@ -71,7 +71,7 @@
 fn suspicion_allows_for_many_peers(#[case] peers: u16, #[case] suspect_ms: u64) {
     let mut table = table();
     for n in 1..=peers {
-        table.hear(at(0), &from(beat(n)));
+        table.apply_gossip(at(0), &from(beat(n)));
     }
     assert_eq!(idle(&mut table, 0, suspect_ms - 1), []);
     assert_eq!(
@@ -85,20 +85,23 @@
 #[test]
 fn only_a_higher_count_refutes() {
     let mut table = table();
-    table.hear(at(0), &from(beat(3)));
-    assert_eq!(idle(&mut table, 0, 7_000), [Note::Suspected(PEER)]);
+    table.apply_gossip(at(0), &from(beat(3)));
+    assert_eq!(
+        idle(&mut table, 0, 7_000),
+        [MembershipEvent::Suspected(PEER)]
+    );
     let relay = |counter| Gossip {
         others: vec![Heartbeat { counter, ..beat(3) }],
         ..from(beat(1))
     };
     assert_eq!(
-        table.hear(at(7_100), &relay(1)).notes,
-        [Note::Joined(Incarnation(1))]
+        table.apply_gossip(at(7_100), &relay(1)).events,
+        [MembershipEvent::Joined(Incarnation(1))]
     );
-    let heard = table.hear(at(7_200), &relay(2));
-    assert_eq!(heard.notes, [Note::Refuted(PEER)]);
+    let heard = table.apply_gossip(at(7_200), &relay(2));
+    assert_eq!(heard.events, [MembershipEvent::Refuted(PEER)]);
     assert_eq!(heard.answer.others, [], "the asker has just told it");
-    let asked = table.hear(at(7_300), &relay(1)).answer.others;
+    let asked = table.apply_gossip(at(7_300), &relay(1)).answer.others;
     assert_eq!(asked[0].counter, 2, "the asker is behind");
 }
 
@@ -107,22 +110,28 @@
 #[test]
 fn new_life_buries_the_former() {
     let mut table = table();
-    table.hear(at(0), &from(beat(3)));
+    table.apply_gossip(at(0), &from(beat(3)));
     let reborn = Heartbeat {
         incarnation: Incarnation(9),
         started_at_ms: UnixMs(2_000),
         ..beat(3)
     };
-    let notes = table.hear(at(1_000), &from(reborn)).notes;
-    assert_eq!(notes, [Note::Gone(PEER), Note::Joined(Incarnation(9))]);
-    let heard = table.hear(
+    let notes = table.apply_gossip(at(1_000), &from(reborn)).events;
+    assert_eq!(
+        notes,
+        [
+            MembershipEvent::Gone(PEER),
+            MembershipEvent::Joined(Incarnation(9))
+        ]
+    );
+    let heard = table.apply_gossip(
         at(1_100),
         &from(Heartbeat {
             counter: 5,
             ..beat(3)
         }),
     );
-    assert_eq!((heard.notes, heard.answer.gone), (vec![], Some(PEER)));
+    assert_eq!((heard.events, heard.answer.gone), (vec![], Some(PEER)));
     assert!(table.is_gone(PEER) && table.members().len() == 1);
 }
 
@@ -131,15 +140,18 @@
 #[test]
 fn restart_under_a_clock_that_stepped_back() {
     let mut table = table();
-    table.hear(at(0), &from(beat(3)));
+    table.apply_gossip(at(0), &from(beat(3)));
     let reborn = Heartbeat {
         incarnation: Incarnation(9),
         started_at_ms: UnixMs(500),
         ..beat(3)
     };
-    assert_eq!(table.hear(at(1_000), &from(reborn.clone())).notes, []);
+    assert_eq!(
+        table.apply_gossip(at(1_000), &from(reborn.clone())).events,
+        []
+    );
     idle(&mut table, 1_000, 7_000);
-    table.hear(at(7_000), &from(reborn));
+    table.apply_gossip(at(7_000), &from(reborn));
     assert!(table.is_gone(PEER));
     assert_eq!(table.state(Incarnation(9)), Some(MemberState::Live));
 }
@@ -151,14 +163,17 @@
 #[case::suspended(10, 30_000)]
 fn own_pause_is_noticed(#[case] mono_ms: u64, #[case] wall_ms: u64) {
     let mut table = table();
-    table.hear(at(0), &from(beat(3)));
-    table.listed(at(0), &list(&[], 0));
+    table.apply_gossip(at(0), &from(beat(3)));
+    table.apply_host_list(at(0), &list(&[], 0));
     table.tick(at(1_000));
     let thawed = Now {
         mono: at(1_000 + mono_ms).mono,
         wall: at(1_000 + wall_ms).wall,
     };
-    assert_eq!(table.tick(thawed), [Note::Paused(Millis(30_000))]);
+    assert_eq!(
+        table.tick(thawed),
+        [MembershipEvent::Paused(Millis(30_000))]
+    );
     assert_eq!(table.state(PEER), Some(MemberState::Live));
 }
 
@@ -167,13 +182,13 @@
 #[test]
 fn thawed_process_learns_that_it_was_buried() {
     let mut table = table();
-    table.hear(at(0), &from(beat(3)));
-    table.listed(at(20_000), &list(&[], 0));
+    table.apply_gossip(at(0), &from(beat(3)));
+    table.apply_host_list(at(20_000), &list(&[], 0));
     idle(&mut table, 0, 20_000);
     let mut thawed = MemberTable::new(beat(3), MemberOptions::default(), Vec::new(), 3);
-    let answer = table.hear(at(20_100), &from(beat(3))).answer;
-    let notes = thawed.hear(at(20_100), &answer).notes;
-    assert!(notes.contains(&Note::HeldGone), "{notes:?}");
+    let answer = table.apply_gossip(at(20_100), &from(beat(3))).answer;
+    let notes = thawed.apply_gossip(at(20_100), &answer).events;
+    assert!(notes.contains(&MembershipEvent::DeclaredGone), "{notes:?}");
 }
 
 /// Peers still pass on heartbeats of this host's former life. They are not taken for a second host,
@@ -190,14 +205,20 @@
         others: vec![former],
         ..from(beat(1))
     };
-    let notes = table.hear(at(0), &relayed).notes;
-    assert_eq!(notes, [Note::Joined(Incarnation(1)), Note::Gone(PEER)]);
+    let notes = table.apply_gossip(at(0), &relayed).events;
+    assert_eq!(
+        notes,
+        [
+            MembershipEvent::Joined(Incarnation(1)),
+            MembershipEvent::Gone(PEER)
+        ]
+    );
     let newer = Heartbeat {
         incarnation: PEER,
         started_at_ms: UnixMs(9_000),
         ..beat(ME)
     };
-    assert_eq!(table.hear(at(0), &from(newer)).notes, []);
+    assert_eq!(table.apply_gossip(at(0), &from(newer)).events, []);
     let newer = Heartbeat {
         incarnation: Incarnation(8),
         started_at_ms: UnixMs(9_000),
@@ -208,11 +229,14 @@
         ..from(beat(1))
     };
     assert_eq!(
-        table.hear(at(0), &relayed).notes,
+        table.apply_gossip(at(0), &relayed).events,
         [],
         "hearsay is not enough"
     );
-    assert_eq!(table.hear(at(0), &from(newer)).notes, [Note::HeldGone]);
+    assert_eq!(
+        table.apply_gossip(at(0), &from(newer)).events,
+        [MembershipEvent::DeclaredGone]
+    );
 }
 
 /// The entry process of this host restarts beside its control process. The table goes on: its peers
@@ -220,13 +244,13 @@
 #[test]
 fn own_restart_keeps_what_is_known() {
     let mut table = table();
-    table.hear(at(0), &from(beat(3)));
+    table.apply_gossip(at(0), &from(beat(3)));
     let former = beat(ME).incarnation;
     let me = Heartbeat {
         incarnation: Incarnation(99),
         ..beat(ME)
     };
-    assert_eq!(table.restart(at(10), me), [Note::Gone(former)]);
+    assert_eq!(table.restart(at(10), me), [MembershipEvent::Gone(former)]);
     assert!(table.is_gone(former) && table.state(PEER) == Some(MemberState::Live));
     assert_eq!(table.state(Incarnation(99)), Some(MemberState::Live));
 }
@@ -240,7 +264,7 @@
     };
     let mut table = MemberTable::new(beat(ME), options, Vec::new(), 1);
     for n in 1..10 {
-        table.hear(at(0), &from(beat(n)));
+        table.apply_gossip(at(0), &from(beat(n)));
     }
     let known: Vec<u64> = table.members().iter().map(|m| m.incarnation.0).collect();
     assert_eq!(known, [1, 2, 3]);
@@ -253,7 +277,7 @@
     let mut table = table();
     for n in [1, 3, 6, 9] {
         let is_draining = n == 6;
-        table.hear(
+        table.apply_gossip(
             at(0),
             &from(Heartbeat {
                 is_draining,
@@ -261,10 +285,10 @@
             }),
         );
     }
-    table.listed(at(0), &list(&[0, 1, 12], 0));
-    assert_eq!((table.live_in_zone(), table.known_hosts()), (3, 6));
+    table.apply_host_list(at(0), &list(&[0, 1, 12], 0));
+    assert_eq!((table.live_hosts_in_zone(), table.known_hosts()), (3, 6));
     idle(&mut table, 0, 8_000);
-    assert_eq!((table.live_in_zone(), table.known_hosts()), (1, 6));
+    assert_eq!((table.live_hosts_in_zone(), table.known_hosts()), (1, 6));
 }
 
 /// Hosts know of one address only. All come to know all, nobody is suspected while nothing is
@@ -284,7 +308,7 @@
     let doubted = network
         .notes
         .iter()
-        .find(|(_, note)| !matches!(note, Note::Joined(_)));
+        .find(|(_, note)| !matches!(note, MembershipEvent::Joined(_)));
     assert_eq!(doubted, None);
     let bytes_per_s = network.bytes / 120 / usize::from(count);
     println!(
@@ -315,14 +339,14 @@
             .count()
     };
     assert_eq!((live(&network, 0), live(&network, 2)), (5, 1));
-    assert_eq!(network.tables[&2].live_in_zone(), 2);
+    assert_eq!(network.tables[&2].live_hosts_in_zone(), 2);
     network.cut.clear();
     network.run(200, 230);
     assert_eq!((live(&network, 0), live(&network, 2)), (7, 7));
     let gone = network
         .notes
         .iter()
-        .find(|(_, note)| matches!(note, Note::Gone(_)));
+        .find(|(_, note)| matches!(note, MembershipEvent::Gone(_)));
     assert_eq!(gone, None);
 }
 
@@ -335,7 +359,7 @@
     network.frozen.insert(5);
     network.run(30, 60);
     for table in network.tables.values_mut() {
-        table.listed(at(60_000), &list(&[0, 1, 2, 3, 4, 6, 7], 10_000));
+        table.apply_host_list(at(60_000), &list(&[0, 1, 2, 3, 4, 6, 7], 10_000));
     }
     network.run(60, 63);
     network.tables.remove(&5);
@@ -353,7 +377,7 @@
         queued_tasks: 34,
     };
     let teller = network.tables.get_mut(&7).expect("it is there");
-    teller.set_own(load, onyxshed_core::Revision(5), true);
+    teller.set_own_status(load, onyxshed_core::Revision(5), true);
     network.run(0, 30);
     let told = network.tables[&2]
         .heartbeat(Incarnation(7))
--- a/crates/onyxshed-state/tests/support/claims.rs
+++ b/crates/onyxshed-state/tests/support/claims.rs
@@ -24,7 +24,7 @@
 /// Makes a host that has read an empty log.
 pub fn host(number: u64, options: ClaimOptions) -> ClaimBook {
     let mut book = ClaimBook::new(Incarnation(number), options);
-    book.caught_up(Offset(0));
+    book.mark_caught_up(Offset(0));
     book
 }
 
--- a/crates/onyxshed-state/tests/support/members.rs
+++ b/crates/onyxshed-state/tests/support/members.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
 use onyxshed_core::{Incarnation, Micros, Millis, Mono, Now, Revision, UnixMs};
-use onyxshed_state::{Heartbeat, LoadDigest, MemberOptions, MemberTable, Note};
+use onyxshed_state::{Heartbeat, LoadDigest, MemberOptions, MemberTable, MembershipEvent};
 use onyxshed_wire::platform::{EntryHost, HostList, HostState};
 
 /// Gets both clocks `ms` after an arbitrary start.
@@ -57,7 +57,7 @@
     pub cut: BTreeSet<(u16, u16)>,
     /// Hosts that do not run.
     pub frozen: BTreeSet<u16>,
-    pub notes: Vec<(u16, Note)>,
+    pub notes: Vec<(u16, MembershipEvent)>,
     pub bytes: usize,
     pub longest_silence_ms: u64,
 }
@@ -102,7 +102,7 @@
                 .map_or(0, |ms| ms.0);
             self.longest_silence_ms = self.longest_silence_ms.max(silence_ms);
         }
-        let outgoing = table.round(now);
+        let outgoing = table.start_round(now);
         self.note(n, notes);
         for message in outgoing {
             self.bytes += serde_json::to_string(&message.gossip)
@@ -113,18 +113,18 @@
             let Some(receiver) = self.tables.get_mut(&to).filter(|_| !is_cut) else {
                 continue;
             };
-            let heard = receiver.hear(now, &message.gossip);
-            self.note(to, heard.notes);
+            let heard = receiver.apply_gossip(now, &message.gossip);
+            self.note(to, heard.events);
             self.bytes += serde_json::to_string(&heard.answer)
                 .expect("it is JSON")
                 .len();
             let sender = self.tables.get_mut(&n).expect("it is there");
-            let notes = sender.hear(now, &heard.answer).notes;
+            let notes = sender.apply_gossip(now, &heard.answer).events;
             self.note(n, notes);
         }
     }
 
-    fn note(&mut self, n: u16, notes: Vec<Note>) {
+    fn note(&mut self, n: u16, notes: Vec<MembershipEvent>) {
         self.notes.extend(notes.into_iter().map(|note| (n, note)));
     }
 
