--- a/crates/onyxshed-control/src/host_follower.rs
+++ b/crates/onyxshed-control/src/host_follower.rs
@@ -87,7 +87,7 @@
         zone: host.zone.clone(),
         rack: host.rack.clone(),
         slots: host.slots,
-        is_leaving: host.state == HostState::Leaving,
+        is_draining: host.state == HostState::Leaving,
     };
     ExecutorEntry {
         info,
--- a/crates/onyxshed-dispatch/src/dispatch.rs
+++ b/crates/onyxshed-dispatch/src/dispatch.rs
@@ -16,7 +16,7 @@
     ClassName, Event, EventKind, ExecutorName, Incarnation, Micros, Mono, Now, SubmissionId, TaskId,
 };
 use onyxshed_policy::Policy;
-use onyxshed_policy::note::Note as PolicyNote;
+use onyxshed_policy::decision::PolicyDecision as PolicyNote;
 use onyxshed_state::{ClaimBook, Config, Member};
 use onyxshed_wire::caller::Answer;
 
@@ -160,7 +160,7 @@
 
     /// Tells what the policy decided about executors and classes.
     fn note_policy(&mut self) {
-        for note in self.policy.drain_notes() {
+        for note in self.policy.drain_decisions() {
             let event = match note {
                 PolicyNote::BreakerOpened { executor, reason } => {
                     Event::new(EventKind::BreakerOpened)
@@ -170,13 +170,13 @@
                 PolicyNote::BreakerClosed { executor } => {
                     Event::new(EventKind::BreakerClosed).party(executor.as_str())
                 }
-                PolicyNote::JobBlamed { submission, class } => Event::new(EventKind::JobBlamed)
+                PolicyNote::JobUnrunnable { submission, class } => Event::new(EventKind::JobBlamed)
                     .submission(submission)
                     .class(&class),
-                PolicyNote::ClassBlamed { class } => Event::new(EventKind::JobBlamed)
+                PolicyNote::ClassUnrunnable { class } => Event::new(EventKind::JobBlamed)
                     .class(&class)
                     .detail("every job of the class"),
-                PolicyNote::ClassCleared { class } => Event::new(EventKind::JobBlamed)
+                PolicyNote::ClassRunnable { class } => Event::new(EventKind::JobBlamed)
                     .class(&class)
                     .detail("no longer"),
             };
@@ -204,7 +204,7 @@
             .into_iter()
             .map(|member| (member.incarnation, member))
             .collect();
-        self.policy.set_sharers(now, sharers.max(1));
+        self.policy.set_zone_hosts(now, sharers.max(1));
         self.give_up_on_silent_holders();
     }
 
--- a/crates/onyxshed-dispatch/src/dispatch/ask.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/ask.rs
@@ -25,7 +25,7 @@
 impl Dispatch {
     /// Gets how long to wait before asking about a task of a class.
     pub(super) fn silence_of(&self, class: &ClassName) -> Micros {
-        match self.policy.usual(class) {
+        match self.policy.service_time_p99(class) {
             Some(usual) => Micros(usual.0.saturating_mul(SILENCE_FACTOR)).max(SILENCE_MIN),
             None => SILENCE_UNKNOWN,
         }
--- a/crates/onyxshed-dispatch/src/dispatch/attempt.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/attempt.rs
@@ -1,7 +1,7 @@
 //! What becomes of starts: results, failures, losses, and stops.
 
 use onyxshed_core::{Event, EventKind, Now, ResultCode, TaskId};
-use onyxshed_policy::{AttemptEnd, RetryStep, Verdict};
+use onyxshed_policy::{AttemptEnd, AttemptOutcome, RetryStep};
 use onyxshed_wire::upstream::TaskState;
 
 use super::{Attempt, Dispatch};
@@ -14,7 +14,7 @@
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        if report.verdict == Verdict::Lost {
+        if report.outcome == AttemptOutcome::Lost {
             // Once a stop is under way, its answer decides.
             if !std::mem::replace(&mut attempt.is_resolving, true) {
                 let attempt = attempt.clone();
@@ -47,11 +47,11 @@
             return;
         }
         let (verdict, body) = match stop {
-            None => (Verdict::Lost, Vec::new()),
+            None => (AttemptOutcome::Lost, Vec::new()),
             Some(stop) => (verdict_of(stop.state), stop.body),
         };
         let report = AttemptReport {
-            verdict,
+            outcome: verdict,
             body,
             service_us: None,
             load: None,
@@ -68,12 +68,12 @@
         self.asks.remove(&(attempt.ask_at, id));
         let task = attempt.task;
         self.note_end(&attempt, &report);
-        let step = self.policy.ended(
+        let step = self.policy.apply_attempt_end(
             now,
             &AttemptEnd {
                 task,
                 executor: attempt.executor.clone(),
-                verdict: report.verdict,
+                outcome: report.outcome,
                 service_us: report.service_us,
                 load: report.load,
             },
@@ -83,15 +83,18 @@
             return;
         };
         job.attempts.remove(&id);
-        match report.verdict {
-            Verdict::Finished | Verdict::Failed | Verdict::Lapsed | Verdict::Stopped => {
+        match report.outcome {
+            AttemptOutcome::Finished
+            | AttemptOutcome::Failed
+            | AttemptOutcome::Lapsed
+            | AttemptOutcome::Stopped => {
                 job.evidence.has_run = true;
             }
-            Verdict::Lost => job.evidence.is_in_doubt = true,
-            Verdict::Refused | Verdict::Unsent => {}
+            AttemptOutcome::Lost => job.evidence.is_in_doubt = true,
+            AttemptOutcome::Refused | AttemptOutcome::Unsent => {}
         }
-        match report.verdict {
-            Verdict::Finished => self.keep_result(now, task, report.body),
+        match report.outcome {
+            AttemptOutcome::Finished => self.keep_result(now, task, report.body),
             _ => self.follow(now, task, step, &report),
         }
     }
@@ -144,7 +147,7 @@
                 Event::new(EventKind::TaskRetried)
                     .submission(task.submission)
                     .task(task.index)
-                    .detail(smol_str::format_smolstr!("{:?}", report.verdict)),
+                    .detail(smol_str::format_smolstr!("{:?}", report.outcome)),
             ),
             RetryStep::Wait | RetryStep::GiveUp(_) => {}
         }
@@ -159,14 +162,14 @@
     }
 
     fn note_end(&mut self, attempt: &Attempt, report: &AttemptReport) {
-        let kind = match report.verdict {
-            Verdict::Refused | Verdict::Unsent => EventKind::TaskRefused,
-            Verdict::Lost => EventKind::TaskLost,
+        let kind = match report.outcome {
+            AttemptOutcome::Refused | AttemptOutcome::Unsent => EventKind::TaskRefused,
+            AttemptOutcome::Lost => EventKind::TaskLost,
             _ => EventKind::TaskFinished,
         };
         let detail = match report.detail.is_empty() {
-            true => smol_str::format_smolstr!("{:?}", report.verdict),
-            false => smol_str::format_smolstr!("{:?}: {}", report.verdict, report.detail),
+            true => smol_str::format_smolstr!("{:?}", report.outcome),
+            false => smol_str::format_smolstr!("{:?}: {}", report.outcome, report.detail),
         };
         self.note(task_event(kind, attempt).detail(detail));
     }
@@ -182,12 +185,12 @@
 }
 
 /// Gets what an executor's answer to a stop proves.
-fn verdict_of(state: TaskState) -> Verdict {
+fn verdict_of(state: TaskState) -> AttemptOutcome {
     match state {
-        TaskState::Finished => Verdict::Finished,
-        TaskState::Failed => Verdict::Failed,
-        TaskState::Refused => Verdict::Refused,
-        TaskState::Stopped => Verdict::Stopped,
-        TaskState::Lapsed => Verdict::Lapsed,
+        TaskState::Finished => AttemptOutcome::Finished,
+        TaskState::Failed => AttemptOutcome::Failed,
+        TaskState::Refused => AttemptOutcome::Refused,
+        TaskState::Stopped => AttemptOutcome::Stopped,
+        TaskState::Lapsed => AttemptOutcome::Lapsed,
     }
 }
--- a/crates/onyxshed-dispatch/src/dispatch/claim.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/claim.rs
@@ -1,7 +1,7 @@
 //! What the log says: claims won, lost or undecided.
 
 use onyxshed_core::{Event, EventKind, Incarnation, Now, Offset, ResultCode, SubmissionId};
-use onyxshed_policy::Work;
+use onyxshed_policy::QueuedTask;
 use onyxshed_state::claim::AppendFailure;
 use onyxshed_state::{ClaimOutcome, ClaimStep, SettledClaim};
 use onyxshed_wire::ContentHash;
@@ -85,7 +85,7 @@
         }
         let job = job.granted(is_claimed);
         for task in job.tasks() {
-            let work = Work {
+            let work = QueuedTask {
                 task,
                 class: job.head.class.clone(),
                 deadline: job.head.deadline,
--- a/crates/onyxshed-dispatch/src/dispatch/pump.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/pump.rs
@@ -3,7 +3,7 @@
 use onyxshed_core::{
     Event, EventKind, ExecutorName, Micros, Millis, Mono, Now, SubmissionId, TaskId, UnixMs,
 };
-use onyxshed_policy::{AttemptEnd, Expired, NextStep, Verdict, Work};
+use onyxshed_policy::{AttemptEnd, AttemptOutcome, ExpiredTask, NextStep, QueuedTask};
 use onyxshed_state::BatchStep;
 
 use super::{Attempt, Dispatch};
@@ -57,11 +57,11 @@
         let end = AttemptEnd {
             task,
             executor,
-            verdict: Verdict::Stopped,
+            outcome: AttemptOutcome::Stopped,
             service_us: None,
             load: None,
         };
-        self.policy.ended(now, &end);
+        self.policy.apply_attempt_end(now, &end);
     }
 
     /// Sends a start; false if it must not be sent any more.
@@ -149,11 +149,11 @@
     /// Deals with waiting tasks whose deadline has passed: a job that has begun goes on until it is
     /// given up, one that has not is over.
     pub(super) fn settle_expired_tasks(&mut self, now: Now) {
-        for Expired { task, deadline, .. } in self.policy.take_expired(now) {
+        for ExpiredTask { task, deadline, .. } in self.policy.take_expired(now) {
             match self.jobs.get(task.submission) {
                 // Given up by its last deadline too, it would only come back until that has passed.
                 Some(Job::Running(job)) if !job.is_unstarted() && deadline < job.head.end_by => {
-                    let work = Work {
+                    let work = QueuedTask {
                         task,
                         class: job.head.class.clone(),
                         deadline: job.head.end_by,
--- a/crates/onyxshed-dispatch/src/dispatch/status.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/status.rs
@@ -1,7 +1,7 @@
 //! What the machine tells about itself.
 
 use onyxshed_core::{Incarnation, Mono, Offset};
-use onyxshed_policy::note::Waste;
+use onyxshed_policy::decision::WastedMessages;
 use onyxshed_state::{Config, Member};
 
 use super::Dispatch;
@@ -50,12 +50,12 @@
 
     /// Gets how many tasks wait for an executor.
     pub fn queued_tasks(&self) -> usize {
-        self.policy.waiting()
+        self.policy.queued_tasks()
     }
 
     /// Gets the messages that served no answer, by kind.
-    pub fn waste(&self) -> Waste {
-        self.policy.waste()
+    pub fn waste(&self) -> WastedMessages {
+        self.policy.wasted_messages()
     }
 
     /// Gets how many records of the claims stream could not be read and were ignored.
--- a/crates/onyxshed-dispatch/src/input.rs
+++ b/crates/onyxshed-dispatch/src/input.rs
@@ -1,7 +1,7 @@
 //! What happens to an entry host.
 
 use onyxshed_core::{Incarnation, Micros, Offset, SubmissionId};
-use onyxshed_policy::{ExecutorInfo, Verdict};
+use onyxshed_policy::{AttemptOutcome, ExecutorInfo};
 use onyxshed_state::claim::AppendFailure;
 use onyxshed_state::{Config, Member};
 use onyxshed_wire::caller::{Answer, Submission};
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptReport {
     /// How it ended.
-    pub verdict: Verdict,
+    pub outcome: AttemptOutcome,
     /// The result or the reason, as the executor sent it.
     pub body: Vec<u8>,
     /// How long it ran, as the executor tells, in microseconds.
@@ -30,7 +30,7 @@
     /// Makes the report of an attempt whose connection is given up.
     pub fn lost(detail: &'static str) -> Self {
         AttemptReport {
-            verdict: Verdict::Lost,
+            outcome: AttemptOutcome::Lost,
             body: Vec::new(),
             service_us: None,
             load: None,
--- a/crates/onyxshed-dispatch/tests/search/world.rs
+++ b/crates/onyxshed-dispatch/tests/search/world.rs
@@ -12,7 +12,7 @@
 };
 use onyxshed_dispatch::output::ForwardedCall;
 use onyxshed_dispatch::{AttemptId, AttemptReport, Input, Output, RequestId, StopReport};
-use onyxshed_policy::{ExecutorInfo, Verdict};
+use onyxshed_policy::{AttemptOutcome, ExecutorInfo};
 use onyxshed_state::claim::AppendFailure;
 use onyxshed_state::{Config, Member, MemberState};
 use onyxshed_wire::caller::{Answer, CopyMark, Submission};
@@ -369,7 +369,7 @@
         zone: "a".parse().expect("a name"),
         rack: smol_str::SmolStr::default(),
         slots: 4,
-        is_leaving: false,
+        is_draining: false,
     }
 }
 
--- a/crates/onyxshed-dispatch/tests/search/world/wire.rs
+++ b/crates/onyxshed-dispatch/tests/search/world/wire.rs
@@ -152,10 +152,10 @@
                     executor,
                 });
             }
-            return self.reply(from, attempt, Verdict::Lost, Vec::new());
+            return self.reply(from, attempt, AttemptOutcome::Lost, Vec::new());
         }
         match self.executors.start(executor, task, from, attempt) {
-            Arrival::Refused => self.reply(from, attempt, Verdict::Refused, Vec::new()),
+            Arrival::Refused => self.reply(from, attempt, AttemptOutcome::Refused, Vec::new()),
             Arrival::Started => self.messages.push(Message::Run {
                 from,
                 attempt,
@@ -175,9 +175,9 @@
     ) {
         let is_done = self.executors.finish(executor, task);
         match (is_lost, is_done) {
-            (true, _) => self.reply(from, attempt, Verdict::Lost, Vec::new()),
-            (false, true) => self.reply(from, attempt, Verdict::Finished, result_of(task)),
-            (false, false) => self.reply(from, attempt, Verdict::Stopped, Vec::new()),
+            (true, _) => self.reply(from, attempt, AttemptOutcome::Lost, Vec::new()),
+            (false, true) => self.reply(from, attempt, AttemptOutcome::Finished, result_of(task)),
+            (false, false) => self.reply(from, attempt, AttemptOutcome::Stopped, Vec::new()),
         }
     }
 
@@ -185,11 +185,11 @@
         &mut self,
         to: Incarnation,
         attempt: AttemptId,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         body: Vec<u8>,
     ) {
         let report = AttemptReport {
-            verdict,
+            outcome: verdict,
             body,
             service_us: None,
             load: None,
--- a/crates/onyxshed-entry/src/upstreams/call.rs
+++ b/crates/onyxshed-entry/src/upstreams/call.rs
@@ -7,7 +7,7 @@
 use onyxshed_core::{ClassName, ExecutorName, Micros, Millis, TaskId};
 use onyxshed_dispatch::{AttemptId, AttemptReport, StopReport};
 use onyxshed_http::{CallError, Connection, Reply, Sent};
-use onyxshed_policy::Verdict;
+use onyxshed_policy::AttemptOutcome;
 use onyxshed_wire::upstream::{
     ATTEMPT_HEADER, CLASS_HEADER, DRAINING_HEADER, LEASE_HEADER, LoadReport, QUEUED_HEADER,
     RUNNING_HEADER, SERVICE_HEADER, STARTER_HEADER, STATE_HEADER, TASK_HEADER, TaskSighting,
@@ -48,7 +48,7 @@
     /// Starts a task and waits for its end.
     pub(super) async fn start(&self, executor: &ExecutorName, call: StartCall) -> AttemptReport {
         let Some(pool) = self.pool(executor) else {
-            return ended(Verdict::Unsent, "the executor is no longer known");
+            return ended(AttemptOutcome::Unsent, "the executor is no longer known");
         };
         let health = match call.needs_proven_connection {
             true => Health::Proven(self.options.proven_within),
@@ -56,12 +56,12 @@
         };
         let mut connection = match pool.get(health).await {
             Ok(connection) => connection,
-            Err(error) => return ended(Verdict::Unsent, error.reason),
+            Err(error) => return ended(AttemptOutcome::Unsent, error.reason),
         };
         match self.send_start(&mut connection, &call).await {
             Ok(reply) => {
                 let report = read_report(call.task, reply);
-                if report.verdict != Verdict::Lost {
+                if report.outcome != AttemptOutcome::Lost {
                     pool.put(connection);
                 }
                 report
@@ -151,9 +151,9 @@
     }
 }
 
-fn ended(verdict: Verdict, detail: impl Into<SmolStr>) -> AttemptReport {
+fn ended(verdict: AttemptOutcome, detail: impl Into<SmolStr>) -> AttemptReport {
     AttemptReport {
-        verdict,
+        outcome: verdict,
         body: Vec::new(),
         service_us: None,
         load: None,
@@ -169,8 +169,8 @@
         pool.clear();
     }
     match error.sent {
-        Sent::Nothing => ended(Verdict::Unsent, error.reason.clone()),
-        Sent::Maybe => ended(Verdict::Lost, error.reason.clone()),
+        Sent::Nothing => ended(AttemptOutcome::Unsent, error.reason.clone()),
+        Sent::Maybe => ended(AttemptOutcome::Lost, error.reason.clone()),
     }
 }
 
@@ -188,14 +188,17 @@
 
 fn read_report(task: TaskId, reply: Reply) -> AttemptReport {
     let Some(state) = state_of(task, &reply) else {
-        return ended(Verdict::Lost, "the answer is foreign or tells no state");
+        return ended(
+            AttemptOutcome::Lost,
+            "the answer is foreign or tells no state",
+        );
     };
     let verdict = match state {
-        TaskState::Finished => Verdict::Finished,
-        TaskState::Failed => Verdict::Failed,
-        TaskState::Refused => Verdict::Refused,
-        TaskState::Stopped => Verdict::Stopped,
-        TaskState::Lapsed => Verdict::Lapsed,
+        TaskState::Finished => AttemptOutcome::Finished,
+        TaskState::Failed => AttemptOutcome::Failed,
+        TaskState::Refused => AttemptOutcome::Refused,
+        TaskState::Stopped => AttemptOutcome::Stopped,
+        TaskState::Lapsed => AttemptOutcome::Lapsed,
     };
     let number = |name| reply.get(name).and_then(|found| found.parse::<u64>().ok());
     let load = LoadReport {
@@ -208,12 +211,12 @@
         is_draining: reply.get(DRAINING_HEADER) == Some("1"),
     };
     let detail = match verdict {
-        Verdict::Finished => SmolStr::default(),
+        AttemptOutcome::Finished => SmolStr::default(),
         _ => excerpt(&reply.body),
     };
     let service_us = number(SERVICE_HEADER).map(Micros);
     AttemptReport {
-        verdict,
+        outcome: verdict,
         body: reply.body,
         service_us,
         load: Some(load),
--- a/crates/onyxshed-load/src/sim/chooser.rs
+++ b/crates/onyxshed-load/src/sim/chooser.rs
@@ -4,8 +4,8 @@
 
 use onyxshed_core::{ClassName, Mono, Now, ResultCode, TaskId};
 use onyxshed_policy::{
-    Admission, AttemptEnd, ExecutorInfo, Expired, NextStep, Policy, PolicyOptions, RetryStep,
-    Verdict, Work,
+    Admission, AttemptEnd, AttemptOutcome, ExecutorInfo, ExpiredTask, NextStep, Policy,
+    PolicyOptions, QueuedTask, RetryStep,
 };
 use serde::Serialize;
 
@@ -49,8 +49,8 @@
 pub struct Baseline {
     kind: Rival,
     executors: Vec<(ExecutorInfo, u32)>,
-    queue: VecDeque<(Work, u32)>,
-    running: BTreeMap<TaskId, (Work, u32)>,
+    queue: VecDeque<(QueuedTask, u32)>,
+    running: BTreeMap<TaskId, (QueuedTask, u32)>,
     turn: usize,
     connections_max: u32,
 }
@@ -88,7 +88,7 @@
     /// Sets how many entry hosts share the executors.
     pub fn set_sharers(&mut self, now: Now, sharers: u32) {
         if let Chooser::Policy(policy) = self {
-            policy.set_sharers(now, sharers);
+            policy.set_zone_hosts(now, sharers);
         }
     }
 
@@ -107,7 +107,7 @@
     }
 
     /// Queues a task.
-    pub fn enqueue(&mut self, now: Now, work: Work) {
+    pub fn enqueue(&mut self, now: Now, work: QueuedTask) {
         match self {
             Chooser::Policy(policy) => policy.enqueue(now, work),
             Chooser::Baseline(baseline) => baseline.queue.push_back((work, 0)),
@@ -135,13 +135,13 @@
     /// Takes in an attempt's end.
     pub fn ended(&mut self, now: Now, end: &AttemptEnd) -> RetryStep {
         match self {
-            Chooser::Policy(policy) => policy.ended(now, end),
+            Chooser::Policy(policy) => policy.apply_attempt_end(now, end),
             Chooser::Baseline(baseline) => baseline.ended(end),
         }
     }
 
     /// Takes out the waiting tasks whose deadline has passed.
-    pub fn expired(&mut self, now: Now) -> Vec<Expired> {
+    pub fn expired(&mut self, now: Now) -> Vec<ExpiredTask> {
         match self {
             Chooser::Policy(policy) => policy.take_expired(now),
             Chooser::Baseline(_) => Vec::new(),
@@ -208,16 +208,22 @@
         let Some((work, retries)) = self.running.remove(&end.task) else {
             return RetryStep::Wait;
         };
-        let is_unstarted = matches!(end.verdict, Verdict::Refused | Verdict::Unsent);
-        let did_fail = !matches!(end.verdict, Verdict::Finished | Verdict::Stopped);
+        let is_unstarted = matches!(
+            end.outcome,
+            AttemptOutcome::Refused | AttemptOutcome::Unsent
+        );
+        let did_fail = !matches!(
+            end.outcome,
+            AttemptOutcome::Finished | AttemptOutcome::Stopped
+        );
         let may_retry = is_unstarted || (did_fail && work.may_run_twice);
         if retries < RETRIES_MAX && may_retry {
             self.queue.push_back((work, retries + 1));
             return RetryStep::Queued;
         }
-        RetryStep::GiveUp(match end.verdict {
-            Verdict::Refused | Verdict::Unsent => ResultCode::RefusedByUpstream,
-            Verdict::Lost => ResultCode::ConnectionLost,
+        RetryStep::GiveUp(match end.outcome {
+            AttemptOutcome::Refused | AttemptOutcome::Unsent => ResultCode::RefusedByUpstream,
+            AttemptOutcome::Lost => ResultCode::ConnectionLost,
             _ => ResultCode::TaskFailed,
         })
     }
--- a/crates/onyxshed-load/src/sim/world.rs
+++ b/crates/onyxshed-load/src/sim/world.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use onyxshed_core::{ExecutorName, Mono, Now, ResultCode, UnixMs, UpstreamName};
-use onyxshed_policy::{ExecutorInfo, Verdict};
+use onyxshed_policy::{AttemptOutcome, ExecutorInfo};
 
 use parts::{Attempt, Event, Host, Job, executor_info};
 
@@ -194,8 +194,8 @@
         match self.executors[place].reach(attempt) {
             Reached::Runs => self.begin(attempt),
             Reached::Waits | Reached::Swallowed => {}
-            Reached::Refused => self.reply(attempt, Verdict::Refused),
-            Reached::Unreachable => self.reply(attempt, Verdict::Unsent),
+            Reached::Refused => self.reply(attempt, AttemptOutcome::Refused),
+            Reached::Unreachable => self.reply(attempt, AttemptOutcome::Unsent),
         }
     }
 
@@ -227,8 +227,8 @@
         let class = self.jobs[self.attempts[attempt].job].planned.class;
         let is_failing = self.executors[place].health == Health::Failing;
         let verdict = match is_failing || self.is_poisoned(class) {
-            true => Verdict::Failed,
-            false => Verdict::Finished,
+            true => AttemptOutcome::Failed,
+            false => AttemptOutcome::Finished,
         };
         self.reply(attempt, verdict);
         self.fill(place);
@@ -241,7 +241,7 @@
         }
     }
 
-    fn reply(&mut self, attempt: usize, verdict: Verdict) {
+    fn reply(&mut self, attempt: usize, verdict: AttemptOutcome) {
         self.attempts[attempt].verdict = verdict;
         self.after(self.options.upstream_us, Event::Answer { attempt });
     }
@@ -250,12 +250,12 @@
     fn stop(&mut self, attempt: usize) {
         let place = self.attempts[attempt].executor;
         if matches!(self.executors[place].health, Health::Silent | Health::Dead) {
-            self.attempts[attempt].verdict = Verdict::Lost;
+            self.attempts[attempt].verdict = AttemptOutcome::Lost;
             self.after(STOP_TIMEOUT_US, Event::Answer { attempt });
             return;
         }
         if self.executors[place].remove(attempt) {
-            self.reply(attempt, Verdict::Stopped);
+            self.reply(attempt, AttemptOutcome::Stopped);
             self.fill(place);
         }
     }
--- a/crates/onyxshed-load/src/sim/world/fault.rs
+++ b/crates/onyxshed-load/src/sim/world/fault.rs
@@ -1,7 +1,7 @@
 //! What goes wrong, when, and when it is known.
 
 use onyxshed_core::ResultCode;
-use onyxshed_policy::Verdict;
+use onyxshed_policy::AttemptOutcome;
 
 use super::parts::Event;
 use super::{RACK, World};
@@ -103,7 +103,7 @@
             let mut lost = std::mem::take(&mut executor.running);
             lost.extend(executor.queue.drain(..));
             for attempt in lost {
-                self.reply(attempt, Verdict::Lost);
+                self.reply(attempt, AttemptOutcome::Lost);
             }
         }
     }
--- a/crates/onyxshed-load/src/sim/world/host.rs
+++ b/crates/onyxshed-load/src/sim/world/host.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use onyxshed_core::{ClassTarget, Millis, Mono, Now, ResultCode, UpstreamName};
-use onyxshed_policy::{Admission, AttemptEnd, NextStep, RetryStep, Verdict, Work};
+use onyxshed_policy::{Admission, AttemptEnd, AttemptOutcome, NextStep, QueuedTask, RetryStep};
 use onyxshed_wire::upstream::LoadReport;
 
 use super::World;
@@ -75,7 +75,7 @@
         taken.deadline = deadline;
         let at_us = taken.planned.at_us;
         for index in 0..taken.planned.service_ms.len() {
-            let work = Work {
+            let work = QueuedTask {
                 task: task_id(job, at_us, index),
                 class: class_name(load.class),
                 deadline,
@@ -120,7 +120,7 @@
                         task,
                         executor: self.places[&executor],
                         is_open: true,
-                        verdict: Verdict::Lost,
+                        verdict: AttemptOutcome::Lost,
                         service_us: 0,
                     });
                     self.wasted().hedges += u64::from(is_hedge);
@@ -164,8 +164,8 @@
         let is_current = self.jobs[job].host == host && !self.jobs[job].is_over;
         self.count_end(verdict);
         match (verdict, step) {
-            (Verdict::Finished, _) if is_current => self.task_done(attempt),
-            (Verdict::Finished, _) => {}
+            (AttemptOutcome::Finished, _) if is_current => self.task_done(attempt),
+            (AttemptOutcome::Finished, _) => {}
             // A job that has ended meanwhile gets no further start.
             (_, RetryStep::Queued) if !is_current => {
                 let task = self.attempts[attempt].task;
@@ -179,10 +179,10 @@
     }
 
     /// Counts an attempt that served no answer.
-    fn count_end(&mut self, verdict: Verdict) {
+    fn count_end(&mut self, verdict: AttemptOutcome) {
         match verdict {
-            Verdict::Finished | Verdict::Stopped => {}
-            Verdict::Refused => self.wasted().executor_refusals += 1,
+            AttemptOutcome::Finished | AttemptOutcome::Stopped => {}
+            AttemptOutcome::Refused => self.wasted().executor_refusals += 1,
             _ => self.wasted().lost_starts += 1,
         }
     }
@@ -190,7 +190,7 @@
     fn attempt_end(&self, attempt: usize) -> AttemptEnd {
         let ended = &self.attempts[attempt];
         let executor = &self.executors[ended.executor];
-        let has_answered = !matches!(ended.verdict, Verdict::Lost | Verdict::Unsent);
+        let has_answered = !matches!(ended.verdict, AttemptOutcome::Lost | AttemptOutcome::Unsent);
         let load = LoadReport {
             running: u32::try_from(executor.running.len()).unwrap_or(u32::MAX),
             queued: u32::try_from(executor.queue.len()).unwrap_or(u32::MAX),
@@ -199,7 +199,7 @@
         AttemptEnd {
             task: ended.task,
             executor: self.infos[ended.executor].name.clone(),
-            verdict: ended.verdict,
+            outcome: ended.verdict,
             service_us: service_of(ended),
             load: has_answered.then_some(load),
         }
--- a/crates/onyxshed-load/src/sim/world/parts.rs
+++ b/crates/onyxshed-load/src/sim/world/parts.rs
@@ -1,7 +1,7 @@
 //! What the event loop keeps of attempts, jobs and entry hosts.
 
 use onyxshed_core::{Micros, Mono, SubmissionId, TaskId, UpstreamName};
-use onyxshed_policy::{ExecutorInfo, Verdict};
+use onyxshed_policy::{AttemptOutcome, ExecutorInfo};
 use smol_str::format_smolstr;
 use ulid::Ulid;
 
@@ -31,7 +31,7 @@
     pub(super) task: TaskId,
     pub(super) executor: usize,
     pub(super) is_open: bool,
-    pub(super) verdict: Verdict,
+    pub(super) verdict: AttemptOutcome,
     pub(super) service_us: u64,
 }
 
@@ -79,7 +79,7 @@
         zone: "zone-a".parse().expect("a valid name"),
         rack: format_smolstr!("rack-{}", place / RACK),
         slots: u32::try_from(slots).unwrap_or(u32::MAX),
-        is_leaving: false,
+        is_draining: false,
     }
 }
 
@@ -98,6 +98,9 @@
 
 /// Turns what an attempt took into the policy's unit.
 pub(super) fn service_of(attempt: &Attempt) -> Option<Micros> {
-    let did_run = matches!(attempt.verdict, Verdict::Finished | Verdict::Failed);
+    let did_run = matches!(
+        attempt.verdict,
+        AttemptOutcome::Finished | AttemptOutcome::Failed
+    );
     did_run.then_some(Micros(attempt.service_us))
 }
--- a/crates/onyxshed-policy/src/class.rs
+++ b/crates/onyxshed-policy/src/class.rs
@@ -2,9 +2,9 @@
 
 use onyxshed_core::{ClassTarget, Micros, Mono};
 
-use crate::blame::ClassFaults;
 use crate::demand::Demand;
 use crate::estimate::ClassEstimate;
+use crate::faults::ClassFaults;
 use crate::span::to_micros;
 
 /// Share of tasks that are longer than the shortest time held to be possible.
--- a/crates/onyxshed-policy/src/note.rs
+++ b/crates/onyxshed-policy/src/decision.rs
@@ -11,7 +11,7 @@
 
 /// Something the policy decided that an operator reads about.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Note {
+pub enum PolicyDecision {
     /// An executor gets no new work but probes.
     BreakerOpened {
         /// The executor.
@@ -25,19 +25,19 @@
         executor: ExecutorName,
     },
     /// A job fails on executors that run others well.
-    JobBlamed {
+    JobUnrunnable {
         /// The job.
         submission: SubmissionId,
         /// Its class.
         class: ClassName,
     },
     /// Every job of a class fails, on every executor.
-    ClassBlamed {
+    ClassUnrunnable {
         /// The class.
         class: ClassName,
     },
     /// A class held to be unable to run has finished a task.
-    ClassCleared {
+    ClassRunnable {
         /// The class.
         class: ClassName,
     },
@@ -45,7 +45,7 @@
 
 /// Messages that did not contribute to an answer, by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Waste {
+pub struct WastedMessages {
     /// Starts that the executor refused.
     pub refusals: u64,
     /// Starts of which no byte left.
@@ -63,12 +63,12 @@
 /// Notes that wait to be drained; the oldest is dropped when they are too many.
 #[derive(Debug, Default)]
 pub struct Notes {
-    waiting: VecDeque<Note>,
+    waiting: VecDeque<PolicyDecision>,
 }
 
 impl Notes {
     /// Adds a note.
-    pub fn push(&mut self, note: Note) {
+    pub fn push(&mut self, note: PolicyDecision) {
         if self.waiting.len() == NOTES_MAX {
             self.waiting.pop_front();
         }
@@ -76,7 +76,7 @@
     }
 
     /// Takes all notes out, oldest first.
-    pub fn drain(&mut self) -> Vec<Note> {
+    pub fn drain(&mut self) -> Vec<PolicyDecision> {
         self.waiting.drain(..).collect()
     }
 }
--- a/crates/onyxshed-policy/src/executor.rs
+++ b/crates/onyxshed-policy/src/executor.rs
@@ -7,7 +7,7 @@
 
 use onyxshed_core::{Micros, Millis, Mono};
 
-use crate::blame::ExecutorId;
+use crate::faults::ExecutorId;
 use crate::span::as_us;
 use crate::work::ExecutorInfo;
 use breaker::{Breaker, Gate};
@@ -68,7 +68,7 @@
 
     /// Tells whether it may get new work as far as its life cycle goes.
     pub fn is_live(&self, now: Mono) -> bool {
-        let is_kept = !self.is_gone && !self.info.is_leaving;
+        let is_kept = !self.is_gone && !self.info.is_draining;
         is_kept && self.info.slots > 0 && self.draining_until <= now
     }
 
@@ -154,7 +154,7 @@
 
     /// Takes in what the configuration says of it now.
     pub fn update(&mut self, info: &ExecutorInfo) {
-        let has_come_back = self.is_gone || (self.info.is_leaving && !info.is_leaving);
+        let has_come_back = self.is_gone || (self.info.is_draining && !info.is_draining);
         if has_come_back {
             self.draining_until = Mono::default();
         }
--- a/crates/onyxshed-policy/src/fleet.rs
+++ b/crates/onyxshed-policy/src/fleet.rs
@@ -4,8 +4,8 @@
 
 use onyxshed_core::ExecutorName;
 
-use crate::blame::ExecutorId;
 use crate::executor::Executor;
+use crate::faults::ExecutorId;
 use crate::work::ExecutorInfo;
 
 /// An executor's place in the fleet.
--- a/crates/onyxshed-policy/src/lib.rs
+++ b/crates/onyxshed-policy/src/lib.rs
@@ -5,25 +5,28 @@
 //! attempt's end; it says what to start and when to ask again. Operators set only targets, so
 //! everything else here is learned or derived.
 
-pub mod note;
+pub mod decision;
 pub mod placement;
 pub mod policy;
 pub mod work;
 
 mod admission;
-mod blame;
 mod budget;
 mod class;
 mod demand;
 mod estimate;
 mod executor;
+mod faults;
 mod fleet;
 mod queue;
 mod running;
 mod span;
 mod upstream;
 
-pub use note::{BreakerReason, Note, Waste};
+pub use decision::{BreakerReason, PolicyDecision, WastedMessages};
 pub use placement::PlacementKind;
 pub use policy::{Policy, PolicyOptions};
-pub use work::{Admission, AttemptEnd, ExecutorInfo, Expired, NextStep, RetryStep, Verdict, Work};
+pub use work::{
+    Admission, AttemptEnd, AttemptOutcome, ExecutorInfo, ExpiredTask, NextStep, QueuedTask,
+    RetryStep,
+};
--- a/crates/onyxshed-policy/src/policy.rs
+++ b/crates/onyxshed-policy/src/policy.rs
@@ -17,14 +17,14 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::blame::JobFaults;
 use crate::class::Class;
+use crate::decision::{Notes, PolicyDecision, WastedMessages};
+use crate::faults::JobFaults;
 use crate::fleet::{Fleet, Seat};
-use crate::note::{Note, Notes, Waste};
 use crate::placement::{Placement, PlacementKind};
 use crate::running::Running;
 use crate::upstream::Upstream;
-use crate::work::{ExecutorInfo, Expired};
+use crate::work::{ExecutorInfo, ExpiredTask};
 
 /// Limits of the policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -60,12 +60,12 @@
     begun: BTreeSet<SubmissionId>,
     running: BTreeMap<TaskId, Running>,
     hedges: BTreeSet<(Mono, TaskId)>,
-    hopeless: Vec<Expired>,
+    hopeless: Vec<ExpiredTask>,
     expire_at: Mono,
     jobs: JobFaults,
     placement: Placement,
     notes: Notes,
-    waste: Waste,
+    waste: WastedMessages,
 }
 
 impl Policy {
@@ -90,7 +90,7 @@
             expire_at: Mono::default(),
             jobs: JobFaults::default(),
             notes: Notes::default(),
-            waste: Waste::default(),
+            waste: WastedMessages::default(),
         }
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// Sets how many live entry hosts share this zone's executors, this one included.
-    pub fn set_sharers(&mut self, _now: Now, sharers: u32) {
+    pub fn set_zone_hosts(&mut self, _now: Now, sharers: u32) {
         self.sharers = sharers.max(1);
         self.upstreams.values_mut().for_each(Upstream::touch);
         self.ready.extend(self.upstreams.keys().cloned());
@@ -154,22 +154,22 @@
     }
 
     /// Takes out what happened that people should read about, oldest first.
-    pub fn drain_notes(&mut self) -> Vec<Note> {
+    pub fn drain_decisions(&mut self) -> Vec<PolicyDecision> {
         self.notes.drain()
     }
 
     /// Gets the counts of messages that served no answer.
-    pub fn waste(&self) -> Waste {
+    pub fn wasted_messages(&self) -> WastedMessages {
         self.waste
     }
 
     /// Gets the number of tasks waiting.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_tasks(&self) -> usize {
         self.homes.len()
     }
 
     /// Gets the time that all but few tasks of a class stay within; none until learned.
-    pub fn usual(&self, class: &ClassName) -> Option<Micros> {
+    pub fn service_time_p99(&self, class: &ClassName) -> Option<Micros> {
         self.classes.get(class)?.usual(1.0)
     }
 
--- a/crates/onyxshed-policy/src/policy/end.rs
+++ b/crates/onyxshed-policy/src/policy/end.rs
@@ -3,16 +3,16 @@
 use onyxshed_core::{Micros, Millis, Mono, Now, ResultCode};
 
 use super::Policy;
-use crate::blame::{ClassChange, JobFault};
 use crate::class::Class;
+use crate::decision::PolicyDecision;
 use crate::executor::Executor;
 use crate::executor::breaker::{Breaker, BreakerReason, Sign};
+use crate::faults::{ClassChange, JobFault};
 use crate::fleet::Seat;
-use crate::note::Note;
 use crate::queue::Ticket;
 use crate::running::Attempt;
 use crate::span::{as_us, to_micros};
-use crate::work::{AttemptEnd, RetryStep, Verdict};
+use crate::work::{AttemptEnd, AttemptOutcome, RetryStep};
 
 /// Wait after the first refused start, in milliseconds.
 const BACKOFF_FIRST: Millis = Millis(4);
@@ -31,12 +31,12 @@
     ///
     /// For [`Verdict::Finished`] the step has no meaning; other copies that still run are told by
     /// [`Policy::copies_of`].
-    pub fn ended(&mut self, now: Now, end: &AttemptEnd) -> RetryStep {
+    pub fn apply_attempt_end(&mut self, now: Now, end: &AttemptEnd) -> RetryStep {
         let now = now.mono;
         let seat = self.fleet.seat(&end.executor);
         let attempt = seat.and_then(|seat| self.running.get_mut(&end.task)?.remove(seat));
         let (Some(seat), Some(attempt)) = (seat, attempt) else {
-            return RetryStep::GiveUp(plain_code(end.verdict));
+            return RetryStep::GiveUp(plain_code(end.outcome));
         };
         self.learn(now, end, attempt);
         let step = self.decide(now, end, seat);
@@ -52,7 +52,7 @@
     /// Takes in what the end says of the executor, the class and the job.
     fn learn(&mut self, now: Mono, end: &AttemptEnd, attempt: Attempt) {
         let seat = attempt.seat;
-        let was_heard = !matches!(end.verdict, Verdict::Unsent | Verdict::Lost);
+        let was_heard = !matches!(end.outcome, AttemptOutcome::Unsent | AttemptOutcome::Lost);
         if let Some(executor) = self.fleet.get_mut(seat) {
             executor.ended(now, was_heard);
         }
@@ -60,13 +60,13 @@
             self.take_report(now, seat, load);
         }
         self.count(end, attempt);
-        let sign = match end.verdict {
-            Verdict::Finished => self.learn_finished(now, end, attempt),
-            Verdict::Failed => self.learn_failed(end, seat, BreakerReason::Failing),
-            Verdict::Lapsed => self.learn_failed(end, seat, BreakerReason::Lapsing),
-            Verdict::Refused => self.learn_refused(end, seat),
-            Verdict::Unsent | Verdict::Lost => Sign::Unanswered,
-            Verdict::Stopped => Sign::None,
+        let sign = match end.outcome {
+            AttemptOutcome::Finished => self.learn_finished(now, end, attempt),
+            AttemptOutcome::Failed => self.learn_failed(end, seat, BreakerReason::Failing),
+            AttemptOutcome::Lapsed => self.learn_failed(end, seat, BreakerReason::Lapsing),
+            AttemptOutcome::Refused => self.learn_refused(end, seat),
+            AttemptOutcome::Unsent | AttemptOutcome::Lost => Sign::Unanswered,
+            AttemptOutcome::Stopped => Sign::None,
         };
         let draw = self.draw();
         let breaker = self
@@ -81,13 +81,16 @@
     }
 
     fn count(&mut self, end: &AttemptEnd, attempt: Attempt) {
-        match end.verdict {
-            Verdict::Refused => self.waste.refusals += 1,
-            Verdict::Unsent => self.waste.unsent += 1,
-            Verdict::Stopped => self.waste.stopped += 1,
-            Verdict::Finished | Verdict::Failed | Verdict::Lapsed | Verdict::Lost => {}
+        match end.outcome {
+            AttemptOutcome::Refused => self.waste.refusals += 1,
+            AttemptOutcome::Unsent => self.waste.unsent += 1,
+            AttemptOutcome::Stopped => self.waste.stopped += 1,
+            AttemptOutcome::Finished
+            | AttemptOutcome::Failed
+            | AttemptOutcome::Lapsed
+            | AttemptOutcome::Lost => {}
         }
-        let has_failed = end.verdict != Verdict::Finished;
+        let has_failed = end.outcome != AttemptOutcome::Finished;
         self.waste.failed_probes += u64::from(attempt.is_probe && has_failed);
         let ticket = self.running.get(&end.task).map(|running| &running.ticket);
         let class = ticket.and_then(|ticket| self.classes.get_mut(&ticket.work.class));
@@ -112,7 +115,7 @@
         }
         let sign = good_or_slow(executor, attempt, ratio);
         if let (Some(ClassChange::Cleared), Some(class)) = (cleared, name) {
-            self.notes.push(Note::ClassCleared { class });
+            self.notes.push(PolicyDecision::ClassRunnable { class });
         }
         sign
     }
@@ -142,12 +145,12 @@
             class.faults.weight_against(executor.id)
         };
         if class.faults.failed(executor.id, job) == Some(ClassChange::Blamed) {
-            self.notes.push(Note::ClassBlamed {
+            self.notes.push(PolicyDecision::ClassUnrunnable {
                 class: name.clone(),
             });
         }
         if fault == JobFault::Blamed {
-            self.notes.push(Note::JobBlamed {
+            self.notes.push(PolicyDecision::JobUnrunnable {
                 submission: job,
                 class: name,
             });
@@ -177,18 +180,21 @@
         let Some(running) = self.running.get_mut(&end.task) else {
             return RetryStep::GiveUp(code);
         };
-        let may_have_started = !matches!(end.verdict, Verdict::Refused | Verdict::Unsent);
+        let may_have_started = !matches!(
+            end.outcome,
+            AttemptOutcome::Refused | AttemptOutcome::Unsent
+        );
         if may_have_started {
             running.ticket.started_code = Some(code);
             running.ticket.failed_on.extend(executor_id);
         }
-        if end.verdict == Verdict::Finished {
+        if end.outcome == AttemptOutcome::Finished {
             running.is_over = true;
         }
         if !running.attempts.is_empty() {
             return RetryStep::Wait;
         }
-        let is_over = running.is_over || end.verdict == Verdict::Stopped;
+        let is_over = running.is_over || end.outcome == AttemptOutcome::Stopped;
         self.forget_hedge(end.task);
         let Some(running) = self.running.remove(&end.task) else {
             return RetryStep::GiveUp(code);
@@ -199,24 +205,30 @@
         if may_have_started {
             self.retry(now, running.ticket, code)
         } else {
-            self.bounce(now, running.ticket, end.verdict, seat)
+            self.bounce(now, running.ticket, end.outcome, seat)
         }
     }
 
     /// Queues again a task that was provably not started.
-    fn bounce(&mut self, now: Mono, mut ticket: Ticket, verdict: Verdict, seat: Seat) -> RetryStep {
+    fn bounce(
+        &mut self,
+        now: Mono,
+        mut ticket: Ticket,
+        verdict: AttemptOutcome,
+        seat: Seat,
+    ) -> RetryStep {
         ticket.bounces += 1;
         ticket.bounced_at = Some(seat);
         let at = now + self.backoff(ticket.bounces);
         let is_in_time = at + self.least_time(now, &ticket) < ticket.work.deadline;
         let code = match (verdict, is_in_time) {
-            (Verdict::Unsent, _) => ResultCode::NoUpstream,
+            (AttemptOutcome::Unsent, _) => ResultCode::NoUpstream,
             (_, false) => ResultCode::ExpiredInQueue,
             (_, true) => ResultCode::RefusedByUpstream,
         };
         let code = ticket.started_code.unwrap_or(code);
         let may_go_on = is_in_time && ticket.bounces < BOUNCES_MAX;
-        if !may_go_on || (verdict == Verdict::Refused && !self.take_retry(&ticket)) {
+        if !may_go_on || (verdict == AttemptOutcome::Refused && !self.take_retry(&ticket)) {
             return RetryStep::GiveUp(code);
         }
         self.put(ticket, Some(at));
@@ -244,9 +256,9 @@
         let class = class.and_then(|name| self.classes.get(name));
         let is_blamed = class.is_some_and(|class| class.faults.is_blamed())
             || self.jobs.is_blamed(end.task.submission);
-        match end.verdict {
-            Verdict::Lost if is_silent => ResultCode::UpstreamSilent,
-            Verdict::Failed if is_blamed => ResultCode::NeverRuns,
+        match end.outcome {
+            AttemptOutcome::Lost if is_silent => ResultCode::UpstreamSilent,
+            AttemptOutcome::Failed if is_blamed => ResultCode::NeverRuns,
             verdict => plain_code(verdict),
         }
     }
@@ -331,14 +343,14 @@
 }
 
 /// Gets the code that an attempt's end stands for by itself.
-fn plain_code(verdict: Verdict) -> ResultCode {
+fn plain_code(verdict: AttemptOutcome) -> ResultCode {
     match verdict {
-        Verdict::Finished => ResultCode::Complete,
-        Verdict::Failed => ResultCode::TaskFailed,
-        Verdict::Refused => ResultCode::RefusedByUpstream,
-        Verdict::Lapsed => ResultCode::LeaseLapsed,
-        Verdict::Stopped => ResultCode::Cancelled,
-        Verdict::Unsent => ResultCode::NoUpstream,
-        Verdict::Lost => ResultCode::ConnectionLost,
+        AttemptOutcome::Finished => ResultCode::Complete,
+        AttemptOutcome::Failed => ResultCode::TaskFailed,
+        AttemptOutcome::Refused => ResultCode::RefusedByUpstream,
+        AttemptOutcome::Lapsed => ResultCode::LeaseLapsed,
+        AttemptOutcome::Stopped => ResultCode::Cancelled,
+        AttemptOutcome::Unsent => ResultCode::NoUpstream,
+        AttemptOutcome::Lost => ResultCode::ConnectionLost,
     }
 }
--- a/crates/onyxshed-policy/src/policy/intake.rs
+++ b/crates/onyxshed-policy/src/policy/intake.rs
@@ -12,7 +12,7 @@
 use crate::queue::{Depth, Ticket};
 use crate::span::{as_us, to_micros};
 use crate::upstream::Upstream;
-use crate::work::{Admission, Expired, Work};
+use crate::work::{Admission, ExpiredTask, QueuedTask};
 
 /// When to come back if no executor is known, in microseconds: about a host list's lag.
 const NO_UPSTREAM_COME_BACK: Micros = Micros(1_000_000);
@@ -59,7 +59,7 @@
     }
 
     /// Queues a task.
-    pub fn enqueue(&mut self, now: Now, work: Work) {
+    pub fn enqueue(&mut self, now: Now, work: QueuedTask) {
         let class = self.classes.get_mut(&work.class);
         if let Some(class) = class
             && let Some(upstream) = self.upstreams.get_mut(&class.target.upstream)
@@ -96,7 +96,7 @@
     }
 
     /// Takes them out with what to tell of each.
-    pub fn take_expired(&mut self, now: Now) -> Vec<Expired> {
+    pub fn take_expired(&mut self, now: Now) -> Vec<ExpiredTask> {
         let mut expired = std::mem::take(&mut self.hopeless);
         if now.mono < self.expire_at {
             return expired;
--- a/crates/onyxshed-policy/src/policy/watch.rs
+++ b/crates/onyxshed-policy/src/policy/watch.rs
@@ -3,9 +3,9 @@
 use onyxshed_core::{Millis, Mono, UpstreamName};
 
 use super::Policy;
+use crate::decision::PolicyDecision;
 use crate::executor::breaker::{BreakerChange, BreakerReason};
 use crate::fleet::Seat;
-use crate::note::Note;
 use crate::span::{as_us, to_micros};
 
 /// Pause between tries while every breaker of an upstream is open, in milliseconds.
@@ -83,13 +83,13 @@
         let name = executor.info.name.clone();
         let upstream_name = executor.info.upstream.clone();
         let note = match change {
-            BreakerChange::Opened(reason) => Note::BreakerOpened {
+            BreakerChange::Opened(reason) => PolicyDecision::BreakerOpened {
                 executor: name,
                 reason,
             },
             BreakerChange::Closed => {
                 executor.limit.ramp();
-                Note::BreakerClosed { executor: name }
+                PolicyDecision::BreakerClosed { executor: name }
             }
         };
         self.notes.push(note);
--- a/crates/onyxshed-policy/src/queue.rs
+++ b/crates/onyxshed-policy/src/queue.rs
@@ -9,9 +9,9 @@
 
 use onyxshed_core::{ClassName, Micros, Mono, ResultCode, TaskId};
 
-use crate::blame::ExecutorId;
+use crate::faults::ExecutorId;
 use crate::fleet::Seat;
-use crate::work::{Expired, Work};
+use crate::work::{ExpiredTask, QueuedTask};
 
 /// Part of its span after which a class within its even part goes before those beyond theirs.
 const FORWARD_PART: u64 = 4;
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone)]
 pub struct Ticket {
     /// The task.
-    pub work: Work,
+    pub work: QueuedTask,
     /// When it was first queued.
     pub since: Mono,
     /// Starts that were refused or could not be sent, so far.
@@ -35,7 +35,7 @@
 
 impl Ticket {
     /// Makes the ticket of a task that has just arrived.
-    pub fn new(now: Mono, work: Work) -> Self {
+    pub fn new(now: Mono, work: QueuedTask) -> Self {
         Ticket {
             work,
             since: now,
@@ -47,8 +47,8 @@
     }
 
     /// Gets what to tell if it is given up while it waits.
-    pub fn expired(&self) -> Expired {
-        Expired {
+    pub fn expired(&self) -> ExpiredTask {
+        ExpiredTask {
             task: self.work.task,
             deadline: self.work.deadline,
             code: self.started_code.unwrap_or(ResultCode::ExpiredInQueue),
--- a/crates/onyxshed-policy/src/work.rs
+++ b/crates/onyxshed-policy/src/work.rs
@@ -20,12 +20,12 @@
     /// Tasks it runs at the same time.
     pub slots: u32,
     /// Whether it is on its way out; it then gets no new work.
-    pub is_leaving: bool,
+    pub is_draining: bool,
 }
 
 /// A task that waits for an executor.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Work {
+pub struct QueuedTask {
     /// The task.
     pub task: TaskId,
     /// Its class, which must be configured.
@@ -70,7 +70,7 @@
 
 /// How an attempt ended, as far as it can be told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// It ran and finished.
     Finished,
     /// It ran and failed.
@@ -95,7 +95,7 @@
     /// Where it went.
     pub executor: ExecutorName,
     /// How it ended.
-    pub verdict: Verdict,
+    pub outcome: AttemptOutcome,
     /// How long it ran, as the executor tells, in microseconds.
     pub service_us: Option<Micros>,
     /// The executor's load, if it answered.
@@ -115,7 +115,7 @@
 
 /// A waiting task that was given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Expired {
+pub struct ExpiredTask {
     /// The task.
     pub task: TaskId,
     /// The deadline by which it was judged.
--- a/crates/onyxshed-policy/tests/policy/facade.rs
+++ b/crates/onyxshed-policy/tests/policy/facade.rs
@@ -1,7 +1,7 @@
 //! What the dispatch relies on, step by step.
 
 use onyxshed_core::{Millis, ResultCode};
-use onyxshed_policy::{Admission, NextStep, PolicyOptions, RetryStep, Verdict};
+use onyxshed_policy::{Admission, AttemptOutcome, NextStep, PolicyOptions, RetryStep};
 use rstest::rstest;
 
 use crate::fixture::{at_ms, class, end, executor, policy, starts, target, task, work};
@@ -42,17 +42,33 @@
 }
 
 #[rstest]
-#[case(Verdict::Refused, false, RetryStep::Queued)]
-#[case(Verdict::Unsent, false, RetryStep::Queued)]
-#[case(Verdict::Failed, false, RetryStep::GiveUp(ResultCode::TaskFailed))]
-#[case(Verdict::Lost, false, RetryStep::GiveUp(ResultCode::ConnectionLost))]
-#[case(Verdict::Lapsed, false, RetryStep::GiveUp(ResultCode::LeaseLapsed))]
-#[case(Verdict::Stopped, true, RetryStep::GiveUp(ResultCode::Cancelled))]
-#[case(Verdict::Failed, true, RetryStep::Queued)]
-#[case(Verdict::Lost, true, RetryStep::Queued)]
-#[case(Verdict::Lapsed, true, RetryStep::Queued)]
+#[case(AttemptOutcome::Refused, false, RetryStep::Queued)]
+#[case(AttemptOutcome::Unsent, false, RetryStep::Queued)]
+#[case(
+    AttemptOutcome::Failed,
+    false,
+    RetryStep::GiveUp(ResultCode::TaskFailed)
+)]
+#[case(
+    AttemptOutcome::Lost,
+    false,
+    RetryStep::GiveUp(ResultCode::ConnectionLost)
+)]
+#[case(
+    AttemptOutcome::Lapsed,
+    false,
+    RetryStep::GiveUp(ResultCode::LeaseLapsed)
+)]
+#[case(
+    AttemptOutcome::Stopped,
+    true,
+    RetryStep::GiveUp(ResultCode::Cancelled)
+)]
+#[case(AttemptOutcome::Failed, true, RetryStep::Queued)]
+#[case(AttemptOutcome::Lost, true, RetryStep::Queued)]
+#[case(AttemptOutcome::Lapsed, true, RetryStep::Queued)]
 fn what_follows_an_end(
-    #[case] verdict: Verdict,
+    #[case] verdict: AttemptOutcome,
     #[case] may_run_twice: bool,
     #[case] expected: RetryStep,
 ) {
@@ -65,7 +81,7 @@
     );
     policy.enqueue(at_ms(0), work(task(1, 0), &sync, at_ms(0)));
     let started = starts(&mut policy, at_ms(0));
-    let step = policy.ended(at_ms(10), &end(task(1, 0), &started[0].1, verdict));
+    let step = policy.apply_attempt_end(at_ms(10), &end(task(1, 0), &started[0].1, verdict));
     assert_eq!(step, expected);
     if expected == RetryStep::Queued {
         let again = starts(&mut policy, at_ms(30));
@@ -89,9 +105,10 @@
     let id = task(1, 0);
     policy.enqueue(at_ms(0), work(id, &sync, at_ms(0)));
     let first = starts(&mut policy, at_ms(0));
-    policy.ended(at_ms(10), &end(id, &first[0].1, Verdict::Lost));
+    policy.apply_attempt_end(at_ms(10), &end(id, &first[0].1, AttemptOutcome::Lost));
     let second = starts(&mut policy, at_ms(10));
-    let step = policy.ended(at_ms(999), &end(id, &second[0].1, Verdict::Refused));
+    let step =
+        policy.apply_attempt_end(at_ms(999), &end(id, &second[0].1, AttemptOutcome::Refused));
     assert_eq!(step, RetryStep::GiveUp(ResultCode::ConnectionLost));
 }
 
@@ -110,7 +127,7 @@
     assert_eq!(starts(&mut policy, at_ms(0)).len(), 1);
     assert!(policy.withdraw(task(1, 1)), "it waited");
     assert!(!policy.withdraw(task(1, 0)), "it ran");
-    let step = policy.ended(at_ms(5), &end(task(1, 0), "x1", Verdict::Refused));
+    let step = policy.apply_attempt_end(at_ms(5), &end(task(1, 0), "x1", AttemptOutcome::Refused));
     assert_eq!(step, RetryStep::GiveUp(ResultCode::RefusedByUpstream));
     assert_eq!(policy.next(at_ms(50)), NextStep::Idle);
 }
@@ -129,5 +146,5 @@
     starts(&mut policy, at_ms(0));
     assert!(policy.expired(at_ms(999)).is_empty());
     assert_eq!(policy.expired(at_ms(1_000)), [task(1, 1), task(1, 2)]);
-    assert_eq!(policy.waiting(), 0);
+    assert_eq!(policy.queued_tasks(), 0);
 }
--- a/crates/onyxshed-policy/tests/policy/faults.rs
+++ b/crates/onyxshed-policy/tests/policy/faults.rs
@@ -1,6 +1,6 @@
 //! Executors and jobs that go wrong, against the queueing model.
 
-use onyxshed_policy::{BreakerReason, Note, PlacementKind};
+use onyxshed_policy::{BreakerReason, PlacementKind, PolicyDecision};
 use rstest::rstest;
 
 use crate::figures::{HOSTS, SEED, compare, mixed_fleet, two_classes};
@@ -64,14 +64,13 @@
         "{}",
         model.wasted_share()
     );
-    let notes: Vec<Note> = model
+    let notes: Vec<PolicyDecision> = model
         .policies
         .iter_mut()
-        .flat_map(|p| p.drain_notes())
+        .flat_map(|p| p.drain_decisions())
         .collect();
     let is_opened = |wanted| {
-        let opened =
-            |note: &Note| matches!(note, Note::BreakerOpened { reason, .. } if *reason == wanted);
+        let opened = |note: &PolicyDecision| matches!(note, PolicyDecision::BreakerOpened { reason, .. } if *reason == wanted);
         notes.iter().any(opened)
     };
     assert!(reason.is_none_or(is_opened), "{notes:?}");
@@ -93,13 +92,13 @@
     for tally in &model.tallies[..2] {
         assert!(tally.hit_share() >= 0.99, "{tally:?}");
     }
-    let notes: Vec<Note> = model
+    let notes: Vec<PolicyDecision> = model
         .policies
         .iter_mut()
-        .flat_map(|p| p.drain_notes())
+        .flat_map(|p| p.drain_decisions())
         .collect();
-    let is_breaker = |note: &Note| matches!(note, Note::BreakerOpened { .. });
-    let is_blame = |note: &Note| matches!(note, Note::ClassBlamed { .. });
+    let is_breaker = |note: &PolicyDecision| matches!(note, PolicyDecision::BreakerOpened { .. });
+    let is_blame = |note: &PolicyDecision| matches!(note, PolicyDecision::ClassUnrunnable { .. });
     assert!(!notes.iter().any(is_breaker), "{notes:?}");
     assert!(notes.iter().any(is_blame), "{notes:?}");
     let text = compare(&PlacementKind::ALL, &streams, &mixed_fleet());
--- a/crates/onyxshed-policy/tests/policy/figures.rs
+++ b/crates/onyxshed-policy/tests/policy/figures.rs
@@ -108,7 +108,7 @@
         mixed_fleet(),
     );
     for policy in &mut model.policies {
-        policy.set_sharers(at_ms(0), 1);
+        policy.set_zone_hosts(at_ms(0), 1);
     }
     model.run();
     let waited = model.queued_there as f64 / model.sent as f64;
--- a/crates/onyxshed-policy/tests/policy/fixture.rs
+++ b/crates/onyxshed-policy/tests/policy/fixture.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use onyxshed_core::{ClassName, ClassTarget, Micros, Millis, Mono, Now, TaskId, UnixMs};
-use onyxshed_policy::{AttemptEnd, ExecutorInfo, NextStep, Policy, PolicyOptions, Verdict, Work};
+use onyxshed_policy::{
+    AttemptEnd, AttemptOutcome, ExecutorInfo, NextStep, Policy, PolicyOptions, QueuedTask,
+};
 use onyxshed_wire::upstream::LoadReport;
 
 pub fn at_us(us: u64) -> Now {
@@ -48,7 +50,7 @@
         zone: "z1".parse().expect("a zone name"),
         rack: "r1".into(),
         slots,
-        is_leaving: false,
+        is_draining: false,
     }
 }
 
@@ -67,8 +69,8 @@
     policy
 }
 
-pub fn work(task: TaskId, target: &ClassTarget, now: Now) -> Work {
-    Work {
+pub fn work(task: TaskId, target: &ClassTarget, now: Now) -> QueuedTask {
+    QueuedTask {
         task,
         class: target.class.clone(),
         deadline: now.mono + target.finish_within_ms,
@@ -76,12 +78,12 @@
     }
 }
 
-pub fn end(task: TaskId, executor: &str, verdict: Verdict) -> AttemptEnd {
-    let has_run = matches!(verdict, Verdict::Finished | Verdict::Failed);
+pub fn end(task: TaskId, executor: &str, verdict: AttemptOutcome) -> AttemptEnd {
+    let has_run = matches!(verdict, AttemptOutcome::Finished | AttemptOutcome::Failed);
     AttemptEnd {
         task,
         executor: executor.parse().expect("an executor name"),
-        verdict,
+        outcome: verdict,
         service_us: has_run.then_some(Micros(100_000)),
         load: has_run.then(LoadReport::default),
     }
--- a/crates/onyxshed-policy/tests/policy/guards.rs
+++ b/crates/onyxshed-policy/tests/policy/guards.rs
@@ -2,8 +2,8 @@
 
 use onyxshed_core::{Micros, ResultCode, TaskId};
 use onyxshed_policy::{
-    Admission, BreakerReason, NextStep, Note, PlacementKind, Policy, PolicyOptions, RetryStep,
-    Verdict,
+    Admission, AttemptOutcome, BreakerReason, NextStep, PlacementKind, Policy, PolicyDecision,
+    PolicyOptions, RetryStep,
 };
 use rstest::rstest;
 
@@ -16,9 +16,9 @@
         let id = task(1_000_000 + job, 0);
         policy.enqueue(now, work(id, target, now));
         let (id, name) = starts(policy, now).pop().expect("a start");
-        let mut finished = end(id, &name, Verdict::Finished);
+        let mut finished = end(id, &name, AttemptOutcome::Finished);
         finished.service_us = Some(Micros(service_ms * 1_000));
-        policy.ended(now, &finished);
+        policy.apply_attempt_end(now, &finished);
     }
 }
 
@@ -54,13 +54,13 @@
         policy.enqueue(at_ms(0), work(task(1, index), &once, at_ms(0)));
     }
     for (id, name) in starts(&mut policy, at_ms(0)) {
-        policy.ended(at_ms(1), &end(id, &name, Verdict::Unsent));
+        policy.apply_attempt_end(at_ms(1), &end(id, &name, AttemptOutcome::Unsent));
     }
     let reason = BreakerReason::Dead;
     let executor = executors[0].name.clone();
     assert_eq!(
-        policy.drain_notes(),
-        [Note::BreakerOpened {
+        policy.drain_decisions(),
+        [PolicyDecision::BreakerOpened {
             executor: executor.clone(),
             reason
         }]
@@ -69,8 +69,14 @@
     let probe = starts(&mut policy, at_ms(3_000));
     assert_eq!(probe.len(), 1);
     assert_eq!(starts(&mut policy, at_ms(9_000)), []);
-    policy.ended(at_ms(9_000), &end(probe[0].0, "x1", Verdict::Finished));
-    assert_eq!(policy.drain_notes(), [Note::BreakerClosed { executor }]);
+    policy.apply_attempt_end(
+        at_ms(9_000),
+        &end(probe[0].0, "x1", AttemptOutcome::Finished),
+    );
+    assert_eq!(
+        policy.drain_decisions(),
+        [PolicyDecision::BreakerClosed { executor }]
+    );
     assert_eq!(
         starts(&mut policy, at_ms(9_000)).len(),
         1,
@@ -94,25 +100,25 @@
         policy.enqueue(at_ms(job), work(task(job, 0), &twice, at_ms(job)));
         while let Some((id, name)) = start_one(&mut policy, job) {
             let verdict = if name == "x1" {
-                Verdict::Failed
+                AttemptOutcome::Failed
             } else {
-                Verdict::Finished
+                AttemptOutcome::Finished
             };
             let mut ended = end(id, &name, verdict);
             ended.service_us = Some(Micros(4_000_000));
-            policy.ended(at_ms(job), &ended);
+            policy.apply_attempt_end(at_ms(job), &ended);
         }
         is_open = policy
-            .drain_notes()
+            .drain_decisions()
             .iter()
-            .any(|note| matches!(note, Note::BreakerOpened { .. }));
+            .any(|note| matches!(note, PolicyDecision::BreakerOpened { .. }));
     }
     assert!(is_open, "the breaker of x1");
     let later = job + 5_000;
     policy.enqueue(at_ms(later), work(task(900, 0), &twice, at_ms(later)));
     let first = start_one(&mut policy, later).expect("a start");
     assert_eq!(first.1, "x1", "work that may run twice tries x1");
-    policy.ended(at_ms(later), &end(first.0, "x1", Verdict::Failed));
+    policy.apply_attempt_end(at_ms(later), &end(first.0, "x1", AttemptOutcome::Failed));
     let second = start_one(&mut policy, later).expect("a start");
     assert_eq!(second.1, "x2");
     policy.enqueue(
@@ -138,13 +144,13 @@
     policy.enqueue(at_ms(100), work(task(1, 0), &twice, at_ms(100)));
     let mut steps = Vec::new();
     while let Some((id, name)) = start_one(&mut policy, 100) {
-        steps.push(policy.ended(at_ms(100), &end(id, &name, Verdict::Failed)));
+        steps.push(policy.apply_attempt_end(at_ms(100), &end(id, &name, AttemptOutcome::Failed)));
     }
     let never = RetryStep::GiveUp(ResultCode::NeverRuns);
     assert_eq!(steps, [RetryStep::Queued, RetryStep::Queued, never]);
-    let notes = policy.drain_notes();
+    let notes = policy.drain_decisions();
     assert!(
-        matches!(notes.as_slice(), [Note::JobBlamed { .. }]),
+        matches!(notes.as_slice(), [PolicyDecision::JobUnrunnable { .. }]),
         "{notes:?}"
     );
 }
@@ -167,15 +173,15 @@
     for ms in 0..30_000 {
         for (id, name) in starts(&mut policy, at_ms(ms)) {
             refused += 1;
-            policy.ended(at_ms(ms), &end(id, &name, Verdict::Refused));
+            policy.apply_attempt_end(at_ms(ms), &end(id, &name, AttemptOutcome::Refused));
         }
     }
-    assert_eq!(policy.waiting(), 0);
+    assert_eq!(policy.queued_tasks(), 0);
     assert!(
         refused <= 300,
         "{refused} starts for 200 tasks and a budget of 100"
     );
-    assert_eq!(policy.waste().refusals, refused);
+    assert_eq!(policy.wasted_messages().refusals, refused);
 }
 
 /// A task takes far longer than its class usually does. A class that may run twice and whose
@@ -207,7 +213,7 @@
         assert!(range.contains(&(ms - 100)), "after {} ms", ms - 100);
         assert_eq!(hedged, id);
         assert_ne!(name, first.1);
-        policy.ended(at_ms(ms + 1), &end(id, &name, Verdict::Finished));
+        policy.apply_attempt_end(at_ms(ms + 1), &end(id, &name, AttemptOutcome::Finished));
         let left: Vec<String> = policy
             .copies_of(id)
             .iter()
@@ -230,12 +236,12 @@
     );
     policy.enqueue(at_ms(0), work(task(1, 0), &once, at_ms(0)));
     starts(&mut policy, at_ms(0));
-    let mut finished = end(task(1, 0), "x1", Verdict::Finished);
+    let mut finished = end(task(1, 0), "x1", AttemptOutcome::Finished);
     finished.load = Some(onyxshed_wire::upstream::LoadReport {
         is_draining: true,
         ..Default::default()
     });
-    policy.ended(at_ms(10), &finished);
+    policy.apply_attempt_end(at_ms(10), &finished);
     policy.enqueue(at_ms(10), work(task(2, 0), &once, at_ms(10)));
     assert_eq!(starts(&mut policy, at_ms(2_000)), []);
 }
@@ -257,7 +263,7 @@
         let now = at_ms(ms);
         policy.enqueue(now, work(task(ms, 0), &class, now));
         for (id, name) in starts(&mut policy, now) {
-            policy.ended(now, &end(id, &name, Verdict::Unsent));
+            policy.apply_attempt_end(now, &end(id, &name, AttemptOutcome::Unsent));
         }
         policy.expired(now);
     }
@@ -306,11 +312,11 @@
         let on_rack = starts(policy, now).into_iter().map(|(id, name)| {
             let is_lost = is_dead && name.as_str() < "x08";
             let verdict = if is_lost {
-                Verdict::Unsent
+                AttemptOutcome::Unsent
             } else {
-                Verdict::Finished
+                AttemptOutcome::Finished
             };
-            policy.ended(now, &end(id, &name, verdict));
+            policy.apply_attempt_end(now, &end(id, &name, verdict));
             usize::from(name.as_str() < "x08")
         });
         on_rack.sum::<usize>()
--- a/crates/onyxshed-policy/tests/policy/model.rs
+++ b/crates/onyxshed-policy/tests/policy/model.rs
@@ -10,8 +10,8 @@
 
 use onyxshed_core::{Micros, ResultCode, SubmissionId, TaskId};
 use onyxshed_policy::{
-    Admission, AttemptEnd, ExecutorInfo, NextStep, PlacementKind, Policy, PolicyOptions, RetryStep,
-    Verdict,
+    Admission, AttemptEnd, AttemptOutcome, ExecutorInfo, NextStep, PlacementKind, Policy,
+    PolicyOptions, RetryStep,
 };
 use onyxshed_wire::upstream::LoadReport;
 use rand::rngs::SmallRng;
@@ -79,7 +79,7 @@
             let mut policy = Policy::new(options, seed + u64::from(host));
             policy.set_classes(at_us(0), &classes);
             policy.set_executors(at_us(0), &infos);
-            policy.set_sharers(at_us(0), hosts);
+            policy.set_zone_hosts(at_us(0), hosts);
             policy
         });
         let mut model = Model {
@@ -137,9 +137,9 @@
             Event::Done(exec, host, task, begun_us, is_ok) => {
                 if self.execs[exec].running.get(&(host, task)) == Some(&begun_us) {
                     let verdict = if is_ok {
-                        Verdict::Finished
+                        AttemptOutcome::Finished
                     } else {
-                        Verdict::Failed
+                        AttemptOutcome::Failed
                     };
                     self.end(us, exec, host, task, verdict, us - begun_us);
                 }
@@ -237,9 +237,9 @@
 
     fn reach(&mut self, us: u64, exec: usize, host: usize, task: TaskId) {
         match self.execs[exec].fault_at(us) {
-            Fault::Dead => self.end_unheard(us, exec, host, task, Verdict::Unsent, 0),
+            Fault::Dead => self.end_unheard(us, exec, host, task, AttemptOutcome::Unsent, 0),
             Fault::Silent => {
-                self.end_unheard(us, exec, host, task, Verdict::Lost, LOST_AFTER_US);
+                self.end_unheard(us, exec, host, task, AttemptOutcome::Lost, LOST_AFTER_US);
             }
             _ if self.execs[exec].running.len() < self.execs[exec].info.slots as usize => {
                 self.begin(us, exec, host, task);
@@ -248,7 +248,7 @@
                 self.queued_there += 1;
                 self.execs[exec].queue.push_back((host, task));
             }
-            _ => self.send_end(us, exec, host, task, Verdict::Refused, None),
+            _ => self.send_end(us, exec, host, task, AttemptOutcome::Refused, None),
         }
     }
 
@@ -269,7 +269,15 @@
         self.at(done_us, Event::Done(exec, host, task, us, is_ok));
     }
 
-    fn end(&mut self, us: u64, exec: usize, host: usize, task: TaskId, verdict: Verdict, ran: u64) {
+    fn end(
+        &mut self,
+        us: u64,
+        exec: usize,
+        host: usize,
+        task: TaskId,
+        verdict: AttemptOutcome,
+        ran: u64,
+    ) {
         self.execs[exec].running.remove(&(host, task));
         if let Some((next_host, next)) = self.execs[exec].queue.pop_front() {
             self.begin(us, exec, next_host, next);
@@ -283,9 +291,9 @@
             .queue
             .retain(|queued| *queued != (host, task));
         if self.execs[exec].running.contains_key(&(host, task)) {
-            self.end(us, exec, host, task, Verdict::Stopped, 0);
+            self.end(us, exec, host, task, AttemptOutcome::Stopped, 0);
         } else if self.execs[exec].queue.len() < before {
-            self.send_end(us, exec, host, task, Verdict::Stopped, None);
+            self.send_end(us, exec, host, task, AttemptOutcome::Stopped, None);
         }
     }
 
@@ -295,7 +303,7 @@
         exec: usize,
         host: usize,
         task: TaskId,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         service_us: Option<Micros>,
     ) {
         let load = LoadReport {
@@ -306,7 +314,7 @@
         let end = AttemptEnd {
             task,
             executor: self.execs[exec].info.name.clone(),
-            verdict,
+            outcome: verdict,
             service_us,
             load: Some(load),
         };
@@ -319,13 +327,13 @@
         exec: usize,
         host: usize,
         task: TaskId,
-        verdict: Verdict,
+        verdict: AttemptOutcome,
         after_us: u64,
     ) {
         let end = AttemptEnd {
             task,
             executor: self.execs[exec].info.name.clone(),
-            verdict,
+            outcome: verdict,
             service_us: None,
             load: None,
         };
@@ -334,8 +342,8 @@
 
     fn reply(&mut self, us: u64, host: usize, end: &AttemptEnd) {
         let now = at_us(us);
-        let step = self.policies[host].ended(now, end);
-        if end.verdict == Verdict::Finished {
+        let step = self.policies[host].apply_attempt_end(now, end);
+        if end.outcome == AttemptOutcome::Finished {
             self.finish(us, host, end.task);
         } else if let RetryStep::GiveUp(code) = step {
             // That a task failed is an answer too.
--- a/crates/onyxshed-policy/tests/policy/random.rs
+++ b/crates/onyxshed-policy/tests/policy/random.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use onyxshed_core::{ClassTarget, TaskId};
-use onyxshed_policy::{ExecutorInfo, NextStep, Policy, PolicyOptions, RetryStep, Verdict};
+use onyxshed_policy::{AttemptOutcome, ExecutorInfo, NextStep, Policy, PolicyOptions, RetryStep};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -13,21 +13,32 @@
 
 #[derive(Debug, Clone)]
 enum Op {
-    Enqueue { may_run_twice: bool },
-    End { pick: usize, verdict: Verdict },
-    Withdraw { pick: usize },
-    Leave { pick: usize },
-    Pass { ms: u64 },
+    Enqueue {
+        may_run_twice: bool,
+    },
+    End {
+        pick: usize,
+        verdict: AttemptOutcome,
+    },
+    Withdraw {
+        pick: usize,
+    },
+    Leave {
+        pick: usize,
+    },
+    Pass {
+        ms: u64,
+    },
 }
 
-fn verdict() -> impl Strategy<Value = Verdict> {
+fn verdict() -> impl Strategy<Value = AttemptOutcome> {
     prop_oneof![
-        4 => Just(Verdict::Finished),
-        1 => Just(Verdict::Failed),
-        2 => Just(Verdict::Refused),
-        1 => Just(Verdict::Lapsed),
-        1 => Just(Verdict::Unsent),
-        1 => Just(Verdict::Lost),
+        4 => Just(AttemptOutcome::Finished),
+        1 => Just(AttemptOutcome::Failed),
+        2 => Just(AttemptOutcome::Refused),
+        1 => Just(AttemptOutcome::Lapsed),
+        1 => Just(AttemptOutcome::Unsent),
+        1 => Just(AttemptOutcome::Lost),
     ]
 }
 
@@ -101,7 +112,7 @@
             }
             Op::Leave { pick } => {
                 let index = pick % self.executors.len();
-                self.executors[index].is_leaving ^= true;
+                self.executors[index].is_draining ^= true;
                 self.policy.set_executors(now, &self.executors);
             }
             Op::Pass { ms } => self.now_ms += ms,
@@ -118,20 +129,20 @@
         }
     }
 
-    fn end(&mut self, pick: usize, verdict: Verdict) {
+    fn end(&mut self, pick: usize, verdict: AttemptOutcome) {
         if self.attempts.is_empty() {
             return;
         }
         let (id, executor) = self.attempts.swap_remove(pick % self.attempts.len());
         let step = self
             .policy
-            .ended(at_ms(self.now_ms), &end(id, &executor, verdict));
+            .apply_attempt_end(at_ms(self.now_ms), &end(id, &executor, verdict));
         let has_copies = self.attempts.iter().any(|(other, _)| *other == id);
         assert_eq!(self.policy.copies_of(id).is_empty(), !has_copies, "{id}");
         let (fate, may_run_twice) = self.fates.get_mut(&id).expect("a known task");
-        let is_unstarted = matches!(verdict, Verdict::Refused | Verdict::Unsent);
+        let is_unstarted = matches!(verdict, AttemptOutcome::Refused | AttemptOutcome::Unsent);
         match step {
-            _ if verdict == Verdict::Finished => *fate = Fate::Over,
+            _ if verdict == AttemptOutcome::Finished => *fate = Fate::Over,
             RetryStep::Queued => {
                 assert_eq!(*fate, Fate::Running, "{id} queued again");
                 assert!(is_unstarted || *may_run_twice, "{id} may not run twice");
@@ -170,7 +181,7 @@
             assert!(there <= SLOTS as usize, "{name} has {there}");
             let info = self.executors.iter().find(|info| info.name == executor);
             assert!(
-                info.is_some_and(|info| !info.is_leaving),
+                info.is_some_and(|info| !info.is_draining),
                 "{name} is leaving"
             );
         }
@@ -190,6 +201,6 @@
         // What was given up while looking for work is told with the next call.
         world.settle();
         let waiting = world.fates.values().filter(|(fate, _)| *fate == Fate::Waiting).count();
-        prop_assert_eq!(world.policy.waiting(), waiting);
+        prop_assert_eq!(world.policy.queued_tasks(), waiting);
     }
 }
--- a/crates/onyxshed-proto/src/snapshot.rs
+++ b/crates/onyxshed-proto/src/snapshot.rs
@@ -101,7 +101,7 @@
     builder.set_rack(entry.info.rack.as_str());
     builder.set_address(entry.address.to_string().as_str());
     builder.set_slots(entry.info.slots);
-    builder.set_is_leaving(entry.info.is_leaving);
+    builder.set_is_leaving(entry.info.is_draining);
 }
 
 fn read_executors(reader: snapshot::Reader<'_>) -> Result<Vec<ExecutorEntry>> {
@@ -117,7 +117,7 @@
         zone: parse("zone", reader.get_zone())?,
         rack: parse("rack", reader.get_rack())?,
         slots: reader.get_slots(),
-        is_leaving: reader.get_is_leaving(),
+        is_draining: reader.get_is_leaving(),
     };
     Ok(ExecutorEntry {
         info,
--- a/crates/onyxshed-proto/tests/decoders.rs
+++ b/crates/onyxshed-proto/tests/decoders.rs
@@ -81,7 +81,7 @@
                 zone,
                 rack: rack.into(),
                 slots,
-                is_leaving,
+                is_draining: is_leaving,
             },
             address,
         },
