--- a/crates/onyxshed-cli/tests/story.rs
+++ b/crates/onyxshed-cli/tests/story.rs
@@ -6,7 +6,7 @@
 use onyxshed_cli::output::Format;
 use onyxshed_cli::story;
 use onyxshed_core::{Event, EventKind, Hlc, Millis, UnixMs};
-use onyxshed_pool::{JobEnd, JobSummary, NotRunReason, Room, UnknownReason};
+use onyxshed_pool::{JobEnd, JobSummary, NotRunReason, Resources, UnknownReason};
 use rstest::rstest;
 use tempfile::TempDir;
 
@@ -59,7 +59,7 @@
         target: Millis(200),
         tasks: 3,
         estimate: Millis(90),
-        demand: Room {
+        demand: Resources {
             cpu_millis: 27_000,
             memory_mb: 64,
             accelerators: 0,
--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -297,7 +297,7 @@
             attempts_max: route.attempts_max,
             stretch_millis: route.stretch_millis,
             objective: route.objective_ms,
-            spent: Millis(0),
+            elapsed: Millis(0),
             time_left: Millis(deadline.0.saturating_sub(DEADLINE_MARGIN.0)),
             label: simple.label,
             data_rack: simple.data_rack,
@@ -314,8 +314,8 @@
         for pool in self.links.order(job) {
             let mut job = job.clone();
             job.submission = self.links.next_submission();
-            job.spent = boot_clock::now().since(arrived).as_millis();
-            job.time_left = Millis(job.time_left.0.saturating_sub(job.spent.0));
+            job.elapsed = boot_clock::now().since(arrived).as_millis();
+            job.time_left = Millis(job.time_left.0.saturating_sub(job.elapsed.0));
             let end = self.links.run(&pool, job).await;
             last = (end, format_smolstr!("{pool}"));
             if !matches!(end, JobEnd::NotRun(..)) {
--- a/crates/onyxshed-host/src/decisions.rs
+++ b/crates/onyxshed-host/src/decisions.rs
@@ -22,10 +22,10 @@
             task,
             run,
             executor,
-            why,
+            reason: why,
         } => about_run(EventKind::PoolRunEnded, *task, executor)
             .detail(format_smolstr!("run {run}: {why}, token {token}")),
-        Decision::StrayStopped {
+        Decision::OrphanStopped {
             task,
             run,
             executor,
@@ -35,19 +35,19 @@
             task,
             run,
             executor,
-            left,
+            remaining: left,
         } => about_run(EventKind::PoolRunMoved, *task, executor).detail(format_smolstr!(
             "run {run}, {} left there, token {token}",
             left.as_millis()
         )),
-        Decision::ExecutorTaken(id) => about(EventKind::PoolExecutorTaken, id.0.clone()),
-        Decision::ExecutorSilent(id) => about(EventKind::PoolExecutorSilent, id.0.clone()),
-        Decision::ExecutorBack(id) => about(EventKind::PoolExecutorBack, id.0.clone()),
+        Decision::ExecutorAcquired(id) => about(EventKind::PoolExecutorTaken, id.0.clone()),
+        Decision::ExecutorUnresponsive(id) => about(EventKind::PoolExecutorSilent, id.0.clone()),
+        Decision::ExecutorRecovered(id) => about(EventKind::PoolExecutorBack, id.0.clone()),
         Decision::ExecutorAvoided(id, span) => about(EventKind::PoolExecutorAvoided, id.0.clone())
             .detail(format_smolstr!("for {span}")),
         Decision::ExecutorDraining(id) => about(EventKind::PoolExecutorDraining, id.0.clone()),
-        Decision::ExecutorGone(id) => about(EventKind::PoolExecutorGone, id.0.clone()),
-        Decision::PeerSilent(life, jobs) => {
+        Decision::ExecutorForgotten(id) => about(EventKind::PoolExecutorGone, id.0.clone()),
+        Decision::PeerUnresponsive(life, jobs) => {
             about(EventKind::PoolPeerSilent, format_smolstr!("{life}"))
                 .detail(format_smolstr!("{jobs} jobs given up"))
         }
@@ -63,7 +63,7 @@
         Decision::EvacuationEnded => {
             Event::new(EventKind::PoolEvacuationEnded).detail(format_smolstr!("token {token}"))
         }
-        Decision::Transferred(successor) => {
+        Decision::OwnershipTransferred(successor) => {
             about(EventKind::PoolTransferred, format_smolstr!("{successor}"))
                 .detail(format_smolstr!("token {token}"))
         }
--- a/crates/onyxshed-host/src/directory.rs
+++ b/crates/onyxshed-host/src/directory.rs
@@ -14,7 +14,7 @@
 use onyxshed_adapter::{Error, Store};
 use onyxshed_core::{Millis, Mono};
 use onyxshed_kernel::Change;
-use onyxshed_pool::{PeerLife, PoolId};
+use onyxshed_pool::{PeerIncarnation, PoolId};
 use smol_str::{SmolStr, format_smolstr};
 
 use crate::boot_clock;
@@ -48,7 +48,7 @@
 }
 
 /// Writes a member's name: its address, and the run of its process.
-pub fn member_name(address: SocketAddr, life: PeerLife) -> SmolStr {
+pub fn member_name(address: SocketAddr, life: PeerIncarnation) -> SmolStr {
     format_smolstr!("{address}/{life}")
 }
 
--- a/crates/onyxshed-host/src/divisions.rs
+++ b/crates/onyxshed-host/src/divisions.rs
@@ -10,7 +10,7 @@
 use onyxshed_adapter::store::{KeyedRecord, Records};
 use onyxshed_core::Millis;
 use onyxshed_kernel::{Descriptor, Kernel, LocalFuture, Result, Service, ServiceName};
-use onyxshed_pool::{Division, PoolId};
+use onyxshed_pool::{PoolId, ShardLayout};
 use smol_str::SmolStr;
 
 use crate::names::DIVISIONS;
@@ -30,7 +30,7 @@
 /// Handle to the divisions known.
 pub struct Divisions {
     zones: Vec<SmolStr>,
-    known: RefCell<BTreeMap<SmolStr, Division>>,
+    known: RefCell<BTreeMap<SmolStr, ShardLayout>>,
 }
 
 impl Divisions {
@@ -43,7 +43,7 @@
     }
 
     /// Gets a zone's division.
-    pub fn of(&self, zone: &str) -> Division {
+    pub fn of(&self, zone: &str) -> ShardLayout {
         self.known.borrow().get(zone).copied().unwrap_or_default()
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Gets every division known.
-    pub fn known(&self) -> Vec<(SmolStr, Division)> {
+    pub fn known(&self) -> Vec<(SmolStr, ShardLayout)> {
         let known = self.known.borrow();
         known
             .iter()
@@ -69,7 +69,7 @@
     }
 
     /// Takes in a zone's division; an older one than is known changes nothing.
-    pub fn learn(&self, zone: &SmolStr, division: Division) {
+    pub fn learn(&self, zone: &SmolStr, division: ShardLayout) {
         let mut known = self.known.borrow_mut();
         let held = known.entry(zone.clone()).or_default();
         if division.version > held.version {
@@ -85,7 +85,7 @@
         &self,
         store: &mut Store,
         zone: &SmolStr,
-        division: Division,
+        division: ShardLayout,
     ) -> onyxshed_adapter::Result<()> {
         let end = self.refresh(store).await?;
         if self.of(zone).version + 1 != division.version {
@@ -122,7 +122,7 @@
 
     fn take(&self, record: KeyedRecord) {
         let text = record.value.and_then(|value| String::from_utf8(value).ok());
-        if let Some(division) = text.as_deref().and_then(Division::from_text) {
+        if let Some(division) = text.as_deref().and_then(ShardLayout::from_text) {
             self.learn(&record.key, division);
         }
     }
--- a/crates/onyxshed-host/src/engine.rs
+++ b/crates/onyxshed-host/src/engine.rs
@@ -19,7 +19,7 @@
 use onyxshed_kernel::{Descriptor, Kernel, LocalFuture, Result, Service, ServiceName};
 use onyxshed_pool::{
     Action, Decision, ExecutorFacts, ExecutorId, FencingToken, JobEnd, JobId, JobRequest,
-    NotRunReason, OwnershipTransfer, PeerLife, Pool, PoolId, PoolLoad, PoolOptions, Session,
+    NotRunReason, OwnershipTransfer, PeerIncarnation, Pool, PoolId, PoolLoad, PoolOptions, Session,
     SubmissionNumber, SuccessorOffer, UnknownReason,
 };
 use smol_str::{SmolStr, format_smolstr};
@@ -51,12 +51,12 @@
 /// How often a stopping owner looks whether its jobs have ended.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
-type Waiting = BTreeMap<(PeerLife, SubmissionNumber), Sender<JobEnd>>;
+type Waiting = BTreeMap<(PeerIncarnation, SubmissionNumber), Sender<JobEnd>>;
 
 /// Handle to the pool that this host owns.
 pub struct Engine {
     kernel: Kernel,
-    own: PeerLife,
+    own: PeerIncarnation,
     options: PoolOptions,
     pool: RefCell<Option<Pool>>,
     owned: RefCell<Option<PoolId>>,
@@ -74,7 +74,7 @@
     /// Makes the handle of a host that owns nothing yet.
     pub fn new(
         kernel: &Kernel,
-        own: PeerLife,
+        own: PeerIncarnation,
         options: PoolOptions,
         evacuations: Rc<ZoneEvacuations>,
     ) -> Rc<Self> {
@@ -94,7 +94,7 @@
     }
 
     /// Gets this run of this host.
-    pub fn own(&self) -> PeerLife {
+    pub fn own(&self) -> PeerIncarnation {
         self.own
     }
 
@@ -112,7 +112,7 @@
     pub fn counts(&self) -> (usize, usize) {
         let pool = self.pool.borrow();
         pool.as_ref()
-            .map_or((0, 0), |pool| (pool.executors(), pool.live_jobs()))
+            .map_or((0, 0), |pool| (pool.executors(), pool.job_count()))
     }
 
     /// Tells, once, whether an executor refused this host's token.
@@ -129,7 +129,7 @@
         *self.owned.borrow_mut() = Some(id);
         let mut pool = Pool::new(boot_clock::now(), token, self.own, self.options.clone());
         if last_owner_answers {
-            pool.follow_predecessor();
+            pool.await_predecessor();
         }
         *self.pool.borrow_mut() = Some(pool);
         self.update_evacuation();
@@ -144,7 +144,7 @@
             return;
         };
         self.owned.take();
-        let jobs = pool.live_jobs();
+        let jobs = pool.job_count();
         let token = pool.token();
         let actions = pool.step_down();
         self.execute(token, actions);
@@ -157,7 +157,7 @@
     /// Says that this owner wants to be replaced; it serves on until then.
     pub fn leave(&self) {
         if let Some(pool) = self.pool.borrow_mut().as_mut() {
-            pool.leave();
+            pool.begin_drain();
         }
     }
 
@@ -170,7 +170,7 @@
     /// Tells whether the pool takes no jobs any more.
     pub fn is_closed(&self) -> bool {
         let pool = self.pool.borrow();
-        pool.as_ref().is_some_and(Pool::is_closing)
+        pool.as_ref().is_some_and(Pool::is_closed)
     }
 
     /// Tells whether a pool is owned here and takes jobs.
@@ -196,7 +196,7 @@
     /// Takes in which executors the last owner still uses.
     pub fn predecessor_holds(self: &Rc<Self>, token: FencingToken, held: BTreeSet<ExecutorId>) {
         self.dispatch_event_under(token, |pool| {
-            pool.predecessor_holds(boot_clock::now(), held)
+            pool.apply_predecessor_executors(boot_clock::now(), held)
         });
     }
 
@@ -244,13 +244,13 @@
     }
 
     fn log_decision(&self, token: FencingToken, decision: &Decision) {
-        if let Decision::ExecutorGone(id) = decision {
+        if let Decision::ExecutorForgotten(id) = decision {
             self.connections.borrow_mut().remove(id);
         }
         self.kernel.emit(decisions::event_of(decision, token));
     }
 
-    fn deliver(&self, peer: PeerLife, submission: SubmissionNumber, end: JobEnd) {
+    fn deliver(&self, peer: PeerIncarnation, submission: SubmissionNumber, end: JobEnd) {
         if let Some(sender) = self.waiting.borrow_mut().remove(&(peer, submission)) {
             // The receiver is gone when its caller has left; nobody wants the answer then.
             let _ = sender.try_send(end);
@@ -275,7 +275,7 @@
     /// Gives up a job for its entry host.
     pub fn cancel(
         self: &Rc<Self>,
-        peer: PeerLife,
+        peer: PeerIncarnation,
         submission: SubmissionNumber,
         job: JobId,
         reason: UnknownReason,
@@ -286,26 +286,34 @@
 
     /// Notes that an entry host was heard, with what it offers; its session, none if no pool is
     /// owned.
-    pub fn peer_heard(&self, life: PeerLife, offer: Option<SuccessorOffer>) -> Option<Session> {
+    pub fn peer_heard(
+        &self,
+        life: PeerIncarnation,
+        offer: Option<SuccessorOffer>,
+    ) -> Option<Session> {
         let mut pool = self.pool.borrow_mut();
         pool.as_mut()
-            .map(|pool| pool.peer_heard(boot_clock::now(), life, offer))
+            .map(|pool| pool.record_peer_contact(boot_clock::now(), life, offer))
     }
 
     /// Says whether a successor is needed, for want of the store.
     pub fn seek_successor(&self, is_sought: bool) {
         if let Some(pool) = self.pool.borrow_mut().as_mut() {
-            pool.seek_successor(is_sought);
+            pool.set_successor_needed(is_sought);
         }
     }
 
     /// Gets what a host that was just heard is given, if it is the successor.
-    pub fn transfer(&self, life: PeerLife, own_member: &SmolStr) -> Option<OwnershipTransfer> {
+    pub fn transfer(
+        &self,
+        life: PeerIncarnation,
+        own_member: &SmolStr,
+    ) -> Option<OwnershipTransfer> {
         let mut pool = self.pool.borrow_mut();
         let mut members = self.past_members();
         members.push(own_member.clone());
         pool.as_mut()
-            .and_then(|pool| pool.transfer(boot_clock::now(), life, members))
+            .and_then(|pool| pool.transfer_ownership(boot_clock::now(), life, members))
     }
 
     /// Gets the owners before this one that the store may still list; none unless this one is a successor
@@ -322,7 +330,7 @@
     /// Notes that the list of the pool's executors was read.
     pub fn executors_read(&self) {
         if let Some(pool) = self.pool.borrow_mut().as_mut() {
-            pool.executors_read();
+            pool.mark_executors_read();
         }
     }
 
@@ -335,12 +343,12 @@
     /// Takes in an executor as the platform lists it.
     pub fn executor_listed(self: &Rc<Self>, id: ExecutorId, facts: ExecutorFacts) {
         self.keep_connections(&id, &facts);
-        self.dispatch_event(|pool| pool.executor_listed(boot_clock::now(), id, facts));
+        self.dispatch_event(|pool| pool.list_executor(boot_clock::now(), id, facts));
     }
 
     /// Takes in that an executor is no longer listed.
     pub fn executor_unlisted(self: &Rc<Self>, id: &ExecutorId) {
-        self.dispatch_event(|pool| pool.executor_unlisted(boot_clock::now(), id));
+        self.dispatch_event(|pool| pool.unlist_executor(boot_clock::now(), id));
     }
 
     fn keep_connections(&self, id: &ExecutorId, facts: &ExecutorFacts) {
--- a/crates/onyxshed-host/src/engine/calls.rs
+++ b/crates/onyxshed-host/src/engine/calls.rs
@@ -40,7 +40,7 @@
             let took = boot_clock::now().since(sent_at);
             engine.measures.ordered(OrderKind::Start, took);
             engine.dispatch_event_under(token, |pool| {
-                pool.start_answered(boot_clock::now(), &id, order.task, order.run, &answer)
+                pool.apply_start_answer(boot_clock::now(), &id, order.task, order.run, &answer)
             });
         };
         self.kernel.spawn(call).detach();
@@ -73,7 +73,7 @@
             let took = boot_clock::now().since(sent_at);
             engine.measures.ordered(OrderKind::Stop, took);
             engine.dispatch_event_under(token, |pool| {
-                pool.stop_answered(boot_clock::now(), &id, order.task, order.run, answer)
+                pool.apply_stop_answer(boot_clock::now(), &id, order.task, order.run, answer)
             });
         };
         self.kernel.spawn(call).detach();
@@ -104,7 +104,7 @@
             let sent_at = boot_clock::now();
             let answer = engine.hold(&id, &order).await;
             engine.dispatch_event_under(token, |pool| {
-                pool.hold_answered(boot_clock::now(), &id, sent_at, answer)
+                pool.apply_hold_answer(boot_clock::now(), &id, sent_at, answer)
             });
         };
         self.kernel.spawn(call).detach();
--- a/crates/onyxshed-host/src/executors.rs
+++ b/crates/onyxshed-host/src/executors.rs
@@ -11,7 +11,7 @@
 use onyxshed_adapter::{Error, ExecutorEntry, Store};
 use onyxshed_core::{Event, EventKind, Millis};
 use onyxshed_kernel::Kernel;
-use onyxshed_pool::{Division, ExecutorFacts, ExecutorId, FencingToken, PoolId};
+use onyxshed_pool::{ExecutorFacts, ExecutorId, FencingToken, PoolId, ShardLayout};
 use smol_str::{SmolStr, format_smolstr};
 
 use crate::divisions::Divisions;
@@ -50,7 +50,7 @@
     kernel: Kernel,
     engine: Rc<Engine>,
     divisions: Rc<Divisions>,
-    (token, pool, division): (FencingToken, PoolId, Division),
+    (token, pool, division): (FencingToken, PoolId, ShardLayout),
     known: KnownExecutors,
     address: SocketAddr,
 ) {
@@ -90,7 +90,7 @@
     divisions: Rc<Divisions>,
     token: FencingToken,
     pool: PoolId,
-    division: Division,
+    division: ShardLayout,
     /// Executors of the pool.
     listed: BTreeSet<SmolStr>,
     /// Executors of the whole zone, by which it is divided.
@@ -137,7 +137,7 @@
     /// pool makes one when the number of executors asks for it.
     async fn divide_anew(&self, store: &mut Store) -> onyxshed_adapter::Result<bool> {
         if self.pool.index == 0
-            && let Some(renewed) = self.division.renewed(self.of_zone.len())
+            && let Some(renewed) = self.division.resharded(self.of_zone.len())
         {
             self.divisions
                 .publish(store, &self.pool.zone, renewed)
@@ -226,6 +226,6 @@
         capacity: entry.capacity,
         labels: entry.labels,
         is_draining: entry.is_draining,
-        born: entry.born,
+        started_at: entry.born,
     }
 }
--- a/crates/onyxshed-host/src/links.rs
+++ b/crates/onyxshed-host/src/links.rs
@@ -18,8 +18,8 @@
 use onyxshed_http::client::within;
 use onyxshed_kernel::{Change, Descriptor, Kernel, LocalFuture, Result, Service, ServiceName};
 use onyxshed_pool::{
-    Chooser, JobEnd, JobRequest, NotRunReason, OwnershipTransfer, PeerLife, PoolId, PoolLoad,
-    SubmissionNumber, UnknownReason,
+    JobEnd, JobRequest, NotRunReason, OwnershipTransfer, PeerIncarnation, PoolId, PoolLoad,
+    PoolSelector, SubmissionNumber, UnknownReason,
 };
 use onyxshed_process::{listen, serve_rpc};
 use onyxshed_proto::pool_capnp::pool_port;
@@ -67,7 +67,7 @@
     divisions: Rc<Divisions>,
     evacuations: Rc<ZoneEvacuations>,
     options: LinkOptions,
-    chooser: RefCell<Chooser>,
+    chooser: RefCell<PoolSelector>,
     remote: RefCell<BTreeMap<PoolId, Rc<RemoteLink>>>,
     last_submission: Cell<u64>,
     /// Pools of which an owner was known at any time.
@@ -107,7 +107,7 @@
     }
 
     /// Gets this run of this host.
-    pub fn own(&self) -> PeerLife {
+    pub fn own(&self) -> PeerIncarnation {
         self.engine.own()
     }
 
@@ -122,7 +122,7 @@
         let zone = &self.options.zone;
         PoolId {
             zone: zone.clone(),
-            index: self.divisions.of(zone).preferred(&self.options.host),
+            index: self.divisions.of(zone).preferred_index(&self.options.host),
         }
     }
 
@@ -157,7 +157,7 @@
         }
         let chooser = self.chooser.borrow();
         let evacuations = self.evacuations.known();
-        chooser.order(&self.preferred(), job.demand, job.tasks, &evacuations)
+        chooser.rank_pools(&self.preferred(), job.demand, job.tasks, &evacuations)
     }
 
     /// Gets why a job that no pool can be asked for is not run.
@@ -204,7 +204,7 @@
             link.close();
         }
         self.succeeded.borrow_mut().remove(pool);
-        self.chooser.borrow_mut().lost(pool);
+        self.chooser.borrow_mut().remove_pool(pool);
         let party = match owner {
             Some(address) => {
                 let link = RemoteLink::open(self.clone(), pool.clone(), address);
@@ -226,7 +226,7 @@
 
     /// Tells whether the owner of a pool answers and means to stay.
     pub fn is_settled(&self, pool: &PoolId) -> bool {
-        self.is_up(pool) && !self.chooser.borrow().is_leaving(pool)
+        self.is_up(pool) && !self.chooser.borrow().needs_replacement(pool)
     }
 
     /// Tells whether an owner of a pool was known at any time.
@@ -282,7 +282,7 @@
 
     /// Takes in what an owner tells of its pool.
     fn update_load(self: &Rc<Self>, pool: &PoolId, load: PoolLoad) {
-        if load.is_leaving && self.is_settled(pool) {
+        if load.needs_replacement && self.is_settled(pool) {
             self.changed.notify();
         }
         let successor = load.successor;
--- a/crates/onyxshed-host/src/links/port.rs
+++ b/crates/onyxshed-host/src/links/port.rs
@@ -5,7 +5,7 @@
 use capnp::capability::Rc as ServerRc;
 use onyxshed_core::Millis;
 use onyxshed_pool::{
-    FencingToken, JobEnd, JobId, NotRunReason, PeerLife, PoolId, Session, SubmissionNumber,
+    FencingToken, JobEnd, JobId, NotRunReason, PeerIncarnation, PoolId, Session, SubmissionNumber,
     UnknownReason,
 };
 use onyxshed_proto::pool;
@@ -68,7 +68,7 @@
 /// Gives a job up if its entry host's connection closes before its end.
 struct Guard {
     engine: Rc<Engine>,
-    job: Option<(PeerLife, SubmissionNumber, JobId)>,
+    job: Option<(PeerIncarnation, SubmissionNumber, JobId)>,
 }
 
 impl Drop for Guard {
@@ -90,7 +90,7 @@
         if !self.is_mine(params.get_pool()?.to_str()?) {
             return Ok(());
         }
-        let life = PeerLife(params.get_life());
+        let life = PeerIncarnation(params.get_life());
         let offer = match params.has_offer() {
             true => Some(pool::read_offer(params.get_offer()?)?),
             false => None,
@@ -119,7 +119,7 @@
         mut results: pool_port::RunResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        let peer = PeerLife(params.get_life());
+        let peer = PeerIncarnation(params.get_life());
         let job = pool::read_job(peer, params.get_job()?)?;
         let end = if self.is_mine(params.get_pool()?.to_str()?) {
             let mut guard = Guard {
@@ -149,7 +149,7 @@
     ) -> capnp::Result<()> {
         let params = params.get()?;
         self.engine.cancel(
-            PeerLife(params.get_life()),
+            PeerIncarnation(params.get_life()),
             SubmissionNumber(params.get_submission()),
             JobId(params.get_job()),
             UnknownReason::Cancelled,
--- a/crates/onyxshed-host/src/links/remote.rs
+++ b/crates/onyxshed-host/src/links/remote.rs
@@ -275,7 +275,7 @@
     fn gave_up(&self, why: &'static str) {
         if self.open.borrow_mut().take().is_some() {
             if !self.is_closed.get() {
-                self.links.chooser.borrow_mut().lost(&self.pool);
+                self.links.chooser.borrow_mut().remove_pool(&self.pool);
                 self.links.changed.notify();
             }
             self.tell(EventKind::PoolLinkDown, why);
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -10,7 +10,7 @@
 use onyxshed_core::{Millis, Mono};
 use onyxshed_kernel::Kernel;
 use onyxshed_pool::{
-    Candidate, CandidateStep, Division, FencingToken, LastOwner, OwnershipTransfer, PoolId,
+    Candidate, CandidateStep, FencingToken, LastOwner, OwnershipTransfer, PoolId, ShardLayout,
 };
 use smol_str::SmolStr;
 
@@ -163,8 +163,8 @@
             .entry(pool.clone())
             .or_insert_with(|| Candidate::new(cpu_millis));
         let back_at = self.directory.store_back_at();
-        match candidate.vacant(boot_clock::now(), last_owner, back_at, rand::random()) {
-            CandidateStep::Leave => None,
+        match candidate.evaluate_vacancy(boot_clock::now(), last_owner, back_at, rand::random()) {
+            CandidateStep::Defer => None,
             CandidateStep::JoinAfter(pause) => Some(pause),
         }
     }
@@ -172,7 +172,7 @@
     /// Gets what is known of a vacant pool's last owner; asks it, if this host never has.
     async fn last_owner(&mut self, pool: &PoolId) -> LastOwner {
         if self.links.is_settled(pool) {
-            return LastOwner::Stays;
+            return LastOwner::Active;
         }
         // Before the first start of all there was no owner.
         if self.links.has_heard(pool) || self.options.is_first_start {
@@ -182,7 +182,7 @@
             Ok(member) => member.and_then(|member| address_of(&member)),
             Err(error) => {
                 self.watch.failed(&error);
-                return LastOwner::NeverHeard;
+                return LastOwner::Unknown;
             }
         };
         self.links.record_owner(pool);
@@ -191,7 +191,7 @@
         };
         self.links.set_owner(pool, Some(address));
         match self.links.answers(pool, PROBE_TIMEOUT).await {
-            true => LastOwner::Stays,
+            true => LastOwner::Active,
             false => LastOwner::Gone,
         }
     }
@@ -331,7 +331,7 @@
         &self,
         token: FencingToken,
         pool: &PoolId,
-        division: Division,
+        division: ShardLayout,
         known: KnownExecutors,
     ) {
         let follow = executors::follow(
--- a/crates/onyxshed-host/src/process.rs
+++ b/crates/onyxshed-host/src/process.rs
@@ -11,7 +11,7 @@
 use onyxshed_core::{Incarnation, Millis};
 use onyxshed_http::ServerOptions;
 use onyxshed_kernel::{Kernel, RunEnd, RunOptions, Service};
-use onyxshed_pool::{PeerLife, PoolOptions};
+use onyxshed_pool::{PeerIncarnation, PoolOptions};
 use onyxshed_settings::{LogFormat, LogLevel, LogSettings};
 use onyxshed_telemetry::admin::AdminService;
 use onyxshed_telemetry::log::Log;
@@ -197,7 +197,7 @@
     settings: &HostSettings,
     telemetry: Rc<Telemetry>,
 ) -> Vec<Box<dyn Service>> {
-    let own = PeerLife(rand::random());
+    let own = PeerIncarnation(rand::random());
     let own_port = SocketAddr::new(settings.ip, settings.first_own_port);
     let peer_address = settings.peer_address.unwrap_or(own_port);
     let evacuations = ZoneEvacuations::new(kernel, settings.zones.clone());
--- a/crates/onyxshed-pool/examples/decision-cost.rs
+++ b/crates/onyxshed-pool/examples/decision-cost.rs
@@ -10,13 +10,13 @@
 use onyxshed_core::{Millis, Mono, UnixMs};
 use onyxshed_pool::{
     Action, ExecutorFacts, ExecutorId, ExecutorLists, ExecutorReport, FencingToken, FinishedRun,
-    HoldAnswer, JobId, JobRequest, PeerLife, Pool, PoolOptions, Room, RunEnd, RunningRun, Session,
-    StartAnswer, StartOrder, SubmissionNumber,
+    HoldAnswer, JobId, JobRequest, PeerIncarnation, Pool, PoolOptions, Resources, RunEnd,
+    RunningRun, Session, StartAnswer, StartOrder, SubmissionNumber,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-const OWN: PeerLife = PeerLife(1);
+const OWN: PeerIncarnation = PeerIncarnation(1);
 
 /// Events measured at each size.
 const EVENTS: u32 = 4_000;
@@ -51,7 +51,7 @@
         };
         for number in 0..executors {
             let id = ExecutorId(format!("i-{number:010x}").into());
-            desk.pool.executor_listed(now, id.clone(), facts(number));
+            desk.pool.list_executor(now, id.clone(), facts(number));
             desk.report(&id, Vec::new(), Vec::new());
         }
         desk
@@ -82,7 +82,7 @@
         let running = same.map(|(_, order)| RunningRun {
             task: order.task,
             run: order.run,
-            done: None,
+            progress: None,
         });
         let running = running.collect();
         self.report(&id, running, vec![finished]);
@@ -91,13 +91,13 @@
     fn report(&mut self, id: &ExecutorId, running: Vec<RunningRun>, finished: Vec<FinishedRun>) {
         let lists = ExecutorLists {
             clock: UnixMs(self.now.0 / 1_000),
-            born: Some(UnixMs(1)),
+            started_at: Some(UnixMs(1)),
             listed_to: self.ends,
             running,
             finished,
         };
         let answer = HoldAnswer::Report(ExecutorReport::Lists(lists));
-        let actions = self.pool.hold_answered(self.now, id, self.now, answer);
+        let actions = self.pool.apply_hold_answer(self.now, id, self.now, answer);
         self.take(actions);
     }
 
@@ -106,7 +106,9 @@
             if let Action::Start(id, order) = action {
                 let answer = StartAnswer::Started { clock: None };
                 let (task, run) = (order.task, order.run);
-                let next = self.pool.start_answered(self.now, &id, task, run, &answer);
+                let next = self
+                    .pool
+                    .apply_start_answer(self.now, &id, task, run, &answer);
                 self.at_work.push_back((id, order));
                 self.take(next);
             }
@@ -132,7 +134,7 @@
         upstream: "desk".into(),
         spec: "spec".into(),
         tasks,
-        demand: Room {
+        demand: Resources {
             cpu_millis,
             memory_mb: 64,
             accelerators: 0,
@@ -141,7 +143,7 @@
         attempts_max: 3,
         stretch_millis: 1_600,
         objective: LONG,
-        spent: Millis(0),
+        elapsed: Millis(0),
         time_left: LONG,
         label: None,
         data_rack: None,
@@ -154,7 +156,7 @@
     ExecutorFacts {
         address: "10.0.0.1:80".parse().expect("an address"),
         upstream: "desk".into(),
-        capacity: Room {
+        capacity: Resources {
             cpu_millis: cores * 1_000,
             memory_mb: 262_144,
             accelerators: 0,
@@ -162,19 +164,19 @@
         labels: vec!["a".into()],
         rack: None,
         is_draining: false,
-        born: Some(UnixMs(1)),
+        started_at: Some(UnixMs(1)),
     }
 }
 
 /// Measures the mean time of an event, in microseconds, with so many jobs under way.
 fn measure(executors: u64, jobs: usize) -> f64 {
     let mut desk = Desk::new(executors);
-    while desk.pool.live_jobs() < jobs {
+    while desk.pool.job_count() < jobs {
         desk.submit();
     }
     let begun = Instant::now();
     for _ in 0..EVENTS {
-        match desk.pool.live_jobs() < jobs {
+        match desk.pool.job_count() < jobs {
             true => desk.submit(),
             false => desk.end_one(),
         }
--- a/crates/onyxshed-pool/src/candidate.rs
+++ b/crates/onyxshed-pool/src/candidate.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CandidateStep {
     /// It leaves the pool to whoever owns it.
-    Leave,
+    Defer,
     /// It joins after a pause, if the pool is still vacant then.
     JoinAfter(Millis),
 }
@@ -38,11 +38,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LastOwner {
     /// It answers and means to stay.
-    Stays,
+    Active,
     /// It is gone, or wants to be replaced.
     Gone,
     /// This host has never heard one.
-    NeverHeard,
+    Unknown,
 }
 
 /// A host that may come to own a pool.
@@ -71,7 +71,7 @@
     /// A host that started a moment ago, or while its zone was cut off, knows no owner to ask. When
     /// the store answers again, at `store_back_at`, the memberships of living owners have lapsed,
     /// and they need a moment to join again; a host that is faster costs them their jobs.
-    pub fn vacant(
+    pub fn evaluate_vacancy(
         &mut self,
         now: Mono,
         last_owner: LastOwner,
@@ -80,15 +80,15 @@
     ) -> CandidateStep {
         let since = *self.vacant_since.get_or_insert(now);
         if store_back_at.is_some_and(|back_at| now.since(back_at) < REJOIN_PATIENCE.into()) {
-            return CandidateStep::Leave;
+            return CandidateStep::Defer;
         }
         let patience = match last_owner {
-            LastOwner::Stays => PRESENT_OWNER_PATIENCE,
-            LastOwner::NeverHeard => UNKNOWN_OWNER_PATIENCE,
+            LastOwner::Active => PRESENT_OWNER_PATIENCE,
+            LastOwner::Unknown => UNKNOWN_OWNER_PATIENCE,
             LastOwner::Gone => Millis(0),
         };
         if now.since(since) < patience.into() {
-            return CandidateStep::Leave;
+            return CandidateStep::Defer;
         }
         CandidateStep::JoinAfter(self.join_pause(draw))
     }
--- a/crates/onyxshed-pool/src/evacuation.rs
+++ b/crates/onyxshed-pool/src/evacuation.rs
@@ -71,7 +71,7 @@
     }
 
     /// Gets the zones that are evacuated.
-    pub fn evacuated(&self) -> impl Iterator<Item = &SmolStr> {
+    pub fn evacuated_zones(&self) -> impl Iterator<Item = &SmolStr> {
         let evacuated = self.zones.iter().filter(|(_, state)| state.is_evacuated);
         evacuated.map(|(zone, _)| zone)
     }
@@ -120,7 +120,7 @@
         at: LogPosition,
     ) -> Vec<EvacuationChange> {
         let unlisted: Vec<SmolStr> = self
-            .evacuated()
+            .evacuated_zones()
             .filter(|zone| records.iter().all(|record| record.zone != **zone))
             .cloned()
             .collect();
--- a/crates/onyxshed-pool/src/executor.rs
+++ b/crates/onyxshed-pool/src/executor.rs
@@ -8,7 +8,7 @@
 
 use crate::id::{ExecutorId, JobId, RunNumber, TaskId};
 use crate::options::PoolOptions;
-use crate::room::Room;
+use crate::resources::Resources;
 use crate::speed::Slowdown;
 
 /// What the platform lists of an executor.
@@ -19,7 +19,7 @@
     /// The upstream that it belongs to.
     pub upstream: SmolStr,
     /// Room when nothing runs.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// Its labels.
     pub labels: Vec<SmolStr>,
     /// Its rack, if known.
@@ -27,7 +27,7 @@
     /// Whether it is leaving.
     pub is_draining: bool,
     /// When this life of it began, if known.
-    pub born: Option<UnixMs>,
+    pub started_at: Option<UnixMs>,
 }
 
 /// What became of an order to start.
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Run {
     pub number: RunNumber,
-    pub demand: Room,
+    pub demand: Resources,
     pub state: RunState,
     pub ordered_at: Mono,
     /// What it was expected to take on this executor.
@@ -140,7 +140,7 @@
 pub(crate) struct Executor {
     pub facts: ExecutorFacts,
     pub phase: Phase,
-    pub free: Room,
+    pub free: Resources,
     pub runs: BTreeMap<TaskId, Run>,
     /// The executor's clock less this host's, in milliseconds, never ahead of the truth.
     clock_offset: Option<i128>,
@@ -169,7 +169,7 @@
     pub fn new(now: Mono, facts: ExecutorFacts) -> Self {
         Executor {
             free: facts.capacity,
-            born: facts.born,
+            born: facts.started_at,
             facts,
             phase: Phase::Taking,
             runs: BTreeMap::new(),
@@ -271,7 +271,7 @@
     /// Gets what is known of the life that is there now.
     pub fn present_facts(&self) -> ExecutorFacts {
         ExecutorFacts {
-            born: self.born,
+            started_at: self.born,
             ..self.facts.clone()
         }
     }
--- a/crates/onyxshed-pool/src/id.rs
+++ b/crates/onyxshed-pool/src/id.rs
@@ -142,9 +142,9 @@
 
 /// One run of an entry host's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PeerLife(pub u64);
+pub struct PeerIncarnation(pub u64);
 
-impl fmt::Display for PeerLife {
+impl fmt::Display for PeerIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
--- a/crates/onyxshed-pool/src/job.rs
+++ b/crates/onyxshed-pool/src/job.rs
@@ -3,15 +3,15 @@
 use onyxshed_core::{Micros, Millis, Mono};
 use smol_str::SmolStr;
 
-use crate::id::{ExecutorId, JobId, PeerLife, RunNumber, SubmissionNumber, TaskId};
-use crate::room::Room;
+use crate::id::{ExecutorId, JobId, PeerIncarnation, RunNumber, SubmissionNumber, TaskId};
+use crate::resources::Resources;
 use crate::speed::{as_f64, scaled};
 
 /// A job as an entry host hands it over.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobRequest {
     /// The entry host.
-    pub peer: PeerLife,
+    pub peer: PeerIncarnation,
     /// Its number for this hand-over.
     pub submission: SubmissionNumber,
     /// The job.
@@ -23,7 +23,7 @@
     /// How many tasks it has.
     pub tasks: u16,
     /// What each task needs.
-    pub demand: Room,
+    pub demand: Resources,
     /// The caller's rough estimate of a task's run time.
     pub estimate: Millis,
     /// Runs of a task that may end failed before the job has failed.
@@ -33,7 +33,7 @@
     /// What it may take beyond that.
     pub objective: Millis,
     /// How long it has been under way at the entry host, as with other pools' owners.
-    pub spent: Millis,
+    pub elapsed: Millis,
     /// How long its caller still waits.
     pub time_left: Millis,
     /// Label that the executor must have, if any.
@@ -190,7 +190,7 @@
             stuck: 0,
         };
         Job {
-            arrived: Mono(now.0.saturating_sub(Micros::from(request.spent).0)),
+            arrived: Mono(now.0.saturating_sub(Micros::from(request.elapsed).0)),
             gives_up_at: now + request.time_left,
             tasks: vec![task; usize::from(request.tasks)],
             waiting: request.tasks,
--- a/crates/onyxshed-pool/src/lib.rs
+++ b/crates/onyxshed-pool/src/lib.rs
@@ -13,8 +13,6 @@
 //!   their jobs again.
 
 pub mod candidate;
-pub mod chooser;
-pub mod division;
 pub mod error;
 pub mod evacuation;
 pub mod executor;
@@ -25,20 +23,20 @@
 pub mod options;
 pub mod peers;
 pub mod pool;
-pub mod room;
+pub mod pool_selector;
+pub mod resources;
+pub mod shard_layout;
 pub mod speed;
 pub mod successor;
 pub mod summary;
 
 pub use candidate::{Candidate, CandidateStep, LastOwner};
-pub use chooser::{Chooser, PoolLoad};
-pub use division::{Division, PoolId};
 pub use error::{Error, Result};
 pub use evacuation::{EvacuationChange, EvacuationRecord, Evacuations, LogPosition};
 pub use executor::ExecutorFacts;
 pub use id::{
-    ExecutorId, FencingToken, JobId, PeerLife, Percent, RunNumber, Session, SubmissionNumber,
-    TaskId,
+    ExecutorId, FencingToken, JobId, PeerIncarnation, Percent, RunNumber, Session,
+    SubmissionNumber, TaskId,
 };
 pub use job::{JobEnd, JobRequest, NotRunReason, UnknownReason};
 pub use message::{
@@ -49,6 +47,8 @@
 pub use options::PoolOptions;
 pub use peers::PeerSessions;
 pub use pool::Pool;
-pub use room::Room;
+pub use pool_selector::{PoolLoad, PoolSelector};
+pub use resources::Resources;
+pub use shard_layout::{PoolId, ShardLayout};
 pub use successor::{OwnershipTransfer, SuccessorOffer};
 pub use summary::JobSummary;
--- a/crates/onyxshed-pool/src/message.rs
+++ b/crates/onyxshed-pool/src/message.rs
@@ -6,7 +6,7 @@
 use smol_str::SmolStr;
 
 use crate::id::{
-    ExecutorId, FencingToken, JobId, PeerLife, Percent, RunNumber, SubmissionNumber, TaskId,
+    ExecutorId, FencingToken, JobId, PeerIncarnation, Percent, RunNumber, SubmissionNumber, TaskId,
 };
 use crate::job::JobEnd;
 
@@ -79,7 +79,7 @@
     /// It was not started by this order.
     Refused(RefuseReason),
     /// Another life of the executor answered.
-    OtherLife,
+    OtherIncarnation,
     /// Nothing left this host.
     NotSent,
     /// The answer did not come; the order may be carried out, also later.
@@ -90,11 +90,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopAnswer {
     /// The executor ends the run, and never starts it if it has not.
-    Taken,
+    Accepted,
     /// Another owner's token is higher.
     Fenced,
     /// Another life of the executor answered.
-    OtherLife,
+    OtherIncarnation,
     /// The answer did not come.
     Unknown,
 }
@@ -118,7 +118,7 @@
     /// Which run of it.
     pub run: RunNumber,
     /// How much of it is done, if the executor tells.
-    pub done: Option<Percent>,
+    pub progress: Option<Percent>,
 }
 
 /// A run that has ended.
@@ -140,7 +140,7 @@
     /// The executor's clock.
     pub clock: UnixMs,
     /// When this life of it began.
-    pub born: Option<UnixMs>,
+    pub started_at: Option<UnixMs>,
     /// Runs at work.
     pub running: Vec<RunningRun>,
     /// Ends that were not acknowledged.
@@ -157,7 +157,7 @@
     /// Another owner's token is higher.
     Fenced,
     /// Another life of the executor answered.
-    OtherLife,
+    OtherIncarnation,
 }
 
 /// What came of an order to hold.
@@ -181,7 +181,7 @@
     /// Tell an entry host how its job ended.
     End {
         /// The entry host.
-        peer: PeerLife,
+        peer: PeerIncarnation,
         /// Its number for the hand-over.
         submission: SubmissionNumber,
         /// The job.
@@ -220,10 +220,10 @@
         /// The executor.
         executor: ExecutorId,
         /// Why.
-        why: &'static str,
+        reason: &'static str,
     },
     /// A run of another owner, or one given up, was found at work and is stopped.
-    StrayStopped {
+    OrphanStopped {
         /// The task.
         task: TaskId,
         /// Which run.
@@ -240,22 +240,22 @@
         /// The executor.
         executor: ExecutorId,
         /// How long the run would have taken from now on.
-        left: Micros,
+        remaining: Micros,
     },
     /// An executor is used from now on.
-    ExecutorTaken(ExecutorId),
+    ExecutorAcquired(ExecutorId),
     /// An executor did not answer; its runs are given up when their lease has ended.
-    ExecutorSilent(ExecutorId),
+    ExecutorUnresponsive(ExecutorId),
     /// An executor answers again.
-    ExecutorBack(ExecutorId),
+    ExecutorRecovered(ExecutorId),
     /// An executor gets no work for a while.
     ExecutorAvoided(ExecutorId, Millis),
     /// An executor is leaving.
     ExecutorDraining(ExecutorId),
     /// An executor is no longer known.
-    ExecutorGone(ExecutorId),
+    ExecutorForgotten(ExecutorId),
     /// An entry host fell silent with jobs under way.
-    PeerSilent(PeerLife, usize),
+    PeerUnresponsive(PeerIncarnation, usize),
     /// This process stood still and gave up every job.
     Paused(Micros, usize),
     /// The next owner is taking over.
@@ -277,5 +277,5 @@
     /// The zone gets tasks again.
     EvacuationEnded,
     /// A host was made the successor of this stopping owner.
-    Transferred(SocketAddr),
+    OwnershipTransferred(SocketAddr),
 }
--- a/crates/onyxshed-pool/src/peers.rs
+++ b/crates/onyxshed-pool/src/peers.rs
@@ -8,7 +8,7 @@
 
 use onyxshed_core::{Millis, Mono};
 
-use crate::id::{PeerLife, Session};
+use crate::id::{PeerIncarnation, Session};
 
 #[derive(Debug, Clone, Copy)]
 struct Peer {
@@ -20,7 +20,7 @@
 /// Sessions with entry hosts.
 #[derive(Debug, Default)]
 pub struct PeerSessions {
-    peers: BTreeMap<PeerLife, Peer>,
+    peers: BTreeMap<PeerIncarnation, Peer>,
     last: u64,
 }
 
@@ -29,7 +29,7 @@
 
 impl PeerSessions {
     /// Notes that a peer was heard, and gets its session: a new one after a silence.
-    pub fn heard(&mut self, now: Mono, life: PeerLife) -> Session {
+    pub fn heard(&mut self, now: Mono, life: PeerIncarnation) -> Session {
         let last = &mut self.last;
         let mut open = || {
             *last += 1;
@@ -49,14 +49,20 @@
     }
 
     /// Tells whether a session is the peer's present one, without a silence since.
-    pub fn is_current(&self, now: Mono, life: PeerLife, session: Session, silence: Millis) -> bool {
+    pub fn is_current(
+        &self,
+        now: Mono,
+        life: PeerIncarnation,
+        session: Session,
+        silence: Millis,
+    ) -> bool {
         self.peers.get(&life).is_some_and(|peer| {
             !peer.is_silent && peer.session == session && now.since(peer.heard_at) < silence.into()
         })
     }
 
     /// Gets the peers that have just become silent.
-    pub fn fall_silent(&mut self, now: Mono, silence: Millis) -> Vec<PeerLife> {
+    pub fn fall_silent(&mut self, now: Mono, silence: Millis) -> Vec<PeerIncarnation> {
         self.peers
             .retain(|_, peer| now.since(peer.heard_at) < FORGET_AFTER.into());
         let mut silent = Vec::new();
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -1,15 +1,15 @@
 //! The state machine of a pool's owner.
 //!
-//! [`intake`] takes jobs in and refuses those that can't end in time, [`place`] starts runs,
+//! [`admission`] takes jobs in and refuses those that can't end in time, [`place`] starts runs,
 //! [`fit`] says where,
 //! [`orders`] takes in what came of orders, [`reports`] what executors say, [`progress`] how far
 //! their runs are, [`watch`] what time brings, [`handover`] passes the pool on to its next owner,
 //! [`evacuation`] empties it for operators, [`stalled`] ends jobs that lost their executors.
 
+mod admission;
 mod evacuation;
 mod fit;
 mod handover;
-mod intake;
 mod orders;
 mod place;
 mod progress;
@@ -21,15 +21,15 @@
 
 use onyxshed_core::{Millis, Mono};
 
-use crate::chooser::PoolLoad;
 use crate::executor::{Executor, ExecutorFacts, Executors, Life, Phase, RunState};
-use crate::id::{ExecutorId, FencingToken, JobId, PeerLife, Session, TaskId};
+use crate::id::{ExecutorId, FencingToken, JobId, PeerIncarnation, Session, TaskId};
 use crate::job::{Job, JobEnd, NotRunReason, UnknownReason};
 use crate::message::{Action, Decision, HoldOrder, StopOrder};
 use crate::offered_load::OfferedLoad;
 use crate::options::PoolOptions;
 use crate::peers::PeerSessions;
-use crate::room::Room;
+use crate::pool_selector::PoolLoad;
+use crate::resources::Resources;
 use crate::successor::{SuccessorChoice, SuccessorOffer};
 use evacuation::ZoneStatus;
 use handover::{Predecessor, Stage};
@@ -39,7 +39,7 @@
     options: PoolOptions,
     token: FencingToken,
     /// The entry host of this very process, which is always heard.
-    own: PeerLife,
+    own: PeerIncarnation,
     executors: Executors,
     jobs: BTreeMap<JobId, Job>,
     offered: OfferedLoad,
@@ -49,7 +49,7 @@
     zone_status: ZoneStatus,
     successor_choice: SuccessorChoice,
     /// Total room of the executors that are not slow, as of the last tick.
-    sound_room: Room,
+    sound_room: Resources,
     /// Whether it is known which executors there are.
     has_executors_read: bool,
     /// No order is sent any more.
@@ -64,7 +64,7 @@
 
 impl Pool {
     /// Begins to own a pool.
-    pub fn new(now: Mono, token: FencingToken, own: PeerLife, options: PoolOptions) -> Self {
+    pub fn new(now: Mono, token: FencingToken, own: PeerIncarnation, options: PoolOptions) -> Self {
         Pool {
             options,
             token,
@@ -77,7 +77,7 @@
             stage: Stage::Serving,
             zone_status: ZoneStatus::InService,
             successor_choice: SuccessorChoice::default(),
-            sound_room: Room::default(),
+            sound_room: Resources::default(),
             has_executors_read: false,
             is_over: false,
             predecessor: Predecessor::None,
@@ -93,7 +93,7 @@
     }
 
     /// Gets how many jobs are under way.
-    pub fn live_jobs(&self) -> usize {
+    pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
@@ -108,15 +108,15 @@
     }
 
     /// Tells whether the pool takes no new job.
-    pub fn is_closing(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.stage >= Stage::Closing
     }
 
     /// Notes that an entry host was heard, with what it offers, and gets its session.
-    pub fn peer_heard(
+    pub fn record_peer_contact(
         &mut self,
         now: Mono,
-        life: PeerLife,
+        life: PeerIncarnation,
         offer: Option<SuccessorOffer>,
     ) -> Session {
         self.successor_choice.heard(now, life, offer);
@@ -124,7 +124,7 @@
     }
 
     /// Notes that the list of executors was read, from the store or from the last owner.
-    pub fn executors_read(&mut self) {
+    pub fn mark_executors_read(&mut self) {
         self.has_executors_read = true;
     }
 
@@ -147,14 +147,14 @@
             capacity_cpu_millis: capacity,
             free_cpu_millis: free,
             waiting_work: self.jobs.values().map(Job::waiting_work).sum(),
-            is_leaving: self.stage >= Stage::Leaving || !self.has_executors_read,
-            is_closing: self.is_closing(),
+            needs_replacement: self.stage >= Stage::Leaving || !self.has_executors_read,
+            is_closed: self.is_closed(),
             successor: self.successor_choice.successor_address(),
         }
     }
 
     /// Takes in an executor as the platform lists it.
-    pub fn executor_listed(
+    pub fn list_executor(
         &mut self,
         now: Mono,
         id: ExecutorId,
@@ -162,7 +162,7 @@
     ) -> Vec<Action> {
         match self.executors.get_mut(&id) {
             Some(executor) => {
-                let born = facts.born;
+                let born = facts.started_at;
                 let is_moved = born.is_none() && facts.address != executor.facts.address;
                 let life = executor.life_of(born);
                 if life == Life::Past {
@@ -197,7 +197,7 @@
     }
 
     /// Takes in that an executor is no longer listed.
-    pub fn executor_unlisted(&mut self, now: Mono, id: &ExecutorId) -> Vec<Action> {
+    pub fn unlist_executor(&mut self, now: Mono, id: &ExecutorId) -> Vec<Action> {
         if let Some(executor) = self.executors.get_mut(id) {
             executor.unlisted_at.get_or_insert(now);
         }
@@ -248,7 +248,7 @@
                 task,
                 run: number,
                 executor: id.clone(),
-                why,
+                reason: why,
             }));
         }
     }
--- a/crates/onyxshed-pool/src/pool/intake.rs
+++ b/crates/onyxshed-pool/src/pool/admission.rs
@@ -10,10 +10,10 @@
 use super::evacuation::ZoneStatus;
 use super::place::{Feasibility, LATE_WEIGHT};
 use crate::executor::Executor;
-use crate::id::{JobId, PeerLife, Session, SubmissionNumber};
+use crate::id::{JobId, PeerIncarnation, Session, SubmissionNumber};
 use crate::job::{Job, JobEnd, JobRequest, NotRunReason, UnknownReason};
 use crate::message::Action;
-use crate::room::Room;
+use crate::resources::Resources;
 
 /// Shortest time after which a refused caller is asked back; a task of ordinary length.
 const RETRY_LEAST: Millis = Millis(100);
@@ -84,7 +84,7 @@
     pub fn cancel(
         &mut self,
         now: Mono,
-        peer: PeerLife,
+        peer: PeerIncarnation,
         submission: SubmissionNumber,
         job: JobId,
         reason: UnknownReason,
@@ -103,7 +103,7 @@
     fn refusal(&self, now: Mono, session: Session, job: &Job) -> Option<JobEnd> {
         let request = &job.request;
         let not_run = |reason| Some(JobEnd::NotRun(reason, self.retry_after(now)));
-        if self.is_over || self.is_closing() {
+        if self.is_over || self.is_closed() {
             return not_run(NotRunReason::NotOwner);
         }
         let silence = self.options.peer_silence_ms;
@@ -182,7 +182,7 @@
     fn could_run(&self, now: Mono, executor: &Executor, request: &JobRequest) -> bool {
         executor.counts(now, &self.options)
             && executor.facts.upstream == request.upstream
-            && executor.facts.capacity.holds(request.demand)
+            && executor.facts.capacity.can_fit(request.demand)
             && executor.has_label(request.label.as_ref())
     }
 
@@ -201,8 +201,8 @@
         Micros(ahead * 1_000 / u64::from(capacity.max(1)))
     }
 
-    fn working_room(&self, now: Mono) -> Room {
-        let mut room = Room::default();
+    fn working_room(&self, now: Mono) -> Resources {
+        let mut room = Resources::default();
         for executor in self.executors.values() {
             if executor.counts(now, &self.options) {
                 room += executor.facts.capacity;
--- a/crates/onyxshed-pool/src/pool/fit.rs
+++ b/crates/onyxshed-pool/src/pool/fit.rs
@@ -11,7 +11,7 @@
 use crate::executor::Executor;
 use crate::id::ExecutorId;
 use crate::job::Job;
-use crate::room::Room;
+use crate::resources::Resources;
 use crate::speed::scaled;
 
 /// How well an executor suits a task; less is better: the task's time there, then the room left.
@@ -20,7 +20,7 @@
 /// An executor that takes work, its free room, and how slow it is.
 pub(super) struct Place {
     pub id: ExecutorId,
-    pub free: Room,
+    pub free: Resources,
     slowdown: f64,
     pub is_slow: bool,
 }
@@ -91,7 +91,7 @@
 
     /// Gets how well a place suits a task; none if the task must not start there.
     pub(super) fn fit(&self, now: Mono, job: &Job, index: u16, place: &Place) -> Option<Fit> {
-        if !place.free.holds(job.request.demand) {
+        if !place.free.can_fit(job.request.demand) {
             return None;
         }
         let executor = self.executors.get(&place.id)?;
@@ -110,7 +110,7 @@
         if place.is_slow && ends_too_late() {
             return None;
         }
-        let room_left = place.free.without(job.request.demand).cpu_millis;
+        let room_left = place.free.saturating_sub(job.request.demand).cpu_millis;
         Some((expected, room_left))
     }
 
@@ -129,7 +129,7 @@
 
     /// Updates the total room of the executors that are not slow.
     pub(super) fn update_sound_room(&mut self, now: Mono) {
-        let mut room = Room::default();
+        let mut room = Resources::default();
         for executor in self.executors.values() {
             if executor.counts(now, &self.options) && !executor.slowdown.is_slow(now) {
                 room += executor.facts.capacity;
--- a/crates/onyxshed-pool/src/pool/handover.rs
+++ b/crates/onyxshed-pool/src/pool/handover.rs
@@ -13,7 +13,7 @@
 
 use super::Pool;
 use crate::executor::Phase;
-use crate::id::{ExecutorId, FencingToken, PeerLife};
+use crate::id::{ExecutorId, FencingToken, PeerIncarnation};
 use crate::job::NotRunReason;
 use crate::message::{Action, Decision};
 use crate::successor::OwnershipTransfer;
@@ -56,26 +56,26 @@
 
 impl Pool {
     /// Notes that this owner is stopping; it serves on until another host takes over.
-    pub fn leave(&mut self) {
+    pub fn begin_drain(&mut self) {
         self.stage = self.stage.max(Stage::Leaving);
     }
 
     /// Says whether a successor is needed among the hosts that offer themselves, for want of the store.
-    pub fn seek_successor(&mut self, is_sought: bool) {
+    pub fn set_successor_needed(&mut self, is_sought: bool) {
         self.successor_choice.seek(is_sought);
     }
 
     /// Gets what a host that was just heard is given, if it is the successor; `members` are the names in the
     /// pool's group of this owner and of those that it succeeds, as far as the store may know them.
-    pub fn transfer(
+    pub fn transfer_ownership(
         &mut self,
         now: Mono,
-        life: PeerLife,
+        life: PeerIncarnation,
         members: Vec<SmolStr>,
     ) -> Option<OwnershipTransfer> {
         let token = self.token.of_successor()?;
         if let Some(successor) = self.successor_choice.name(now, life) {
-            self.log(Decision::Transferred(successor));
+            self.log(Decision::OwnershipTransferred(successor));
         }
         if self.is_over || !self.successor_choice.is_successor(life) {
             return None;
@@ -124,12 +124,16 @@
 
     /// Begins as the next owner of a pool whose last one answers: no executor gets an order before
     /// that owner has told what it holds.
-    pub fn follow_predecessor(&mut self) {
+    pub fn await_predecessor(&mut self) {
         self.predecessor = Predecessor::Unheard;
     }
 
     /// Takes in which executors the last owner still uses; the others are taken over.
-    pub fn predecessor_holds(&mut self, now: Mono, held: BTreeSet<ExecutorId>) -> Vec<Action> {
+    pub fn apply_predecessor_executors(
+        &mut self,
+        now: Mono,
+        held: BTreeSet<ExecutorId>,
+    ) -> Vec<Action> {
         if self.predecessor == Predecessor::None {
             return self.take_actions();
         }
--- a/crates/onyxshed-pool/src/pool/orders.rs
+++ b/crates/onyxshed-pool/src/pool/orders.rs
@@ -27,7 +27,7 @@
 
 impl Pool {
     /// Takes in what came of an order to start.
-    pub fn start_answered(
+    pub fn apply_start_answer(
         &mut self,
         now: Mono,
         id: &ExecutorId,
@@ -42,7 +42,7 @@
         if *answer == StartAnswer::Refused(RefuseReason::Fenced) {
             return self.fenced();
         }
-        if *answer == StartAnswer::OtherLife {
+        if *answer == StartAnswer::OtherIncarnation {
             self.executor_replaced(now, id);
             return self.take_actions();
         }
@@ -122,7 +122,7 @@
                 Next::Again
             }
             StartAnswer::NotSent | StartAnswer::Unknown => Next::Stop,
-            StartAnswer::OtherLife => Next::Nothing,
+            StartAnswer::OtherIncarnation => Next::Nothing,
         }
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Takes in what came of an order to stop.
-    pub fn stop_answered(
+    pub fn apply_stop_answer(
         &mut self,
         now: Mono,
         id: &ExecutorId,
@@ -185,8 +185,8 @@
         }
         match answer {
             StopAnswer::Fenced => return self.fenced(),
-            StopAnswer::OtherLife => self.executor_replaced(now, id),
-            StopAnswer::Taken => self.stop_taken(now, id, task, number),
+            StopAnswer::OtherIncarnation => self.executor_replaced(now, id),
+            StopAnswer::Accepted => self.stop_taken(now, id, task, number),
             // Sent again with the next report of the executor.
             StopAnswer::Unknown => {}
         }
--- a/crates/onyxshed-pool/src/pool/place.rs
+++ b/crates/onyxshed-pool/src/pool/place.rs
@@ -3,7 +3,7 @@
 //! Order: least work first, counting only what has not begun, since past the pool's capacity this
 //! serves the most callers. The work of a job that can't meet its target any more counts five times:
 //! an answer that is late is worth a fifth to its caller, so such a job goes on only if little is
-//! left of it. Last come jobs whose answers would be of no use at all; [`super::intake`] refuses those
+//! left of it. Last come jobs whose answers would be of no use at all; [`super::admission`] refuses those
 //! that have not begun.
 //!
 //! [`super::fit`] chooses the executor.
@@ -110,7 +110,7 @@
     /// Gets the first task in the queue's order that may start at a place, with the time expected there.
     fn first_for(&self, now: Mono, place: &Place) -> Option<(JobId, u16, Micros)> {
         let candidates = self.jobs.iter().filter_map(|(id, job)| {
-            if job.waiting == 0 || !place.free.holds(job.request.demand) {
+            if job.waiting == 0 || !place.free.can_fit(job.request.demand) {
                 return None;
             }
             let index = job.next_waiting()?;
--- a/crates/onyxshed-pool/src/pool/progress.rs
+++ b/crates/onyxshed-pool/src/pool/progress.rs
@@ -39,7 +39,7 @@
             let Some(run) = executor.runs.get(&row.task) else {
                 continue;
             };
-            let least = row.done.and_then(|done| least_run_time(now, run, done));
+            let least = row.progress.and_then(|done| least_run_time(now, run, done));
             let Some(least) = least.filter(|_| is_at_work(run, row)) else {
                 continue;
             };
@@ -92,7 +92,7 @@
             task,
             run: forecast.run,
             executor: id.clone(),
-            left: forecast.ends_at.since(now),
+            remaining: forecast.ends_at.since(now),
         });
         self.stop_run(id, task);
     }
--- a/crates/onyxshed-pool/src/pool/reports.rs
+++ b/crates/onyxshed-pool/src/pool/reports.rs
@@ -22,7 +22,7 @@
 
 impl Pool {
     /// Takes in what came of a hold that was sent at `sent_at`.
-    pub fn hold_answered(
+    pub fn apply_hold_answer(
         &mut self,
         now: Mono,
         id: &ExecutorId,
@@ -36,7 +36,7 @@
         let has_news = has_news(&answer);
         let pause = match answer {
             HoldAnswer::Report(ExecutorReport::Fenced) => return self.fenced(),
-            HoldAnswer::Report(ExecutorReport::OtherLife) => {
+            HoldAnswer::Report(ExecutorReport::OtherIncarnation) => {
                 self.executor_replaced(now, id);
                 SILENT_PAUSE
             }
@@ -62,7 +62,7 @@
         sent_at: Mono,
         lists: &ExecutorLists,
     ) -> Millis {
-        let born = lists.born;
+        let born = lists.started_at;
         let Some(executor) = self.executors.get_mut(id) else {
             return Millis(0);
         };
@@ -79,7 +79,7 @@
         executor.heard_at = now;
         let was_silent = std::mem::take(&mut executor.is_silent);
         if was_silent {
-            self.log(Decision::ExecutorBack(id.clone()));
+            self.log(Decision::ExecutorRecovered(id.clone()));
         }
         for end in &lists.finished {
             self.apply_finished(now, id, *end);
@@ -97,7 +97,7 @@
             return TAKING_PAUSE;
         }
         executor.phase = Phase::Held;
-        self.log(Decision::ExecutorTaken(id.clone()));
+        self.log(Decision::ExecutorAcquired(id.clone()));
         Millis(0)
     }
 
@@ -238,7 +238,7 @@
             .collect();
         for stray in strays {
             self.send_stop(id, stray.task, stray.run);
-            self.log(Decision::StrayStopped {
+            self.log(Decision::OrphanStopped {
                 task: stray.task,
                 run: stray.run,
                 executor: id.clone(),
@@ -253,7 +253,7 @@
         };
         let is_news = !std::mem::replace(&mut executor.is_silent, true);
         if is_news {
-            self.log(Decision::ExecutorSilent(id.clone()));
+            self.log(Decision::ExecutorUnresponsive(id.clone()));
         }
         is_news
     }
--- a/crates/onyxshed-pool/src/pool/stalled.rs
+++ b/crates/onyxshed-pool/src/pool/stalled.rs
@@ -9,7 +9,7 @@
 use onyxshed_core::{Millis, Mono};
 
 use super::Pool;
-use super::intake::RETRY_MOST;
+use super::admission::RETRY_MOST;
 use crate::id::{ExecutorId, JobId};
 use crate::job::{Job, JobEnd, NotRunReason, TaskState, UnknownReason};
 
--- a/crates/onyxshed-pool/src/pool/watch.rs
+++ b/crates/onyxshed-pool/src/pool/watch.rs
@@ -71,7 +71,7 @@
                 .collect();
             // One that has handed nothing over and is heard seldom is no news.
             if !jobs.is_empty() {
-                self.log(Decision::PeerSilent(peer, jobs.len()));
+                self.log(Decision::PeerUnresponsive(peer, jobs.len()));
             }
             for job in jobs {
                 self.end_job(job, JobEnd::Unknown(UnknownReason::PeerSilent));
@@ -159,7 +159,7 @@
             .collect();
         for id in gone {
             self.executors.remove(&id);
-            self.log(Decision::ExecutorGone(id));
+            self.log(Decision::ExecutorForgotten(id));
         }
     }
 }
--- a/crates/onyxshed-pool/src/chooser.rs
+++ b/crates/onyxshed-pool/src/pool_selector.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use crate::division::PoolId;
 use crate::evacuation::Evacuations;
-use crate::room::Room;
+use crate::resources::Resources;
+use crate::shard_layout::PoolId;
 use onyxshed_core::Millis;
 
 /// What an owner tells about its pool.
@@ -22,9 +22,9 @@
     /// Work of the tasks that wait, in thousandths of a core times milliseconds.
     pub waiting_work: u64,
     /// The owner wants to be replaced, or is being replaced.
-    pub is_leaving: bool,
+    pub needs_replacement: bool,
     /// It takes no new jobs any more.
-    pub is_closing: bool,
+    pub is_closed: bool,
     /// The host that takes the pool over by its owner's word.
     pub successor: Option<SocketAddr>,
 }
@@ -39,18 +39,18 @@
 
 /// Loads of the pools as the entry host believes them.
 #[derive(Debug, Default)]
-pub struct Chooser {
+pub struct PoolSelector {
     loads: BTreeMap<PoolId, PoolLoad>,
 }
 
-impl Chooser {
+impl PoolSelector {
     /// Takes in what an owner tells of its pool.
     pub fn update_load(&mut self, pool: &PoolId, load: PoolLoad) {
         self.loads.insert(pool.clone(), load);
     }
 
     /// Forgets a pool whose owner is lost.
-    pub fn lost(&mut self, pool: &PoolId) {
+    pub fn remove_pool(&mut self, pool: &PoolId) {
         self.loads.remove(pool);
     }
 
@@ -61,13 +61,19 @@
     }
 
     /// Tells whether the owner of a pool answers and wants to be replaced, or is being replaced.
-    pub fn is_leaving(&self, pool: &PoolId) -> bool {
+    pub fn needs_replacement(&self, pool: &PoolId) -> bool {
         let load = self.loads.get(pool);
-        load.is_some_and(|load| load.is_leaving)
+        load.is_some_and(|load| load.needs_replacement)
     }
 
     /// Notes that a job was handed to a pool, ahead of the owner's next word.
-    pub fn record_dispatch(&mut self, pool: &PoolId, demand: Room, tasks: u16, estimate: Millis) {
+    pub fn record_dispatch(
+        &mut self,
+        pool: &PoolId,
+        demand: Resources,
+        tasks: u16,
+        estimate: Millis,
+    ) {
         let Some(load) = self.loads.get_mut(pool) else {
             return;
         };
@@ -79,17 +85,17 @@
 
     /// Gets the pools in the order in which they should be asked. Among pools with the same wait the one
     /// with the most free room comes first: the callers of an evacuated zone spread over the others.
-    pub fn order(
+    pub fn rank_pools(
         &self,
         home: &PoolId,
-        demand: Room,
+        demand: Resources,
         tasks: u16,
         evacuations: &Evacuations,
     ) -> Vec<PoolId> {
         let mut pools: Vec<(u64, u64, Reverse<u64>, &PoolId)> = self
             .loads
             .iter()
-            .filter(|(_, load)| !load.is_closing)
+            .filter(|(_, load)| !load.is_closed)
             .filter(|(pool, _)| !evacuations.contains(&pool.zone))
             .map(|(pool, load)| {
                 let margin = margin(home, pool).0;
@@ -119,7 +125,7 @@
 ///
 /// What waits is worked off by the whole pool; of the job itself, what does not fit into the free
 /// room counts as if each task lay in the way for as long as a short one takes.
-fn wait_ms(load: &PoolLoad, demand: Room, tasks: u16) -> u64 {
+fn wait_ms(load: &PoolLoad, demand: Resources, tasks: u16) -> u64 {
     const SHORT_TASK_MS: u64 = 60;
     if load.capacity_cpu_millis == 0 {
         return u64::MAX;
--- a/crates/onyxshed-pool/src/room.rs
+++ b/crates/onyxshed-pool/src/resources.rs
@@ -7,7 +7,7 @@
 
 /// Processor, memory and accelerators.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Room {
+pub struct Resources {
     /// Thousandths of a core.
     pub cpu_millis: u32,
     /// Megabytes.
@@ -16,17 +16,17 @@
     pub accelerators: u32,
 }
 
-impl Room {
+impl Resources {
     /// Tells whether a demand fits in.
-    pub fn holds(self, demand: Room) -> bool {
+    pub fn can_fit(self, demand: Resources) -> bool {
         self.cpu_millis >= demand.cpu_millis
             && self.memory_mb >= demand.memory_mb
             && self.accelerators >= demand.accelerators
     }
 
     /// Gets what is left beside a demand, none below zero.
-    pub fn without(self, demand: Room) -> Room {
-        Room {
+    pub fn saturating_sub(self, demand: Resources) -> Resources {
+        Resources {
             cpu_millis: self.cpu_millis.saturating_sub(demand.cpu_millis),
             memory_mb: self.memory_mb.saturating_sub(demand.memory_mb),
             accelerators: self.accelerators.saturating_sub(demand.accelerators),
@@ -34,21 +34,21 @@
     }
 }
 
-impl AddAssign for Room {
-    fn add_assign(&mut self, other: Room) {
+impl AddAssign for Resources {
+    fn add_assign(&mut self, other: Resources) {
         self.cpu_millis = self.cpu_millis.saturating_add(other.cpu_millis);
         self.memory_mb = self.memory_mb.saturating_add(other.memory_mb);
         self.accelerators = self.accelerators.saturating_add(other.accelerators);
     }
 }
 
-impl SubAssign for Room {
-    fn sub_assign(&mut self, other: Room) {
-        *self = self.without(other);
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, other: Resources) {
+        *self = self.saturating_sub(other);
     }
 }
 
-impl fmt::Display for Room {
+impl fmt::Display for Resources {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/crates/onyxshed-pool/src/division.rs
+++ b/crates/onyxshed-pool/src/shard_layout.rs
@@ -65,28 +65,28 @@
 
 /// How many pools a zone has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Division {
+pub struct ShardLayout {
     /// Rises with each change; 0 before the first.
     pub version: u32,
     /// The number of pools.
     pub pools: u32,
 }
 
-impl Default for Division {
+impl Default for ShardLayout {
     fn default() -> Self {
-        Division {
+        ShardLayout {
             version: 0,
             pools: 1,
         }
     }
 }
 
-impl Division {
+impl ShardLayout {
     /// Gets the division for a number of executors; none if the present one still does.
     ///
     /// It changes only when pools have grown by two fifths or shrunk to a third, since a change
     /// gives up every job of the zone.
-    pub fn renewed(self, executors: usize) -> Option<Division> {
+    pub fn resharded(self, executors: usize) -> Option<ShardLayout> {
         let wanted = match executors {
             0..=POOL_EXECUTORS_MAX => 1,
             more => more.div_ceil(POOL_EXECUTORS).min(POOLS_MAX),
@@ -96,7 +96,7 @@
         let is_crowded = each > POOL_EXECUTORS_MAX;
         let is_sparse = pools > 1 && each < POOL_EXECUTORS / 3;
         let pools = u32::try_from(wanted).unwrap_or(1);
-        ((is_crowded || is_sparse) && pools != self.pools).then_some(Division {
+        ((is_crowded || is_sparse) && pools != self.pools).then_some(ShardLayout {
             version: self.version + 1,
             pools,
         })
@@ -109,7 +109,7 @@
     }
 
     /// Gets the index of the pool that a host hands its jobs to first.
-    pub fn preferred(self, host: &str) -> u32 {
+    pub fn preferred_index(self, host: &str) -> u32 {
         self.index_of(&ExecutorId(host.into()))
     }
 
@@ -131,9 +131,9 @@
     }
 
     /// Reads the division as the store holds it.
-    pub fn from_text(text: &str) -> Option<Division> {
+    pub fn from_text(text: &str) -> Option<ShardLayout> {
         let (version, pools) = text.split_once(' ')?;
-        Some(Division {
+        Some(ShardLayout {
             version: version.parse().ok()?,
             pools: pools.parse().ok().filter(|pools| *pools > 0)?,
         })
--- a/crates/onyxshed-pool/src/successor.rs
+++ b/crates/onyxshed-pool/src/successor.rs
@@ -14,7 +14,7 @@
 
 use crate::candidate::OWNER_CPU_MILLIS;
 use crate::executor::ExecutorFacts;
-use crate::id::{ExecutorId, FencingToken, PeerLife};
+use crate::id::{ExecutorId, FencingToken, PeerIncarnation};
 
 /// Time since its last heartbeat for which a host may become the successor; four heartbeats of 150 ms.
 const HEARD_WITHIN: Millis = Millis(600);
@@ -49,14 +49,14 @@
 /// Hosts that could own the pool, and the one that was made the successor.
 #[derive(Debug, Default)]
 pub(crate) struct SuccessorChoice {
-    offers: BTreeMap<PeerLife, Offer>,
+    offers: BTreeMap<PeerIncarnation, Offer>,
     is_sought: bool,
     successor: Option<Successor>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Successor {
-    life: PeerLife,
+    life: PeerIncarnation,
     address: SocketAddr,
     /// It has asked for the executors.
     has_begun: bool,
@@ -64,7 +64,7 @@
 
 impl SuccessorChoice {
     /// Takes in what a host that was heard offers; none takes back what it offered.
-    pub fn heard(&mut self, now: Mono, life: PeerLife, offer: Option<SuccessorOffer>) {
+    pub fn heard(&mut self, now: Mono, life: PeerIncarnation, offer: Option<SuccessorOffer>) {
         match offer {
             Some(offer) => {
                 let heard_at = now;
@@ -83,7 +83,7 @@
 
     /// Makes a host that was just heard the successor, if one is needed and it is the best; gets its
     /// address then.
-    pub fn name(&mut self, now: Mono, life: PeerLife) -> Option<SocketAddr> {
+    pub fn name(&mut self, now: Mono, life: PeerIncarnation) -> Option<SocketAddr> {
         if self.successor.is_some() || !self.is_sought || self.best(now) != Some(life) {
             return None;
         }
@@ -98,14 +98,14 @@
 
     /// Tells whether a host is the successor. It is told so with each heartbeat, since an answer may be
     /// lost.
-    pub fn is_successor(&self, life: PeerLife) -> bool {
+    pub fn is_successor(&self, life: PeerIncarnation) -> bool {
         self.successor
             .is_some_and(|successor| successor.life == life)
     }
 
     /// Gets the host that serves best: an owner's work grows with its pool, so one with enough
     /// processor goes before those with less.
-    fn best(&self, now: Mono) -> Option<PeerLife> {
+    fn best(&self, now: Mono) -> Option<PeerIncarnation> {
         let heard = self
             .offers
             .iter()
--- a/crates/onyxshed-pool/src/summary.rs
+++ b/crates/onyxshed-pool/src/summary.rs
@@ -8,7 +8,7 @@
 
 use crate::error::{Error, Result};
 use crate::job::{JobEnd, NotRunReason, UnknownReason};
-use crate::room::Room;
+use crate::resources::Resources;
 
 /// What an entry host writes down when it answers a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// The caller's estimate of a task's run time.
     pub estimate: Millis,
     /// What each task needed.
-    pub demand: Room,
+    pub demand: Resources,
     /// The pool that was asked last.
     pub pool: SmolStr,
     /// Version of the manifest.
@@ -84,10 +84,10 @@
     text.strip_suffix("ms")?.parse().ok().map(Millis)
 }
 
-fn read_room(text: &str) -> Option<Room> {
+fn read_room(text: &str) -> Option<Resources> {
     let mut parts = text.split(' ');
     let mut next = |unit| -> Option<u32> { parts.next()?.strip_suffix(unit)?.parse().ok() };
-    Some(Room {
+    Some(Resources {
         cpu_millis: next("mcpu")?,
         memory_mb: next("MB")?,
         accelerators: next("acc")?,
--- a/crates/onyxshed-pool/tests/pool/calls.rs
+++ b/crates/onyxshed-pool/tests/pool/calls.rs
@@ -61,12 +61,12 @@
     assert_eq!(desk.stops().len(), 1);
     desk.report(310, &name, &[], &[]);
     assert!(desk.starts().len() <= 2, "only repeats of the first order");
-    let stopped = desk.pool.stop_answered(
+    let stopped = desk.pool.apply_stop_answer(
         at_ms(320),
         &id(&name),
         order.task,
         order.run,
-        StopAnswer::Taken,
+        StopAnswer::Accepted,
     );
     desk.asked.extend(stopped);
     desk.starts();
@@ -130,7 +130,7 @@
         job: JobId(5),
         index: 0,
     };
-    let listed = desk.pool.executor_listed(at_ms(0), id("x1"), facts(64));
+    let listed = desk.pool.list_executor(at_ms(0), id("x1"), facts(64));
     desk.asked.extend(listed);
     desk.report(1, "x1", &[(stray, 3)], &[]);
     assert_eq!(desk.stops().len(), 1);
@@ -285,7 +285,7 @@
     let (name, order) = desk.run_one(1, job(9, 1, 100));
     let mut leaving = facts(64);
     leaving.is_draining = true;
-    let listed = desk.pool.executor_listed(at_ms(10), id(&name), leaving);
+    let listed = desk.pool.list_executor(at_ms(10), id(&name), leaving);
     desk.asked.extend(listed);
     desk.submit(11, job(10, 1, 100));
     assert!(desk.starts().is_empty());
--- a/crates/onyxshed-pool/tests/pool/candidate.rs
+++ b/crates/onyxshed-pool/tests/pool/candidate.rs
@@ -12,16 +12,16 @@
 fn an_owner_that_answers_is_left_alone_for_a_while() {
     let mut candidate = Candidate::new(400);
     assert_eq!(
-        candidate.vacant(at_ms(0), LastOwner::Stays, None, 0.0),
-        CandidateStep::Leave
+        candidate.evaluate_vacancy(at_ms(0), LastOwner::Active, None, 0.0),
+        CandidateStep::Defer
     );
     assert_eq!(
-        candidate.vacant(at_ms(9_900), LastOwner::Stays, None, 0.0),
-        CandidateStep::Leave
+        candidate.evaluate_vacancy(at_ms(9_900), LastOwner::Active, None, 0.0),
+        CandidateStep::Defer
     );
     let taken = CandidateStep::JoinAfter(Millis(0));
     assert_eq!(
-        candidate.vacant(at_ms(10_000), LastOwner::Stays, None, 0.0),
+        candidate.evaluate_vacancy(at_ms(10_000), LastOwner::Active, None, 0.0),
         taken
     );
 }
@@ -32,7 +32,7 @@
     let mut candidate = Candidate::new(400);
     let taken = CandidateStep::JoinAfter(Millis(0));
     assert_eq!(
-        candidate.vacant(at_ms(0), LastOwner::Gone, None, 0.0),
+        candidate.evaluate_vacancy(at_ms(0), LastOwner::Gone, None, 0.0),
         taken
     );
 }
@@ -44,9 +44,9 @@
 fn an_owner_has_time_to_join_again_when_the_store_is_back() {
     let mut candidate = Candidate::new(400);
     let back_at = Some(at_ms(5_000));
-    let step = candidate.vacant(at_ms(5_480), LastOwner::Gone, back_at, 0.0);
-    assert_eq!(step, CandidateStep::Leave);
-    let step = candidate.vacant(at_ms(5_500), LastOwner::Gone, back_at, 0.0);
+    let step = candidate.evaluate_vacancy(at_ms(5_480), LastOwner::Gone, back_at, 0.0);
+    assert_eq!(step, CandidateStep::Defer);
+    let step = candidate.evaluate_vacancy(at_ms(5_500), LastOwner::Gone, back_at, 0.0);
     assert_eq!(step, CandidateStep::JoinAfter(Millis(0)));
 }
 
@@ -56,29 +56,30 @@
 #[test]
 fn a_host_that_has_just_started_leaves_an_owner_time_to_join_again() {
     let mut candidate = Candidate::new(400);
-    let mut at = |ms| candidate.vacant(at_ms(ms), LastOwner::NeverHeard, None, 0.0);
-    assert_eq!(at(0), CandidateStep::Leave);
-    assert_eq!(at(1_199), CandidateStep::Leave);
+    let mut at = |ms| candidate.evaluate_vacancy(at_ms(ms), LastOwner::Unknown, None, 0.0);
+    assert_eq!(at(0), CandidateStep::Defer);
+    assert_eq!(at(1_199), CandidateStep::Defer);
     assert_eq!(at(1_200), CandidateStep::JoinAfter(Millis(0)));
 }
 
 #[test]
 fn the_wait_begins_anew_with_each_vacancy() {
     let mut candidate = Candidate::new(400);
-    candidate.vacant(at_ms(0), LastOwner::Stays, None, 0.0);
+    candidate.evaluate_vacancy(at_ms(0), LastOwner::Active, None, 0.0);
     // Somebody owns it meanwhile: hosts forget the vacancy with its candidate.
     let mut candidate = Candidate::new(400);
     assert_eq!(
-        candidate.vacant(at_ms(10_000), LastOwner::Stays, None, 0.0),
-        CandidateStep::Leave
+        candidate.evaluate_vacancy(at_ms(10_000), LastOwner::Active, None, 0.0),
+        CandidateStep::Defer
     );
 }
 
 /// Owning a large pool takes several times the processor of the smallest hosts: they go last.
 #[test]
 fn hosts_with_more_processor_go_first() {
-    let pause =
-        |cpu_millis, draw| Candidate::new(cpu_millis).vacant(at_ms(0), LastOwner::Gone, None, draw);
+    let pause = |cpu_millis, draw| {
+        Candidate::new(cpu_millis).evaluate_vacancy(at_ms(0), LastOwner::Gone, None, draw)
+    };
     assert_eq!(pause(500, 1.0), CandidateStep::JoinAfter(Millis(120)));
     assert_eq!(pause(250, 0.0), CandidateStep::JoinAfter(Millis(0)));
     assert_eq!(pause(90, 0.0), CandidateStep::JoinAfter(Millis(600)));
--- a/crates/onyxshed-pool/tests/pool/division.rs
+++ b/crates/onyxshed-pool/tests/pool/division.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use onyxshed_pool::{Division, ExecutorId, PoolId};
+use onyxshed_pool::{ExecutorId, PoolId, ShardLayout};
 use rstest::rstest;
 
 #[rstest]
@@ -14,34 +14,34 @@
 #[case(1_000, 8)]
 #[case(100_000, 16)]
 fn a_zone_has_as_many_pools_as_its_executors_need(#[case] executors: usize, #[case] pools: u32) {
-    let division = Division::default();
-    let found = division.renewed(executors).unwrap_or(division);
+    let division = ShardLayout::default();
+    let found = division.resharded(executors).unwrap_or(division);
     assert_eq!(found.pools, pools);
 }
 
 /// A change gives up every job of the zone: executors that come and go must not cause one.
 #[test]
 fn a_division_stays_while_it_does() {
-    let three = Division {
+    let three = ShardLayout {
         version: 4,
         pools: 3,
     };
     for executors in [140, 333, 500] {
-        assert_eq!(three.renewed(executors), None, "{executors}");
+        assert_eq!(three.resharded(executors), None, "{executors}");
     }
-    assert_eq!(three.renewed(100).map(|found| found.pools), Some(1));
-    assert_eq!(three.renewed(600).map(|found| found.pools), Some(5));
+    assert_eq!(three.resharded(100).map(|found| found.pools), Some(1));
+    assert_eq!(three.resharded(600).map(|found| found.pools), Some(5));
 }
 
 /// An executor comes into another pool, whose group is at a lower generation. Its new owner's token
 /// must be higher all the same, or the executor would refuse it for good.
 #[test]
 fn tokens_rise_with_each_division() {
-    let old = Division {
+    let old = ShardLayout {
         version: 1,
         pools: 1,
     };
-    let new = old.renewed(1_000).expect("a division");
+    let new = old.resharded(1_000).expect("a division");
     assert!(new.token(&pool(7), 1) > old.token(&pool(0), 4_000_000));
 }
 
@@ -49,7 +49,7 @@
 /// each other's runs for good.
 #[test]
 fn no_two_pools_have_a_token_in_common() {
-    let division = Division {
+    let division = ShardLayout {
         version: 1,
         pools: 16,
     };
@@ -69,7 +69,7 @@
 
 #[test]
 fn every_pool_gets_its_share() {
-    let division = Division {
+    let division = ShardLayout {
         version: 1,
         pools: 8,
     };
@@ -94,11 +94,11 @@
 
 #[test]
 fn a_division_is_read_as_written() {
-    let division = Division {
+    let division = ShardLayout {
         version: 7,
         pools: 3,
     };
-    assert_eq!(Division::from_text(&division.to_text()), Some(division));
-    assert_eq!(Division::from_text("7 0"), None);
-    assert_eq!(Division::from_text(""), None);
+    assert_eq!(ShardLayout::from_text(&division.to_text()), Some(division));
+    assert_eq!(ShardLayout::from_text("7 0"), None);
+    assert_eq!(ShardLayout::from_text(""), None);
 }
--- a/crates/onyxshed-pool/tests/pool/evacuation.rs
+++ b/crates/onyxshed-pool/tests/pool/evacuation.rs
@@ -2,8 +2,8 @@
 
 use onyxshed_core::Millis;
 use onyxshed_pool::{
-    Chooser, EvacuationChange, EvacuationRecord, Evacuations, JobEnd, JobId, LogPosition,
-    NotRunReason, PoolId, PoolLoad, RunEnd, StartAnswer, UnknownReason,
+    EvacuationChange, EvacuationRecord, Evacuations, JobEnd, JobId, LogPosition, NotRunReason,
+    PoolId, PoolLoad, PoolSelector, RunEnd, StartAnswer, UnknownReason,
 };
 use rstest::rstest;
 
@@ -66,7 +66,7 @@
         other.apply(told);
     }
     assert_eq!(other, known);
-    assert_eq!(other.evacuated().collect::<Vec<_>>(), ["a"]);
+    assert_eq!(other.evacuated_zones().collect::<Vec<_>>(), ["a"]);
 }
 
 /// Guards against callers who hear nothing, or wait, because their job was queued in the zone.
@@ -157,7 +157,7 @@
         free_cpu_millis,
         ..PoolLoad::default()
     };
-    let mut chooser = Chooser::default();
+    let mut chooser = PoolSelector::default();
     chooser.update_load(&pool("a"), load(500_000));
     chooser.update_load(&pool("b"), load(900_000));
     chooser.update_load(&pool("home"), load(1_000_000));
@@ -165,7 +165,7 @@
     evacuations.apply(record("home", 1, true));
     let mut first = Vec::new();
     for _ in 0..6 {
-        let order = chooser.order(&pool("home"), room(100), 1, &evacuations);
+        let order = chooser.rank_pools(&pool("home"), room(100), 1, &evacuations);
         chooser.record_dispatch(&order[0], room(100), 1, Millis(100));
         first.push(order[0].zone.to_string());
     }
--- a/crates/onyxshed-pool/tests/pool/fixture.rs
+++ b/crates/onyxshed-pool/tests/pool/fixture.rs
@@ -3,16 +3,16 @@
 use onyxshed_core::{Millis, Mono, UnixMs};
 use onyxshed_pool::{
     Action, ExecutorFacts, ExecutorId, ExecutorLists, ExecutorReport, FencingToken, FinishedRun,
-    HoldAnswer, HoldOrder, JobEnd, JobId, JobRequest, PeerLife, Percent, Pool, PoolOptions, Room,
-    RunEnd, RunNumber, RunningRun, Session, StartAnswer, StartOrder, StopOrder, SubmissionNumber,
-    TaskId,
+    HoldAnswer, HoldOrder, JobEnd, JobId, JobRequest, PeerIncarnation, Percent, Pool, PoolOptions,
+    Resources, RunEnd, RunNumber, RunningRun, Session, StartAnswer, StartOrder, StopOrder,
+    SubmissionNumber, TaskId,
 };
 
 /// The host under test.
-pub const OWN: PeerLife = PeerLife(1);
+pub const OWN: PeerIncarnation = PeerIncarnation(1);
 
 /// Another entry host.
-pub const PEER: PeerLife = PeerLife(2);
+pub const PEER: PeerIncarnation = PeerIncarnation(2);
 
 /// How far the executors' clocks are ahead of this host's.
 pub const AHEAD_MS: u64 = 5_000;
@@ -25,8 +25,8 @@
     ExecutorId(name.into())
 }
 
-pub fn room(cores: u32) -> Room {
-    Room {
+pub fn room(cores: u32) -> Resources {
+    Resources {
         cpu_millis: cores * 1_000,
         memory_mb: 64,
         accelerators: 0,
@@ -37,14 +37,14 @@
     ExecutorFacts {
         address: "10.0.0.1:80".parse().expect("an address"),
         upstream: "desk".into(),
-        capacity: Room {
+        capacity: Resources {
             memory_mb: 1_000_000,
             ..room(cores)
         },
         labels: vec!["a".into()],
         rack: None,
         is_draining: false,
-        born: Some(UnixMs(1)),
+        started_at: Some(UnixMs(1)),
     }
 }
 
@@ -61,7 +61,7 @@
         attempts_max: 2,
         stretch_millis: 1_600,
         objective: Millis(60),
-        spent: Millis(0),
+        elapsed: Millis(0),
         time_left: Millis(10_000),
         label: None,
         data_rack: None,
@@ -78,13 +78,13 @@
 ) -> ExecutorReport {
     ExecutorReport::Lists(ExecutorLists {
         clock: UnixMs(clock_ms),
-        born: Some(UnixMs(born)),
+        started_at: Some(UnixMs(born)),
         running: running
             .iter()
             .map(|(task, run)| RunningRun {
                 task: *task,
                 run: RunNumber(*run),
-                done: None,
+                progress: None,
             })
             .collect(),
         finished: finished
@@ -116,7 +116,7 @@
         };
         for (name, cores) in executors {
             desk.asked
-                .extend(desk.pool.executor_listed(at_ms(0), id(name), facts(*cores)));
+                .extend(desk.pool.list_executor(at_ms(0), id(name), facts(*cores)));
             desk.report(0, name, &[], &[]);
         }
         desk.asked.clear();
@@ -159,7 +159,7 @@
         let mut report = lists(ms + AHEAD_MS, 1, &rows, &[]);
         if let ExecutorReport::Lists(lists) = &mut report {
             for (row, told) in lists.running.iter_mut().zip(running) {
-                row.done = Some(Percent::new(told.2));
+                row.progress = Some(Percent::new(told.2));
             }
         }
         self.hold_answer(ms, name, HoldAnswer::Report(report));
@@ -174,14 +174,14 @@
     pub fn hold_answer(&mut self, ms: u64, name: &str, answer: HoldAnswer) {
         let actions = self
             .pool
-            .hold_answered(at_ms(ms), &id(name), at_ms(ms), answer);
+            .apply_hold_answer(at_ms(ms), &id(name), at_ms(ms), answer);
         self.asked.extend(actions);
     }
 
     pub fn start_answer(&mut self, ms: u64, name: &str, order: &StartOrder, answer: &StartAnswer) {
-        let actions = self
-            .pool
-            .start_answered(at_ms(ms), &id(name), order.task, order.run, answer);
+        let actions =
+            self.pool
+                .apply_start_answer(at_ms(ms), &id(name), order.task, order.run, answer);
         self.asked.extend(actions);
     }
 
--- a/crates/onyxshed-pool/tests/pool/handover.rs
+++ b/crates/onyxshed-pool/tests/pool/handover.rs
@@ -73,7 +73,7 @@
     let fenced = onyxshed_pool::HoldAnswer::Report(onyxshed_pool::ExecutorReport::Fenced);
     desk.hold_answer(20, other, fenced);
     assert_eq!(desk.ends(), Vec::new());
-    assert_eq!(desk.pool.live_jobs(), 1);
+    assert_eq!(desk.pool.job_count(), 1);
 }
 
 /// The next owner sends no order to an executor that the last one still uses: its token would end
@@ -85,22 +85,24 @@
         pool,
         asked: Vec::new(),
     };
-    desk.pool.follow_predecessor();
+    desk.pool.await_predecessor();
     for name in ["a", "b"] {
-        let actions = desk.pool.executor_listed(at_ms(0), id(name), facts(64));
+        let actions = desk.pool.list_executor(at_ms(0), id(name), facts(64));
         desk.asked.extend(actions);
     }
     assert_eq!(desk.holds().len(), 0);
     let held =
         |names: &[&str]| -> BTreeSet<ExecutorId> { names.iter().map(|name| id(name)).collect() };
-    let actions = desk.pool.predecessor_holds(at_ms(10), held(&["b"]));
+    let actions = desk
+        .pool
+        .apply_predecessor_executors(at_ms(10), held(&["b"]));
     desk.asked.extend(actions);
     let asked: Vec<String> = desk.holds().into_iter().map(|(name, _)| name).collect();
     assert_eq!(asked, vec!["a"]);
     desk.report(15, "a", &[], &[]);
     desk.submit(16, job(1, 1, 100));
     assert_eq!(desk.starts().len(), 1);
-    let actions = desk.pool.predecessor_holds(at_ms(30), held(&[]));
+    let actions = desk.pool.apply_predecessor_executors(at_ms(30), held(&[]));
     desk.asked.extend(actions);
     let asked: Vec<String> = desk.holds().into_iter().map(|(name, _)| name).collect();
     assert!(asked.contains(&"b".to_owned()));
--- a/crates/onyxshed-pool/tests/pool/hosts.rs
+++ b/crates/onyxshed-pool/tests/pool/hosts.rs
@@ -15,7 +15,7 @@
 }
 
 fn heard(desk: &mut Desk, ms: u64) -> Session {
-    desk.pool.peer_heard(at_ms(ms), PEER, None)
+    desk.pool.record_peer_contact(at_ms(ms), PEER, None)
 }
 
 /// An entry host dies with a job under way. Its caller sends the job again 1,300 ms later, so its
--- a/crates/onyxshed-pool/tests/pool/load.rs
+++ b/crates/onyxshed-pool/tests/pool/load.rs
@@ -5,7 +5,7 @@
 //! estimates off by half either way.
 
 use onyxshed_core::{Millis, Mono};
-use onyxshed_pool::{JobEnd, JobRequest, Room};
+use onyxshed_pool::{JobEnd, JobRequest, Resources};
 use onyxshed_standins::fleet::RunBook;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -46,7 +46,7 @@
 pub fn executors() -> Vec<RunBook> {
     (0..16)
         .map(|index| {
-            let capacity = Room {
+            let capacity = Resources {
                 memory_mb: 100_000,
                 ..room(if index % 3 == 2 { 96 } else { 64 })
             };
--- a/crates/onyxshed-pool/tests/pool/lost.rs
+++ b/crates/onyxshed-pool/tests/pool/lost.rs
@@ -46,7 +46,7 @@
         is_draining: true,
         ..facts(32)
     };
-    let actions = desk.pool.executor_listed(at_ms(10), id("a"), draining);
+    let actions = desk.pool.list_executor(at_ms(10), id("a"), draining);
     desk.asked.extend(actions);
     desk.pass(10, 400);
     assert_eq!(desk.ends(), []);
--- a/crates/onyxshed-pool/tests/pool/order.rs
+++ b/crates/onyxshed-pool/tests/pool/order.rs
@@ -95,7 +95,7 @@
     desk.submit(
         100,
         JobRequest {
-            spent: Millis(80),
+            elapsed: Millis(80),
             ..job(2, 1, 60)
         },
     );
--- a/crates/onyxshed-pool/tests/pool/parts.rs
+++ b/crates/onyxshed-pool/tests/pool/parts.rs
@@ -2,7 +2,7 @@
 
 use onyxshed_core::{Micros, Millis, Mono};
 use onyxshed_pool::speed::Slowdown;
-use onyxshed_pool::{Chooser, Evacuations, JobId, Percent, PoolId, PoolLoad, Room};
+use onyxshed_pool::{Evacuations, JobId, Percent, PoolId, PoolLoad, PoolSelector, Resources};
 use rstest::rstest;
 
 #[rstest]
@@ -20,18 +20,18 @@
 
 #[test]
 fn room_never_goes_below_zero() {
-    let small = Room {
+    let small = Resources {
         cpu_millis: 10,
         memory_mb: 5,
         accelerators: 0,
     };
-    let large = Room {
+    let large = Resources {
         cpu_millis: 4,
         memory_mb: 9,
         accelerators: 1,
     };
-    assert_eq!(small.without(large).to_string(), "6mcpu 0MB 0acc");
-    assert!(!small.holds(large));
+    assert_eq!(small.saturating_sub(large).to_string(), "6mcpu 0MB 0acc");
+    assert!(!small.can_fit(large));
 }
 
 /// An executor that was slow gets no long task and can't show that it has recovered: what was
@@ -60,22 +60,22 @@
         capacity_cpu_millis: 1_000_000,
         free_cpu_millis: free_cores * 1_000,
         waiting_work: waiting_core_ms * 1_000,
-        is_leaving: false,
+        needs_replacement: false,
         successor: None,
-        is_closing: false,
+        is_closed: false,
     }
 }
 
 fn order(home: &PoolLoad, away: &PoolLoad, tasks: u16) -> Vec<String> {
-    let mut chooser = Chooser::default();
+    let mut chooser = PoolSelector::default();
     chooser.update_load(&pool("home"), home.clone());
     chooser.update_load(&pool("away"), away.clone());
-    let demand = Room {
+    let demand = Resources {
         cpu_millis: 27_000,
         memory_mb: 64,
         accelerators: 0,
     };
-    let pools = chooser.order(&pool("home"), demand, tasks, &Evacuations::default());
+    let pools = chooser.rank_pools(&pool("home"), demand, tasks, &Evacuations::default());
     pools.iter().map(|pool| pool.zone.to_string()).collect()
 }
 
@@ -93,7 +93,7 @@
 #[test]
 fn a_closing_pool_is_not_asked() {
     let closing = PoolLoad {
-        is_closing: true,
+        is_closed: true,
         ..load(1_000, 0)
     };
     assert_eq!(order(&closing, &load(0, 60_000), 4), ["away"]);
@@ -113,16 +113,16 @@
 
 #[test]
 fn jobs_handed_over_count_before_the_owner_says_so() {
-    let mut chooser = Chooser::default();
+    let mut chooser = PoolSelector::default();
     chooser.update_load(&pool("home"), load(270, 0));
     chooser.update_load(&pool("away"), load(270, 0));
-    let demand = Room {
+    let demand = Resources {
         cpu_millis: 27_000,
         memory_mb: 64,
         accelerators: 0,
     };
     chooser.record_dispatch(&pool("home"), demand, 32, Millis(1_000));
-    let pools = chooser.order(&pool("home"), demand, 1, &Evacuations::default());
+    let pools = chooser.rank_pools(&pool("home"), demand, 1, &Evacuations::default());
     assert_eq!(pools[0], pool("away"));
 }
 
--- a/crates/onyxshed-pool/tests/pool/search.rs
+++ b/crates/onyxshed-pool/tests/pool/search.rs
@@ -1,7 +1,7 @@
 //! Random faults, in series and overlapping, against what must always hold.
 
 use onyxshed_core::{Millis, Mono};
-use onyxshed_pool::{ExecutorId, JobEnd, JobId, JobRequest, Room};
+use onyxshed_pool::{ExecutorId, JobEnd, JobId, JobRequest, Resources};
 use onyxshed_standins::fleet::RunBook;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -32,7 +32,7 @@
 fn executors(rng: &mut SmallRng) -> Vec<RunBook> {
     (0..EXECUTORS)
         .map(|_| {
-            let capacity = Room {
+            let capacity = Resources {
                 memory_mb: 100_000,
                 ..room(if rng.random_bool(0.3) { 96 } else { 64 })
             };
--- a/crates/onyxshed-pool/tests/pool/successor.rs
+++ b/crates/onyxshed-pool/tests/pool/successor.rs
@@ -4,13 +4,14 @@
 
 use onyxshed_core::UnixMs;
 use onyxshed_pool::{
-    Division, ExecutorFacts, FencingToken, OwnershipTransfer, PeerLife, PoolId, SuccessorOffer,
+    ExecutorFacts, FencingToken, OwnershipTransfer, PeerIncarnation, PoolId, ShardLayout,
+    SuccessorOffer,
 };
 use rstest::rstest;
 
 use crate::fixture::{Desk, PEER, at_ms, facts, id};
 
-const OTHER: PeerLife = PeerLife(3);
+const OTHER: PeerIncarnation = PeerIncarnation(3);
 
 /// The owner's name in its pool's group.
 const MEMBER: &str = "10.0.0.1:7000/1";
@@ -30,11 +31,12 @@
 fn heartbeat(
     desk: &mut Desk,
     ms: u64,
-    life: PeerLife,
+    life: PeerIncarnation,
     offer: Option<SuccessorOffer>,
 ) -> Option<OwnershipTransfer> {
-    desk.pool.peer_heard(at_ms(ms), life, offer);
-    desk.pool.transfer(at_ms(ms), life, vec![MEMBER.into()])
+    desk.pool.record_peer_contact(at_ms(ms), life, offer);
+    desk.pool
+        .transfer_ownership(at_ms(ms), life, vec![MEMBER.into()])
 }
 
 /// Makes an owner that is stopping and has heard two hosts, the second with more processor.
@@ -42,8 +44,8 @@
     let mut desk = Desk::with_executors(&[("a", 64), ("b", 64)]);
     assert_eq!(heartbeat(&mut desk, 0, PEER, Some(offer(2, 90))), None);
     assert_eq!(heartbeat(&mut desk, 0, OTHER, Some(offer(3, 500))), None);
-    desk.pool.leave();
-    desk.pool.seek_successor(true);
+    desk.pool.begin_drain();
+    desk.pool.set_successor_needed(true);
     desk
 }
 
@@ -57,7 +59,7 @@
     let told = heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500)));
     let told = told.expect("a transfer");
     let expected = ExecutorFacts {
-        born: Some(UnixMs(1)),
+        started_at: Some(UnixMs(1)),
         ..facts(64)
     };
     assert_eq!(
@@ -100,7 +102,7 @@
 #[test]
 fn nobody_is_made_the_successor_once_the_store_answers() {
     let mut desk = stopping();
-    desk.pool.seek_successor(false);
+    desk.pool.set_successor_needed(false);
     let told = heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500)));
     assert_eq!(told, None);
 }
@@ -135,7 +137,7 @@
         zone: "a".into(),
         index: 3,
     };
-    let division = Division::default();
+    let division = ShardLayout::default();
     let mut token = division.token(&pool, 5);
     let mut successors = 0;
     while let Some(next) = token.of_successor() {
@@ -152,7 +154,7 @@
 #[test]
 fn an_owner_without_a_list_of_executors_wants_to_be_replaced() {
     let mut desk = Desk::with_executors(&[]);
-    assert!(desk.pool.load(at_ms(1)).is_leaving);
-    desk.pool.executors_read();
-    assert!(!desk.pool.load(at_ms(2)).is_leaving);
+    assert!(desk.pool.load(at_ms(1)).needs_replacement);
+    desk.pool.mark_executors_read();
+    assert!(!desk.pool.load(at_ms(2)).needs_replacement);
 }
--- a/crates/onyxshed-pool/tests/pool/summary.rs
+++ b/crates/onyxshed-pool/tests/pool/summary.rs
@@ -1,7 +1,7 @@
 //! The line about a job's end.
 
 use onyxshed_core::Millis;
-use onyxshed_pool::{JobEnd, JobSummary, NotRunReason, Room, UnknownReason};
+use onyxshed_pool::{JobEnd, JobSummary, NotRunReason, Resources, UnknownReason};
 
 /// What is written when a caller is answered is read again when somebody asks why.
 #[test]
@@ -16,7 +16,7 @@
             target: Millis(204),
             tasks: 8,
             estimate: Millis(90),
-            demand: Room {
+            demand: Resources {
                 cpu_millis: 27_000,
                 memory_mb: 64,
                 accelerators: 1,
--- a/crates/onyxshed-pool/tests/pool/taking.rs
+++ b/crates/onyxshed-pool/tests/pool/taking.rs
@@ -12,7 +12,7 @@
 fn desk_that_takes(taken: usize) -> Desk {
     let mut desk = Desk::with_executors(&[]);
     for name in EXECUTORS {
-        let listed = desk.pool.executor_listed(at_ms(0), id(name), facts(64));
+        let listed = desk.pool.list_executor(at_ms(0), id(name), facts(64));
         desk.asked.extend(listed);
     }
     for (index, name) in EXECUTORS.into_iter().enumerate() {
@@ -53,7 +53,7 @@
 #[test]
 fn a_first_report_may_take_longer_than_a_renewal() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
-    let listed = desk.pool.executor_listed(at_ms(0), id("x2"), facts(64));
+    let listed = desk.pool.list_executor(at_ms(0), id("x2"), facts(64));
     desk.asked.extend(listed);
     let first = desk.holds().pop().expect("a first report is asked for").1;
     desk.report(10, "x1", &[], &[]);
--- a/crates/onyxshed-pool/tests/pool/world.rs
+++ b/crates/onyxshed-pool/tests/pool/world.rs
@@ -14,8 +14,9 @@
 
 use onyxshed_core::{Micros, Millis, Mono};
 use onyxshed_pool::{
-    ExecutorId, HoldAnswer, HoldOrder, JobEnd, JobId, JobRequest, PeerLife, Pool, PoolOptions,
-    RunNumber, Session, StartAnswer, StartOrder, StopAnswer, StopOrder, SubmissionNumber, TaskId,
+    ExecutorId, HoldAnswer, HoldOrder, JobEnd, JobId, JobRequest, PeerIncarnation, Pool,
+    PoolOptions, RunNumber, Session, StartAnswer, StartOrder, StopAnswer, StopOrder,
+    SubmissionNumber, TaskId,
 };
 use onyxshed_standins::fleet::RunBook;
 use rand::rngs::SmallRng;
@@ -103,7 +104,7 @@
 }
 
 struct Entry {
-    life: PeerLife,
+    life: PeerIncarnation,
     session: Session,
     /// When each owner was last heard.
     heard: BTreeMap<OwnerIndex, Mono>,
@@ -206,9 +207,9 @@
         world
     }
 
-    fn new_life(&mut self) -> PeerLife {
+    fn new_life(&mut self) -> PeerIncarnation {
         self.last_life += 1;
-        PeerLife(self.last_life)
+        PeerIncarnation(self.last_life)
     }
 
     fn log(&mut self, task: TaskId, words: String) {
--- a/crates/onyxshed-pool/tests/pool/world/callers.rs
+++ b/crates/onyxshed-pool/tests/pool/world/callers.rs
@@ -33,7 +33,9 @@
         let heard = self.entries[index].heard.get(&owner);
         let last = heard.copied().unwrap_or(Mono(1_000_000));
         if !is_away {
-            let session = self.owners[owner].pool.peer_heard(self.now, life, None);
+            let session = self.owners[owner]
+                .pool
+                .record_peer_contact(self.now, life, None);
             self.entries[index].heard.insert(owner, self.now);
             if is_current {
                 self.entries[index].session = session;
--- a/crates/onyxshed-pool/tests/pool/world/owners.rs
+++ b/crates/onyxshed-pool/tests/pool/world/owners.rs
@@ -30,7 +30,7 @@
         });
         let owner = self.current();
         if let Some(last) = last {
-            self.owners[owner].pool.follow_predecessor();
+            self.owners[owner].pool.await_predecessor();
             let over_at = self.now + HANDOVER_MAX;
             self.after(Millis(1), Event::Release(last, owner, over_at));
             // An entry host hands jobs over on a link that the owner has answered.
@@ -46,7 +46,7 @@
             .map(|(id, executor)| (id.clone(), facts_of(executor)))
             .collect();
         for (id, facts) in listed {
-            let actions = self.owners[owner].pool.executor_listed(self.now, id, facts);
+            let actions = self.owners[owner].pool.list_executor(self.now, id, facts);
             self.act(owner, actions);
         }
         self.after(TICK, Event::Tick(owner));
@@ -75,7 +75,7 @@
                     task,
                     run,
                     executor,
-                    why,
+                    reason: why,
                 }) => self.log(task, format!("{owner} has run {run} on {executor}: {why}")),
                 Action::Log(_) => {}
             }
@@ -134,7 +134,7 @@
         let way = self.travel();
         let held = held.into_iter().collect();
         self.at(self.now + way, Event::Held(last, next, over_at, held));
-        if self.owners[last].pool.live_jobs() == 0 {
+        if self.owners[last].pool.job_count() == 0 {
             self.owners[last].is_dead = true;
         }
     }
@@ -152,7 +152,9 @@
         if !held.is_empty() {
             self.after(TICK, Event::Release(last, next, over_at));
         }
-        let actions = self.owners[next].pool.predecessor_holds(self.now, held);
+        let actions = self.owners[next]
+            .pool
+            .apply_predecessor_executors(self.now, held);
         self.act(next, actions);
     }
 
@@ -222,12 +224,14 @@
         let pool = &mut self.owners[owner].pool;
         let actions = match (order, answer) {
             (Order::Start(order), Answer::Start(answer)) => {
-                pool.start_answered(now, id, order.task, order.run, &answer)
+                pool.apply_start_answer(now, id, order.task, order.run, &answer)
             }
             (Order::Stop(order), Answer::Stop(answer)) => {
-                pool.stop_answered(now, id, order.task, order.run, answer)
+                pool.apply_stop_answer(now, id, order.task, order.run, answer)
+            }
+            (Order::Hold(_), Answer::Hold(answer)) => {
+                pool.apply_hold_answer(now, id, sent_at, answer)
             }
-            (Order::Hold(_), Answer::Hold(answer)) => pool.hold_answered(now, id, sent_at, answer),
             (order, answer) => panic!("{answer:?} answers {order:?}"),
         };
         self.act(owner, actions);
@@ -242,6 +246,6 @@
         labels: Vec::new(),
         rack: None,
         is_draining: false,
-        born: Some(onyxshed_core::UnixMs(executor.born)),
+        started_at: Some(onyxshed_core::UnixMs(executor.born)),
     }
 }
--- a/crates/onyxshed-proto/src/pool.rs
+++ b/crates/onyxshed-proto/src/pool.rs
@@ -9,7 +9,7 @@
 
 use onyxshed_core::Millis;
 use onyxshed_pool::{
-    ExecutorId, JobEnd, JobId, JobRequest, NotRunReason, PeerLife, PoolLoad, Room,
+    ExecutorId, JobEnd, JobId, JobRequest, NotRunReason, PeerIncarnation, PoolLoad, Resources,
     SubmissionNumber, UnknownReason,
 };
 use smol_str::{SmolStr, format_smolstr};
@@ -25,8 +25,8 @@
     to.set_capacity_cpu_millis(load.capacity_cpu_millis);
     to.set_free_cpu_millis(load.free_cpu_millis);
     to.set_waiting_work(load.waiting_work);
-    to.set_is_leaving(load.is_leaving);
-    to.set_is_closing(load.is_closing);
+    to.set_is_leaving(load.needs_replacement);
+    to.set_is_closing(load.is_closed);
     if let Some(successor) = load.successor {
         to.set_successor(format_smolstr!("{successor}").as_str());
     }
@@ -39,8 +39,8 @@
         capacity_cpu_millis: from.get_capacity_cpu_millis(),
         free_cpu_millis: from.get_free_cpu_millis(),
         waiting_work: from.get_waiting_work(),
-        is_leaving: from.get_is_leaving(),
-        is_closing: from.get_is_closing(),
+        needs_replacement: from.get_is_leaving(),
+        is_closed: from.get_is_closing(),
         successor: successor.as_deref().map(address).transpose()?,
     })
 }
@@ -90,7 +90,7 @@
     to.set_attempts_max(job.attempts_max);
     to.set_stretch_millis(job.stretch_millis);
     to.set_objective_ms(job.objective.0);
-    to.set_spent_ms(job.spent.0);
+    to.set_spent_ms(job.elapsed.0);
     to.set_time_left_ms(job.time_left.0);
     to.set_label(job.label.as_deref().unwrap_or_default());
     to.set_data_rack(job.data_rack.as_deref().unwrap_or_default());
@@ -98,7 +98,7 @@
 }
 
 /// Tries to read a job of an entry host.
-pub fn read_job(peer: PeerLife, from: pool_job::Reader<'_>) -> capnp::Result<JobRequest> {
+pub fn read_job(peer: PeerIncarnation, from: pool_job::Reader<'_>) -> capnp::Result<JobRequest> {
     let per_executor_max = from.get_per_executor_max();
     Ok(JobRequest {
         peer,
@@ -107,7 +107,7 @@
         upstream: text(from.get_upstream()?)?,
         spec: text(from.get_spec()?)?,
         tasks: from.get_tasks(),
-        demand: Room {
+        demand: Resources {
             cpu_millis: from.get_cpu_millis(),
             memory_mb: from.get_memory_mb(),
             accelerators: from.get_accelerators(),
@@ -116,7 +116,7 @@
         attempts_max: from.get_attempts_max(),
         stretch_millis: from.get_stretch_millis(),
         objective: Millis(from.get_objective_ms()),
-        spent: Millis(from.get_spent_ms()),
+        elapsed: Millis(from.get_spent_ms()),
         time_left: Millis(from.get_time_left_ms()),
         label: given(text(from.get_label()?)?),
         data_rack: given(text(from.get_data_rack()?)?),
--- a/crates/onyxshed-proto/src/pool/peer_state.rs
+++ b/crates/onyxshed-proto/src/pool/peer_state.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use onyxshed_pool::{Division, EvacuationRecord, PoolId};
+use onyxshed_pool::{EvacuationRecord, PoolId, ShardLayout};
 use smol_str::{SmolStr, format_smolstr};
 
 use super::{address, length, read_evacuations, text, write_evacuations};
@@ -16,7 +16,7 @@
     /// Pools, and where their owners are asked.
     pub owners: Vec<(PoolId, SocketAddr)>,
     /// How zones are divided.
-    pub divisions: Vec<(SmolStr, Division)>,
+    pub divisions: Vec<(SmolStr, ShardLayout)>,
     /// Evacuations of zones.
     pub evacuations: Vec<EvacuationRecord>,
 }
@@ -59,7 +59,7 @@
         divisions: divisions
             .iter()
             .map(|entry| {
-                let division = Division::from_text(&text(entry.get_division()?)?);
+                let division = ShardLayout::from_text(&text(entry.get_division()?)?);
                 let division = division.ok_or_else(|| unreadable("division"))?;
                 Ok((text(entry.get_zone()?)?, division))
             })
--- a/crates/onyxshed-proto/src/pool/transfer.rs
+++ b/crates/onyxshed-proto/src/pool/transfer.rs
@@ -2,7 +2,7 @@
 
 use onyxshed_core::UnixMs;
 use onyxshed_pool::{
-    ExecutorFacts, ExecutorId, FencingToken, OwnershipTransfer, Room, SuccessorOffer,
+    ExecutorFacts, ExecutorId, FencingToken, OwnershipTransfer, Resources, SuccessorOffer,
 };
 use smol_str::format_smolstr;
 
@@ -46,7 +46,7 @@
         entry.set_accelerators(facts.capacity.accelerators);
         entry.set_rack(facts.rack.as_deref().unwrap_or_default());
         entry.set_is_draining(facts.is_draining);
-        entry.set_born_ms(facts.born.map_or(0, |born| born.0));
+        entry.set_born_ms(facts.started_at.map_or(0, |born| born.0));
         let mut labels = entry.init_labels(length(&facts.labels)?);
         for (place, label) in (0..).zip(&facts.labels) {
             labels.set(place, label.as_str());
@@ -78,7 +78,7 @@
     Ok(ExecutorFacts {
         address: address(&text(from.get_address()?)?)?,
         upstream: text(from.get_upstream()?)?,
-        capacity: Room {
+        capacity: Resources {
             cpu_millis: from.get_cpu_millis(),
             memory_mb: from.get_memory_mb(),
             accelerators: from.get_accelerators(),
@@ -89,6 +89,6 @@
             .collect::<capnp::Result<_>>()?,
         rack: given(text(from.get_rack()?)?),
         is_draining: from.get_is_draining(),
-        born: (born_ms > 0).then_some(UnixMs(born_ms)),
+        started_at: (born_ms > 0).then_some(UnixMs(born_ms)),
     })
 }
--- a/crates/onyxshed-standins/src/fleet/executor.rs
+++ b/crates/onyxshed-standins/src/fleet/executor.rs
@@ -17,8 +17,8 @@
 use onyxshed_http::{Call, Reply};
 use onyxshed_kernel::Change;
 use onyxshed_pool::{
-    ExecutorReport, FencingToken, FinishedRun, HoldOrder, RefuseReason, Room, RunEnd, RunNumber,
-    StartAnswer, StartOrder, StopAnswer, StopOrder, TaskId,
+    ExecutorReport, FencingToken, FinishedRun, HoldOrder, RefuseReason, Resources, RunEnd,
+    RunNumber, StartAnswer, StartOrder, StopAnswer, StopOrder, TaskId,
 };
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -146,8 +146,8 @@
 }
 
 /// What each task takes: half of the smallest executor, so that two fit.
-fn demand(capacity_cpu_millis: u32) -> Room {
-    Room {
+fn demand(capacity_cpu_millis: u32) -> Resources {
+    Resources {
         cpu_millis: capacity_cpu_millis / 2,
         memory_mb: 1,
         accelerators: 0,
@@ -157,7 +157,7 @@
 impl FleetExecutor {
     /// Makes an idle executor.
     pub fn new(options: FleetExecutorOptions, executor: Rc<LocalExecutor<'static>>) -> Self {
-        let capacity = Room {
+        let capacity = Resources {
             cpu_millis: options.cpu_millis,
             memory_mb: 1_000_000,
             accelerators: 0,
@@ -391,7 +391,7 @@
         let was_there = self.inner.book.borrow().runs.contains_key(&task);
         match self.inner.book.borrow_mut().stop(&stop) {
             StopAnswer::Fenced => return self.refuse("fence"),
-            StopAnswer::Taken | StopAnswer::OtherLife | StopAnswer::Unknown => {}
+            StopAnswer::Accepted | StopAnswer::OtherIncarnation | StopAnswer::Unknown => {}
         }
         if was_there && !self.inner.book.borrow().runs.contains_key(&task) {
             self.record(task, stop.run, "stopped");
@@ -441,7 +441,7 @@
             .collect();
         let finished: Vec<Value> = lists.finished.iter().map(end_row).collect();
         let told = json!({
-            "clock_ms": lists.clock.0, "born": lists.born.map(|at| at.0),
+            "clock_ms": lists.clock.0, "born": lists.started_at.map(|at| at.0),
             "running": running, "finished": finished,
         });
         Act::Reply(Reply::json(OK, &told))
--- a/crates/onyxshed-standins/src/fleet/run_book.rs
+++ b/crates/onyxshed-standins/src/fleet/run_book.rs
@@ -6,8 +6,8 @@
 
 use onyxshed_core::{Micros, Mono, UnixMs};
 use onyxshed_pool::{
-    ExecutorLists, ExecutorReport, FinishedRun, HoldOrder, Percent, RefuseReason, Room, RunEnd,
-    RunNumber, RunningRun, StartAnswer, StartOrder, StopAnswer, StopOrder, TaskId,
+    ExecutorLists, ExecutorReport, FinishedRun, HoldOrder, Percent, RefuseReason, Resources,
+    RunEnd, RunNumber, RunningRun, StartAnswer, StartOrder, StopAnswer, StopOrder, TaskId,
 };
 
 /// Longest lease that an executor grants.
@@ -19,7 +19,7 @@
     /// Which run of its task.
     pub number: RunNumber,
     /// What it takes.
-    pub demand: Room,
+    pub demand: Resources,
     /// How long it takes on an ordinary executor.
     work: Micros,
     /// How much of that was done at `counted_at`.
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub struct RunBook {
     /// Room when nothing runs.
-    pub capacity: Room,
+    pub capacity: Resources,
     /// How many times faster than an ordinary executor it is.
     pub speed: f64,
     /// When this life of it began, as it says.
@@ -86,7 +86,7 @@
 
 impl RunBook {
     /// Makes an idle executor.
-    pub fn new(capacity: Room, speed: f64, ahead_ms: u64, slow_millis: u64) -> Self {
+    pub fn new(capacity: Resources, speed: f64, ahead_ms: u64, slow_millis: u64) -> Self {
         RunBook {
             capacity,
             speed,
@@ -136,7 +136,7 @@
         };
     }
 
-    fn free(&self) -> Room {
+    fn free(&self) -> Resources {
         let mut free = self.capacity;
         for run in self.runs.values() {
             free -= run.demand;
@@ -166,7 +166,7 @@
         &mut self,
         now: Mono,
         order: &StartOrder,
-        demand: Room,
+        demand: Resources,
         work: Micros,
     ) -> (StartAnswer, bool) {
         let refused = |reason| (StartAnswer::Refused(reason), false);
@@ -188,7 +188,7 @@
         if order.run.0 <= barred {
             return refused(RefuseReason::Ended);
         }
-        if !self.free().holds(demand) {
+        if !self.free().can_fit(demand) {
             return refused(RefuseReason::NoRoom);
         }
         let run = BookedRun {
@@ -219,7 +219,7 @@
         if is_there {
             self.end(order.task, RunEnd::Stopped);
         }
-        StopAnswer::Taken
+        StopAnswer::Accepted
     }
 
     /// Ends a run and lists its end.
@@ -269,11 +269,11 @@
         let running = self.runs.iter().map(|(task, run)| RunningRun {
             task: *task,
             run: run.number,
-            done: Some(run.percent_at(now, self.speed)),
+            progress: Some(run.percent_at(now, self.speed)),
         });
         ExecutorReport::Lists(ExecutorLists {
             clock: UnixMs(self.clock_ms(now)),
-            born: Some(UnixMs(self.born)),
+            started_at: Some(UnixMs(self.born)),
             running: running.collect(),
             finished: self.ends.clone(),
             listed_to: self.last_end,
