--- a/crates/onyxshed-policy/src/budget.rs
+++ b/crates/onyxshed-policy/src/budget.rs
@@ -1,41 +1,42 @@
-//! Budgets of extra messages, tied to finished work.
+//! Budgets of retries and hedges, proportional to finished tasks.
 //!
-//! Retries and hedges are drawn from a token bucket that only finished tasks fill. When nothing
-//! finishes, an outage can't be made worse by repeats: the bucket runs dry and stays so.
+//! Retries and hedges take tokens from a bucket that only finished tasks refill. When nothing
+//! finishes, the bucket runs empty, so repeats cannot make an outage worse.
 
-/// A token bucket filled by finished tasks.
+/// A token bucket that finished tasks refill.
 #[derive(Debug, Clone)]
 pub struct Budget {
     tokens: f64,
     per_finished: f64,
-    most: f64,
+    max_tokens: f64,
 }
 
 impl Budget {
-    /// Makes a full bucket of `most` tokens that gets `per_finished` for each finished task.
-    pub fn new(per_finished: f64, most: f64) -> Self {
+    /// Creates a full bucket of `max_tokens` tokens that gains `per_finished` tokens per finished
+    /// task.
+    pub fn new(per_finished: f64, max_tokens: f64) -> Self {
         Budget {
-            tokens: most,
+            tokens: max_tokens,
             per_finished,
-            most,
+            max_tokens,
         }
     }
 
-    /// Takes in a finished task.
-    pub fn finished(&mut self) {
-        self.tokens = (self.tokens + self.per_finished).min(self.most);
+    /// Adds the tokens of one finished task.
+    pub fn record_finished(&mut self) {
+        self.tokens = (self.tokens + self.per_finished).min(self.max_tokens);
     }
 
-    /// Tries to take one token.
-    pub fn take(&mut self) -> bool {
-        let has_one = self.tokens >= 1.0;
-        if has_one {
+    /// Takes one token; returns false if there is none.
+    pub fn try_take(&mut self) -> bool {
+        let has_token = self.tokens >= 1.0;
+        if has_token {
             self.tokens -= 1.0;
         }
-        has_one
+        has_token
     }
 
-    /// Tells whether a token is left.
+    /// Returns whether a token is available.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
--- a/crates/onyxshed-policy/src/class.rs
+++ b/crates/onyxshed-policy/src/class.rs
@@ -1,4 +1,4 @@
-//! One class of work: its target and what was learned of it.
+//! State of one class: its target and the estimates learned for it.
 
 use onyxshed_core::{ClassTarget, Micros, Mono};
 
@@ -7,34 +7,34 @@
 use crate::faults::ClassFaults;
 use crate::span::to_micros;
 
-/// Share of tasks that are longer than the shortest time held to be possible.
-const FLOOR_Q: f64 = 0.02;
+/// Quantile of the service time that counts as the shortest possible one.
+const MIN_TIME_QUANTILE: f64 = 0.02;
 
-/// The same while more work arrives than can be done.
-const CROWDED_FLOOR_Q: f64 = 0.5;
+/// Quantile that takes the place of `MIN_TIME_QUANTILE` under overload.
+const OVERLOADED_MIN_TIME_QUANTILE: f64 = 0.5;
 
-/// Share of tasks that stay within the usual time.
-const USUAL_Q: f64 = 0.99;
+/// Quantile of the time that nearly all tasks stay within.
+const HIGH_QUANTILE: f64 = 0.99;
 
 /// State of one class.
 #[derive(Debug)]
 pub struct Class {
-    /// Its target.
+    /// Configured target.
     pub target: ClassTarget,
-    /// Whether it is still configured; its last tasks go on if it is not.
+    /// Whether the class is still configured; if not, its remaining tasks are still run.
     pub is_configured: bool,
-    /// Its service times.
+    /// Learned service times.
     pub estimate: ClassEstimate,
-    /// Work that arrives.
+    /// Rate of arriving work.
     pub demand: Demand,
-    /// Its failures.
+    /// Failures per executor and job.
     pub faults: ClassFaults,
     /// Attempts that have not ended.
     pub in_flight: u32,
 }
 
 impl Class {
-    /// Makes the state of a class that has just become known.
+    /// Creates the state of a newly configured class.
     pub fn new(target: ClassTarget) -> Self {
         Class {
             target,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Replaces the target; another upstream means that nothing learned holds any more.
+    /// Replaces the target. If the upstream changes, the estimates and failures are reset.
     pub fn update(&mut self, target: &ClassTarget) {
         if self.target.upstream != target.upstream {
             self.estimate = ClassEstimate::default();
@@ -56,38 +56,45 @@
         self.is_configured = true;
     }
 
-    /// Tells whether the class had better try a task than go by a stale estimate.
-    pub fn needs_try(&self, now: Mono) -> bool {
+    /// Returns whether a task should test the estimate, because it is stale and no attempt is
+    /// running.
+    pub fn needs_sample(&self, now: Mono) -> bool {
         self.in_flight == 0 && self.estimate.is_stale(now)
     }
 
-    /// Tells whether the class has work under way on the same upstream as `other`.
-    pub fn shares(&self, other: &Class) -> bool {
+    /// Returns whether the class has tasks running on the same upstream as `other`.
+    pub fn competes_with(&self, other: &Class) -> bool {
         self.in_flight > 0 && self.target.upstream == other.target.upstream
     }
 
-    /// Gets the shortest time worth starting with, on an executor `slowdown` times as slow as the
-    /// ordinary one; zero until learned.
+    /// Returns the minimum time left with which a task is worth starting, on an executor `slowdown`
+    /// times as slow as the ordinary one; zero as long as too few tasks have finished.
     ///
-    /// A task with less time left is given up at once. While more work arrives than can be done,
-    /// that is the middling time, since the place serves a task that makes it instead; otherwise
-    /// the time that hardly any task stays under. A stale estimate gives nothing up.
-    pub fn floor(&self, now: Mono, slowdown: f64, is_crowded: bool) -> Micros {
+    /// A task with less time left is dropped at once. Under overload the minimum is the median
+    /// service time, because the slot is better used by a task that finishes in time; otherwise it
+    /// is a time that hardly any task stays under. With a stale estimate the minimum is zero.
+    pub fn min_useful_time(&self, now: Mono, slowdown: f64, is_overloaded: bool) -> Micros {
         if self.estimate.is_stale(now) {
             return Micros(0);
         }
-        let q = if is_crowded { CROWDED_FLOOR_Q } else { FLOOR_Q };
-        let floor_us = self.estimate.quantile_us(q).unwrap_or(0.0);
-        to_micros(floor_us * slowdown)
+        let quantile = if is_overloaded {
+            OVERLOADED_MIN_TIME_QUANTILE
+        } else {
+            MIN_TIME_QUANTILE
+        };
+        let min_us = self.estimate.quantile_us(quantile).unwrap_or(0.0);
+        to_micros(min_us * slowdown)
     }
 
-    /// Gets the time that all but few tasks stay within, likewise; none until learned.
-    pub fn usual(&self, slowdown: f64) -> Option<Micros> {
-        let usual_us = self.estimate.quantile_us(USUAL_Q)?;
-        Some(to_micros(usual_us * slowdown))
+    /// Returns the 99th percentile of the service time on an executor of that `slowdown`; `None` as
+    /// long as too few tasks have finished.
+    pub fn service_time_p99(&self, slowdown: f64) -> Option<Micros> {
+        let p99_us = self.estimate.quantile_us(HIGH_QUANTILE)?;
+        Some(to_micros(p99_us * slowdown))
     }
 
-    /// Gets the time of a middling task, likewise; zero until learned.
+    /// Returns the median service time on an executor of that `slowdown`; zero as long as too few
+    /// tasks have finished.
     pub fn median(&self, slowdown: f64) -> Micros {
         let median_us = self.estimate.quantile_us(0.5).unwrap_or(0.0);
         to_micros(median_us * slowdown)
--- a/crates/onyxshed-policy/src/decision.rs
+++ b/crates/onyxshed-policy/src/decision.rs
@@ -1,4 +1,5 @@
-//! What people should read about, and counts of messages that served no answer.
+//! Decisions that are logged for operators, and counts of messages that did not contribute to an
+//! answer.
 
 use std::collections::VecDeque;
 
@@ -6,39 +7,40 @@
 
 pub use crate::executor::breaker::BreakerReason;
 
-/// Most notes kept until they are drained.
-const NOTES_MAX: usize = 1_024;
+/// Maximum number of buffered decisions.
+const DECISIONS_MAX: usize = 1_024;
 
-/// Something the policy decided that an operator reads about.
+/// A decision of the policy that is logged for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PolicyDecision {
-    /// An executor gets no new work but probes.
+    /// The breaker of an executor opened: it gets no tasks except probes.
     BreakerOpened {
-        /// The executor.
+        /// Name of the executor.
         executor: ExecutorName,
-        /// Why.
+        /// Reason for which the breaker opened.
         reason: BreakerReason,
     },
-    /// An executor gets work again.
+    /// The breaker of an executor closed: it gets tasks again.
     BreakerClosed {
-        /// The executor.
+        /// Name of the executor.
         executor: ExecutorName,
     },
-    /// A job fails on executors that run others well.
+    /// A job was marked unrunnable: it failed on several executors that run other jobs well.
     JobUnrunnable {
         /// The job.
         submission: SubmissionId,
-        /// Its class.
+        /// Class of the job.
         class: ClassName,
     },
-    /// Every job of a class fails, on every executor.
+    /// A class was marked unrunnable: several of its jobs failed on several executors, and none of
+    /// its tasks finished in between.
     ClassUnrunnable {
-        /// The class.
+        /// Name of the class.
         class: ClassName,
     },
-    /// A class held to be unable to run has finished a task.
+    /// A class that was marked unrunnable has finished a task.
     ClassRunnable {
-        /// The class.
+        /// Name of the class.
         class: ClassName,
     },
 }
@@ -48,35 +50,35 @@
 pub struct WastedMessages {
     /// Starts that the executor refused.
     pub refusals: u64,
-    /// Starts of which no byte left.
+    /// Starts of which nothing was sent.
     pub unsent: u64,
-    /// Starts after an attempt that ran and did not finish.
+    /// Starts that repeat an attempt that ran, or may have run, and did not finish.
     pub retries: u64,
-    /// Second copies started beside a running one.
+    /// Second copies started while the first was running.
     pub hedges: u64,
-    /// Starts on an executor under doubt that did not finish.
+    /// Probes of executors with an open breaker that did not finish their task.
     pub failed_probes: u64,
-    /// Attempts stopped at our word.
+    /// Attempts that this host stopped.
     pub stopped: u64,
 }
 
-/// Notes that wait to be drained; the oldest is dropped when they are too many.
+/// Decisions that wait to be drained; the oldest is dropped when the buffer is full.
 #[derive(Debug, Default)]
-pub struct Notes {
-    waiting: VecDeque<PolicyDecision>,
+pub struct DecisionBuffer {
+    buffered: VecDeque<PolicyDecision>,
 }
 
-impl Notes {
-    /// Adds a note.
-    pub fn push(&mut self, note: PolicyDecision) {
-        if self.waiting.len() == NOTES_MAX {
-            self.waiting.pop_front();
+impl DecisionBuffer {
+    /// Adds a decision.
+    pub fn push(&mut self, decision: PolicyDecision) {
+        if self.buffered.len() == DECISIONS_MAX {
+            self.buffered.pop_front();
         }
-        self.waiting.push_back(note);
+        self.buffered.push_back(decision);
     }
 
-    /// Takes all notes out, oldest first.
+    /// Removes and returns all decisions, oldest first.
     pub fn drain(&mut self) -> Vec<PolicyDecision> {
-        self.waiting.drain(..).collect()
+        self.buffered.drain(..).collect()
     }
 }
--- a/crates/onyxshed-policy/src/executor.rs
+++ b/crates/onyxshed-policy/src/executor.rs
@@ -1,4 +1,4 @@
-//! One executor as this entry host sees it.
+//! State of one executor from this entry host's point of view.
 
 pub mod breaker;
 pub mod limit;
@@ -12,156 +12,166 @@
 use crate::work::ExecutorInfo;
 use breaker::{Breaker, Gate};
 use limit::Limit;
-use sharing::{Room, Sharing, Terms};
+use sharing::{PeerLoad, StartConditions, StartRequest};
 use speed::Speed;
 
-/// How long a draining report is believed when the host list says nothing, in milliseconds.
-const DRAINING_BELIEVED: Millis = Millis(30_000);
+/// Time for which a draining report holds if the host list does not mention it.
+const DRAINING_REPORT_TTL: Millis = Millis(30_000);
 
-/// Silence that puts an executor in doubt, in times of what its tasks usually stay within.
-const PATIENCE_FACTOR: u64 = 4;
+/// Time without a response, as a multiple of the 99th percentile of the service time, after which
+/// an executor is unresponsive.
+const RESPONSE_TIMEOUT_FACTOR: u64 = 4;
 
-/// Shortest silence that puts an executor in doubt, in milliseconds.
-const PATIENCE_MIN: Millis = Millis(500);
+/// Minimum time without a response after which an executor is unresponsive.
+const RESPONSE_TIMEOUT_MIN: Millis = Millis(500);
 
 /// State of one executor.
 #[derive(Debug)]
 pub struct Executor {
-    /// Its number over its whole life here; never used again.
+    /// Identifies the executor for as long as it is known; never reused.
     pub id: ExecutorId,
-    /// What the configuration says of it.
+    /// Configured properties.
     pub info: ExecutorInfo,
-    /// Attempts of ours that have not ended.
+    /// This host's attempts that have not ended.
     pub in_flight: u32,
-    /// Whether it is no longer known; it goes when its last attempt has ended.
-    pub is_gone: bool,
-    /// How slow it is.
+    /// Whether the executor is missing from the current list; it is removed with its last attempt's
+    /// end.
+    pub is_removed: bool,
+    /// Learned speed relative to the other executors.
     pub speed: Speed,
-    /// How much it takes.
+    /// Learned limit on concurrent tasks.
     pub limit: Limit,
-    /// What others run there.
-    pub sharing: Sharing,
-    /// Whether it gets work.
+    /// Estimated load by other entry hosts.
+    pub peer_load: PeerLoad,
+    /// Circuit breaker.
     pub breaker: Breaker,
-    quiet_since: Mono,
-    usual: Micros,
+    no_response_since: Mono,
+    service_time_p99: Micros,
     draining_until: Mono,
 }
 
 impl Executor {
-    /// Makes the state of an executor that has just become known.
+    /// Creates the state of a newly known executor.
     pub fn new(id: ExecutorId, info: ExecutorInfo) -> Self {
         Executor {
             id,
             limit: Limit::new(info.slots),
             info,
             in_flight: 0,
-            is_gone: false,
+            is_removed: false,
             speed: Speed::default(),
-            sharing: Sharing::default(),
+            peer_load: PeerLoad::default(),
             breaker: Breaker::default(),
-            quiet_since: Mono::default(),
-            usual: Micros(u64::MAX),
+            no_response_since: Mono::default(),
+            service_time_p99: Micros(u64::MAX),
             draining_until: Mono::default(),
         }
     }
 
-    /// Tells whether it may get new work as far as its life cycle goes.
-    pub fn is_live(&self, now: Mono) -> bool {
-        let is_kept = !self.is_gone && !self.info.is_draining;
-        is_kept && self.info.slots > 0 && self.draining_until <= now
+    /// Returns whether the executor is configured, has slots and is not draining.
+    pub fn is_schedulable(&self, now: Mono) -> bool {
+        let is_configured = !self.is_removed && !self.info.is_draining;
+        is_configured && self.info.slots > 0 && self.draining_until <= now
     }
 
-    /// Tells whether attempts are there and nothing has come back for longer than its patience.
-    pub fn is_quiet(&self, now: Mono) -> bool {
-        self.in_flight > 0 && now.since(self.quiet_since) > self.patience()
+    /// Returns whether attempts are in flight and no response has arrived for longer than the
+    /// response timeout.
+    pub fn is_unresponsive(&self, now: Mono) -> bool {
+        self.in_flight > 0 && now.since(self.no_response_since) > self.response_timeout()
     }
 
-    /// Gets what it may get now, with everything but its place for one more task counted.
+    /// Returns what the executor may get now, apart from the check for a free slot.
     ///
-    /// One that has gone quiet gets nothing more at once; when its breaker has opened for that, it
-    /// is tried like any other, as its old tasks may never be heard of again.
+    /// An unresponsive executor gets no more tasks at once. After its breaker has opened for that
+    /// reason it is probed like any other, because its old attempts may never be answered.
     pub fn gate(&self, now: Mono) -> Gate {
         let gate = self.breaker.gate(now);
-        let is_doubtful = gate == Gate::Work && self.is_quiet(now);
-        if is_doubtful || !self.is_live(now) {
-            return Gate::Shut;
+        let is_suspect = gate == Gate::Work && self.is_unresponsive(now);
+        if is_suspect || !self.is_schedulable(now) {
+            return Gate::Blocked;
         }
         gate
     }
 
-    /// Tells whether it has a place for one more task of ours, on the terms of the way there.
-    pub fn has_place(&self, now: Mono, terms: Terms) -> bool {
-        self.sharing.may_start(
+    /// Returns whether the executor has a free slot for one more task of this host under these
+    /// conditions.
+    pub fn has_free_slot(&self, now: Mono, conditions: StartConditions) -> bool {
+        self.peer_load.may_start(
             now,
-            Room {
+            StartRequest {
                 limit: self.limit.get(self.info.slots),
                 in_flight: self.in_flight,
-                terms,
+                conditions,
             },
         )
     }
 
-    /// Gets how many of its slots this host can count on.
-    pub fn own_slots(&self, sharers: u32) -> f64 {
+    /// Returns the number of slots that this host can count on.
+    pub fn own_slots(&self, zone_hosts: u32) -> f64 {
         let limit = self.limit.get(self.info.slots);
-        let share = limit / f64::from(sharers.max(1));
-        (limit - self.sharing.others_mean()).clamp(share, limit)
+        let share = limit / f64::from(zone_hosts.max(1));
+        (limit - self.peer_load.other_tasks_mean()).clamp(share, limit)
     }
 
-    /// Gets how slow it is held to be now, silence counted.
+    /// Returns the current slowdown, including the time without a response.
     pub fn slowdown(&self, now: Mono) -> f64 {
         let slowdown = self.speed.slowdown(now);
         if self.in_flight == 0 {
             return slowdown;
         }
-        let silence = as_us(now.since(self.quiet_since)) / as_us(self.usual).max(1.0);
-        slowdown * silence.max(1.0)
+        let no_response_ratio =
+            as_us(now.since(self.no_response_since)) / as_us(self.service_time_p99).max(1.0);
+        slowdown * no_response_ratio.max(1.0)
     }
 
-    /// Takes in that an attempt goes there; all but few attempts are over within `usual`.
-    pub fn started(&mut self, now: Mono, usual: Micros) {
+    /// Records the start of an attempt with the given 99th percentile of the service time.
+    pub fn record_start(&mut self, now: Mono, service_time_p99: Micros) {
         if self.in_flight == 0 {
-            self.quiet_since = now;
-            self.usual = usual;
+            self.no_response_since = now;
+            self.service_time_p99 = service_time_p99;
         }
-        self.usual = self.usual.max(usual);
+        self.service_time_p99 = self.service_time_p99.max(service_time_p99);
         self.in_flight += 1;
     }
 
-    /// Takes in that an attempt there has ended, and whether the executor was heard.
-    pub fn ended(&mut self, now: Mono, was_heard: bool) {
+    /// Records the end of an attempt, and whether the executor has responded.
+    pub fn record_end(&mut self, now: Mono, has_responded: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if was_heard {
-            self.quiet_since = now;
+        if has_responded {
+            self.no_response_since = now;
         }
     }
 
-    /// Takes in that it says it is leaving, or that it is not.
-    pub fn draining(&mut self, now: Mono, is_draining: bool) {
+    /// Records whether the executor reports that it is draining.
+    pub fn apply_draining_report(&mut self, now: Mono, is_draining: bool) {
         self.draining_until = if is_draining {
-            now + DRAINING_BELIEVED
+            now + DRAINING_REPORT_TTL
         } else {
             Mono::default()
         };
     }
 
-    /// Silence beyond this, while attempts are there, is no long task any more.
-    pub fn patience(&self) -> Micros {
-        let patience = Micros(self.usual.0.saturating_mul(PATIENCE_FACTOR));
-        patience.max(Micros::from(PATIENCE_MIN))
+    /// Returns the time without a response, while attempts are in flight, that cannot be explained
+    /// by a long task.
+    pub fn response_timeout(&self) -> Micros {
+        let response_timeout = Micros(
+            self.service_time_p99
+                .0
+                .saturating_mul(RESPONSE_TIMEOUT_FACTOR),
+        );
+        response_timeout.max(Micros::from(RESPONSE_TIMEOUT_MIN))
     }
 
-    /// Takes in what the configuration says of it now.
+    /// Replaces the configured properties.
     pub fn update(&mut self, info: &ExecutorInfo) {
-        let has_come_back = self.is_gone || (self.info.is_draining && !info.is_draining);
-        if has_come_back {
+        let has_returned = self.is_removed || (self.info.is_draining && !info.is_draining);
+        if has_returned {
             self.draining_until = Mono::default();
         }
         if info.slots != self.info.slots {
             self.limit = Limit::new(info.slots);
         }
-        self.is_gone = false;
+        self.is_removed = false;
         self.info = info.clone();
     }
 }
--- a/crates/onyxshed-policy/src/executor/breaker.rs
+++ b/crates/onyxshed-policy/src/executor/breaker.rs
@@ -1,46 +1,46 @@
-//! When an executor gets no new work, and how it is tried again.
+//! Circuit breaker of one executor.
 //!
-//! A breaker opens for one of five reasons. After a pause that doubles with each failed try, one
-//! task of real work at a time is let through; its end closes the breaker or opens it again. Real
-//! work costs no message that serves nobody, unless the try fails.
+//! A breaker opens for one of five reasons. After a pause that doubles with each failed probe, one
+//! queued task at a time is let through as a probe; its end closes the breaker or opens it again.
+//! Because a probe is a real task, it costs an extra message only if it fails.
 
 use std::fmt;
 
 use onyxshed_core::{Micros, Millis, Mono};
 
-/// Attempts without an answer, in a row, that open the breaker.
+/// Consecutive unanswered attempts that open the breaker.
 const UNANSWERED_MAX: u32 = 3;
 
-/// Suspicion at which the breaker opens: odds of about 150 to 1 for a bad worker.
+/// Suspicion at which the breaker opens: odds of about 150 to 1 for a bad executor.
 const SUSPICION_MAX: f64 = 5.0;
 
-/// Slowdown from which on an executor counts as slow. Sound ones differ by up to 4 to 1.
-const SLOW_FROM: f64 = 8.0;
+/// Slowdown above which an executor counts as slow. Healthy executors differ by up to 4 to 1.
+const SLOW_RATIO_MIN: f64 = 8.0;
 
-/// Samples before an executor is called slow.
-const SLOW_SAMPLES: u32 = 4;
+/// Minimum number of samples before an executor counts as slow.
+const SLOW_SAMPLES_MIN: u32 = 4;
 
-/// First pause, in milliseconds.
-const PAUSE_FIRST: Millis = Millis(500);
+/// Pause before the first probe.
+const FIRST_PAUSE: Millis = Millis(500);
 
-/// Doublings of the pause of an executor that runs tasks badly; the longest is 32 seconds.
-const DOUBLINGS_RUNNING: u32 = 6;
+/// Maximum doublings of the pause of an executor that runs tasks badly: up to 32 seconds.
+const RUNNING_DOUBLINGS_MAX: u32 = 6;
 
-/// Doublings of the pause of an executor that does not answer; the longest is 8 seconds. A try of
-/// it costs the upstream little, and it may have been the way there that was broken.
-const DOUBLINGS_UNANSWERED: u32 = 4;
+/// Maximum doublings of the pause of an executor that does not respond: up to 8 seconds. Its probes
+/// cost the upstream little, and the network may have been at fault.
+const UNANSWERED_DOUBLINGS_MAX: u32 = 4;
 
-/// Good ends in a row after which earlier openings are forgotten.
-const FORGET_AFTER: u32 = 20;
+/// Consecutive successes after which the number of earlier openings is reset.
+const OPENINGS_RESET_AFTER: u32 = 20;
 
-/// Why a breaker is open.
+/// Reason for which a breaker is open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum BreakerReason {
-    /// Service far above its peers.
+    /// Service times are far above those of the other executors.
     Slow,
-    /// Attempts could not be sent, or were lost.
+    /// Attempts could not be sent or were lost.
     Dead,
-    /// Nothing came back for long.
+    /// No response has arrived for longer than the response timeout.
     Silent,
     /// Tasks fail that succeed elsewhere.
     Failing,
@@ -63,41 +63,41 @@
 /// What an executor may get.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gate {
-    /// Work.
+    /// Any task.
     Work,
-    /// One task that finds out whether it is well again.
+    /// A single task that finds out whether the executor has recovered.
     Probe,
-    /// Nothing.
-    Shut,
+    /// No task.
+    Blocked,
 }
 
-/// A change that people should read about.
+/// A change of a breaker's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BreakerChange {
-    /// It opened, or opened again after a failed try.
+    /// The breaker opened, or opened again after a failed probe.
     Opened(BreakerReason),
-    /// It closed.
+    /// The breaker closed.
     Closed,
 }
 
-/// What an attempt's end says about the executor.
+/// What the end of an attempt indicates about the executor.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Sign {
-    /// It finished a task.
-    Good,
-    /// It answered without running the task.
-    Answered,
-    /// It failed a task, or let its lease lapse; `weight` is the evidence against the executor.
-    Bad {
-        /// Logarithm of the odds that a bad worker rather than the task is at fault.
+pub enum Signal {
+    /// The executor finished the task.
+    Success,
+    /// The executor responded without running the task.
+    Responded,
+    /// The executor failed the task, let its lease lapse or was far too slow.
+    Failure {
+        /// Logarithm of the odds that the executor rather than the task is at fault.
         weight: f64,
-        /// What the breaker opens for.
+        /// Reason for which the breaker opens if the suspicion is high enough.
         reason: BreakerReason,
     },
-    /// Nothing came back.
-    Unanswered,
-    /// Nothing can be told.
-    None,
+    /// No response arrived.
+    NoResponse,
+    /// The end indicates nothing about the executor.
+    Neutral,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -107,39 +107,39 @@
     Probing { until: Mono, reason: BreakerReason },
 }
 
-/// One executor's breaker.
+/// Circuit breaker of one executor.
 #[derive(Debug, Clone)]
 pub struct Breaker {
     state: State,
-    unanswered: u32,
+    consecutive_unanswered: u32,
     suspicion: f64,
     openings: u32,
-    good_in_a_row: u32,
+    consecutive_successes: u32,
 }
 
 impl Default for Breaker {
     fn default() -> Self {
         Breaker {
             state: State::Closed,
-            unanswered: 0,
+            consecutive_unanswered: 0,
             suspicion: 0.0,
             openings: 0,
-            good_in_a_row: 0,
+            consecutive_successes: 0,
         }
     }
 }
 
 impl Breaker {
-    /// Gets what the executor may get now.
+    /// Returns what the executor may get now.
     pub fn gate(&self, now: Mono) -> Gate {
         match self.state {
             State::Closed => Gate::Work,
             State::Open { until, .. } | State::Probing { until, .. } if until <= now => Gate::Probe,
-            State::Open { .. } | State::Probing { .. } => Gate::Shut,
+            State::Open { .. } | State::Probing { .. } => Gate::Blocked,
         }
     }
 
-    /// Gets why the breaker is open, if it is.
+    /// Returns the reason for which the breaker is open; `None` if it is closed.
     pub fn reason(&self) -> Option<BreakerReason> {
         match self.state {
             State::Closed => None,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Gets when the next try may be made, if the breaker is open.
+    /// Returns when the next probe may be sent; `None` if the breaker is closed.
     pub fn probe_at(&self) -> Option<Mono> {
         match self.state {
             State::Open { until, .. } | State::Probing { until, .. } => Some(until),
@@ -155,128 +155,136 @@
         }
     }
 
-    /// Tells whether a task that tries the executor is under way.
+    /// Returns whether a probe is running.
     pub fn is_probing(&self) -> bool {
         matches!(self.state, State::Probing { .. })
     }
 
-    /// Takes in that the task that tries the executor was sent.
+    /// Records that a probe was sent.
     ///
-    /// A try may go the way of the tasks before it and never end; after `patience` the next one may
-    /// follow.
-    pub fn probing(&mut self, now: Mono, patience: Micros) {
+    /// A probe may be lost like the attempts before it; after `response_timeout` the next one may
+    /// be sent.
+    pub fn record_probe(&mut self, now: Mono, response_timeout: Micros) {
         if let Some(reason) = self.reason() {
-            let until = now + patience;
+            let until = now + response_timeout;
             self.state = State::Probing { until, reason };
         }
     }
 
-    /// Takes in an attempt's end; `draw` between 0 and 1 spreads the pauses of several hosts.
-    pub fn ended(
+    /// Records the end of an attempt; `draw` in 0 to 1 sets the jitter that spreads the pauses of
+    /// several hosts.
+    pub fn record_end(
         &mut self,
         now: Mono,
-        sign: Sign,
+        signal: Signal,
         is_probe: bool,
         draw: f64,
     ) -> Option<BreakerChange> {
-        self.count(sign);
+        self.count_signal(signal);
         match self.state {
             State::Closed => {
-                let reason = self.reason_to_open(sign)?;
+                let reason = self.reason_to_open(signal)?;
                 Some(self.open(now, reason, draw))
             }
-            State::Probing { reason, .. } if is_probe => self.probed(now, sign, reason, draw),
-            State::Open { reason, .. } | State::Probing { reason, .. } => self.heard(sign, reason),
+            State::Probing { reason, .. } if is_probe => {
+                self.apply_probe_end(now, signal, reason, draw)
+            }
+            State::Open { reason, .. } | State::Probing { reason, .. } => {
+                self.apply_late_end(signal, reason)
+            }
         }
     }
 
-    /// Opens the breaker unless it is open already.
+    /// Opens the breaker; `None` if it is already open.
     pub fn trip(&mut self, now: Mono, reason: BreakerReason, draw: f64) -> Option<BreakerChange> {
         (self.state == State::Closed).then(|| self.open(now, reason, draw))
     }
 
-    /// Tells whether an executor of that slowdown counts as slow.
+    /// Returns whether an executor with that slowdown counts as slow.
     pub fn is_slow(slowdown: f64, samples: u32) -> bool {
-        slowdown > SLOW_FROM && samples >= SLOW_SAMPLES
+        slowdown > SLOW_RATIO_MIN && samples >= SLOW_SAMPLES_MIN
     }
 
-    fn count(&mut self, sign: Sign) {
-        match sign {
-            Sign::Good => {
-                self.unanswered = 0;
-                self.good_in_a_row += 1;
-                if self.good_in_a_row >= FORGET_AFTER {
+    fn count_signal(&mut self, signal: Signal) {
+        match signal {
+            Signal::Success => {
+                self.consecutive_unanswered = 0;
+                self.consecutive_successes += 1;
+                if self.consecutive_successes >= OPENINGS_RESET_AFTER {
                     self.openings = 0;
                 }
             }
-            Sign::Bad { .. } => {
-                self.unanswered = 0;
-                self.good_in_a_row = 0;
+            Signal::Failure { .. } => {
+                self.consecutive_unanswered = 0;
+                self.consecutive_successes = 0;
             }
-            Sign::Unanswered => {
-                self.unanswered += 1;
-                self.good_in_a_row = 0;
+            Signal::NoResponse => {
+                self.consecutive_unanswered += 1;
+                self.consecutive_successes = 0;
             }
-            Sign::Answered => self.unanswered = 0,
-            Sign::None => {}
+            Signal::Responded => self.consecutive_unanswered = 0,
+            Signal::Neutral => {}
         }
     }
 
-    fn reason_to_open(&mut self, sign: Sign) -> Option<BreakerReason> {
-        match sign {
-            Sign::Unanswered if self.unanswered >= UNANSWERED_MAX => Some(BreakerReason::Dead),
-            Sign::Bad { weight, reason } => {
+    fn reason_to_open(&mut self, signal: Signal) -> Option<BreakerReason> {
+        match signal {
+            Signal::NoResponse if self.consecutive_unanswered >= UNANSWERED_MAX => {
+                Some(BreakerReason::Dead)
+            }
+            Signal::Failure { weight, reason } => {
                 self.suspicion += weight;
                 (self.suspicion >= SUSPICION_MAX).then_some(reason)
             }
-            Sign::Good => {
-                self.suspicion = (self.suspicion - GOOD_CLEARS).max(0.0);
+            Signal::Success => {
+                self.suspicion = (self.suspicion - SUCCESS_CREDIT).max(0.0);
                 None
             }
             _ => None,
         }
     }
 
-    fn probed(
+    fn apply_probe_end(
         &mut self,
         now: Mono,
-        sign: Sign,
+        signal: Signal,
         reason: BreakerReason,
         draw: f64,
     ) -> Option<BreakerChange> {
-        let is_about_answers = matches!(reason, BreakerReason::Dead | BreakerReason::Silent);
-        match sign {
-            Sign::Good => Some(self.close()),
-            Sign::Answered if is_about_answers => Some(self.close()),
-            Sign::Answered | Sign::None => {
+        let is_response_fault = matches!(reason, BreakerReason::Dead | BreakerReason::Silent);
+        match signal {
+            Signal::Success => Some(self.close()),
+            Signal::Responded if is_response_fault => Some(self.close()),
+            Signal::Responded | Signal::Neutral => {
                 self.state = State::Open {
                     until: now + self.pause(reason, draw),
                     reason,
                 };
                 None
             }
-            Sign::Bad { reason, .. } => Some(self.open(now, reason, draw)),
-            Sign::Unanswered => Some(self.open(now, BreakerReason::Dead, draw)),
+            Signal::Failure { reason, .. } => Some(self.open(now, reason, draw)),
+            Signal::NoResponse => Some(self.open(now, BreakerReason::Dead, draw)),
         }
     }
 
-    /// An answer to an older attempt ends the doubt whether anything comes back.
-    fn heard(&mut self, sign: Sign, reason: BreakerReason) -> Option<BreakerChange> {
-        let is_about_answers = matches!(reason, BreakerReason::Dead | BreakerReason::Silent);
-        (sign == Sign::Good && is_about_answers).then(|| self.close())
+    /// Closes a breaker that was opened for missing responses when an attempt sent earlier
+    /// finishes.
+    fn apply_late_end(&mut self, signal: Signal, reason: BreakerReason) -> Option<BreakerChange> {
+        let is_response_fault = matches!(reason, BreakerReason::Dead | BreakerReason::Silent);
+        (signal == Signal::Success && is_response_fault).then(|| self.close())
     }
 
-    /// Moves the next try forward to `at`, if it would come later.
-    pub fn hurry(&mut self, at: Mono) {
+    /// Moves the next probe forward to `at`, unless it is earlier already.
+    pub fn advance_probe(&mut self, at: Mono) {
         match &mut self.state {
             State::Open { until, .. } | State::Probing { until, .. } => *until = at.min(*until),
             State::Closed => {}
         }
     }
 
-    /// Goes along with another breaker whose try has failed: the next try comes no sooner than
-    /// that one's, and pauses grow as if the try had been here.
-    pub fn follow(&mut self, other: &Breaker) {
+    /// Takes over the schedule of another breaker whose probe has failed: the next probe is no
+    /// earlier than the other's, and pauses grow as if the probe had failed here.
+    pub fn align_with(&mut self, other: &Breaker) {
         if let (State::Open { until, .. }, Some(at)) = (&mut self.state, other.probe_at()) {
             *until = at.max(*until);
             self.openings = self.openings.max(other.openings);
@@ -295,23 +303,23 @@
     fn close(&mut self) -> BreakerChange {
         self.state = State::Closed;
         self.suspicion = 0.0;
-        self.unanswered = 0;
-        self.good_in_a_row = 0;
+        self.consecutive_unanswered = 0;
+        self.consecutive_successes = 0;
         BreakerChange::Closed
     }
 
     fn pause(&self, reason: BreakerReason, draw: f64) -> Micros {
-        let most = match reason {
-            BreakerReason::Dead | BreakerReason::Silent => DOUBLINGS_UNANSWERED,
+        let max_doublings = match reason {
+            BreakerReason::Dead | BreakerReason::Silent => UNANSWERED_DOUBLINGS_MAX,
             BreakerReason::Slow | BreakerReason::Failing | BreakerReason::Lapsing => {
-                DOUBLINGS_RUNNING
+                RUNNING_DOUBLINGS_MAX
             }
         };
-        let doublings = self.openings.min(most);
-        let pause_us = Micros::from(PAUSE_FIRST).0 << doublings;
+        let doublings = self.openings.min(max_doublings);
+        let pause_us = Micros::from(FIRST_PAUSE).0 << doublings;
         crate::span::to_micros(pause_us as f64 * (0.8 + 0.4 * draw))
     }
 }
 
-/// Suspicion that a finished task takes away.
-const GOOD_CLEARS: f64 = 2.5;
+/// Suspicion that one success removes.
+const SUCCESS_CREDIT: f64 = 2.5;
--- a/crates/onyxshed-policy/src/executor/limit.rs
+++ b/crates/onyxshed-policy/src/executor/limit.rs
@@ -1,15 +1,15 @@
-//! How many tasks an executor takes at the same time, learned below its number of slots.
+//! Limit on the concurrent tasks of one executor, learned below its number of slots.
 
-/// Factor after a refusal that its load does not explain.
+/// Factor after a refusal that the reported load does not explain.
 const REFUSED_FACTOR: f64 = 0.7;
 
-/// Factor after service times went up.
+/// Factor, per round of finished tasks, while service times are above `WORSENED_RATIO_MIN`.
 const WORSENED_FACTOR: f64 = 0.9;
 
-/// Service time over its long-run mean from which on the limit shrinks.
-const WORSENED_FROM: f64 = 2.0;
+/// Ratio of recent to long-run service time above which the limit shrinks.
+const WORSENED_RATIO_MIN: f64 = 2.0;
 
-/// The limit: grows by one a round of finished tasks, shrinks by a factor.
+/// A limit that grows by one task per round of finished tasks and shrinks by a factor.
 #[derive(Debug, Clone)]
 pub struct Limit {
     value: f64,
@@ -17,7 +17,7 @@
 }
 
 impl Limit {
-    /// Makes a limit of all slots.
+    /// Creates a limit of all slots.
     pub fn new(slots: u32) -> Self {
         Limit {
             value: f64::from(slots),
@@ -25,15 +25,16 @@
         }
     }
 
-    /// Gets the limit, in tasks.
+    /// Returns the limit in tasks, between 1 and `slots`.
     pub fn get(&self, slots: u32) -> f64 {
         self.value.clamp(1.0, f64::from(slots.max(1))).floor()
     }
 
-    /// Takes in a finished task that ran beside `in_flight` others of ours.
-    pub fn finished(&mut self, slots: u32, in_flight: u32, worsening: f64) {
-        if worsening > WORSENED_FROM {
-            // One step a round: each of the tasks in flight takes its part of the step.
+    /// Records a finished task that ran beside `in_flight` others of this host.
+    pub fn record_finished(&mut self, slots: u32, in_flight: u32, worsening: f64) {
+        if worsening > WORSENED_RATIO_MIN {
+            // The limit shrinks by one factor per round, so each of the tasks in flight applies its
+            // part.
             let part = WORSENED_FACTOR.powf(1.0 / f64::from(in_flight + 1));
             self.value = (self.value * part).max(1.0);
             return;
@@ -49,14 +50,14 @@
         }
     }
 
-    /// Takes in a refusal while slots were believed free.
-    pub fn refused(&mut self) {
+    /// Records a refusal by an executor that was believed to have free slots.
+    pub fn record_refusal(&mut self) {
         self.value = (self.value * REFUSED_FACTOR).max(1.0);
         self.is_ramping = false;
     }
 
-    /// Starts again from one task, one more with each that finishes.
-    pub fn ramp(&mut self) {
+    /// Restarts from a limit of one task, which each finished task raises by one.
+    pub fn restart_ramp(&mut self) {
         self.value = 1.0;
         self.is_ramping = true;
     }
--- a/crates/onyxshed-policy/src/executor/sharing.rs
+++ b/crates/onyxshed-policy/src/executor/sharing.rs
@@ -1,122 +1,131 @@
-//! What other entry hosts are believed to have running on an executor.
+//! Estimated load of other entry hosts on one executor.
 //!
-//! Each answer tells how much runs on the executor; what is not ours is theirs. The belief is as
-//! old as the last answer and fades towards the long-run mean.
+//! Each response reports the tasks on the executor; those that are not this host's are the other
+//! hosts'. The estimate is as old as the last response and decays towards the long-run mean.
 
 use onyxshed_core::{Micros, Mono};
 use onyxshed_wire::upstream::LoadReport;
 
 use crate::span::as_us;
 
-/// Weight of the newest report in the long run.
+/// Weight of the newest report in the long-run mean.
 const ALPHA: f64 = 0.1;
 
-/// The belief about one executor.
+/// Estimated load of the other hosts on one executor.
 #[derive(Debug, Clone, Default)]
-pub struct Sharing {
-    others: f64,
-    others_mean: f64,
+pub struct PeerLoad {
+    other_tasks: f64,
+    other_tasks_mean: f64,
     is_full: bool,
-    has_no_queue: bool,
-    at: Option<Mono>,
+    refuses_when_full: bool,
+    reported_at: Option<Mono>,
 }
 
-/// What may be started on an executor by the belief.
+/// Inputs of the decision whether one more task may be started on an executor.
 #[derive(Debug, Clone, Copy)]
-pub struct Room {
-    /// Tasks of ours it may hold at once.
+pub struct StartRequest {
+    /// Maximum number of this host's tasks on the executor at once.
     pub limit: f64,
-    /// Tasks of ours in flight there.
+    /// This host's tasks in flight on the executor.
     pub in_flight: u32,
-    /// What holds for the task and its upstream.
-    pub terms: Terms,
+    /// Conditions that do not depend on the executor.
+    pub conditions: StartConditions,
 }
 
-/// What a task's start depends on besides the executor.
+/// Conditions for a start that do not depend on the executor.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
-    /// Entry hosts that share the executors.
-    pub sharers: u32,
-    /// Time after which a report says nothing more: the mean service time.
-    pub fade: Micros,
-    /// Whether the task's deadline leaves time to wait for a surer place.
+pub struct StartConditions {
+    /// Entry hosts that share the executors, this one included.
+    pub zone_hosts: u32,
+    /// Time constant with which a load report loses its weight: the mean service time.
+    pub report_decay: Micros,
+    /// Whether the task's deadline leaves time to wait for a slot that is more certainly free.
     pub has_time: bool,
 }
 
-impl Sharing {
-    /// Takes in a report made when `in_flight` tasks of ours were there, the answered one left out.
+impl PeerLoad {
+    /// Records a load report. `in_flight` is the number of this host's tasks on the executor,
+    /// without the one that was answered.
     pub fn observe(&mut self, now: Mono, load: &LoadReport, in_flight: u32, slots: u32) {
-        let there = load.running + load.queued;
-        let others = f64::from(there.saturating_sub(in_flight));
-        let alpha = if self.at.is_none() { 1.0 } else { ALPHA };
-        self.others = others;
-        self.others_mean += alpha * (others - self.others_mean);
-        self.is_full = there >= slots;
-        self.at = Some(now);
+        let on_executor = load.running + load.queued;
+        let other_tasks = f64::from(on_executor.saturating_sub(in_flight));
+        let alpha = if self.reported_at.is_none() {
+            1.0
+        } else {
+            ALPHA
+        };
+        self.other_tasks = other_tasks;
+        self.other_tasks_mean += alpha * (other_tasks - self.other_tasks_mean);
+        self.is_full = on_executor >= slots;
+        self.reported_at = Some(now);
     }
 
-    /// Takes in that a start was refused by an executor with that load.
-    pub fn refused(&mut self, load: &LoadReport) {
-        self.has_no_queue |= load.queued == 0;
+    /// Records a refusal by an executor with the given load.
+    pub fn record_refusal(&mut self, load: &LoadReport) {
+        self.refuses_when_full |= load.queued == 0;
     }
 
-    /// Gets how many tasks of others are believed to be there.
-    pub fn others(&self, now: Mono, fade: Micros) -> f64 {
-        let weight = self.weight(now, fade);
-        weight * self.others + (1.0 - weight) * self.others_mean
+    /// Returns the estimated number of other hosts' tasks on the executor now.
+    pub fn other_tasks(&self, now: Mono, report_decay: Micros) -> f64 {
+        let weight = self.weight(now, report_decay);
+        weight * self.other_tasks + (1.0 - weight) * self.other_tasks_mean
     }
 
-    /// Gets how many tasks of others are there in the long run.
-    pub fn others_mean(&self) -> f64 {
-        self.others_mean
+    /// Returns the long-run mean of other hosts' tasks on the executor.
+    pub fn other_tasks_mean(&self) -> f64 {
+        self.other_tasks_mean
     }
 
-    /// Tells whether one more task may be started.
+    /// Returns whether one more task may be started.
     ///
-    /// Within its share of the slots a host goes by its own count, unless a fresh report says that
-    /// all are taken: then the start would only be refused or wait there. Beyond its share it
-    /// borrows, only on a fresh report and only while a further slot stays idle, so that a host
-    /// that wants its own share back finds room.
-    pub fn may_start(&self, now: Mono, room: Room) -> bool {
-        let in_flight = f64::from(room.in_flight);
-        if in_flight + 1.0 > room.limit {
+    /// Within its share of the slots a host relies on its own count, unless a fresh report says
+    /// that all slots are taken: the task would only be refused or wait at the executor. Beyond its
+    /// share it borrows slots, only with a fresh report and only while a further slot stays idle,
+    /// so that a host that claims its own share finds a free slot.
+    pub fn may_start(&self, now: Mono, request: StartRequest) -> bool {
+        let in_flight = f64::from(request.in_flight);
+        if in_flight + 1.0 > request.limit {
             return false;
         }
-        let sharers = self.sharers(room);
-        if sharers <= 1.0 {
+        let hosts = self.effective_hosts(request);
+        if hosts <= 1.0 {
             return true;
         }
-        let share = room.limit / sharers;
-        let weight = self.weight(now, room.terms.fade);
-        let free = room.limit - self.others(now, room.terms.fade) - in_flight;
-        if in_flight + 1.0 <= self.rounded(share) {
-            return free >= 1.0 || !(self.is_full && weight > FRESH_FROM);
+        let share = request.limit / hosts;
+        let weight = self.weight(now, request.conditions.report_decay);
+        let idle =
+            request.limit - self.other_tasks(now, request.conditions.report_decay) - in_flight;
+        if in_flight + 1.0 <= self.rounded_share(share) {
+            return idle >= 1.0 || !(self.is_full && weight > FRESH_WEIGHT_MIN);
         }
-        let doubt = 1.0 - weight;
-        self.at.is_some() && free - doubt >= self.spare(in_flight, share, room.terms.has_time)
+        let age_penalty = 1.0 - weight;
+        self.reported_at.is_some()
+            && idle - age_penalty
+                >= self.required_idle_slots(in_flight, share, request.conditions.has_time)
     }
 
-    /// Gets how many hosts share the executor.
+    /// Returns the number of hosts that share the executor.
     ///
-    /// A host that is cut off from its peers holds itself to be alone, and would fill every slot
-    /// while the others do the same: their tasks show in the reports all the same. As many even
-    /// shares as leave others what they hold are taken then.
-    fn sharers(&self, room: Room) -> f64 {
-        let told = f64::from(room.terms.sharers);
-        if told > 1.0 {
-            return told;
+    /// A host that is cut off from its peers sees itself as the only one. Without a correction it
+    /// would fill every slot while the other hosts do the same. Their tasks still show in the load
+    /// reports, so the host then assumes as many equal shares as leave the other hosts what they
+    /// use.
+    fn effective_hosts(&self, request: StartRequest) -> f64 {
+        let known_hosts = f64::from(request.conditions.zone_hosts);
+        if known_hosts > 1.0 {
+            return known_hosts;
         }
-        let left = (room.limit - self.others_mean).max(1.0);
-        (room.limit / left).round().max(1.0)
+        let left = (request.limit - self.other_tasks_mean).max(1.0);
+        (request.limit / left).round().max(1.0)
     }
 
-    /// Gets how many slots must be believed idle for a start beyond the share.
+    /// Returns how many slots must be estimated as idle for a start beyond the share.
     ///
-    /// Where a start that finds no slot is refused, a task with time to wait leaves one more idle:
-    /// it had better be late by a little than cost a message. An urgent one takes the risk.
-    fn spare(&self, in_flight: f64, share: f64, has_time: bool) -> f64 {
+    /// If the executor refuses tasks that find no slot, a task with time to wait leaves one more
+    /// slot idle: a short delay is better than a wasted message. An urgent task takes the risk.
+    fn required_idle_slots(&self, in_flight: f64, share: f64, has_time: bool) -> f64 {
         let is_last_part = in_flight + 1.0 <= share.ceil();
-        match (is_last_part, self.has_no_queue && has_time) {
+        match (is_last_part, self.refuses_when_full && has_time) {
             (true, _) => 1.0,
             (false, false) => 2.0,
             (false, true) => 3.0,
@@ -125,24 +134,24 @@
 
     /// Rounds this host's share of the slots.
     ///
-    /// Rounded up, the shares of all hosts may come to a little more than the slots; the excess
-    /// waits at the executor, where the next free slot takes it whoever sent it. An executor that
-    /// refuses instead of letting it wait gets the share rounded down, as each refusal is a message
-    /// for nothing.
-    fn rounded(&self, share: f64) -> f64 {
-        if self.has_no_queue {
+    /// Rounded up, the shares of all hosts may add up to slightly more than the slots; the excess
+    /// tasks queue at the executor, where the next free slot takes them whichever host sent them.
+    /// With an executor that refuses instead of queueing, the share is rounded down, because each
+    /// refusal is a wasted message.
+    fn rounded_share(&self, share: f64) -> f64 {
+        if self.refuses_when_full {
             share.floor().max(1.0)
         } else {
             share.ceil()
         }
     }
 
-    fn weight(&self, now: Mono, fade: Micros) -> f64 {
-        self.at.map_or(0.0, |at| {
-            (-as_us(now.since(at)) / as_us(fade).max(1.0)).exp()
+    fn weight(&self, now: Mono, report_decay: Micros) -> f64 {
+        self.reported_at.map_or(0.0, |at| {
+            (-as_us(now.since(at)) / as_us(report_decay).max(1.0)).exp()
         })
     }
 }
 
-/// Weight from which on a report counts as fresh: about one mean service time old.
-const FRESH_FROM: f64 = 0.35;
+/// Weight above which a report counts as fresh: about one mean service time old.
+const FRESH_WEIGHT_MIN: f64 = 0.35;
--- a/crates/onyxshed-policy/src/faults.rs
+++ b/crates/onyxshed-policy/src/faults.rs
@@ -1,36 +1,37 @@
-//! Who is at fault when a task fails: the executor, or the job that can never run.
+//! Attribution of task failures to executors, or to jobs and classes that cannot run.
 //!
-//! Each class keeps its failure rate on each executor. A failure counts against an executor only
-//! as far as the class does better elsewhere: if it fails everywhere, it says nothing about the
-//! executor. A job that fails on several executors is held to be unable to run, and so is a class of
-//! which several jobs in a row do.
+//! Each class keeps its failure rate per executor. A failure counts against an executor only to the
+//! degree that the class fails less elsewhere: a class that fails everywhere is no evidence against
+//! one executor. A job that fails on several executors is marked unrunnable, and so is a class of
+//! which several jobs fail in succession.
 
 use std::collections::BTreeMap;
 
 use onyxshed_core::SubmissionId;
 
-/// Executors that a class remembers.
+/// Executors per class with a stored failure rate.
 const EXECUTORS_MAX: usize = 64;
 
-/// Jobs with failures that are remembered.
+/// Failed jobs that are remembered.
 const JOBS_MAX: usize = 4_096;
 
-/// Distinct executors that it takes to blame.
-const EXECUTORS_TO_BLAME: usize = 3;
+/// Number of distinct executors that must fail a job or class before it is marked unrunnable.
+const UNRUNNABLE_EXECUTORS: usize = 3;
 
-/// Distinct jobs of a class that must fail, none finishing meanwhile, before the class is blamed.
-const JOBS_TO_BLAME: usize = 5;
+/// Number of distinct jobs of a class that must fail, without a task finishing in between, before
+/// the class is marked unrunnable.
+const UNRUNNABLE_JOBS: usize = 5;
 
-/// Weight of the newest end in a failure rate.
-const ALPHA: f64 = 0.3;
+/// Weight of the newest attempt in a failure rate.
+const FAILURE_RATE_ALPHA: f64 = 0.3;
 
-/// Failure rate that a bad worker is taken to have.
-const BAD_WORKER_RATE: f64 = 0.95;
+/// Failure rate that a bad executor is assumed to have.
+const BAD_EXECUTOR_RATE: f64 = 0.95;
 
-/// Failure rate assumed of a class before anything is known, and its weight in executors.
+/// Prior failure rate of a class; it has the weight of one executor.
 const PRIOR_RATE: f64 = 0.5;
 
-/// Names an executor over its whole life here.
+/// Identifies an executor for as long as it is known; never reused.
 pub type ExecutorId = u64;
 
 /// Failures of one class.
@@ -38,57 +39,62 @@
 pub struct ClassFaults {
     rates: BTreeMap<ExecutorId, f64>,
     sum: f64,
-    /// Jobs, and executors they failed on, since a task last finished.
+    /// Jobs that failed, and the executors they failed on, since a task of the class last finished.
     failed_jobs: Vec<SubmissionId>,
     failed_on: Vec<ExecutorId>,
-    is_blamed: bool,
+    is_unrunnable: bool,
 }
 
-/// What a class's record changed to.
+/// A change of a class's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClassChange {
-    /// It is held to be unable to run.
-    Blamed,
-    /// It ran after all.
-    Cleared,
+    /// The class is now marked unrunnable.
+    Unrunnable,
+    /// The class was marked unrunnable and has finished a task.
+    Runnable,
 }
 
 impl ClassFaults {
-    /// Tells whether the class is held to be unable to run.
-    pub fn is_blamed(&self) -> bool {
-        self.is_blamed
+    /// Returns whether the class is marked unrunnable.
+    pub fn is_unrunnable(&self) -> bool {
+        self.is_unrunnable
     }
 
-    /// Gets the evidence that one failure on `executor` is the executor's fault.
+    /// Returns the weight of one failure as evidence against `executor`: the logarithm of the odds
+    /// that the executor is at fault, at least 0.
     pub fn weight_against(&self, executor: ExecutorId) -> f64 {
         let own = self.rates.get(&executor).copied();
         let others = self.rates.len() - usize::from(own.is_some());
         let sum = self.sum - own.unwrap_or(0.0);
         let elsewhere = (sum + PRIOR_RATE) / (others as f64 + 1.0);
-        (BAD_WORKER_RATE / elsewhere.max(0.01)).ln().max(0.0)
+        (BAD_EXECUTOR_RATE / elsewhere.max(0.01)).ln().max(0.0)
     }
 
-    /// Takes in a finished task.
-    pub fn finished(&mut self, executor: ExecutorId) -> Option<ClassChange> {
+    /// Records a finished task; returns the change if the class was marked unrunnable.
+    pub fn record_finished(&mut self, executor: ExecutorId) -> Option<ClassChange> {
         self.record(executor, 0.0);
         self.failed_jobs.clear();
         self.failed_on.clear();
-        std::mem::take(&mut self.is_blamed).then_some(ClassChange::Cleared)
+        std::mem::take(&mut self.is_unrunnable).then_some(ClassChange::Runnable)
     }
 
-    /// Takes in a failed task.
-    pub fn failed(&mut self, executor: ExecutorId, job: SubmissionId) -> Option<ClassChange> {
+    /// Records a failed task; returns the change if the class becomes unrunnable by it.
+    pub fn record_failure(
+        &mut self,
+        executor: ExecutorId,
+        job: SubmissionId,
+    ) -> Option<ClassChange> {
         self.record(executor, 1.0);
-        note_distinct(&mut self.failed_jobs, job, JOBS_TO_BLAME);
-        note_distinct(&mut self.failed_on, executor, EXECUTORS_TO_BLAME);
-        let is_blamed =
-            self.failed_jobs.len() >= JOBS_TO_BLAME && self.failed_on.len() >= EXECUTORS_TO_BLAME;
-        let is_new = is_blamed && !self.is_blamed;
-        self.is_blamed |= is_blamed;
-        is_new.then_some(ClassChange::Blamed)
+        push_distinct(&mut self.failed_jobs, job, UNRUNNABLE_JOBS);
+        push_distinct(&mut self.failed_on, executor, UNRUNNABLE_EXECUTORS);
+        let is_unrunnable = self.failed_jobs.len() >= UNRUNNABLE_JOBS
+            && self.failed_on.len() >= UNRUNNABLE_EXECUTORS;
+        let is_new = is_unrunnable && !self.is_unrunnable;
+        self.is_unrunnable |= is_unrunnable;
+        is_new.then_some(ClassChange::Unrunnable)
     }
 
-    /// Forgets an executor that is gone.
+    /// Removes the failure rate of an executor that is no longer known.
     pub fn forget(&mut self, executor: ExecutorId) {
         if let Some(rate) = self.rates.remove(&executor) {
             self.sum -= rate;
@@ -102,7 +108,7 @@
         }
         match self.rates.get_mut(&executor) {
             Some(rate) => {
-                let step = ALPHA * (end - *rate);
+                let step = FAILURE_RATE_ALPHA * (end - *rate);
                 *rate += step;
                 self.sum += step;
             }
@@ -114,56 +120,57 @@
     }
 }
 
-/// Adds a value that is not there yet, as long as fewer than `most` are.
-fn note_distinct<T: PartialEq>(seen: &mut Vec<T>, value: T, most: usize) {
-    if seen.len() < most && !seen.contains(&value) {
+/// Adds a value that is not in `seen` yet, as long as `seen` has fewer than `max_len` values.
+fn push_distinct<T: PartialEq>(seen: &mut Vec<T>, value: T, max_len: usize) {
+    if seen.len() < max_len && !seen.contains(&value) {
         seen.push(value);
     }
 }
 
-/// Failures by job, over distinct sound executors.
+/// Failures per job, over distinct healthy executors.
 #[derive(Debug, Default)]
 pub struct JobFaults {
     failed_on: BTreeMap<SubmissionId, Vec<ExecutorId>>,
 }
 
-/// What one more failure of a job says.
+/// Effect of one more failure of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobFault {
-    /// The first on this executor.
+    /// The job's first failure on this executor.
     New,
-    /// The job had failed there before: nothing new about the executor.
-    Known,
-    /// It has now failed on enough executors to be held unable to run.
-    Blamed,
+    /// The job has failed on this executor before: no new evidence about the executor.
+    Repeated,
+    /// The job has now failed on enough executors to be marked unrunnable.
+    Unrunnable,
 }
 
 impl JobFaults {
-    /// Takes in a job's failure on a sound executor.
-    pub fn failed(&mut self, job: SubmissionId, executor: ExecutorId) -> JobFault {
+    /// Records a job's failure on a healthy executor. Evicts the oldest job if too many are
+    /// remembered.
+    pub fn record_failure(&mut self, job: SubmissionId, executor: ExecutorId) -> JobFault {
         if self.failed_on.len() >= JOBS_MAX && !self.failed_on.contains_key(&job) {
             self.failed_on.pop_first();
         }
         let executors = self.failed_on.entry(job).or_default();
         if executors.contains(&executor) {
-            return JobFault::Known;
+            return JobFault::Repeated;
         }
         executors.push(executor);
         match executors.len() {
-            EXECUTORS_TO_BLAME => JobFault::Blamed,
+            UNRUNNABLE_EXECUTORS => JobFault::Unrunnable,
             _ => JobFault::New,
         }
     }
 
-    /// Tells whether a job has failed anywhere.
+    /// Returns whether the job has failed on any executor.
     pub fn has_failed(&self, job: SubmissionId) -> bool {
         self.failed_on.contains_key(&job)
     }
 
-    /// Tells whether a job is held to be unable to run.
-    pub fn is_blamed(&self, job: SubmissionId) -> bool {
+    /// Returns whether the job is marked unrunnable.
+    pub fn is_unrunnable(&self, job: SubmissionId) -> bool {
         self.failed_on
             .get(&job)
-            .is_some_and(|executors| executors.len() >= EXECUTORS_TO_BLAME)
+            .is_some_and(|executors| executors.len() >= UNRUNNABLE_EXECUTORS)
     }
 }
--- a/crates/onyxshed-policy/src/fleet.rs
+++ b/crates/onyxshed-policy/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The executors known, under numbers that stay the same while attempts are there.
+//! The known executors, stored under keys that stay valid while attempts refer to them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,96 +8,96 @@
 use crate::faults::ExecutorId;
 use crate::work::ExecutorInfo;
 
-/// An executor's place in the fleet.
-pub type Seat = usize;
+/// Index of an executor in the [`Fleet`]; reused after the executor is removed.
+pub type ExecutorKey = usize;
 
-/// All executors.
+/// The known executors of all upstreams.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    seats: Vec<Option<Executor>>,
-    vacant: Vec<Seat>,
-    by_name: BTreeMap<ExecutorName, Seat>,
+    executors: Vec<Option<Executor>>,
+    free_keys: Vec<ExecutorKey>,
+    by_name: BTreeMap<ExecutorName, ExecutorKey>,
     last_id: ExecutorId,
 }
 
 impl Fleet {
-    /// Replaces the list of executors; gives back the ids of those that are forgotten.
+    /// Replaces the list of executors; returns the ids of those that were removed.
     pub fn set(&mut self, infos: &[ExecutorInfo]) -> Vec<ExecutorId> {
-        // Only those left out are gone: one that is named again has not come back, and what it said
-        // of its leaving still holds.
+        // Only executors missing from the list are marked as removed. One that is listed again has
+        // not restarted, so its report that it is draining still holds.
         let named: BTreeSet<&ExecutorName> = infos.iter().map(|info| &info.name).collect();
         self.iter_mut()
             .filter(|executor| !named.contains(&executor.info.name))
-            .for_each(|executor| executor.is_gone = true);
+            .for_each(|executor| executor.is_removed = true);
         for info in infos {
             match self.by_name.get(&info.name).copied() {
-                Some(seat) => {
-                    if let Some(executor) = self.get_mut(seat) {
+                Some(key) => {
+                    if let Some(executor) = self.get_mut(key) {
                         executor.update(info);
                     }
                 }
                 None => self.add(info),
             }
         }
-        let idle = |executor: &Executor| executor.is_gone && executor.in_flight == 0;
-        let seats: Vec<Seat> = (0..self.seats.len())
-            .filter(|seat| self.get(*seat).is_some_and(idle))
+        let idle = |executor: &Executor| executor.is_removed && executor.in_flight == 0;
+        let keys: Vec<ExecutorKey> = (0..self.executors.len())
+            .filter(|key| self.get(*key).is_some_and(idle))
             .collect();
-        seats
-            .into_iter()
-            .filter_map(|seat| self.remove(seat))
+        keys.into_iter()
+            .filter_map(|key| self.remove(key))
             .collect()
     }
 
-    /// Gets an executor.
-    pub fn get(&self, seat: Seat) -> Option<&Executor> {
-        self.seats.get(seat)?.as_ref()
+    /// Returns an executor; `None` if the key is not in use.
+    pub fn get(&self, key: ExecutorKey) -> Option<&Executor> {
+        self.executors.get(key)?.as_ref()
     }
 
-    /// Gets an executor to change it.
-    pub fn get_mut(&mut self, seat: Seat) -> Option<&mut Executor> {
-        self.seats.get_mut(seat)?.as_mut()
+    /// Returns an executor mutably; `None` if the key is not in use.
+    pub fn get_mut(&mut self, key: ExecutorKey) -> Option<&mut Executor> {
+        self.executors.get_mut(key)?.as_mut()
     }
 
-    /// Gets the seat of a name.
-    pub fn seat(&self, name: &ExecutorName) -> Option<Seat> {
+    /// Returns the key of an executor by its name.
+    pub fn key(&self, name: &ExecutorName) -> Option<ExecutorKey> {
         self.by_name.get(name).copied()
     }
 
-    /// Gets all seats with their executors.
-    pub fn iter(&self) -> impl Iterator<Item = (Seat, &Executor)> {
-        let seats = self.seats.iter().enumerate();
-        seats.filter_map(|(seat, executor)| Some((seat, executor.as_ref()?)))
+    /// Iterates over all executors with their keys, in order of the keys.
+    pub fn iter(&self) -> impl Iterator<Item = (ExecutorKey, &Executor)> {
+        let entries = self.executors.iter().enumerate();
+        entries.filter_map(|(key, executor)| Some((key, executor.as_ref()?)))
     }
 
-    /// Forgets an executor if it is gone and nothing runs there any more.
-    pub fn remove_if_done(&mut self, seat: Seat) -> Option<ExecutorId> {
+    /// Removes an executor that is marked as removed and has no attempts left; returns its id if
+    /// so.
+    pub fn remove_if_idle(&mut self, key: ExecutorKey) -> Option<ExecutorId> {
         let is_done = self
-            .get(seat)
-            .is_some_and(|executor| executor.is_gone && executor.in_flight == 0);
-        if is_done { self.remove(seat) } else { None }
+            .get(key)
+            .is_some_and(|executor| executor.is_removed && executor.in_flight == 0);
+        if is_done { self.remove(key) } else { None }
     }
 
     fn iter_mut(&mut self) -> impl Iterator<Item = &mut Executor> {
-        self.seats.iter_mut().flatten()
+        self.executors.iter_mut().flatten()
     }
 
     fn add(&mut self, info: &ExecutorInfo) {
         self.last_id += 1;
         let executor = Some(Executor::new(self.last_id, info.clone()));
-        let seat = self.vacant.pop().unwrap_or(self.seats.len());
-        if seat == self.seats.len() {
-            self.seats.push(executor);
+        let key = self.free_keys.pop().unwrap_or(self.executors.len());
+        if key == self.executors.len() {
+            self.executors.push(executor);
         } else {
-            self.seats[seat] = executor;
+            self.executors[key] = executor;
         }
-        self.by_name.insert(info.name.clone(), seat);
+        self.by_name.insert(info.name.clone(), key);
     }
 
-    fn remove(&mut self, seat: Seat) -> Option<ExecutorId> {
-        let executor = self.seats.get_mut(seat)?.take()?;
+    fn remove(&mut self, key: ExecutorKey) -> Option<ExecutorId> {
+        let executor = self.executors.get_mut(key)?.take()?;
         self.by_name.remove(&executor.info.name);
-        self.vacant.push(seat);
+        self.free_keys.push(key);
         Some(executor.id)
     }
 }
--- a/crates/onyxshed-policy/src/lib.rs
+++ b/crates/onyxshed-policy/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decisions on work, without input or output: what to admit, which task next, on which executor,
-//! what to retry, whom not to trust.
+//! Scheduling decisions without input or output: which jobs to admit, which task to start next and
+//! on which executor, what to retry, and which executors to stop using.
 //!
-//! [`Policy`] is one zone-local state machine in an entry host. It sees classes, executors and every
-//! attempt's end; it says what to start and when to ask again. Operators set only targets, so
-//! everything else here is learned or derived.
+//! [`Policy`] is a state machine in one entry host, for the executors of one zone. The dispatch
+//! tells it the configured classes and executors, the tasks to run and the end of each attempt; it
+//! returns the tasks to start and the time of the next call. Operators set only targets, so every
+//! other parameter is learned or derived.
 
 pub mod decision;
 pub mod placement;
--- a/crates/onyxshed-policy/src/placement.rs
+++ b/crates/onyxshed-policy/src/placement.rs
@@ -1,7 +1,7 @@
-//! Where the next task goes.
+//! Algorithms that select the executor of a task.
 //!
-//! Three placements stand side by side so that experiments can compare them: the product's own,
-//! and the two that operators would reach for. Each is found by its name in [`PlacementKind::ALL`].
+//! There are three, so that experiments can compare the default with the two common baselines. Each
+//! is found by its name in [`PlacementKind::ALL`].
 
 mod least_finish;
 mod least_outstanding;
@@ -14,17 +14,17 @@
 use rand::RngExt;
 use rand::rngs::SmallRng;
 
-use crate::fleet::Seat;
+use crate::fleet::ExecutorKey;
 
-/// A way to choose an executor.
+/// An algorithm that selects executors.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PlacementKind {
-    /// Least expected finish by learned speeds, guarded by limits and breakers.
+    /// Least expected finish by learned speeds, with limits and breakers.
     #[default]
     LeastFinish,
-    /// Each executor in turn, up to its slots; a baseline without guards.
+    /// Each executor in turn, up to its slots; a baseline without limits and breakers.
     RoundRobin,
-    /// Fewest attempts of this host; a baseline without guards.
+    /// Fewest attempts of this host in flight; a baseline without limits and breakers.
     LeastOutstanding,
 }
 
@@ -36,7 +36,7 @@
         PlacementKind::LeastOutstanding,
     ];
 
-    /// Gets the name that settings and tables use.
+    /// Returns the name used in settings and tables.
     pub fn name(self) -> &'static str {
         match self {
             PlacementKind::LeastFinish => "least_finish",
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Tells whether limits, breakers, shares and hedges apply.
+    /// Returns whether limits, breakers, shares, retry budgets and hedges apply.
     pub fn is_guarded(self) -> bool {
         self == PlacementKind::LeastFinish
     }
@@ -74,84 +74,88 @@
     }
 }
 
-/// An executor that could take the task now.
+/// An executor that can take the task now.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate {
-    /// Where it is.
-    pub seat: Seat,
-    /// Attempts of ours there.
+    /// Key of the executor.
+    pub key: ExecutorKey,
+    /// This host's attempts in flight there.
     pub in_flight: u32,
-    /// Tasks it runs at the same time.
+    /// Number of tasks that the executor runs concurrently.
     pub slots: u32,
-    /// How slow it is held to be.
+    /// Current slowdown relative to the other executors.
     pub slowdown: f64,
-    /// Whether the task would be a try of an executor under doubt.
+    /// Whether the task would probe an executor with an open breaker.
     pub is_probe: bool,
 }
 
-/// What placing one task came to.
+/// Result of placing one task.
 #[derive(Debug, Clone, Copy)]
 pub enum Choice {
-    /// It goes there.
+    /// The task starts on this executor.
     Take(Candidate),
-    /// A faster executor will be free soon enough.
-    Hold,
-    /// Only executors that it must avoid could take it.
+    /// The task waits: a faster executor is expected to be free soon enough.
+    WaitForFaster,
+    /// Only executors that the task must avoid could take it.
     Avoided,
-    /// No executor can take it.
+    /// No executor can take the task.
     Full,
 }
 
-/// State of the placement in force.
+/// State of the placement in use.
 #[derive(Debug)]
 pub struct Placement {
     kind: PlacementKind,
-    turn: Option<Seat>,
+    last_key: Option<ExecutorKey>,
 }
 
 impl Placement {
-    /// Makes the state of one kind.
+    /// Creates the state of a placement.
     pub fn new(kind: PlacementKind) -> Self {
-        Placement { kind, turn: None }
+        Placement {
+            kind,
+            last_key: None,
+        }
     }
 
-    /// Gets the kind.
+    /// Returns the kind of placement.
     pub fn kind(&self) -> PlacementKind {
         self.kind
     }
 
-    /// Chooses among executors that can take the task, in order of their seats.
+    /// Selects one of the candidates; `None` if there are none. The baselines get them in ascending
+    /// order of their keys.
     pub fn choose(&mut self, candidates: &[Candidate], rng: &mut SmallRng) -> Option<Candidate> {
         match self.kind {
             PlacementKind::LeastFinish => least_finish::choose(candidates, rng),
             PlacementKind::LeastOutstanding => least_outstanding::choose(candidates, rng),
-            PlacementKind::RoundRobin => round_robin::choose(candidates, &mut self.turn),
+            PlacementKind::RoundRobin => round_robin::choose(candidates, &mut self.last_key),
         }
     }
 }
 
-/// Draws one of several candidates that are as good as each other.
-fn draw(tied: &[Candidate], rng: &mut SmallRng) -> Option<Candidate> {
-    match tied {
+/// Selects one of several equally good candidates at random.
+fn pick_random(equal: &[Candidate], rng: &mut SmallRng) -> Option<Candidate> {
+    match equal {
         [] => None,
         [only] => Some(*only),
-        _ => Some(tied[rng.random_range(0..tied.len())]),
+        _ => Some(equal[rng.random_range(0..equal.len())]),
     }
 }
 
-/// Keeps the candidates with the least key.
+/// Returns the candidates with the least key.
 fn least_by<K: PartialOrd>(
     candidates: &[Candidate],
     key: impl Fn(&Candidate) -> K,
 ) -> Vec<Candidate> {
-    let mut tied: Vec<Candidate> = Vec::new();
+    let mut equal: Vec<Candidate> = Vec::new();
     for candidate in candidates {
-        match tied.first().map(&key) {
+        match equal.first().map(&key) {
             Some(best) if best < key(candidate) => continue,
             Some(best) if best == key(candidate) => {}
-            _ => tied.clear(),
+            _ => equal.clear(),
         }
-        tied.push(*candidate);
+        equal.push(*candidate);
     }
-    tied
+    equal
 }
--- a/crates/onyxshed-policy/src/placement/least_finish.rs
+++ b/crates/onyxshed-policy/src/placement/least_finish.rs
@@ -1,24 +1,25 @@
-//! Least expected finish: the fastest executor with a place, then the least filled.
+//! Least expected finish: the fastest executor with a free slot, then the lowest utilization.
 
 use rand::rngs::SmallRng;
 
-use super::{Candidate, draw, least_by};
+use super::{Candidate, least_by, pick_random};
 
-/// Slowdowns within one step count as equal: 20%. Without steps the noise of the estimates would
-/// send everything to one executor of many that are alike.
-const STEP: f64 = 0.18;
+/// Width of a step of the slowdown's natural logarithm; slowdowns within one step, 20%, count as
+/// equal. Without steps, noise in the estimates would send all tasks to one of many equal
+/// executors.
+const SPEED_STEP: f64 = 0.18;
 
-/// Chooses by speed, then by how full the executor is, then by draw.
+/// Selects by speed, then by utilization, then at random. Probes come first.
 pub fn choose(candidates: &[Candidate], rng: &mut SmallRng) -> Option<Candidate> {
     let fastest = least_by(candidates, |candidate| {
         (!candidate.is_probe, speed_step(candidate.slowdown))
     });
-    let emptiest = least_by(&fastest, |candidate| {
+    let least_utilized = least_by(&fastest, |candidate| {
         f64::from(candidate.in_flight) / f64::from(candidate.slots.max(1))
     });
-    draw(&emptiest, rng)
+    pick_random(&least_utilized, rng)
 }
 
 fn speed_step(slowdown: f64) -> f64 {
-    (slowdown.ln() / STEP).round()
+    (slowdown.ln() / SPEED_STEP).round()
 }
--- a/crates/onyxshed-policy/src/placement/least_outstanding.rs
+++ b/crates/onyxshed-policy/src/placement/least_outstanding.rs
@@ -1,10 +1,10 @@
-//! Local least-outstanding: the executor with the fewest attempts of this host.
+//! Least outstanding: the executor with the fewest attempts of this host.
 
 use rand::rngs::SmallRng;
 
-use super::{Candidate, draw, least_by};
+use super::{Candidate, least_by, pick_random};
 
-/// Chooses by attempts in flight, then by draw.
+/// Selects by attempts in flight, then at random.
 pub fn choose(candidates: &[Candidate], rng: &mut SmallRng) -> Option<Candidate> {
-    draw(&least_by(candidates, |candidate| candidate.in_flight), rng)
+    pick_random(&least_by(candidates, |candidate| candidate.in_flight), rng)
 }
--- a/crates/onyxshed-policy/src/placement/round_robin.rs
+++ b/crates/onyxshed-policy/src/placement/round_robin.rs
@@ -1,14 +1,14 @@
 //! Round robin: each executor in turn.
 
 use super::Candidate;
-use crate::fleet::Seat;
+use crate::fleet::ExecutorKey;
 
-/// Chooses the next seat after the last one.
-pub fn choose(candidates: &[Candidate], turn: &mut Option<Seat>) -> Option<Candidate> {
+/// Selects the next key after the last one.
+pub fn choose(candidates: &[Candidate], last_key: &mut Option<ExecutorKey>) -> Option<Candidate> {
     let after = candidates
         .iter()
-        .find(|candidate| turn.is_none_or(|last| candidate.seat > last));
+        .find(|candidate| last_key.is_none_or(|last| candidate.key > last));
     let chosen = after.or_else(|| candidates.first()).copied();
-    *turn = chosen.map(|candidate| candidate.seat).or(*turn);
+    *last_key = chosen.map(|candidate| candidate.key).or(*last_key);
     chosen
 }
--- a/crates/onyxshed-policy/src/policy.rs
+++ b/crates/onyxshed-policy/src/policy.rs
@@ -1,4 +1,4 @@
-//! The policy as a whole: admission, order, placement and what follows an attempt.
+//! The state machine: admission, order, placement and retries.
 
 mod end;
 mod hedge;
@@ -18,20 +18,21 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::class::Class;
-use crate::decision::{Notes, PolicyDecision, WastedMessages};
+use crate::decision::{DecisionBuffer, PolicyDecision, WastedMessages};
 use crate::faults::JobFaults;
-use crate::fleet::{Fleet, Seat};
+use crate::fleet::{ExecutorKey, Fleet};
 use crate::placement::{Placement, PlacementKind};
-use crate::running::Running;
+use crate::running::RunningTask;
 use crate::upstream::Upstream;
 use crate::work::{ExecutorInfo, ExpiredTask};
 
-/// Limits of the policy.
+/// Settings of a [`Policy`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PolicyOptions {
-    /// Most tasks waiting. Default 20,000.
+    /// Maximum number of queued tasks, over all upstreams. Default 20,000.
     pub queue_max: usize,
-    /// How executors are chosen. Default least expected finish; the others are baselines.
+    /// Algorithm that selects executors. The default is least expected finish; the others are
+    /// baselines.
     pub placement: PlacementKind,
 }
 
@@ -44,59 +45,66 @@
     }
 }
 
-/// The policy's state.
+/// Scheduling state of one entry host for the executors of its zone.
 #[derive(Debug)]
 pub struct Policy {
     options: PolicyOptions,
     rng: SmallRng,
-    sharers: u32,
+    zone_hosts: u32,
     classes: BTreeMap<ClassName, Class>,
     fleet: Fleet,
     upstreams: BTreeMap<UpstreamName, Upstream>,
+    /// Upstreams that may be able to start a task.
     ready: BTreeSet<UpstreamName>,
-    wakes: BTreeSet<(Mono, UpstreamName)>,
+    /// Scheduled checks of upstreams that cannot start a task, by time.
+    wakeups: BTreeSet<(Mono, UpstreamName)>,
     last_served: Option<UpstreamName>,
-    homes: BTreeMap<TaskId, UpstreamName>,
-    begun: BTreeSet<SubmissionId>,
-    running: BTreeMap<TaskId, Running>,
-    hedges: BTreeSet<(Mono, TaskId)>,
-    hopeless: Vec<ExpiredTask>,
-    expire_at: Mono,
-    jobs: JobFaults,
+    /// Upstream on which each queued task waits.
+    queued_on: BTreeMap<TaskId, UpstreamName>,
+    /// Jobs of which a task has started while others are still queued.
+    started_jobs: BTreeSet<SubmissionId>,
+    running: BTreeMap<TaskId, RunningTask>,
+    /// Planned hedges, by time.
+    planned_hedges: BTreeSet<(Mono, TaskId)>,
+    /// Tasks dropped from the queue that `take_expired` has not returned yet.
+    dropped: Vec<ExpiredTask>,
+    next_expiry_scan_at: Mono,
+    job_faults: JobFaults,
     placement: Placement,
-    notes: Notes,
-    waste: WastedMessages,
+    decisions: DecisionBuffer,
+    wasted_messages: WastedMessages,
 }
 
 impl Policy {
-    /// Makes a policy; `seed` feeds every draw it makes.
+    /// Creates a policy without classes or executors; `seed` seeds its random number generator.
     pub fn new(options: PolicyOptions, seed: u64) -> Self {
         Policy {
             placement: Placement::new(options.placement),
             options,
             rng: SmallRng::seed_from_u64(seed),
-            sharers: 1,
+            zone_hosts: 1,
             classes: BTreeMap::new(),
             fleet: Fleet::default(),
             upstreams: BTreeMap::new(),
             ready: BTreeSet::new(),
-            wakes: BTreeSet::new(),
+            wakeups: BTreeSet::new(),
             last_served: None,
-            homes: BTreeMap::new(),
-            begun: BTreeSet::new(),
+            queued_on: BTreeMap::new(),
+            started_jobs: BTreeSet::new(),
             running: BTreeMap::new(),
-            hedges: BTreeSet::new(),
-            hopeless: Vec::new(),
-            expire_at: Mono::default(),
-            jobs: JobFaults::default(),
-            notes: Notes::default(),
-            waste: WastedMessages::default(),
+            planned_hedges: BTreeSet::new(),
+            dropped: Vec::new(),
+            next_expiry_scan_at: Mono::default(),
+            job_faults: JobFaults::default(),
+            decisions: DecisionBuffer::default(),
+            wasted_messages: WastedMessages::default(),
         }
     }
 
-    /// Sets the classes in force.
+    /// Replaces the configured classes.
     ///
-    /// Tasks of a class that is left out, or moved to another upstream, still run.
+    /// Queued and running tasks of a class that was removed, or that moved to another upstream,
+    /// still run.
     pub fn set_classes(&mut self, _now: Now, classes: &BTreeMap<ClassName, ClassTarget>) {
         for class in self.classes.values_mut() {
             class.is_configured = false;
@@ -112,7 +120,7 @@
         });
     }
 
-    /// Sets the executors known; those left out get no new work.
+    /// Replaces the known executors; those that are missing from the list get no new tasks.
     pub fn set_executors(&mut self, now: Now, executors: &[ExecutorInfo]) {
         for id in self.fleet.set(executors) {
             self.classes
@@ -121,11 +129,15 @@
         }
         for upstream in self.upstreams.values_mut() {
             upstream.members.clear();
-            upstream.touch();
+            upstream.invalidate();
         }
-        for (seat, executor) in self.fleet.iter().filter(|(_, executor)| !executor.is_gone) {
+        for (key, executor) in self
+            .fleet
+            .iter()
+            .filter(|(_, executor)| !executor.is_removed)
+        {
             let name = executor.info.upstream.clone();
-            self.upstreams.entry(name).or_default().members.push(seat);
+            self.upstreams.entry(name).or_default().members.push(key);
         }
         self.ready.extend(self.upstreams.keys().cloned());
         let is_used =
@@ -133,44 +145,45 @@
         self.upstreams.retain(|_, upstream| is_used(upstream));
         self.upstreams
             .values_mut()
-            .for_each(|upstream| upstream.refresh(now.mono, &self.fleet, self.sharers));
+            .for_each(|upstream| upstream.refresh_capacity(now.mono, &self.fleet, self.zone_hosts));
     }
 
-    /// Sets how many live entry hosts share this zone's executors, this one included.
-    pub fn set_zone_hosts(&mut self, _now: Now, sharers: u32) {
-        self.sharers = sharers.max(1);
-        self.upstreams.values_mut().for_each(Upstream::touch);
+    /// Sets the number of live entry hosts that share this zone's executors, this one included.
+    pub fn set_zone_hosts(&mut self, _now: Now, zone_hosts: u32) {
+        self.zone_hosts = zone_hosts.max(1);
+        self.upstreams.values_mut().for_each(Upstream::invalidate);
         self.ready.extend(self.upstreams.keys().cloned());
     }
 
-    /// Gets the executors that still run a copy of the task.
-    pub fn copies_of(&self, task: TaskId) -> Vec<ExecutorName> {
+    /// Returns the executors that still run a copy of the task.
+    pub fn executors_running(&self, task: TaskId) -> Vec<ExecutorName> {
         let attempts = self.running.get(&task).map(|running| &running.attempts);
-        let seats = attempts.into_iter().flatten().map(|attempt| attempt.seat);
-        let executors = seats.filter_map(|seat| self.fleet.get(seat));
+        let keys = attempts.into_iter().flatten().map(|attempt| attempt.key);
+        let executors = keys.filter_map(|key| self.fleet.get(key));
         executors
             .map(|executor| executor.info.name.clone())
             .collect()
     }
 
-    /// Takes out what happened that people should read about, oldest first.
+    /// Removes and returns the decisions to be logged, oldest first.
     pub fn drain_decisions(&mut self) -> Vec<PolicyDecision> {
-        self.notes.drain()
+        self.decisions.drain()
     }
 
-    /// Gets the counts of messages that served no answer.
+    /// Returns the counts of messages that did not contribute to an answer.
     pub fn wasted_messages(&self) -> WastedMessages {
-        self.waste
+        self.wasted_messages
     }
 
-    /// Gets the number of tasks waiting.
+    /// Returns the number of queued tasks.
     pub fn queued_tasks(&self) -> usize {
-        self.homes.len()
+        self.queued_on.len()
     }
 
-    /// Gets the time that all but few tasks of a class stay within; none until learned.
+    /// Returns the 99th percentile of a class's service time on an executor of ordinary speed;
+    /// `None` for an unknown class or as long as too few tasks have finished.
     pub fn service_time_p99(&self, class: &ClassName) -> Option<Micros> {
-        self.classes.get(class)?.usual(1.0)
+        self.classes.get(class)?.service_time_p99(1.0)
     }
 
     fn set_class(&mut self, name: &ClassName, target: &ClassTarget) {
@@ -185,31 +198,32 @@
             return;
         }
         let moved = self.upstreams.get_mut(&old);
-        let moved = moved.map(|upstream| upstream.queue.take_class(name));
+        let moved = moved.map(|upstream| upstream.queue.remove_class(name));
         let upstream = self.upstreams.entry(target.upstream.clone()).or_default();
         for ticket in moved.into_iter().flatten() {
-            self.homes.insert(ticket.work.task, target.upstream.clone());
+            self.queued_on
+                .insert(ticket.work.task, target.upstream.clone());
             upstream.queue.push(ticket, None);
         }
         self.ready.insert(target.upstream.clone());
     }
 
-    fn take_report(&mut self, now: Mono, seat: Seat, load: &LoadReport) {
-        if let Some(executor) = self.fleet.get_mut(seat) {
+    fn apply_load_report(&mut self, now: Mono, key: ExecutorKey, load: &LoadReport) {
+        if let Some(executor) = self.fleet.get_mut(key) {
             let slots = executor.info.slots;
             executor
-                .sharing
+                .peer_load
                 .observe(now, load, executor.in_flight, slots);
-            executor.draining(now, load.is_draining);
+            executor.apply_draining_report(now, load.is_draining);
         }
     }
 
-    fn wake_upstream_of(&mut self, seat: Seat) {
-        let Some(executor) = self.fleet.get(seat) else {
+    fn mark_upstream_ready(&mut self, key: ExecutorKey) {
+        let Some(executor) = self.fleet.get(key) else {
             return;
         };
         if let Some(upstream) = self.upstreams.get_mut(&executor.info.upstream) {
-            upstream.freed(seat);
+            upstream.record_free_slot(key);
             self.ready.insert(executor.info.upstream.clone());
         }
     }
--- a/crates/onyxshed-policy/src/policy/end.rs
+++ b/crates/onyxshed-policy/src/policy/end.rs
@@ -1,4 +1,5 @@
-//! What an attempt's end teaches, and what becomes of its task.
+//! Handles the end of an attempt: updates the estimates, breakers and limits, and decides whether
+//! the task is retried.
 
 use onyxshed_core::{Micros, Millis, Mono, Now, ResultCode};
 
@@ -6,42 +7,43 @@
 use crate::class::Class;
 use crate::decision::PolicyDecision;
 use crate::executor::Executor;
-use crate::executor::breaker::{Breaker, BreakerReason, Sign};
+use crate::executor::breaker::{Breaker, BreakerReason, Signal};
 use crate::faults::{ClassChange, JobFault};
-use crate::fleet::Seat;
+use crate::fleet::ExecutorKey;
 use crate::queue::Ticket;
 use crate::running::Attempt;
 use crate::span::{as_us, to_micros};
 use crate::work::{AttemptEnd, AttemptOutcome, RetryStep};
 
-/// Wait after the first refused start, in milliseconds.
+/// Backoff after the first start of a task that was refused or not sent.
 const BACKOFF_FIRST: Millis = Millis(4);
 
-/// Doublings of that wait; the longest is half a second.
+/// Maximum number of times that the backoff doubles: up to half a second before jitter.
 const BACKOFF_DOUBLINGS_MAX: u32 = 7;
 
-/// Refused or unsent starts of one task before it is given up.
-const BOUNCES_MAX: u32 = 16;
+/// Refused or unsent starts after which a task fails.
+const FAILED_STARTS_MAX: u32 = 16;
 
-/// Evidence against an executor that tries out slow again: enough to open the breaker.
-const STILL_SLOW: f64 = 10.0;
+/// Weight of a finished task that shows that the executor is slow, or still slow after a probe:
+/// enough to open the breaker.
+const SLOW_WEIGHT: f64 = 10.0;
 
 impl Policy {
-    /// Takes in an attempt's end and decides what becomes of its task.
+    /// Records the end of an attempt and decides whether its task is retried.
     ///
-    /// For [`Verdict::Finished`] the step has no meaning; other copies that still run are told by
-    /// [`Policy::copies_of`].
+    /// For [`AttemptOutcome::Finished`] the returned step has no meaning.
+    /// [`Policy::executors_running`] returns the copies that still run and can be stopped.
     pub fn apply_attempt_end(&mut self, now: Now, end: &AttemptEnd) -> RetryStep {
         let now = now.mono;
-        let seat = self.fleet.seat(&end.executor);
-        let attempt = seat.and_then(|seat| self.running.get_mut(&end.task)?.remove(seat));
-        let (Some(seat), Some(attempt)) = (seat, attempt) else {
-            return RetryStep::GiveUp(plain_code(end.outcome));
+        let key = self.fleet.key(&end.executor);
+        let attempt = key.and_then(|key| self.running.get_mut(&end.task)?.remove_attempt(key));
+        let (Some(key), Some(attempt)) = (key, attempt) else {
+            return RetryStep::GiveUp(default_code(end.outcome));
         };
-        self.learn(now, end, attempt);
-        let step = self.decide(now, end, seat);
-        self.wake_upstream_of(seat);
-        if let Some(id) = self.fleet.remove_if_done(seat) {
+        self.record_outcome(now, end, attempt);
+        let step = self.decide_retry(now, end, key);
+        self.mark_upstream_ready(key);
+        if let Some(id) = self.fleet.remove_if_idle(key) {
             self.classes
                 .values_mut()
                 .for_each(|class| class.faults.forget(id));
@@ -49,49 +51,49 @@
         step
     }
 
-    /// Takes in what the end says of the executor, the class and the job.
-    fn learn(&mut self, now: Mono, end: &AttemptEnd, attempt: Attempt) {
-        let seat = attempt.seat;
-        let was_heard = !matches!(end.outcome, AttemptOutcome::Unsent | AttemptOutcome::Lost);
-        if let Some(executor) = self.fleet.get_mut(seat) {
-            executor.ended(now, was_heard);
+    /// Updates the state of the executor, the class and the job from an attempt's end.
+    fn record_outcome(&mut self, now: Mono, end: &AttemptEnd, attempt: Attempt) {
+        let key = attempt.key;
+        let has_responded = !matches!(end.outcome, AttemptOutcome::Unsent | AttemptOutcome::Lost);
+        if let Some(executor) = self.fleet.get_mut(key) {
+            executor.record_end(now, has_responded);
         }
         if let Some(load) = &end.load {
-            self.take_report(now, seat, load);
+            self.apply_load_report(now, key, load);
         }
-        self.count(end, attempt);
-        let sign = match end.outcome {
-            AttemptOutcome::Finished => self.learn_finished(now, end, attempt),
-            AttemptOutcome::Failed => self.learn_failed(end, seat, BreakerReason::Failing),
-            AttemptOutcome::Lapsed => self.learn_failed(end, seat, BreakerReason::Lapsing),
-            AttemptOutcome::Refused => self.learn_refused(end, seat),
-            AttemptOutcome::Unsent | AttemptOutcome::Lost => Sign::Unanswered,
-            AttemptOutcome::Stopped => Sign::None,
+        self.count_wasted(end, attempt);
+        let signal = match end.outcome {
+            AttemptOutcome::Finished => self.record_finished_task(now, end, attempt),
+            AttemptOutcome::Failed => self.record_failed_task(end, key, BreakerReason::Failing),
+            AttemptOutcome::Lapsed => self.record_failed_task(end, key, BreakerReason::Lapsing),
+            AttemptOutcome::Refused => self.record_refused_task(end, key),
+            AttemptOutcome::Unsent | AttemptOutcome::Lost => Signal::NoResponse,
+            AttemptOutcome::Stopped => Signal::Neutral,
         };
         let draw = self.draw();
         let breaker = self
             .fleet
-            .get_mut(seat)
+            .get_mut(key)
             .map(|executor| &mut executor.breaker);
-        let change = breaker.and_then(|b| b.ended(now, sign, attempt.is_probe, draw));
-        self.note_breaker(now, seat, change);
-        if sign == Sign::Unanswered {
-            self.distrust_rack(now, seat);
+        let change = breaker.and_then(|b| b.record_end(now, signal, attempt.is_probe, draw));
+        self.record_breaker_change(now, key, change);
+        if signal == Signal::NoResponse {
+            self.trip_in_dead_rack(now, key);
         }
     }
 
-    fn count(&mut self, end: &AttemptEnd, attempt: Attempt) {
+    fn count_wasted(&mut self, end: &AttemptEnd, attempt: Attempt) {
         match end.outcome {
-            AttemptOutcome::Refused => self.waste.refusals += 1,
-            AttemptOutcome::Unsent => self.waste.unsent += 1,
-            AttemptOutcome::Stopped => self.waste.stopped += 1,
+            AttemptOutcome::Refused => self.wasted_messages.refusals += 1,
+            AttemptOutcome::Unsent => self.wasted_messages.unsent += 1,
+            AttemptOutcome::Stopped => self.wasted_messages.stopped += 1,
             AttemptOutcome::Finished
             | AttemptOutcome::Failed
             | AttemptOutcome::Lapsed
             | AttemptOutcome::Lost => {}
         }
         let has_failed = end.outcome != AttemptOutcome::Finished;
-        self.waste.failed_probes += u64::from(attempt.is_probe && has_failed);
+        self.wasted_messages.failed_probes += u64::from(attempt.is_probe && has_failed);
         let ticket = self.running.get(&end.task).map(|running| &running.ticket);
         let class = ticket.and_then(|ticket| self.classes.get_mut(&ticket.work.class));
         if let Some(class) = class {
@@ -99,42 +101,48 @@
         }
     }
 
-    fn learn_finished(&mut self, now: Mono, end: &AttemptEnd, attempt: Attempt) -> Sign {
+    fn record_finished_task(&mut self, now: Mono, end: &AttemptEnd, attempt: Attempt) -> Signal {
         let running = self.running.get(&end.task);
         let name = running.map(|running| running.ticket.work.class.clone());
         let class = name.as_ref().and_then(|name| self.classes.get_mut(name));
-        let executor = self.fleet.get_mut(attempt.seat);
+        let executor = self.fleet.get_mut(attempt.key);
         let (Some(class), Some(executor)) = (class, executor) else {
-            return Sign::Good;
+            return Signal::Success;
         };
-        let ratio = learn_service(now, class, executor, end.service_us);
-        let cleared = class.faults.finished(executor.id);
+        let ratio = observe_service_time(now, class, executor, end.service_us);
+        let cleared = class.faults.record_finished(executor.id);
         if let Some(upstream) = self.upstreams.get_mut(&executor.info.upstream) {
             let slowdown = executor.speed.slowdown(now);
-            upstream.finished(end.service_us.map(|service| as_us(service) / slowdown));
+            upstream.record_finished(end.service_us.map(|service| as_us(service) / slowdown));
         }
-        let sign = good_or_slow(executor, attempt, ratio);
-        if let (Some(ClassChange::Cleared), Some(class)) = (cleared, name) {
-            self.notes.push(PolicyDecision::ClassRunnable { class });
+        let signal = speed_signal(executor, attempt, ratio);
+        if let (Some(ClassChange::Runnable), Some(class)) = (cleared, name) {
+            self.decisions.push(PolicyDecision::ClassRunnable { class });
         }
-        sign
+        signal
     }
 
-    fn learn_failed(&mut self, end: &AttemptEnd, seat: Seat, reason: BreakerReason) -> Sign {
+    fn record_failed_task(
+        &mut self,
+        end: &AttemptEnd,
+        key: ExecutorKey,
+        reason: BreakerReason,
+    ) -> Signal {
         let job = end.task.submission;
-        let (Some(executor), Some(running)) = (self.fleet.get(seat), self.running.get(&end.task))
+        let (Some(executor), Some(running)) = (self.fleet.get(key), self.running.get(&end.task))
         else {
-            return Sign::None;
+            return Signal::Neutral;
         };
         let name = running.ticket.work.class.clone();
         let Some(class) = self.classes.get_mut(&name) else {
-            return Sign::None;
+            return Signal::Neutral;
         };
-        // A job's tasks fail alike: counted again, one bad job would condemn the executor.
-        let was_suspect = self.jobs.has_failed(job);
-        let fault = self.jobs.failed(job, executor.id);
-        if fault == JobFault::Known {
-            return Sign::Bad {
+        // Tasks of one job tend to fail alike. If each failure counted, a single bad job would open
+        // the executor's breaker.
+        let was_suspect = self.job_faults.has_failed(job);
+        let fault = self.job_faults.record_failure(job, executor.id);
+        if fault == JobFault::Repeated {
+            return Signal::Failure {
                 weight: 0.0,
                 reason,
             };
@@ -144,47 +152,48 @@
         } else {
             class.faults.weight_against(executor.id)
         };
-        if class.faults.failed(executor.id, job) == Some(ClassChange::Blamed) {
-            self.notes.push(PolicyDecision::ClassUnrunnable {
+        if class.faults.record_failure(executor.id, job) == Some(ClassChange::Unrunnable) {
+            self.decisions.push(PolicyDecision::ClassUnrunnable {
                 class: name.clone(),
             });
         }
-        if fault == JobFault::Blamed {
-            self.notes.push(PolicyDecision::JobUnrunnable {
+        if fault == JobFault::Unrunnable {
+            self.decisions.push(PolicyDecision::JobUnrunnable {
                 submission: job,
                 class: name,
             });
         }
-        Sign::Bad { weight, reason }
+        Signal::Failure { weight, reason }
     }
 
-    fn learn_refused(&mut self, end: &AttemptEnd, seat: Seat) -> Sign {
-        if let Some(executor) = self.fleet.get_mut(seat) {
-            // A refusal without a report came by way of a stop and says nothing of the load.
+    fn record_refused_task(&mut self, end: &AttemptEnd, key: ExecutorKey) -> Signal {
+        if let Some(executor) = self.fleet.get_mut(key) {
+            // A refusal without a load report stems from a stop and carries no information about
+            // the load.
             let is_explained = end.load.is_none_or(|load| {
                 load.is_draining || load.running + load.queued >= executor.info.slots
             });
             if let Some(load) = &end.load {
-                executor.sharing.refused(load);
+                executor.peer_load.record_refusal(load);
             }
             if !is_explained {
-                executor.limit.refused();
+                executor.limit.record_refusal();
             }
         }
-        Sign::Answered
+        Signal::Responded
     }
 
-    fn decide(&mut self, now: Mono, end: &AttemptEnd, seat: Seat) -> RetryStep {
-        let executor_id = self.fleet.get(seat).map(|executor| executor.id);
-        let code = self.attempt_code(now, end, seat);
+    fn decide_retry(&mut self, now: Mono, end: &AttemptEnd, key: ExecutorKey) -> RetryStep {
+        let executor_id = self.fleet.get(key).map(|executor| executor.id);
+        let code = self.attempt_result_code(now, end, key);
         let Some(running) = self.running.get_mut(&end.task) else {
             return RetryStep::GiveUp(code);
         };
-        let may_have_started = !matches!(
+        let can_have_started = !matches!(
             end.outcome,
             AttemptOutcome::Refused | AttemptOutcome::Unsent
         );
-        if may_have_started {
+        if can_have_started {
             running.ticket.started_code = Some(code);
             running.ticket.failed_on.extend(executor_id);
         }
@@ -195,113 +204,119 @@
             return RetryStep::Wait;
         }
         let is_over = running.is_over || end.outcome == AttemptOutcome::Stopped;
-        self.forget_hedge(end.task);
+        self.cancel_hedge(end.task);
         let Some(running) = self.running.remove(&end.task) else {
             return RetryStep::GiveUp(code);
         };
         if is_over {
             return RetryStep::GiveUp(running.ticket.started_code.unwrap_or(code));
         }
-        if may_have_started {
+        if can_have_started {
             self.retry(now, running.ticket, code)
         } else {
-            self.bounce(now, running.ticket, end.outcome, seat)
+            self.requeue_unstarted(now, running.ticket, end.outcome, key)
         }
     }
 
-    /// Queues again a task that was provably not started.
-    fn bounce(
+    /// Requeues a task that was certainly not started.
+    fn requeue_unstarted(
         &mut self,
         now: Mono,
         mut ticket: Ticket,
-        verdict: AttemptOutcome,
-        seat: Seat,
+        outcome: AttemptOutcome,
+        key: ExecutorKey,
     ) -> RetryStep {
-        ticket.bounces += 1;
-        ticket.bounced_at = Some(seat);
-        let at = now + self.backoff(ticket.bounces);
-        let is_in_time = at + self.least_time(now, &ticket) < ticket.work.deadline;
-        let code = match (verdict, is_in_time) {
+        ticket.failed_starts += 1;
+        ticket.last_failed_start = Some(key);
+        let at = now + self.backoff(ticket.failed_starts);
+        let is_in_time = at + self.min_service_time(now, &ticket) < ticket.work.deadline;
+        let code = match (outcome, is_in_time) {
             (AttemptOutcome::Unsent, _) => ResultCode::NoUpstream,
             (_, false) => ResultCode::ExpiredInQueue,
             (_, true) => ResultCode::RefusedByUpstream,
         };
         let code = ticket.started_code.unwrap_or(code);
-        let may_go_on = is_in_time && ticket.bounces < BOUNCES_MAX;
-        if !may_go_on || (verdict == AttemptOutcome::Refused && !self.take_retry(&ticket)) {
+        let can_retry = is_in_time && ticket.failed_starts < FAILED_STARTS_MAX;
+        if !can_retry || (outcome == AttemptOutcome::Refused && !self.take_retry_token(&ticket)) {
             return RetryStep::GiveUp(code);
         }
-        self.put(ticket, Some(at));
+        self.queue_ticket(ticket, Some(at));
         RetryStep::Queued
     }
 
-    /// Queues again a task that ran or may have run, if that is allowed and of use.
+    /// Requeues a task that ran or may have run, if it may run twice, has time left, has another
+    /// executor to run on and a retry token is available.
     fn retry(&mut self, now: Mono, ticket: Ticket, code: ResultCode) -> RetryStep {
-        let is_in_time = now + self.least_time(now, &ticket) < ticket.work.deadline;
-        let may_go_on = ticket.work.may_run_twice && is_in_time && code != ResultCode::NeverRuns;
-        if !may_go_on || !self.has_other(now, &ticket) || !self.take_retry(&ticket) {
+        let is_in_time = now + self.min_service_time(now, &ticket) < ticket.work.deadline;
+        let can_retry = ticket.work.may_run_twice && is_in_time && code != ResultCode::NeverRuns;
+        if !can_retry || !self.has_untried_executor(now, &ticket) || !self.take_retry_token(&ticket)
+        {
             return RetryStep::GiveUp(code);
         }
-        self.waste.retries += 1;
-        self.put(ticket, None);
+        self.wasted_messages.retries += 1;
+        self.queue_ticket(ticket, None);
         RetryStep::Queued
     }
 
-    fn attempt_code(&self, now: Mono, end: &AttemptEnd, seat: Seat) -> ResultCode {
-        let executor = self.fleet.get(seat);
-        let is_silent = executor.is_some_and(|executor| {
-            executor.is_quiet(now) || executor.breaker.reason() == Some(BreakerReason::Silent)
+    fn attempt_result_code(&self, now: Mono, end: &AttemptEnd, key: ExecutorKey) -> ResultCode {
+        let executor = self.fleet.get(key);
+        let is_unresponsive = executor.is_some_and(|executor| {
+            executor.is_unresponsive(now)
+                || executor.breaker.reason() == Some(BreakerReason::Silent)
         });
         let class = self.running.get(&end.task).map(|r| &r.ticket.work.class);
         let class = class.and_then(|name| self.classes.get(name));
-        let is_blamed = class.is_some_and(|class| class.faults.is_blamed())
-            || self.jobs.is_blamed(end.task.submission);
+        let is_unrunnable = class.is_some_and(|class| class.faults.is_unrunnable())
+            || self.job_faults.is_unrunnable(end.task.submission);
         match end.outcome {
-            AttemptOutcome::Lost if is_silent => ResultCode::UpstreamSilent,
-            AttemptOutcome::Failed if is_blamed => ResultCode::NeverRuns,
-            verdict => plain_code(verdict),
+            AttemptOutcome::Lost if is_unresponsive => ResultCode::UpstreamSilent,
+            AttemptOutcome::Failed if is_unrunnable => ResultCode::NeverRuns,
+            outcome => default_code(outcome),
         }
     }
 
-    fn backoff(&mut self, bounces: u32) -> Micros {
-        let doublings = (bounces - 1).min(BACKOFF_DOUBLINGS_MAX);
+    fn backoff(&mut self, failed_starts: u32) -> Micros {
+        let doublings = (failed_starts - 1).min(BACKOFF_DOUBLINGS_MAX);
         let wait_us = Micros::from(BACKOFF_FIRST).0 << doublings;
         to_micros(wait_us as f64 * (0.5 + self.draw()))
     }
 
-    fn take_retry(&mut self, ticket: &Ticket) -> bool {
+    fn take_retry_token(&mut self, ticket: &Ticket) -> bool {
         if !self.placement.kind().is_guarded() {
             return true;
         }
         let class = self.classes.get(&ticket.work.class);
         let upstream = class.and_then(|class| self.upstreams.get_mut(&class.target.upstream));
-        upstream.is_some_and(|upstream| upstream.retries.take())
+        upstream.is_some_and(|upstream| upstream.retries.try_take())
     }
 
-    /// Gets the least time that the task needs once it is started.
-    fn least_time(&self, now: Mono, ticket: &Ticket) -> Micros {
+    /// Returns the shortest time that the task is expected to need once it is started.
+    fn min_service_time(&self, now: Mono, ticket: &Ticket) -> Micros {
         let class = self.classes.get(&ticket.work.class);
         let upstream = class.and_then(|class| self.upstreams.get(&class.target.upstream));
         match (class, upstream) {
-            (Some(class), Some(upstream)) => class.floor(now, upstream.capacity.fastest(), false),
+            (Some(class), Some(upstream)) => {
+                class.min_useful_time(now, upstream.capacity.fastest_slowdown(), false)
+            }
             _ => Micros(0),
         }
     }
 
-    fn has_other(&self, now: Mono, ticket: &Ticket) -> bool {
+    fn has_untried_executor(&self, now: Mono, ticket: &Ticket) -> bool {
         let class = self.classes.get(&ticket.work.class);
         let upstream = class.and_then(|class| self.upstreams.get(&class.target.upstream));
         let members = upstream.map(|upstream| upstream.members.as_slice());
-        members.into_iter().flatten().any(|seat| {
-            self.fleet.get(*seat).is_some_and(|executor| {
-                executor.is_live(now) && !ticket.failed_on.contains(&executor.id)
+        members.into_iter().flatten().any(|key| {
+            self.fleet.get(*key).is_some_and(|executor| {
+                executor.is_schedulable(now) && !ticket.failed_on.contains(&executor.id)
             })
         })
     }
 }
 
-/// Takes in a service time; gives back how slow it was relative to the class's median.
-fn learn_service(
+/// Records a service time and returns its ratio to the class's median, or `None` without a service
+/// time or a learned median.
+fn observe_service_time(
     now: Mono,
     class: &mut Class,
     executor: &mut Executor,
@@ -316,14 +331,15 @@
     class.estimate.observe(now, service, slowdown);
     let (slots, in_flight) = (executor.info.slots, executor.in_flight);
     let worsening = executor.speed.worsening();
-    executor.limit.finished(slots, in_flight, worsening);
+    executor.limit.record_finished(slots, in_flight, worsening);
     ratio
 }
 
-/// A finished task is a good sign, unless it tried out a slow executor that is slow still.
-fn good_or_slow(executor: &mut Executor, attempt: Attempt, ratio: Option<f64>) -> Sign {
-    let slow = Sign::Bad {
-        weight: STILL_SLOW,
+/// Returns the signal of a finished task: a success, unless the executor is slow, or was probed for
+/// being slow and still is.
+fn speed_signal(executor: &mut Executor, attempt: Attempt, ratio: Option<f64>) -> Signal {
+    let slow = Signal::Failure {
+        weight: SLOW_WEIGHT,
         reason: BreakerReason::Slow,
     };
     if attempt.is_probe {
@@ -332,19 +348,19 @@
         if !is_slow {
             executor.speed.reset();
         }
-        return if is_slow { slow } else { Sign::Good };
+        return if is_slow { slow } else { Signal::Success };
     }
     let recent = executor.speed.recent_slowdown();
     if Breaker::is_slow(recent, executor.speed.samples()) {
         slow
     } else {
-        Sign::Good
+        Signal::Success
     }
 }
 
-/// Gets the code that an attempt's end stands for by itself.
-fn plain_code(verdict: AttemptOutcome) -> ResultCode {
-    match verdict {
+/// Returns the result code of an outcome that no other state changes.
+fn default_code(outcome: AttemptOutcome) -> ResultCode {
+    match outcome {
         AttemptOutcome::Finished => ResultCode::Complete,
         AttemptOutcome::Failed => ResultCode::TaskFailed,
         AttemptOutcome::Refused => ResultCode::RefusedByUpstream,
--- a/crates/onyxshed-policy/src/policy/hedge.rs
+++ b/crates/onyxshed-policy/src/policy/hedge.rs
@@ -1,9 +1,9 @@
-//! Second copies of tasks that are about to miss their deadline.
+//! Hedges: second copies of tasks that are about to miss their deadline.
 //!
-//! A copy is sent only for work that may run twice, only once the first has taken longer than most
-//! and the deadline is near enough to be at risk, and only out of a budget of one in a hundred
-//! finished tasks. A class with a tight target thus gets its copies early, one with a loose target
-//! hardly ever: how much waste is spent follows from the target alone.
+//! A hedge is sent only for a task that may run twice, only once the first copy has run longer than
+//! most tasks and the deadline is at risk, and only within a budget of one hedge per hundred
+//! finished tasks. A class with a tight target therefore gets its hedges early and one with a loose
+//! target hardly any: the overhead follows from the target alone.
 
 use onyxshed_core::{Micros, Millis, Mono, TaskId};
 
@@ -11,46 +11,47 @@
 use crate::span::{as_us, to_micros};
 use crate::work::NextStep;
 
-/// Share of tasks that are over before a copy is thought of.
-const LATE_Q: f64 = 0.95;
+/// Quantile of the service time after which a task counts as late enough for a hedge.
+const LATE_QUANTILE: f64 = 0.95;
 
-/// When a copy that found no executor is tried again, in milliseconds.
-const AGAIN: Millis = Millis(5);
+/// Delay before a hedge that found no executor is tried again.
+const HEDGE_RETRY_DELAY: Millis = Millis(5);
 
 impl Policy {
-    /// Plans a second copy of a task that has just been started.
+    /// Plans a hedge for a task that was just started.
     pub(super) fn plan_hedge(&mut self, now: Mono, task: TaskId) {
         let Some(at) = self.hedge_time(now, task) else {
             return;
         };
         if let Some(running) = self.running.get_mut(&task) {
             running.hedge_at = Some(at);
-            self.hedges.insert((at, task));
+            self.planned_hedges.insert((at, task));
         }
     }
 
-    /// Forgets a planned copy.
-    pub(super) fn forget_hedge(&mut self, task: TaskId) {
+    /// Cancels a planned hedge.
+    pub(super) fn cancel_hedge(&mut self, task: TaskId) {
         let running = self.running.get_mut(&task);
         if let Some(at) = running.and_then(|running| running.hedge_at.take()) {
-            self.hedges.remove(&(at, task));
+            self.planned_hedges.remove(&(at, task));
         }
     }
 
-    /// Tries to start a copy that is due.
-    pub(super) fn start_hedge(&mut self, now: Mono) -> Option<NextStep> {
-        while let Some((at, task)) = self.hedges.first().copied()
+    /// Starts the first due hedge that finds an executor and a token; `None` if there is none.
+    pub(super) fn start_due_hedge(&mut self, now: Mono) -> Option<NextStep> {
+        while let Some((at, task)) = self.planned_hedges.first().copied()
             && at <= now
         {
-            self.forget_hedge(task);
-            if let Some(step) = self.hedge(now, task) {
+            self.cancel_hedge(task);
+            if let Some(step) = self.try_hedge(now, task) {
                 return Some(step);
             }
         }
         None
     }
 
-    /// Gets when the deadline is at risk, if a copy sent then can still make it.
+    /// Returns when the deadline is at risk; `None` if no hedge is allowed, or if one sent then
+    /// would be too late.
     fn hedge_time(&self, now: Mono, task: TaskId) -> Option<Mono> {
         let work = &self.running.get(&task)?.ticket.work;
         if !work.may_run_twice || !self.placement.kind().is_guarded() {
@@ -59,20 +60,20 @@
         let class = self.classes.get(&work.class)?;
         let upstream = self.upstreams.get(&class.target.upstream)?;
         let slowdown = upstream.capacity.mean_slowdown();
-        let late = to_micros(class.estimate.quantile_us(LATE_Q)? * slowdown);
-        let fresh = class.median(upstream.capacity.fastest());
-        let at_risk = Mono(work.deadline.0.saturating_sub(late.0 * 2));
-        let useful_until = Mono(work.deadline.0.saturating_sub(fresh.0));
-        let at = at_risk.max(now + late);
+        let late_after = to_micros(class.estimate.quantile_us(LATE_QUANTILE)? * slowdown);
+        let median = class.median(upstream.capacity.fastest_slowdown());
+        let at_risk_at = Mono(work.deadline.0.saturating_sub(late_after.0 * 2));
+        let useful_until = Mono(work.deadline.0.saturating_sub(median.0));
+        let at = at_risk_at.max(now + late_after);
         (at <= useful_until).then_some(at)
     }
 
-    fn hedge(&mut self, now: Mono, task: TaskId) -> Option<NextStep> {
+    fn try_hedge(&mut self, now: Mono, task: TaskId) -> Option<NextStep> {
         let running = self.running.get(&task)?;
         let [attempt] = running.attempts.as_slice() else {
             return None;
         };
-        let (seat, ticket) = (attempt.seat, running.ticket.clone());
+        let (key, ticket) = (attempt.key, running.ticket.clone());
         let name = self
             .classes
             .get(&ticket.work.class)?
@@ -80,12 +81,12 @@
             .upstream
             .clone();
         let upstream = self.upstreams.get(&name)?;
-        // Under overload a copy takes the place of another task.
-        if running.is_over || !upstream.hedges.has_token() || upstream.is_crowded(now) {
+        // Under overload, a hedge would take the slot of another task.
+        if running.is_over || !upstream.hedges.has_token() || upstream.is_overloaded(now) {
             return None;
         }
-        let Some(candidate) = self.find_for_hedge(now, &ticket, seat) else {
-            self.hedge_again(now, task, &ticket.work.deadline);
+        let Some(candidate) = self.find_for_hedge(now, &ticket, key) else {
+            self.reschedule_hedge(now, task, &ticket.work.deadline);
             return None;
         };
         let expected_us = as_us(
@@ -96,18 +97,18 @@
         if now + to_micros(expected_us) > ticket.work.deadline {
             return None;
         }
-        self.upstreams.get_mut(&name)?.hedges.take();
-        self.waste.hedges += 1;
-        self.begin(now, ticket, candidate, true)
+        self.upstreams.get_mut(&name)?.hedges.try_take();
+        self.wasted_messages.hedges += 1;
+        self.start_attempt(now, ticket, candidate, true)
     }
 
-    fn hedge_again(&mut self, now: Mono, task: TaskId, deadline: &Mono) {
-        let at = now + Micros::from(AGAIN);
+    fn reschedule_hedge(&mut self, now: Mono, task: TaskId, deadline: &Mono) {
+        let at = now + Micros::from(HEDGE_RETRY_DELAY);
         if at < *deadline
             && let Some(running) = self.running.get_mut(&task)
         {
             running.hedge_at = Some(at);
-            self.hedges.insert((at, task));
+            self.planned_hedges.insert((at, task));
         }
     }
 }
--- a/crates/onyxshed-policy/src/policy/place.rs
+++ b/crates/onyxshed-policy/src/policy/place.rs
@@ -1,4 +1,4 @@
-//! Where a task goes, or whether it had better wait.
+//! Selects the executor of a task, or decides that the task waits for a faster one.
 
 use std::collections::BTreeMap;
 
@@ -8,24 +8,24 @@
 use crate::class::Class;
 use crate::executor::Executor;
 use crate::executor::breaker::{BreakerReason, Gate};
-use crate::executor::sharing::Terms;
-use crate::fleet::Seat;
+use crate::executor::sharing::StartConditions;
+use crate::fleet::ExecutorKey;
 use crate::placement::{Candidate, Choice};
 use crate::queue::Ticket;
 use crate::span::{as_us, to_micros};
 use crate::upstream::{Scan, Upstream};
 
-/// Candidates that are enough to choose from, where an upstream has very many executors.
-const CANDIDATES_ENOUGH: usize = 48;
+/// Number of candidates after which the search for an executor ends.
+const CANDIDATES_MAX: usize = 48;
 
-/// What looking for an executor came to.
-enum Found {
+/// Result of the search for executors that can take a task.
+enum CandidateSearch {
     Some(Vec<Candidate>),
     OnlyAvoided,
     None,
 }
 
-/// Whether an executor can take a task.
+/// Whether one executor can take a task.
 enum Fit {
     Yes(Candidate),
     Avoided,
@@ -33,114 +33,126 @@
 }
 
 impl Policy {
-    /// Chooses an executor for a task.
+    /// Selects an executor for a queued task.
     pub(super) fn choose(&mut self, now: Mono, name: &UpstreamName, ticket: &Ticket) -> Choice {
-        let candidates = match self.find(now, name, ticket) {
-            Found::None => return Choice::Full,
-            Found::OnlyAvoided => return Choice::Avoided,
-            Found::Some(candidates) => candidates,
+        let candidates = match self.find_candidates(now, name, ticket) {
+            CandidateSearch::None => return Choice::Full,
+            CandidateSearch::OnlyAvoided => return Choice::Avoided,
+            CandidateSearch::Some(candidates) => candidates,
         };
         match self.placement.choose(&candidates, &mut self.rng) {
             None => Choice::Full,
-            Some(candidate) if self.had_better_wait(now, name, ticket, &candidate) => Choice::Hold,
+            Some(candidate) if self.should_wait_for_faster(now, name, ticket, &candidate) => {
+                Choice::WaitForFaster
+            }
             Some(candidate) => Choice::Take(candidate),
         }
     }
 
-    /// Finds an executor for a second copy of a task that runs at `at`.
+    /// Selects an executor for a hedge of a task that runs on `at`.
     pub(super) fn find_for_hedge(
         &mut self,
         now: Mono,
         running: &Ticket,
-        at: Seat,
+        at: ExecutorKey,
     ) -> Option<Candidate> {
         let class = self.classes.get(&running.work.class)?;
         let name = class.target.upstream.clone();
         let mut ticket = running.clone();
         ticket.failed_on.push(self.fleet.get(at)?.id);
         let scan = std::mem::replace(&mut self.upstreams.get_mut(&name)?.scan, Scan::All);
-        let found = self.find(now, &name, &ticket);
+        let found = self.find_candidates(now, &name, &ticket);
         self.upstreams.get_mut(&name)?.scan = scan;
-        let Found::Some(mut candidates) = found else {
+        let CandidateSearch::Some(mut candidates) = found else {
             return None;
         };
         candidates.retain(|candidate| !candidate.is_probe);
         self.placement.choose(&candidates, &mut self.rng)
     }
 
-    fn find(&mut self, now: Mono, name: &UpstreamName, ticket: &Ticket) -> Found {
+    fn find_candidates(
+        &mut self,
+        now: Mono,
+        name: &UpstreamName,
+        ticket: &Ticket,
+    ) -> CandidateSearch {
         let Some(upstream) = self.upstreams.get_mut(name) else {
-            return Found::None;
+            return CandidateSearch::None;
         };
         let is_guarded = self.placement.kind().is_guarded();
-        let seats = seats_to_look_at(upstream, is_guarded);
-        let terms = self.terms(now, name, ticket);
+        let keys = keys_to_scan(upstream, is_guarded);
+        let conditions = self.start_conditions(now, name, ticket);
         let mut found: Vec<Candidate> = Vec::new();
         let mut has_avoided = false;
-        for seat in seats {
-            match self.fit(now, name, ticket, seat, terms) {
+        for key in keys {
+            match self.fit(now, name, ticket, key, conditions) {
                 Fit::Yes(candidate) => found.push(candidate),
                 Fit::Avoided => has_avoided = true,
                 Fit::No => {}
             }
-            if is_guarded && found.len() >= CANDIDATES_ENOUGH {
+            if is_guarded && found.len() >= CANDIDATES_MAX {
                 break;
             }
         }
         match (found.is_empty(), has_avoided) {
-            (false, _) => Found::Some(found),
-            (true, true) => Found::OnlyAvoided,
-            (true, false) => Found::None,
+            (false, _) => CandidateSearch::Some(found),
+            (true, true) => CandidateSearch::OnlyAvoided,
+            (true, false) => CandidateSearch::None,
         }
     }
 
-    /// Gets what the task's start depends on besides the executor.
-    pub(super) fn terms(&self, now: Mono, name: &UpstreamName, ticket: &Ticket) -> Terms {
+    /// Returns the conditions for a start that do not depend on the executor.
+    pub(super) fn start_conditions(
+        &self,
+        now: Mono,
+        name: &UpstreamName,
+        ticket: &Ticket,
+    ) -> StartConditions {
         let upstream = self.upstreams.get(name);
         let slowdown = upstream.map_or(1.0, |upstream| upstream.capacity.mean_slowdown());
         let class = self.classes.get(&ticket.work.class);
-        let usual = class.and_then(|class| class.usual(slowdown));
-        let usual = usual.unwrap_or(Micros(0));
-        Terms {
-            sharers: self.sharers,
-            fade: upstream.map_or(Micros(0), Upstream::fade),
-            has_time: now + Micros(usual.0.saturating_mul(2)) < ticket.work.deadline,
+        let service_time_p99 = class.and_then(|class| class.service_time_p99(slowdown));
+        let service_time_p99 = service_time_p99.unwrap_or(Micros(0));
+        StartConditions {
+            zone_hosts: self.zone_hosts,
+            report_decay: upstream.map_or(Micros(0), Upstream::report_decay),
+            has_time: now + Micros(service_time_p99.0.saturating_mul(2)) < ticket.work.deadline,
         }
     }
 
-    /// Tells whether an executor can take the task now.
+    /// Returns whether an executor can take the task now.
     fn fit(
         &self,
         now: Mono,
         name: &UpstreamName,
         ticket: &Ticket,
-        seat: Seat,
-        terms: Terms,
+        key: ExecutorKey,
+        conditions: StartConditions,
     ) -> Fit {
-        let Some(executor) = self.fleet.get(seat) else {
+        let Some(executor) = self.fleet.get(key) else {
             return Fit::No;
         };
         let is_guarded = self.placement.kind().is_guarded();
         let gate = match is_guarded {
-            true => guarded_gate(now, executor, terms),
-            false => plain_gate(now, executor),
+            true => guarded_gate(now, executor, conditions),
+            false => baseline_gate(now, executor),
         };
         let is_probe = gate == Gate::Probe;
-        if gate == Gate::Shut || (is_probe && !self.may_probe(now, name, ticket, executor)) {
+        if gate == Gate::Blocked || (is_probe && !self.may_probe(now, name, ticket, executor)) {
             return Fit::No;
         }
-        // Where hardly any other is usable, waiting for another would keep the task from the try
-        // that finds out whether this one is well again.
+        // If hardly any other executor is usable, avoiding this one would keep the task from being
+        // the probe that finds out whether the executor has recovered.
         let has_others = self
             .upstreams
             .get(name)
             .is_some_and(|u| u.capacity.usable > 1);
-        let has_bounced = ticket.bounced_at == Some(seat) && has_others;
-        if has_bounced || ticket.failed_on.contains(&executor.id) {
+        let has_failed_here = ticket.last_failed_start == Some(key) && has_others;
+        if has_failed_here || ticket.failed_on.contains(&executor.id) {
             return Fit::Avoided;
         }
         Fit::Yes(Candidate {
-            seat,
+            key,
             in_flight: executor.in_flight,
             slots: executor.info.slots,
             slowdown: executor.slowdown(now),
@@ -148,10 +160,11 @@
         })
     }
 
-    /// Tells whether a task may try an executor under doubt.
+    /// Returns whether a task may probe the executor.
     ///
-    /// Work that may not run twice would be lost with a failed try, so it is used only where the
-    /// upstream has no other. A slow executor is tried with work that can wait for it.
+    /// A failed probe loses a task that may not run twice, so such a task probes only if no class
+    /// on the upstream has tasks running that may. A slow executor is probed only with a task that
+    /// can still meet its deadline there.
     fn may_probe(
         &self,
         now: Mono,
@@ -159,7 +172,7 @@
         ticket: &Ticket,
         executor: &Executor,
     ) -> bool {
-        if !ticket.work.may_run_twice && has_repeatable(&self.classes, name) {
+        if !ticket.work.may_run_twice && has_repeatable_running(&self.classes, name) {
             return false;
         }
         let class = self.classes.get(&ticket.work.class);
@@ -170,14 +183,14 @@
         now + expected <= ticket.work.deadline
     }
 
-    /// Decides whether the task had better wait for a faster executor.
+    /// Returns whether the task should wait for a faster executor.
     ///
-    /// A slow executor costs the task the difference in service time; waiting costs the task, and
-    /// those that come after it, the time that the faster ones need for what is queued. The nearer
-    /// the faster ones are to their capacity, the more later tasks a wait holds up; beyond it, the
-    /// slow ones are needed. The wait never goes beyond the difference. Where only one of the two
-    /// ways makes the deadline, that one is taken.
-    fn had_better_wait(
+    /// A slow executor costs the task the difference in service time. Waiting costs the task, and
+    /// those queued after it, the time that the faster executors need for the queue. The higher the
+    /// utilization of the faster ones, the more later tasks are delayed by a wait; beyond their
+    /// capacity, the slow executors are needed. The wait never exceeds the difference in service
+    /// time. If only one of the two choices meets the deadline, that one is taken.
+    fn should_wait_for_faster(
         &self,
         now: Mono,
         name: &UpstreamName,
@@ -196,59 +209,63 @@
         let Some(faster) = upstream.capacity.faster_than(candidate.slowdown) else {
             return false;
         };
-        let release_us = upstream.mean_us() / faster.power;
+        let slot_free_us = upstream.mean_us() / faster.effective_slots;
         let fast_us = median_us * faster.slowdown;
         let slow_us = median_us * candidate.slowdown;
         let left_us = as_us(ticket.work.deadline.since(now));
-        match (slow_us <= left_us, release_us + fast_us <= left_us) {
+        match (slow_us <= left_us, slot_free_us + fast_us <= left_us) {
             (true, false) => return false,
             (false, true) => return true,
             (true, true) | (false, false) => {}
         }
         let gain_us = slow_us - fast_us;
-        let idle_part = 1.0 - upstream.demand.slots(now) / faster.power;
-        let wait_us = (upstream.queue.len() + 1) as f64 * release_us;
-        let has_time = ticket.since + to_micros(gain_us) > now;
-        has_time && idle_part > 0.0 && wait_us / idle_part < gain_us
+        let idle_share = 1.0 - upstream.demand.slots(now) / faster.effective_slots;
+        let wait_us = (upstream.queue.len() + 1) as f64 * slot_free_us;
+        let has_time = ticket.queued_at + to_micros(gain_us) > now;
+        has_time && idle_share > 0.0 && wait_us / idle_share < gain_us
     }
 }
 
-/// Gets the executors to look at: where something came free, or all of them, beginning anywhere if
-/// they are many.
-fn seats_to_look_at(upstream: &mut Upstream, is_guarded: bool) -> Vec<Seat> {
-    let mut seats = match &upstream.scan {
+/// Returns the executors to check: those with a newly free slot, or all members. If there are many,
+/// the scan starts at a rotating offset.
+fn keys_to_scan(upstream: &mut Upstream, is_guarded: bool) -> Vec<ExecutorKey> {
+    let mut keys = match &upstream.scan {
         Scan::All => upstream.members.clone(),
-        Scan::Only(seats) => seats.clone(),
+        Scan::Only(keys) => keys.clone(),
     };
-    if is_guarded && seats.len() > CANDIDATES_ENOUGH {
-        upstream.turn = (upstream.turn + CANDIDATES_ENOUGH) % seats.len();
-        seats.rotate_left(upstream.turn);
+    if is_guarded && keys.len() > CANDIDATES_MAX {
+        upstream.scan_offset = (upstream.scan_offset + CANDIDATES_MAX) % keys.len();
+        keys.rotate_left(upstream.scan_offset);
     } else {
-        seats.sort_unstable();
+        keys.sort_unstable();
     }
-    seats
+    keys
 }
 
-/// Gets what an executor may get by its guards and places.
-fn guarded_gate(now: Mono, executor: &Executor, terms: Terms) -> Gate {
+/// Returns the gate of an executor by its breaker, its limit and its share of slots.
+fn guarded_gate(now: Mono, executor: &Executor, conditions: StartConditions) -> Gate {
     let gate = executor.gate(now);
-    let has_place = match gate {
-        Gate::Work => executor.has_place(now, terms),
-        // Tasks from before the breaker opened may still be there.
+    let has_free_slot = match gate {
+        Gate::Work => executor.has_free_slot(now, conditions),
+        // Tasks that were sent before the breaker opened may still be running there.
         Gate::Probe => executor.in_flight < executor.info.slots,
-        Gate::Shut => false,
+        Gate::Blocked => false,
     };
-    if has_place { gate } else { Gate::Shut }
+    if has_free_slot { gate } else { Gate::Blocked }
 }
 
-/// Gets what an executor may get by its slots alone.
-fn plain_gate(now: Mono, executor: &Executor) -> Gate {
-    let has_place = executor.is_live(now) && executor.in_flight < executor.info.slots;
-    if has_place { Gate::Work } else { Gate::Shut }
+/// Returns the gate of an executor by its free slots alone, for the baseline placements.
+fn baseline_gate(now: Mono, executor: &Executor) -> Gate {
+    let has_free_slot = executor.is_schedulable(now) && executor.in_flight < executor.info.slots;
+    if has_free_slot {
+        Gate::Work
+    } else {
+        Gate::Blocked
+    }
 }
 
-/// Tells whether some class on the upstream has work under way that may run twice.
-fn has_repeatable(classes: &BTreeMap<ClassName, Class>, upstream: &UpstreamName) -> bool {
+/// Returns whether any class on the upstream has tasks running that may run twice.
+fn has_repeatable_running(classes: &BTreeMap<ClassName, Class>, upstream: &UpstreamName) -> bool {
     classes.values().any(|class| {
         class.target.may_run_twice && class.in_flight > 0 && class.target.upstream == *upstream
     })
--- a/crates/onyxshed-policy/src/policy/start.rs
+++ b/crates/onyxshed-policy/src/policy/start.rs
@@ -1,44 +1,44 @@
-//! What to start next.
+//! Selects the next task to start.
 
 use onyxshed_core::{ClassName, Millis, Mono, Now, UpstreamName};
 
 use super::Policy;
-use crate::executor::sharing::Terms;
-use crate::fleet::Seat;
+use crate::executor::sharing::StartConditions;
+use crate::fleet::ExecutorKey;
 use crate::placement::{Candidate, Choice};
 use crate::queue::Ticket;
-use crate::running::{Attempt, Running};
+use crate::running::{Attempt, RunningTask};
 use crate::upstream::Scan;
 use crate::work::NextStep;
 
-/// When an upstream with tasks waiting is looked at again without an event, in milliseconds.
-const LOOK_AGAIN: Millis = Millis(10);
+/// Interval at which an upstream with queued tasks is checked again without an event.
+const RECHECK_INTERVAL: Millis = Millis(10);
 
-/// Tasks set aside in one look before giving the others a rest.
-const SET_ASIDE_MAX: usize = 8;
+/// Maximum number of placement attempts per upstream before the other upstreams get their turn.
+const PLACEMENT_TRIES_MAX: usize = 8;
 
-/// Time a task is assumed to stay within before anything is known of its class, in milliseconds.
-const USUAL_ASSUMED: Millis = Millis(2_000);
+/// Assumed 99th percentile of the service time of a class without an estimate.
+const SERVICE_TIME_P99_ASSUMED: Millis = Millis(2_000);
 
 impl Policy {
-    /// Decides what to start now.
+    /// Returns the next task to start, or when to call again.
     pub fn next(&mut self, now: Now) -> NextStep {
-        if let Some(step) = self.start_hedge(now.mono) {
+        if let Some(step) = self.start_due_hedge(now.mono) {
             return step;
         }
-        self.wake(now.mono);
+        self.mark_due_ready(now.mono);
         while let Some(name) = self.next_ready() {
             if let Some(step) = self.start_from(now.mono, &name) {
                 self.last_served = Some(name);
                 return step;
             }
             self.ready.remove(&name);
-            self.sleep(now.mono, &name);
+            self.schedule_wakeup(now.mono, &name);
         }
-        self.wait(now.mono)
+        self.wait_step(now.mono)
     }
 
-    /// Gets the next upstream in turn that may be able to start something.
+    /// Returns the next upstream in round-robin order that may be able to start a task.
     fn next_ready(&self) -> Option<UpstreamName> {
         use std::ops::Bound::{Excluded, Unbounded};
         let after = self
@@ -48,22 +48,22 @@
         after.or_else(|| self.ready.first()).cloned()
     }
 
-    /// Makes those upstreams ready whose time to be looked at has come.
-    fn wake(&mut self, now: Mono) {
-        while let Some((at, _)) = self.wakes.first()
+    /// Marks the upstreams ready whose wakeup is due.
+    fn mark_due_ready(&mut self, now: Mono) {
+        while let Some((at, _)) = self.wakeups.first()
             && *at <= now
-            && let Some((_, name)) = self.wakes.pop_first()
+            && let Some((_, name)) = self.wakeups.pop_first()
         {
             if let Some(upstream) = self.upstreams.get_mut(&name) {
-                upstream.wake = None;
+                upstream.wake_at = None;
                 upstream.scan = Scan::All;
                 self.ready.insert(name);
             }
         }
     }
 
-    /// Sets when an upstream that can start nothing is looked at again without an event.
-    fn sleep(&mut self, now: Mono, name: &UpstreamName) {
+    /// Schedules the next check of an upstream that cannot start a task now.
+    fn schedule_wakeup(&mut self, now: Mono, name: &UpstreamName) {
         let Some(upstream) = self.upstreams.get_mut(name) else {
             return;
         };
@@ -71,53 +71,54 @@
             return;
         }
         let times = [
-            Some(now + LOOK_AGAIN),
-            upstream.queue.ripe_at(),
-            upstream.wake,
+            Some(now + RECHECK_INTERVAL),
+            upstream.queue.next_release_at(),
+            upstream.wake_at,
         ];
         let Some(at) = times.into_iter().flatten().min() else {
             return;
         };
-        if let Some(old) = upstream.wake.replace(at) {
-            self.wakes.remove(&(old, name.clone()));
+        if let Some(old) = upstream.wake_at.replace(at) {
+            self.wakeups.remove(&(old, name.clone()));
         }
-        self.wakes.insert((at, name.clone()));
+        self.wakeups.insert((at, name.clone()));
     }
 
-    fn wait(&self, now: Mono) -> NextStep {
-        let wake = self.wakes.first().map(|(at, _)| *at);
-        let hedge = self.hedges.first().map(|(at, _)| *at);
-        // Tasks given up while looking for work wait for `expired`, which must come soon.
-        let hopeless = (!self.hopeless.is_empty()).then(|| now + Millis(1));
-        let first = [wake, hedge, hopeless].into_iter().flatten().min();
+    fn wait_step(&self, now: Mono) -> NextStep {
+        let wakeup = self.wakeups.first().map(|(at, _)| *at);
+        let hedge = self.planned_hedges.first().map(|(at, _)| *at);
+        // Tasks dropped during the search are reported by `take_expired`, which has to be called
+        // soon.
+        let dropped = (!self.dropped.is_empty()).then(|| now + Millis(1));
+        let first = [wakeup, hedge, dropped].into_iter().flatten().min();
         first.map_or(NextStep::Idle, NextStep::WaitUntil)
     }
 
-    /// Tries to start a task on an upstream.
+    /// Tries to start a task on an upstream; `None` if it cannot start any.
     fn start_from(&mut self, now: Mono, name: &UpstreamName) -> Option<NextStep> {
-        self.look_after(now, name);
+        self.refresh_upstream(now, name);
         if self.upstreams.get(name)?.scan == Scan::Only(Vec::new()) {
             return None;
         }
-        let mut holding: Vec<ClassName> = Vec::new();
-        for _ in 0..SET_ASIDE_MAX {
-            let class = self.first_class(name, &holding)?;
+        let mut waiting_classes: Vec<ClassName> = Vec::new();
+        for _ in 0..PLACEMENT_TRIES_MAX {
+            let class = self.next_class(name, &waiting_classes)?;
             let ticket = self.upstreams.get(name)?.queue.peek(&class)?.clone();
-            if self.is_hopeless(now, name, &ticket) {
-                self.give_up(name, &class);
+            if self.is_out_of_time(now, name, &ticket) {
+                self.drop_first(name, &class);
                 continue;
             }
             match self.choose(now, name, &ticket) {
                 Choice::Take(candidate) => {
-                    self.pop(name, &class);
-                    let terms = self.terms(now, name, &ticket);
-                    let step = self.begin(now, ticket, candidate, false);
-                    self.filled(now, name, candidate.seat, terms);
+                    self.pop_first(name, &class);
+                    let conditions = self.start_conditions(now, name, &ticket);
+                    let step = self.start_attempt(now, ticket, candidate, false);
+                    self.record_filled_slot(now, name, candidate.key, conditions);
                     return step;
                 }
-                Choice::Avoided => self.set_aside(now, name, &class),
-                // Another class may have use for the place that this one lets pass.
-                Choice::Hold => holding.push(class),
+                Choice::Avoided => self.postpone_first(now, name, &class),
+                // Another class may be able to use the slot that this one declines.
+                Choice::WaitForFaster => waiting_classes.push(class),
                 Choice::Full => {
                     self.upstreams.get_mut(name)?.scan = Scan::Only(Vec::new());
                     return None;
@@ -127,33 +128,38 @@
         None
     }
 
-    /// Books a start.
-    pub(super) fn begin(
+    /// Records that a task starts on the candidate, and returns the step that sends it.
+    pub(super) fn start_attempt(
         &mut self,
         now: Mono,
         ticket: Ticket,
         candidate: Candidate,
         is_hedge: bool,
     ) -> Option<NextStep> {
-        let Candidate { seat, is_probe, .. } = candidate;
+        let Candidate { key, is_probe, .. } = candidate;
         let task = ticket.work.task;
-        let executor = self.fleet.get_mut(seat)?;
+        let executor = self.fleet.get_mut(key)?;
         let class = self.classes.get_mut(&ticket.work.class)?;
-        let usual = class.usual(candidate.slowdown.max(1.0));
+        let service_time_p99 = class.service_time_p99(candidate.slowdown.max(1.0));
         class.in_flight += 1;
-        executor.started(now, usual.unwrap_or(USUAL_ASSUMED.into()));
+        executor.record_start(
+            now,
+            service_time_p99.unwrap_or(SERVICE_TIME_P99_ASSUMED.into()),
+        );
         if is_probe {
-            executor.breaker.probing(now, executor.patience());
+            executor
+                .breaker
+                .record_probe(now, executor.response_timeout());
         }
         let name = executor.info.name.clone();
-        if self.siblings(task.submission).next().is_some() {
-            self.begun.insert(task.submission);
+        if self.queued_tasks_of(task.submission).next().is_some() {
+            self.started_jobs.insert(task.submission);
         }
         let running = self.running.entry(task);
-        let running = running.or_insert_with(|| Running::new(ticket));
-        running.attempts.push(Attempt { seat, is_probe });
+        let running = running.or_insert_with(|| RunningTask::new(ticket));
+        running.attempts.push(Attempt { key, is_probe });
         if is_probe {
-            self.follow_in_rack(seat);
+            self.align_rack_probes(key);
         }
         if !is_hedge {
             self.plan_hedge(now, task);
@@ -165,16 +171,22 @@
         })
     }
 
-    /// Takes an executor without a further place off the list of those to look at.
-    fn filled(&mut self, now: Mono, name: &UpstreamName, seat: Seat, terms: Terms) {
-        let (Some(upstream), Some(executor)) = (self.upstreams.get_mut(name), self.fleet.get(seat))
+    /// Removes an executor without a further free slot from the executors to check.
+    fn record_filled_slot(
+        &mut self,
+        now: Mono,
+        name: &UpstreamName,
+        key: ExecutorKey,
+        conditions: StartConditions,
+    ) {
+        let (Some(upstream), Some(executor)) = (self.upstreams.get_mut(name), self.fleet.get(key))
         else {
             return;
         };
-        if let Scan::Only(seats) = &mut upstream.scan
-            && !executor.has_place(now, terms)
+        if let Scan::Only(keys) = &mut upstream.scan
+            && !executor.has_free_slot(now, conditions)
         {
-            seats.retain(|other| *other != seat);
+            keys.retain(|other| *other != key);
         }
     }
 }
--- a/crates/onyxshed-policy/src/policy/turn.rs
+++ b/crates/onyxshed-policy/src/policy/turn.rs
@@ -1,63 +1,68 @@
-//! Whose turn it is on an upstream, and what leaves its queue without being started.
+//! Selects the class whose task is started next, and drops tasks that cannot meet their deadline.
 
 use onyxshed_core::{ClassName, Millis, Mono, UpstreamName};
 
 use super::Policy;
-use super::intake::outlook;
-use crate::admission::Outlook;
+use super::intake::finish_estimate;
+use crate::admission::FinishEstimate;
 use crate::class::Class;
-use crate::queue::{Standing, Ticket};
+use crate::queue::{ShareUse, Ticket};
 use crate::upstream::Upstream;
 
-/// When a task that no executor but those it must avoid could take is looked at again.
-const AVOIDED_AGAIN: Millis = Millis(5);
+/// Delay before a task is tried again for which only executors that it must avoid are free.
+const AVOIDED_RETRY_DELAY: Millis = Millis(5);
 
-/// Part of an upstream's slots that a class held to be unable to run may use.
-const BLAMED_PART: f64 = 1.0 / 32.0;
+/// Fraction of an upstream's slots that a class marked as unrunnable may use.
+const UNRUNNABLE_SHARE: f64 = 1.0 / 32.0;
 
 impl Policy {
-    /// Gets the class whose first task goes next, those that let their turn pass left out.
-    pub(super) fn first_class(
+    /// Returns the class whose first task is started next, without the classes in
+    /// `waiting_classes`.
+    pub(super) fn next_class(
         &self,
         name: &UpstreamName,
-        holding: &[ClassName],
+        waiting_classes: &[ClassName],
     ) -> Option<ClassName> {
         let upstream = self.upstreams.get(name)?;
         let slots = upstream.capacity.slots();
-        let even_part = slots / upstream.queue.classes().max(1) as f64;
-        let standing = |name: &ClassName| match self.classes.get(name) {
-            _ if holding.contains(name) => Standing::Held,
-            Some(class) => standing(class, even_part, slots),
-            None => Standing::Beyond,
+        let fair_share = slots / upstream.queue.classes().max(1) as f64;
+        let share_use = |name: &ClassName| match self.classes.get(name) {
+            _ if waiting_classes.contains(name) => ShareUse::Blocked,
+            Some(class) => share_use(class, fair_share, slots),
+            None => ShareUse::Reached,
         };
-        upstream.queue.first_class(standing).cloned()
+        upstream.queue.next_class(share_use).cloned()
     }
 
-    /// Tells whether a task has less time left than is worth starting with.
-    pub(super) fn is_hopeless(&self, now: Mono, name: &UpstreamName, ticket: &Ticket) -> bool {
+    /// Returns whether a task has too little time left to be started.
+    pub(super) fn is_out_of_time(&self, now: Mono, name: &UpstreamName, ticket: &Ticket) -> bool {
         let class = self.classes.get(&ticket.work.class);
         let (Some(upstream), Some(class)) = (self.upstreams.get(name), class) else {
             return false;
         };
-        let is_crowded = upstream.is_crowded(now);
-        let floor = class.floor(now, upstream.capacity.fastest(), is_crowded);
-        let is_late = ticket.work.deadline <= now + floor;
-        is_late || (is_crowded && self.would_fail(now, upstream, ticket))
+        let is_overloaded = upstream.is_overloaded(now);
+        let min_time =
+            class.min_useful_time(now, upstream.capacity.fastest_slowdown(), is_overloaded);
+        let has_too_little_time = ticket.work.deadline <= now + min_time;
+        has_too_little_time || (is_overloaded && self.would_miss_deadline(now, upstream, ticket))
     }
 
-    /// Tells whether a job of which nothing has started would hardly be whole in time.
+    /// Returns whether a job of which nothing has started is unlikely to finish in time.
     ///
-    /// A job is complete or failed, so what runs of one that fails is wasted. Under overload its
-    /// places go to a job that makes it.
-    fn would_fail(&self, now: Mono, upstream: &Upstream, ticket: &Ticket) -> bool {
+    /// A job either completes or fails as a whole, so the tasks of one that fails are wasted work.
+    /// Under overload its slots go to a job that can finish.
+    fn would_miss_deadline(&self, now: Mono, upstream: &Upstream, ticket: &Ticket) -> bool {
         let job = ticket.work.task.submission;
-        let is_first_start = ticket.bounces == 0 && ticket.failed_on.is_empty();
-        if !is_first_start || self.begun.contains(&job) || !self.placement.kind().is_guarded() {
+        let is_first_start = ticket.failed_starts == 0 && ticket.failed_on.is_empty();
+        if !is_first_start
+            || self.started_jobs.contains(&job)
+            || !self.placement.kind().is_guarded()
+        {
             return false;
         }
-        let tasks = self.siblings(job).count();
+        let tasks = self.queued_tasks_of(job).count();
         let deadline = ticket.work.deadline;
-        let outlook = outlook(
+        let finish_estimate = finish_estimate(
             now,
             &self.classes,
             upstream,
@@ -65,46 +70,47 @@
             tasks,
             deadline,
         );
-        let at_its_turn = outlook.map(|outlook| Outlook {
+        let when_first = finish_estimate.map(|finish_estimate| FinishEstimate {
             ahead_us: 0.0,
-            ..outlook
+            ..finish_estimate
         });
-        at_its_turn.is_some_and(|outlook| outlook.come_back(now, deadline).is_some())
+        when_first
+            .is_some_and(|finish_estimate| finish_estimate.retry_after(now, deadline).is_some())
     }
 
-    /// Takes a class's first task out to be told as expired.
-    pub(super) fn give_up(&mut self, name: &UpstreamName, class: &ClassName) {
-        if let Some(ticket) = self.pop(name, class) {
-            self.hopeless.push(ticket.expired());
+    /// Drops the first task of a class, to be reported as expired.
+    pub(super) fn drop_first(&mut self, name: &UpstreamName, class: &ClassName) {
+        if let Some(ticket) = self.pop_first(name, class) {
+            self.dropped.push(ticket.expired());
         }
     }
 
-    /// Takes a class's first task out.
-    pub(super) fn pop(&mut self, name: &UpstreamName, class: &ClassName) -> Option<Ticket> {
+    /// Removes and returns the first task of a class.
+    pub(super) fn pop_first(&mut self, name: &UpstreamName, class: &ClassName) -> Option<Ticket> {
         let ticket = self.upstreams.get_mut(name)?.queue.pop(class)?;
-        self.leave_queue(ticket.work.task);
+        self.untrack_queued(ticket.work.task);
         Some(ticket)
     }
 
-    /// Puts a class's first task off, so that it does not keep the others from their turn.
-    pub(super) fn set_aside(&mut self, now: Mono, name: &UpstreamName, class: &ClassName) {
+    /// Delays the first task of a class, so that it does not block the tasks behind it.
+    pub(super) fn postpone_first(&mut self, now: Mono, name: &UpstreamName, class: &ClassName) {
         if let Some(upstream) = self.upstreams.get_mut(name)
             && let Some(ticket) = upstream.queue.pop(class)
         {
-            upstream.queue.push(ticket, Some(now + AVOIDED_AGAIN));
+            upstream.queue.push(ticket, Some(now + AVOIDED_RETRY_DELAY));
         }
     }
 }
 
-/// Gets how a class stands against its even part of the slots.
-fn standing(class: &Class, even_part: f64, slots: f64) -> Standing {
+/// Returns how the class uses its fair share of the slots.
+fn share_use(class: &Class, fair_share: f64, slots: f64) -> ShareUse {
     let with_one_more = f64::from(class.in_flight) + 1.0;
-    let blamed_part = (slots * BLAMED_PART).max(1.0);
-    if class.faults.is_blamed() && with_one_more > blamed_part {
-        Standing::Held
-    } else if with_one_more <= even_part {
-        Standing::Within
+    let unrunnable_share = (slots * UNRUNNABLE_SHARE).max(1.0);
+    if class.faults.is_unrunnable() && with_one_more > unrunnable_share {
+        ShareUse::Blocked
+    } else if with_one_more <= fair_share {
+        ShareUse::Below
     } else {
-        Standing::Beyond
+        ShareUse::Reached
     }
 }
--- a/crates/onyxshed-policy/src/policy/watch.rs
+++ b/crates/onyxshed-policy/src/policy/watch.rs
@@ -1,171 +1,186 @@
-//! What time alone brings about: capacity reckoned anew, executors that went quiet, first tries.
+//! Updates that depend on time: refreshed capacity, unresponsive executors, and the schedule of
+//! probes.
 
 use onyxshed_core::{Millis, Mono, UpstreamName};
 
 use super::Policy;
 use crate::decision::PolicyDecision;
 use crate::executor::breaker::{BreakerChange, BreakerReason};
-use crate::fleet::Seat;
+use crate::fleet::ExecutorKey;
 use crate::span::{as_us, to_micros};
 
-/// Pause between tries while every breaker of an upstream is open, in milliseconds.
-const ALL_OPEN_PAUSE: Millis = Millis(300);
+/// Interval between probes while every breaker of an upstream is open.
+const ALL_OPEN_PROBE_INTERVAL: Millis = Millis(300);
 
-/// Time over which the tries of all executors are spread once the first is well, in milliseconds.
-const HURRY_WITHIN: Millis = Millis(200);
+/// Time over which the probes of other executors are spread after one executor has recovered.
+const PROBE_SPREAD: Millis = Millis(200);
 
-/// Dead executors of a rack from which on one speaks for all.
-const RACK_MIN: usize = 3;
+/// Minimum number of dead executors in a rack for the rack to be treated as one unit of failure.
+const DEAD_RACK_MIN: usize = 3;
 
 impl Policy {
-    /// Does what time alone brings about on an upstream.
-    pub(super) fn look_after(&mut self, now: Mono, name: &UpstreamName) {
+    /// Makes delayed tasks of an upstream ready and refreshes its capacity.
+    pub(super) fn refresh_upstream(&mut self, now: Mono, name: &UpstreamName) {
         if let Some(upstream) = self.upstreams.get_mut(name) {
-            upstream.queue.ripen(now);
+            upstream.queue.release_delayed(now);
         }
-        self.refresh(now, name);
+        self.refresh_capacity(now, name);
     }
 
-    /// Reckons an upstream's capacity anew if it is old, and finds executors that went quiet.
-    pub(super) fn refresh(&mut self, now: Mono, name: &UpstreamName) {
-        let Some(upstream) = self.upstreams.get_mut(name).filter(|u| u.is_old(now)) else {
+    /// Recomputes an upstream's capacity if it is stale, and opens the breakers of unresponsive
+    /// executors.
+    pub(super) fn refresh_capacity(&mut self, now: Mono, name: &UpstreamName) {
+        let Some(upstream) = self
+            .upstreams
+            .get_mut(name)
+            .filter(|u| u.is_capacity_stale(now))
+        else {
             return;
         };
-        upstream.refresh(now, &self.fleet, self.sharers);
+        upstream.refresh_capacity(now, &self.fleet, self.zone_hosts);
         let members = upstream.members.iter().copied();
-        let is_quiet = |seat: &Seat| self.fleet.get(*seat).is_some_and(|e| e.is_quiet(now));
-        let quiet: Vec<Seat> = members.filter(is_quiet).collect();
+        let is_unresponsive =
+            |key: &ExecutorKey| self.fleet.get(*key).is_some_and(|e| e.is_unresponsive(now));
+        let unresponsive: Vec<ExecutorKey> = members.filter(is_unresponsive).collect();
         if upstream.capacity.usable == 0 {
-            self.hurry_first(now, name);
+            self.advance_first_probe(now, name);
         }
-        for seat in quiet {
-            self.trip(now, seat, BreakerReason::Silent);
+        for key in unresponsive {
+            self.trip(now, key, BreakerReason::Silent);
         }
     }
 
-    /// Moves the first try forward when every breaker is open.
+    /// Moves the first probe forward when every breaker is open.
     ///
-    /// Then the fault may well be on this host's side or on the way; waiting out long pauses would
-    /// lengthen an outage that is over. A few tries a second tell.
-    fn hurry_first(&mut self, now: Mono, name: &UpstreamName) {
+    /// The fault may then lie with this host or the network, and long pauses would prolong an
+    /// outage that is already over. A few probes a second detect the recovery.
+    fn advance_first_probe(&mut self, now: Mono, name: &UpstreamName) {
         let Some(upstream) = self.upstreams.get_mut(name) else {
             return;
         };
-        let at = now + ALL_OPEN_PAUSE;
-        let probes = upstream.members.iter().filter_map(|seat| {
-            let executor = self.fleet.get(*seat)?;
+        let at = now + ALL_OPEN_PROBE_INTERVAL;
+        let probes = upstream.members.iter().filter_map(|key| {
+            let executor = self.fleet.get(*key)?;
             let until = executor.breaker.probe_at()?;
             let is_probing = executor.breaker.is_probing();
-            executor.is_live(now).then_some((is_probing, until, *seat))
+            executor
+                .is_schedulable(now)
+                .then_some((is_probing, until, *key))
         });
-        // One that is being tried may take its time; the next one need not wait for it.
-        let Some((_, until, seat)) = probes.min() else {
+        // A probe that is running may take its time; the next one does not wait for its end.
+        let Some((_, until, key)) = probes.min() else {
             return;
         };
-        if let Some(executor) = self.fleet.get_mut(seat) {
-            executor.breaker.hurry(at);
+        if let Some(executor) = self.fleet.get_mut(key) {
+            executor.breaker.advance_probe(at);
         }
         upstream.capacity.probe_at = Some(at.min(until));
     }
 
-    fn trip(&mut self, now: Mono, seat: Seat, reason: BreakerReason) {
+    fn trip(&mut self, now: Mono, key: ExecutorKey, reason: BreakerReason) {
         let draw = self.draw();
-        let executor = self.fleet.get_mut(seat);
+        let executor = self.fleet.get_mut(key);
         let change = executor.and_then(|executor| executor.breaker.trip(now, reason, draw));
-        self.note_breaker(now, seat, change);
+        self.record_breaker_change(now, key, change);
     }
 
-    /// Tells of a breaker's change, and lets an executor that is well again begin slowly.
-    pub(super) fn note_breaker(&mut self, now: Mono, seat: Seat, change: Option<BreakerChange>) {
-        let (Some(change), Some(executor)) = (change, self.fleet.get_mut(seat)) else {
+    /// Logs a breaker's change, and restarts the concurrency limit of a recovered executor from one
+    /// task.
+    pub(super) fn record_breaker_change(
+        &mut self,
+        now: Mono,
+        key: ExecutorKey,
+        change: Option<BreakerChange>,
+    ) {
+        let (Some(change), Some(executor)) = (change, self.fleet.get_mut(key)) else {
             return;
         };
         let name = executor.info.name.clone();
         let upstream_name = executor.info.upstream.clone();
-        let note = match change {
+        let decision = match change {
             BreakerChange::Opened(reason) => PolicyDecision::BreakerOpened {
                 executor: name,
                 reason,
             },
             BreakerChange::Closed => {
-                executor.limit.ramp();
+                executor.limit.restart_ramp();
                 PolicyDecision::BreakerClosed { executor: name }
             }
         };
-        self.notes.push(note);
+        self.decisions.push(decision);
         match change {
-            BreakerChange::Closed => self.hurry_others(now, &upstream_name, seat),
-            BreakerChange::Opened(BreakerReason::Dead) => self.follow_in_rack(seat),
+            BreakerChange::Closed => self.advance_other_probes(now, &upstream_name, key),
+            BreakerChange::Opened(BreakerReason::Dead) => self.align_rack_probes(key),
             BreakerChange::Opened(_) => {}
         }
         if let Some(upstream) = self.upstreams.get_mut(&upstream_name) {
-            upstream.touch();
+            upstream.invalidate();
         }
     }
 
-    /// Moves the tries of others forward when an executor is well again: those of all after every
-    /// breaker was open, else those of its rack. What was broken for all of them is likely to be
-    /// mended for all.
-    fn hurry_others(&mut self, now: Mono, name: &UpstreamName, seat: Seat) {
+    /// Moves the probes of other executors forward when one has recovered: those of all executors
+    /// if every breaker was open, else those of the same rack. A common cause is likely to be
+    /// removed for all of them at once.
+    fn advance_other_probes(&mut self, now: Mono, name: &UpstreamName, key: ExecutorKey) {
         let Some(upstream) = self.upstreams.get(name) else {
             return;
         };
         let others = match upstream.capacity.usable {
             0 => upstream.members.clone(),
-            _ => self.dead_in_rack_of(seat),
+            _ => self.dead_rack_peers(key),
         };
-        for seat in others {
-            let wait = to_micros(as_us(HURRY_WITHIN.into()) * self.draw());
-            if let Some(executor) = self.fleet.get_mut(seat) {
-                executor.breaker.hurry(now + wait);
+        for key in others {
+            let wait = to_micros(as_us(PROBE_SPREAD.into()) * self.draw());
+            if let Some(executor) = self.fleet.get_mut(key) {
+                executor.breaker.advance_probe(now + wait);
             }
         }
     }
 
-    /// Opens the breaker of an executor that did not answer once if its rack is dead already.
-    pub(super) fn distrust_rack(&mut self, now: Mono, seat: Seat) {
-        if self.dead_in_rack_of(seat).len() >= RACK_MIN {
-            self.trip(now, seat, BreakerReason::Dead);
+    /// Opens the breaker of an executor after a single unanswered attempt if its rack is already
+    /// dead.
+    pub(super) fn trip_in_dead_rack(&mut self, now: Mono, key: ExecutorKey) {
+        if self.dead_rack_peers(key).len() >= DEAD_RACK_MIN {
+            self.trip(now, key, BreakerReason::Dead);
         }
     }
 
-    /// Lets an executor that is tried, or has failed a try, speak for those of its rack that are dead.
+    /// Delays the probes of dead executors in a rack to that of an executor that is being probed or
+    /// has failed a probe.
     ///
-    /// A rack dies as one, and each try of each of its executors is a wasted message. One try for
-    /// all of them is enough as long as none is well; the first that is brings the others' forward.
-    pub(super) fn follow_in_rack(&mut self, seat: Seat) {
-        let tried = self
-            .fleet
-            .get(seat)
-            .map(|executor| executor.breaker.clone());
-        let dead = self.dead_in_rack_of(seat);
-        let is_all_dead = dead.len() >= RACK_MIN && dead.len() == self.rack_of(seat).count();
-        let Some(tried) = tried.filter(|_| is_all_dead) else {
+    /// A rack tends to fail as a whole, and each probe of each of its executors is a wasted
+    /// message. One probe for all of them suffices while none responds; the first that succeeds
+    /// moves the others' probes forward.
+    pub(super) fn align_rack_probes(&mut self, key: ExecutorKey) {
+        let probed = self.fleet.get(key).map(|executor| executor.breaker.clone());
+        let dead = self.dead_rack_peers(key);
+        let is_all_dead = dead.len() >= DEAD_RACK_MIN && dead.len() == self.rack_peers(key).count();
+        let Some(probed) = probed.filter(|_| is_all_dead) else {
             return;
         };
-        for seat in dead {
-            if let Some(executor) = self.fleet.get_mut(seat) {
-                executor.breaker.follow(&tried);
+        for key in dead {
+            if let Some(executor) = self.fleet.get_mut(key) {
+                executor.breaker.align_with(&probed);
             }
         }
     }
 
-    /// Gets the executors of one's rack that are held to be dead.
-    fn dead_in_rack_of(&self, seat: Seat) -> Vec<Seat> {
-        let is_dead = |seat: &Seat| {
-            let executor = self.fleet.get(*seat);
+    /// Returns the executors of the same rack whose breaker is open as dead, `key` itself included.
+    fn dead_rack_peers(&self, key: ExecutorKey) -> Vec<ExecutorKey> {
+        let is_dead = |key: &ExecutorKey| {
+            let executor = self.fleet.get(*key);
             executor.is_some_and(|e| e.breaker.reason() == Some(BreakerReason::Dead))
         };
-        self.rack_of(seat).filter(is_dead).collect()
+        self.rack_peers(key).filter(is_dead).collect()
     }
 
-    /// Gets the executors of one's rack that serve the same upstream.
-    fn rack_of(&self, seat: Seat) -> impl Iterator<Item = Seat> {
-        let executor = self.fleet.get(seat);
+    /// Returns the executors of the same rack and upstream, `key` itself included.
+    fn rack_peers(&self, key: ExecutorKey) -> impl Iterator<Item = ExecutorKey> {
+        let executor = self.fleet.get(key);
         let upstream = executor.and_then(|e| self.upstreams.get(&e.info.upstream));
         let members = upstream.into_iter().flat_map(|upstream| &upstream.members);
-        let is_in_rack = move |seat: &Seat| {
-            let rack = self.fleet.get(*seat).map(|other| &other.info.rack);
+        let is_in_rack = move |key: &ExecutorKey| {
+            let rack = self.fleet.get(*key).map(|other| &other.info.rack);
             rack.is_some() && rack == executor.map(|executor| &executor.info.rack)
         };
         members.copied().filter(is_in_rack)
--- a/crates/onyxshed-policy/src/queue.rs
+++ b/crates/onyxshed-policy/src/queue.rs
@@ -1,52 +1,54 @@
-//! Tasks that wait for one upstream.
+//! Queue of tasks for one upstream.
 //!
-//! Each class has its own queue, ordered by deadline. Among classes the earliest deadline goes
-//! first, but a class that holds less than its even part of the upstream's places has its deadline
-//! brought forward to a quarter of its span. A class that overruns the upstream thus waits behind
-//! its own work, not in front of others', and no weight is needed.
+//! Each class has its own queue, ordered by deadline. Among the classes the earliest deadline goes
+//! first, but a class that uses less than its fair share of the upstream's slots has its deadline
+//! advanced to a quarter of the time between queueing and deadline. A class that overloads the
+//! upstream therefore waits behind its own tasks and not in front of those of other classes, and no
+//! weights are needed.
 
 use std::collections::BTreeMap;
 
 use onyxshed_core::{ClassName, Micros, Mono, ResultCode, TaskId};
 
 use crate::faults::ExecutorId;
-use crate::fleet::Seat;
+use crate::fleet::ExecutorKey;
 use crate::work::{ExpiredTask, QueuedTask};
 
-/// Part of its span after which a class within its even part goes before those beyond theirs.
-const FORWARD_PART: u64 = 4;
+/// Divisor of the time from queueing to deadline after which a class below its fair share takes
+/// precedence.
+const ADVANCE_DIVISOR: u64 = 4;
 
-/// A task with what has happened to it so far.
+/// A task with the history of its attempts.
 #[derive(Debug, Clone)]
 pub struct Ticket {
     /// The task.
     pub work: QueuedTask,
-    /// When it was first queued.
-    pub since: Mono,
-    /// Starts that were refused or could not be sent, so far.
-    pub bounces: u32,
-    /// Where the last start was refused or could not be sent.
-    pub bounced_at: Option<Seat>,
-    /// Executors on which it failed.
+    /// When the task was first queued.
+    pub queued_at: Mono,
+    /// Starts so far that were refused or could not be sent.
+    pub failed_starts: u32,
+    /// Executor of the last start that was refused or could not be sent.
+    pub last_failed_start: Option<ExecutorKey>,
+    /// Executors on which the task was started and did not finish.
     pub failed_on: Vec<ExecutorId>,
-    /// What to tell of an earlier attempt that may have started, if there was one.
+    /// Result code of an earlier attempt that may have started; `None` if there was none.
     pub started_code: Option<ResultCode>,
 }
 
 impl Ticket {
-    /// Makes the ticket of a task that has just arrived.
+    /// Creates the ticket of a new task.
     pub fn new(now: Mono, work: QueuedTask) -> Self {
         Ticket {
             work,
-            since: now,
-            bounces: 0,
-            bounced_at: None,
+            queued_at: now,
+            failed_starts: 0,
+            last_failed_start: None,
             failed_on: Vec::new(),
             started_code: None,
         }
     }
 
-    /// Gets what to tell if it is given up while it waits.
+    /// Returns the report of the task as expired.
     pub fn expired(&self) -> ExpiredTask {
         ExpiredTask {
             task: self.work.task,
@@ -56,151 +58,152 @@
     }
 }
 
-/// Order of a class's queue.
+/// Position in a class's queue: by deadline, then in order of arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     deadline: Mono,
-    number: u64,
+    sequence: u64,
 }
 
 #[derive(Debug, Clone)]
-enum Place {
+enum Position {
     Ready { class: ClassName, rank: Rank },
-    Later { class: ClassName, at: (Mono, u64) },
+    Delayed { class: ClassName, at: (Mono, u64) },
 }
 
-/// What of a class waits.
+/// Extent of a class's ready tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Depth {
-    /// Tasks.
+    /// Number of ready tasks.
     pub tasks: usize,
     /// Earliest deadline.
-    pub first: Mono,
+    pub first_deadline: Mono,
     /// Latest deadline.
-    pub last: Mono,
+    pub last_deadline: Mono,
 }
 
 /// The queue of one upstream.
 #[derive(Debug, Default)]
 pub struct Queue {
     ready: BTreeMap<ClassName, BTreeMap<Rank, Ticket>>,
-    later: BTreeMap<(Mono, u64), Ticket>,
-    places: BTreeMap<TaskId, Place>,
-    later_by_class: BTreeMap<ClassName, usize>,
-    last_number: u64,
+    delayed: BTreeMap<(Mono, u64), Ticket>,
+    positions: BTreeMap<TaskId, Position>,
+    delayed_by_class: BTreeMap<ClassName, usize>,
+    last_sequence: u64,
 }
 
 impl Queue {
-    /// Gets the number of tasks waiting.
+    /// Returns the number of queued tasks, delayed ones included.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no task is queued.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Gets the number of a class's tasks waiting.
+    /// Returns the number of queued tasks of a class, delayed ones included.
     pub fn class_len(&self, class: &ClassName) -> usize {
         let ready = self.ready.get(class).map_or(0, BTreeMap::len);
-        ready + self.later_by_class.get(class).copied().unwrap_or(0)
+        ready + self.delayed_by_class.get(class).copied().unwrap_or(0)
     }
 
-    /// Gets how much of a class is ready; none if nothing is.
+    /// Returns the extent of a class's ready tasks; `None` if there are none.
     pub fn depth(&self, class: &ClassName) -> Option<Depth> {
         let tickets = self.ready.get(class)?;
         Some(Depth {
             tasks: tickets.len(),
-            first: tickets.first_key_value()?.0.deadline,
-            last: tickets.last_key_value()?.0.deadline,
+            first_deadline: tickets.first_key_value()?.0.deadline,
+            last_deadline: tickets.last_key_value()?.0.deadline,
         })
     }
 
-    /// Gets the number of classes that have tasks ready.
+    /// Returns the number of classes with ready tasks.
     pub fn classes(&self) -> usize {
         self.ready.len()
     }
 
-    /// Adds a task; with `not_before` it is not ready until then.
+    /// Adds a task; with `not_before` it is delayed until then.
     pub fn push(&mut self, ticket: Ticket, not_before: Option<Mono>) {
-        self.last_number += 1;
+        self.last_sequence += 1;
         let task = ticket.work.task;
         let class = ticket.work.class.clone();
         match not_before {
             Some(at) => {
-                let at = (at, self.last_number);
-                *self.later_by_class.entry(class.clone()).or_default() += 1;
-                self.places.insert(task, Place::Later { class, at });
-                self.later.insert(at, ticket);
+                let at = (at, self.last_sequence);
+                *self.delayed_by_class.entry(class.clone()).or_default() += 1;
+                self.positions.insert(task, Position::Delayed { class, at });
+                self.delayed.insert(at, ticket);
             }
             None => {
                 let rank = Rank {
                     deadline: ticket.work.deadline,
-                    number: self.last_number,
+                    sequence: self.last_sequence,
                 };
                 let tickets = self.ready.entry(class.clone()).or_default();
                 tickets.insert(rank, ticket);
-                self.places.insert(task, Place::Ready { class, rank });
+                self.positions.insert(task, Position::Ready { class, rank });
             }
         }
     }
 
-    /// Makes tasks ready whose time has come.
-    pub fn ripen(&mut self, now: Mono) {
-        while let Some((at, _)) = self.later.first_key_value()
+    /// Makes the delayed tasks ready that are due.
+    pub fn release_delayed(&mut self, now: Mono) {
+        while let Some((at, _)) = self.delayed.first_key_value()
             && at.0 <= now
-            && let Some((_, ticket)) = self.later.pop_first()
+            && let Some((_, ticket)) = self.delayed.pop_first()
         {
-            self.forget_later(&ticket.work.class);
+            self.decrement_delayed(&ticket.work.class);
             self.push(ticket, None);
         }
     }
 
-    /// Gets when the next task becomes ready by itself.
-    pub fn ripe_at(&self) -> Option<Mono> {
-        self.later.first_key_value().map(|(at, _)| at.0)
+    /// Returns when the next delayed task becomes ready; `None` if no task is delayed.
+    pub fn next_release_at(&self) -> Option<Mono> {
+        self.delayed.first_key_value().map(|(at, _)| at.0)
     }
 
-    /// Gets the class whose first task goes next; `standing` tells how each class stands.
-    pub fn first_class(&self, standing: impl Fn(&ClassName) -> Standing) -> Option<&ClassName> {
-        let keyed = self.ready.iter().filter_map(|(class, tickets)| {
+    /// Returns the class whose first task goes next; `None` if no class has a ready task that may
+    /// start. `share_use` returns how a class uses its fair share.
+    pub fn next_class(&self, share_use: impl Fn(&ClassName) -> ShareUse) -> Option<&ClassName> {
+        let candidates = self.ready.iter().filter_map(|(class, tickets)| {
             let (rank, ticket) = tickets.first_key_value()?;
-            let due = match standing(class) {
-                Standing::Held => return None,
-                Standing::Beyond => rank.deadline,
-                Standing::Within => forwarded(ticket, rank.deadline),
+            let deadline = match share_use(class) {
+                ShareUse::Blocked => return None,
+                ShareUse::Reached => rank.deadline,
+                ShareUse::Below => advanced_deadline(ticket, rank.deadline),
             };
-            Some((due, rank.number, class))
+            Some((deadline, rank.sequence, class))
         });
-        keyed.min().map(|(_, _, class)| class)
+        candidates.min().map(|(_, _, class)| class)
     }
 
-    /// Gets a class's first task.
+    /// Returns the first ready task of a class.
     pub fn peek(&self, class: &ClassName) -> Option<&Ticket> {
         let (_, ticket) = self.ready.get(class)?.first_key_value()?;
         Some(ticket)
     }
 
-    /// Takes a class's first task.
+    /// Removes and returns the first ready task of a class.
     pub fn pop(&mut self, class: &ClassName) -> Option<Ticket> {
         let tickets = self.ready.get_mut(class)?;
         let (_, ticket) = tickets.pop_first()?;
         if tickets.is_empty() {
             self.ready.remove(class);
         }
-        self.places.remove(&ticket.work.task);
+        self.positions.remove(&ticket.work.task);
         Some(ticket)
     }
 
-    /// Takes a task out wherever it waits.
-    pub fn take(&mut self, task: TaskId) -> Option<Ticket> {
-        match self.places.remove(&task)? {
-            Place::Later { class, at } => {
-                self.forget_later(&class);
-                self.later.remove(&at)
+    /// Removes and returns a task, ready or delayed.
+    pub fn remove(&mut self, task: TaskId) -> Option<Ticket> {
+        match self.positions.remove(&task)? {
+            Position::Delayed { class, at } => {
+                self.decrement_delayed(&class);
+                self.delayed.remove(&at)
             }
-            Place::Ready { class, rank } => {
+            Position::Ready { class, rank } => {
                 let tickets = self.ready.get_mut(&class)?;
                 let ticket = tickets.remove(&rank);
                 if tickets.is_empty() {
@@ -211,59 +214,64 @@
         }
     }
 
-    /// Takes out the tasks whose deadline is nearer than their class's shortest possible time.
-    pub fn expire(&mut self, now: Mono, floor: impl Fn(&ClassName) -> Micros) -> Vec<Ticket> {
+    /// Removes and returns the ready tasks whose deadline is nearer than the `min_time` of their
+    /// class, and the delayed tasks whose deadline has passed.
+    pub fn remove_expired(
+        &mut self,
+        now: Mono,
+        min_time: impl Fn(&ClassName) -> Micros,
+    ) -> Vec<Ticket> {
         let mut expired = Vec::new();
         let classes: Vec<ClassName> = self.ready.keys().cloned().collect();
         for class in &classes {
-            let horizon = now + floor(class);
+            let horizon = now + min_time(class);
             while let Some(ticket) = self.peek(class)
                 && ticket.work.deadline <= horizon
             {
                 expired.extend(self.pop(class));
             }
         }
-        let late = self.later.values().filter(|t| t.work.deadline <= now);
-        let late: Vec<TaskId> = late.map(|t| t.work.task).collect();
-        expired.extend(late.into_iter().filter_map(|task| self.take(task)));
+        let overdue = self.delayed.values().filter(|t| t.work.deadline <= now);
+        let overdue: Vec<TaskId> = overdue.map(|t| t.work.task).collect();
+        expired.extend(overdue.into_iter().filter_map(|task| self.remove(task)));
         expired
     }
 
-    /// Takes everything of a class out.
-    pub fn take_class(&mut self, class: &ClassName) -> Vec<Ticket> {
-        let of_class = |place: &Place| match place {
-            Place::Ready { class, .. } | Place::Later { class, .. } => class.clone(),
+    /// Removes and returns all tasks of a class.
+    pub fn remove_class(&mut self, class: &ClassName) -> Vec<Ticket> {
+        let class_of = |position: &Position| match position {
+            Position::Ready { class, .. } | Position::Delayed { class, .. } => class.clone(),
         };
-        let tasks = self.places.iter().filter(|(_, p)| of_class(p) == *class);
+        let tasks = self.positions.iter().filter(|(_, p)| class_of(p) == *class);
         let tasks: Vec<TaskId> = tasks.map(|(task, _)| *task).collect();
         tasks
             .into_iter()
-            .filter_map(|task| self.take(task))
+            .filter_map(|task| self.remove(task))
             .collect()
     }
 
-    fn forget_later(&mut self, class: &ClassName) {
-        if let Some(count) = self.later_by_class.get_mut(class) {
+    fn decrement_delayed(&mut self, class: &ClassName) {
+        if let Some(count) = self.delayed_by_class.get_mut(class) {
             *count -= 1;
             if *count == 0 {
-                self.later_by_class.remove(class);
+                self.delayed_by_class.remove(class);
             }
         }
     }
 }
 
-/// How a class stands against its even part of an upstream's places.
+/// How a class uses its fair share of an upstream's slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// It holds less.
-    Within,
-    /// It holds as much or more.
-    Beyond,
-    /// It gets nothing now.
-    Held,
+pub enum ShareUse {
+    /// The class uses less than its share.
+    Below,
+    /// The class uses its share or more.
+    Reached,
+    /// The class may not start a task now.
+    Blocked,
 }
 
-fn forwarded(ticket: &Ticket, deadline: Mono) -> Mono {
-    let span = deadline.since(ticket.since);
-    ticket.since + Micros(span.0 / FORWARD_PART)
+fn advanced_deadline(ticket: &Ticket, deadline: Mono) -> Mono {
+    let span = deadline.since(ticket.queued_at);
+    ticket.queued_at + Micros(span.0 / ADVANCE_DIVISOR)
 }
--- a/crates/onyxshed-policy/src/running.rs
+++ b/crates/onyxshed-policy/src/running.rs
@@ -1,36 +1,36 @@
-//! Tasks that have been sent and have not ended.
+//! Tasks with attempts that have not ended.
 
 use onyxshed_core::Mono;
 
-use crate::fleet::Seat;
+use crate::fleet::ExecutorKey;
 use crate::queue::Ticket;
 
 /// One copy of a task on one executor.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt {
-    /// Where it is.
-    pub seat: Seat,
-    /// Whether it tries an executor under doubt.
+    /// Key of the executor.
+    pub key: ExecutorKey,
+    /// Whether the attempt probes an executor with an open breaker.
     pub is_probe: bool,
 }
 
-/// A task with its copies.
+/// A task with the copies that run.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningTask {
     /// The task.
     pub ticket: Ticket,
-    /// Its copies that have not ended.
+    /// Copies that have not ended.
     pub attempts: Vec<Attempt>,
-    /// Whether nothing more is to be done for it: it finished, or its job is over.
+    /// Whether the task needs no further attempt: it has finished or was withdrawn.
     pub is_over: bool,
-    /// When a second copy may be sent.
+    /// When a hedge is due; `None` if none is planned.
     pub hedge_at: Option<Mono>,
 }
 
-impl Running {
-    /// Makes the state of a task that is about to be sent.
+impl RunningTask {
+    /// Creates the state of a task without attempts.
     pub fn new(ticket: Ticket) -> Self {
-        Running {
+        RunningTask {
             ticket,
             attempts: Vec::new(),
             is_over: false,
@@ -38,9 +38,9 @@
         }
     }
 
-    /// Takes out the copy on one executor.
-    pub fn remove(&mut self, seat: Seat) -> Option<Attempt> {
-        let index = self.attempts.iter().position(|a| a.seat == seat)?;
+    /// Removes and returns the copy on one executor.
+    pub fn remove_attempt(&mut self, key: ExecutorKey) -> Option<Attempt> {
+        let index = self.attempts.iter().position(|a| a.key == key)?;
         Some(self.attempts.swap_remove(index))
     }
 }
--- a/crates/onyxshed-policy/src/span.rs
+++ b/crates/onyxshed-policy/src/span.rs
@@ -1,4 +1,4 @@
-//! Spans as floating-point microseconds, for estimates.
+//! Conversion between times and floating-point microseconds.
 
 use std::time::Duration;
 
@@ -7,12 +7,13 @@
 /// Microseconds in a second.
 const US_PER_S: f64 = 1e6;
 
-/// Gets a span in microseconds as a number to reckon with.
+/// Returns a time in microseconds as a floating-point number.
 pub fn as_us(span: Micros) -> f64 {
     span.0 as f64
 }
 
-/// Rounds an estimate to a span; what is no sensible span becomes zero or the longest one.
+/// Rounds down to whole microseconds; a negative or undefined value becomes zero, one that is too
+/// large the maximum.
 pub fn to_micros(us: f64) -> Micros {
     if us.is_nan() || us <= 0.0 {
         return Micros(0);
