--- a/crates/onyxshed-policy/src/upstream.rs
+++ b/crates/onyxshed-policy/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream: its queue, its executors, its budgets and what it can do.
+//! State of one upstream: its queue, executors, budgets and capacity.
 
 use onyxshed_core::{Micros, Millis, Mono};
 
@@ -6,159 +6,166 @@
 use crate::demand::Demand;
 use crate::executor::Executor;
 use crate::executor::breaker::Gate;
-use crate::fleet::{Fleet, Seat};
+use crate::fleet::{ExecutorKey, Fleet};
 use crate::queue::Queue;
 use crate::span::to_micros;
 
-/// Age from which on the capacity is reckoned anew, in milliseconds.
-const CAPACITY_FOR: Millis = Millis(100);
+/// Age after which the capacity is recomputed.
+const CAPACITY_TTL: Millis = Millis(100);
 
-/// Retries allowed for each finished task.
+/// Retry tokens per finished task.
 const RETRIES_PER_FINISHED: f64 = 0.1;
 
-/// Most retries saved up.
+/// Maximum number of saved retry tokens.
 const RETRIES_MAX: f64 = 100.0;
 
-/// Hedges allowed for each finished task.
+/// Hedge tokens per finished task.
 const HEDGES_PER_FINISHED: f64 = 0.01;
 
-/// Most hedges saved up.
+/// Maximum number of saved hedge tokens.
 const HEDGES_MAX: f64 = 16.0;
 
 /// Weight of the newest task in the mean service time.
 const MEAN_ALPHA: f64 = 0.05;
 
-/// Mean service time assumed before any is known, in microseconds.
+/// Mean service time assumed before the first task has finished.
 const MEAN_ASSUMED_US: f64 = 200_000.0;
 
-/// Executors looked at before learning how fast they are, as a slowdown.
-const ORDINARY: f64 = 1.0;
+/// Slowdown of an executor of ordinary speed, assumed for an upstream without usable executors.
+const ORDINARY_SLOWDOWN: f64 = 1.0;
 
-/// Which executors may have become able to take a task since the last look.
+/// Executors that may have become able to take a task since the last scan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Scan {
-    /// Any of them.
+    /// Any member of the upstream.
     All,
-    /// Only these.
-    Only(Vec<Seat>),
+    /// Only these executors.
+    Only(Vec<ExecutorKey>),
 }
 
-/// Executors up to some slowdown, taken together.
+/// Totals over the usable executors up to a slowdown.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Tier {
     slowdown: f64,
     slots: f64,
-    power: f64,
+    effective_slots: f64,
 }
 
-/// Executors faster than some other, taken together.
+/// Totals over the executors that are faster than some other.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Faster {
-    /// Their slots weighed by speed.
-    pub power: f64,
-    /// Their mean slowdown.
+pub struct FasterExecutors {
+    /// Slots weighted by speed.
+    pub effective_slots: f64,
+    /// Mean slowdown.
     pub slowdown: f64,
 }
 
-/// What the usable executors can do for this host.
+/// Capacity of an upstream for this host.
 #[derive(Debug, Clone, Default)]
 pub struct Capacity {
     tiers: Vec<Tier>,
-    /// Executors that are neither gone nor leaving.
-    pub live: usize,
-    /// Executors that get work.
+    /// Executors that are configured, have slots and are not draining.
+    pub schedulable: usize,
+    /// Executors that get tasks other than probes.
     pub usable: usize,
-    /// When the first breaker lets a task through.
+    /// When the first probe may be sent; `None` if no breaker is open.
     pub probe_at: Option<Mono>,
 }
 
 impl Capacity {
-    /// Gets this host's part of the slots.
+    /// Returns this host's slots on the usable executors.
     pub fn slots(&self) -> f64 {
         self.tiers.last().map_or(0.0, |tier| tier.slots)
     }
 
-    /// Gets the slots weighed by speed: tasks of ordinary length done in their ordinary time.
-    pub fn power(&self) -> f64 {
-        self.tiers.last().map_or(0.0, |tier| tier.power)
+    /// Returns this host's slots weighted by speed: the equivalent number of slots of ordinary
+    /// speed.
+    pub fn effective_slots(&self) -> f64 {
+        self.tiers.last().map_or(0.0, |tier| tier.effective_slots)
     }
 
-    /// Gets the slowdown of the fastest executor.
-    pub fn fastest(&self) -> f64 {
-        self.tiers.first().map_or(ORDINARY, |tier| tier.slowdown)
+    /// Returns the slowdown of the fastest usable executor.
+    pub fn fastest_slowdown(&self) -> f64 {
+        self.tiers
+            .first()
+            .map_or(ORDINARY_SLOWDOWN, |tier| tier.slowdown)
     }
 
-    /// Gets the slowdown of the executors taken together.
+    /// Returns the mean slowdown of the usable executors.
     pub fn mean_slowdown(&self) -> f64 {
-        self.tiers.last().map_or(ORDINARY, |tier| {
-            tier.slots / tier.power.max(f64::MIN_POSITIVE)
+        self.tiers.last().map_or(ORDINARY_SLOWDOWN, |tier| {
+            tier.slots / tier.effective_slots.max(f64::MIN_POSITIVE)
         })
     }
 
-    /// Gets the executors clearly faster than `slowdown`, if there are any.
-    pub fn faster_than(&self, slowdown: f64) -> Option<Faster> {
-        let below = slowdown / CLEARLY_FASTER;
+    /// Returns the totals over the executors clearly faster than `slowdown`; `None` if there are
+    /// none.
+    pub fn faster_than(&self, slowdown: f64) -> Option<FasterExecutors> {
+        let below = slowdown / FASTER_RATIO_MIN;
         let count = self.tiers.partition_point(|tier| tier.slowdown < below);
         let tier = self.tiers.get(count.checked_sub(1)?)?;
-        Some(Faster {
-            power: tier.power,
-            slowdown: tier.slots / tier.power.max(f64::MIN_POSITIVE),
+        Some(FasterExecutors {
+            effective_slots: tier.effective_slots,
+            slowdown: tier.slots / tier.effective_slots.max(f64::MIN_POSITIVE),
         })
     }
 
-    fn reckon(now: Mono, executors: &[&Executor], sharers: u32) -> Self {
+    fn compute(now: Mono, executors: &[&Executor], zone_hosts: u32) -> Self {
         let mut capacity = Capacity::default();
-        let mut each: Vec<(f64, f64)> = Vec::new();
-        for executor in executors.iter().filter(|executor| executor.is_live(now)) {
-            capacity.live += 1;
+        let mut executor_slots: Vec<(f64, f64)> = Vec::new();
+        for executor in executors
+            .iter()
+            .filter(|executor| executor.is_schedulable(now))
+        {
+            capacity.schedulable += 1;
             if executor.gate(now) == Gate::Work {
                 capacity.usable += 1;
-                each.push((executor.speed.slowdown(now), executor.own_slots(sharers)));
+                executor_slots.push((executor.speed.slowdown(now), executor.own_slots(zone_hosts)));
             } else if let Some(at) = executor.breaker.probe_at() {
                 let first = capacity.probe_at.map_or(at, |first| first.min(at));
                 capacity.probe_at = Some(first);
             }
         }
-        each.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let (mut slots, mut power) = (0.0, 0.0);
-        for (slowdown, own_slots) in each {
+        executor_slots.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let (mut slots, mut effective_slots) = (0.0, 0.0);
+        for (slowdown, own_slots) in executor_slots {
             slots += own_slots;
-            power += own_slots / slowdown;
+            effective_slots += own_slots / slowdown;
             capacity.tiers.push(Tier {
                 slowdown,
                 slots,
-                power,
+                effective_slots,
             });
         }
         capacity
     }
 }
 
-/// Ratio of speeds from which on it can pay to wait for the faster executor.
-const CLEARLY_FASTER: f64 = 1.2;
+/// Minimum ratio of slowdowns for which waiting for the faster executor can pay off.
+const FASTER_RATIO_MIN: f64 = 1.2;
 
 /// State of one upstream.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Tasks waiting.
+    /// Queued tasks.
     pub queue: Queue,
-    /// Its executors, in order of their seats.
-    pub members: Vec<Seat>,
-    /// Where a place may have come free.
+    /// Keys of its executors, in ascending order.
+    pub members: Vec<ExecutorKey>,
+    /// Executors that may have a free slot.
     pub scan: Scan,
-    /// What it can do, reckoned a short while ago.
+    /// Capacity, at most `CAPACITY_TTL` old when it is read after a refresh.
     pub capacity: Capacity,
-    /// Work that arrives.
+    /// Rate of arriving work.
     pub demand: Demand,
-    /// Retries allowed.
+    /// Budget of retries.
     pub retries: Budget,
-    /// Hedges allowed.
+    /// Budget of hedges.
     pub hedges: Budget,
-    /// When it is looked at again without any event.
-    pub wake: Option<Mono>,
-    /// Where the next look at many executors begins.
-    pub turn: usize,
-    capacity_until: Mono,
+    /// When the upstream is checked again without an event; `None` if no wakeup is scheduled.
+    pub wake_at: Option<Mono>,
+    /// Offset at which the next scan of many executors starts.
+    pub scan_offset: usize,
+    capacity_valid_until: Mono,
     mean_us: f64,
 }
 
@@ -172,69 +179,70 @@
             demand: Demand::default(),
             retries: Budget::new(RETRIES_PER_FINISHED, RETRIES_MAX),
             hedges: Budget::new(HEDGES_PER_FINISHED, HEDGES_MAX),
-            wake: None,
-            turn: 0,
-            capacity_until: Mono::default(),
+            wake_at: None,
+            scan_offset: 0,
+            capacity_valid_until: Mono::default(),
             mean_us: MEAN_ASSUMED_US,
         }
     }
 }
 
 impl Upstream {
-    /// Tells whether the capacity was reckoned too long ago.
-    pub fn is_old(&self, now: Mono) -> bool {
-        self.capacity_until <= now
+    /// Returns whether the capacity is stale.
+    pub fn is_capacity_stale(&self, now: Mono) -> bool {
+        self.capacity_valid_until <= now
     }
 
-    /// Reckons the capacity anew if it is old.
-    pub fn refresh(&mut self, now: Mono, fleet: &Fleet, sharers: u32) {
-        if !self.is_old(now) {
+    /// Recomputes the capacity if it is stale.
+    pub fn refresh_capacity(&mut self, now: Mono, fleet: &Fleet, zone_hosts: u32) {
+        if !self.is_capacity_stale(now) {
             return;
         }
         let executors: Vec<&Executor> = self.members.iter().filter_map(|s| fleet.get(*s)).collect();
-        self.capacity = Capacity::reckon(now, &executors, sharers);
-        self.capacity_until = now + CAPACITY_FOR;
+        self.capacity = Capacity::compute(now, &executors, zone_hosts);
+        self.capacity_valid_until = now + CAPACITY_TTL;
     }
 
-    /// Takes in that the capacity may have changed.
-    pub fn touch(&mut self) {
-        self.capacity_until = Mono::default();
+    /// Marks the capacity as stale and all executors as possibly free.
+    pub fn invalidate(&mut self) {
+        self.capacity_valid_until = Mono::default();
         self.scan = Scan::All;
     }
 
-    /// Takes in that a place may have come free on one executor.
-    pub fn freed(&mut self, seat: Seat) {
-        if let Scan::Only(seats) = &mut self.scan
-            && !seats.contains(&seat)
+    /// Records that an executor may have a free slot.
+    pub fn record_free_slot(&mut self, key: ExecutorKey) {
+        if let Scan::Only(keys) = &mut self.scan
+            && !keys.contains(&key)
         {
-            seats.push(seat);
+            keys.push(key);
         }
     }
 
-    /// Takes in a finished task and its service time with the executor's speed taken out.
-    pub fn finished(&mut self, levelled_us: Option<f64>) {
-        self.retries.finished();
-        self.hedges.finished();
-        if let Some(levelled_us) = levelled_us {
-            self.mean_us += MEAN_ALPHA * (levelled_us - self.mean_us);
+    /// Records a finished task, and its service time normalized by the executor's speed.
+    pub fn record_finished(&mut self, normalized_us: Option<f64>) {
+        self.retries.record_finished();
+        self.hedges.record_finished();
+        if let Some(normalized_us) = normalized_us {
+            self.mean_us += MEAN_ALPHA * (normalized_us - self.mean_us);
         }
     }
 
-    /// Gets the mean service time on an executor of ordinary speed, in microseconds.
+    /// Returns the mean service time on an executor of ordinary speed, in microseconds.
     pub fn mean_us(&self) -> f64 {
         self.mean_us
     }
 
-    /// Tells whether more work arrives than the upstream can do.
+    /// Returns whether more work arrives than the upstream can do.
     ///
-    /// Not while no executor is usable: judged by no capacity every job would be given up, the one
-    /// that is to try an executor too, and nothing would ever find out that they are well again.
-    pub fn is_crowded(&self, now: Mono) -> bool {
-        self.capacity.usable > 0 && self.demand.slots(now) > self.capacity.power()
+    /// False while no executor is usable: with a capacity of zero every job would be refused, the
+    /// one that is to probe an executor included, and the recovery of the executors would never be
+    /// detected.
+    pub fn is_overloaded(&self, now: Mono) -> bool {
+        self.capacity.usable > 0 && self.demand.slots(now) > self.capacity.effective_slots()
     }
 
-    /// Gets how long a load report says something: about one task's time.
-    pub fn fade(&self) -> Micros {
+    /// Returns the time constant with which a load report loses its weight: the mean service time.
+    pub fn report_decay(&self) -> Micros {
         to_micros(self.mean_us * self.capacity.mean_slowdown())
     }
 }
--- a/crates/onyxshed-policy/src/work.rs
+++ b/crates/onyxshed-policy/src/work.rs
@@ -1,4 +1,4 @@
-//! What goes into the policy and what comes out.
+//! Inputs and results of the policy.
 
 use onyxshed_core::{
     ClassName, ExecutorName, Micros, Millis, Mono, ResultCode, TaskId, UpstreamName, ZoneName,
@@ -6,120 +6,120 @@
 use onyxshed_wire::upstream::LoadReport;
 use smol_str::SmolStr;
 
-/// An executor that tasks may be placed on.
+/// An executor that tasks can be placed on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExecutorInfo {
-    /// Its name.
+    /// Name of the executor.
     pub name: ExecutorName,
-    /// The upstream it serves.
+    /// Upstream that the executor serves.
     pub upstream: UpstreamName,
-    /// Its zone.
+    /// Availability zone of the executor.
     pub zone: ZoneName,
-    /// Its rack.
+    /// Rack of the executor; executors of one rack tend to fail together.
     pub rack: SmolStr,
-    /// Tasks it runs at the same time.
+    /// Number of tasks that the executor runs concurrently.
     pub slots: u32,
-    /// Whether it is on its way out; it then gets no new work.
+    /// Whether the executor is draining; it then gets no new tasks.
     pub is_draining: bool,
 }
 
-/// A task that waits for an executor.
+/// A task to be queued for an executor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueuedTask {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// Its class, which must be configured.
+    /// Class of the task, which must be configured.
     pub class: ClassName,
-    /// When its job must be finished.
+    /// Time by which the job must finish.
     pub deadline: Mono,
-    /// Whether it may run more than once.
+    /// Whether the task may run more than once.
     pub may_run_twice: bool,
 }
 
-/// Whether a job is taken in.
+/// Decision on a new job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Take it in.
+    /// The job is admitted.
     Accept,
-    /// Refuse it now: not run.
+    /// The job is refused; none of its tasks has run.
     Refuse {
-        /// Why.
+        /// Reason for the refusal.
         code: ResultCode,
-        /// When to come back, in milliseconds.
+        /// Time after which the caller should retry.
         retry_after_ms: Millis,
     },
 }
 
-/// What to start now.
+/// The next action of the dispatch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextStep {
     /// Send the task to the executor.
     Start {
-        /// The task.
+        /// Id of the task.
         task: TaskId,
-        /// Where to.
+        /// Executor to send the task to.
         executor: ExecutorName,
-        /// Whether it is a second copy beside one that still runs.
+        /// Whether this is a second copy beside one that still runs.
         is_hedge: bool,
     },
-    /// Nothing now; ask again at that time.
+    /// Start nothing now; call again at this time.
     WaitUntil(Mono),
-    /// Nothing until something ends or arrives.
+    /// Start nothing until an attempt ends or a task arrives.
     Idle,
 }
 
-/// How an attempt ended, as far as it can be told.
+/// How an attempt ended, as far as this host knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It ran and finished.
+    /// The task ran and finished.
     Finished,
-    /// It ran and failed.
+    /// The task ran and failed.
     Failed,
-    /// The executor refused it before starting it.
+    /// The executor refused the task before starting it.
     Refused,
-    /// The executor stopped it because its lease lapsed.
+    /// The executor stopped the task because its lease lapsed.
     Lapsed,
-    /// It was stopped at our word.
+    /// This host stopped the task.
     Stopped,
-    /// No byte of it left us.
+    /// No byte of the start was sent.
     Unsent,
-    /// The connection broke or went silent after it may have started.
+    /// The connection broke or became unresponsive after the task may have started.
     Lost,
 }
 
 /// The end of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptEnd {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// Where it went.
+    /// Executor that the attempt was sent to.
     pub executor: ExecutorName,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// How long it ran, as the executor tells, in microseconds.
+    /// Run time of the task as reported by the executor; `None` if it reported none.
     pub service_us: Option<Micros>,
-    /// The executor's load, if it answered.
+    /// Load of the executor; `None` if it did not report its load.
     pub load: Option<LoadReport>,
 }
 
-/// What becomes of a task after an attempt that did not finish it.
+/// What happens to a task after an attempt that did not finish it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryStep {
-    /// It is queued again.
+    /// The task is queued again.
     Queued,
-    /// Another copy of it still runs; wait for that one.
+    /// Another copy of the task still runs; its end decides.
     Wait,
-    /// It is over.
+    /// The task is over, with this result code.
     GiveUp(ResultCode),
 }
 
-/// A waiting task that was given up.
+/// A queued task that expired before it was started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExpiredTask {
-    /// The task.
+    /// Id of the task.
     pub task: TaskId,
-    /// The deadline by which it was judged.
+    /// Deadline of the task.
     pub deadline: Mono,
-    /// What to tell: "not run", unless an earlier attempt may have started.
+    /// Result code: [`ResultCode::ExpiredInQueue`], unless an earlier attempt may have started.
     pub code: ResultCode,
 }
--- a/crates/onyxshed-policy/tests/policy/facade.rs
+++ b/crates/onyxshed-policy/tests/policy/facade.rs
@@ -1,4 +1,4 @@
-//! What the dispatch relies on, step by step.
+//! The policy's public calls, one at a time.
 
 use onyxshed_core::{Millis, ResultCode};
 use onyxshed_policy::{Admission, AttemptOutcome, NextStep, PolicyOptions, RetryStep};
@@ -13,14 +13,17 @@
             code,
             retry_after_ms,
         } => {
-            assert!(retry_after_ms > Millis(0), "a time to come back");
+            assert!(
+                retry_after_ms > Millis(0),
+                "a refusal must carry a retry-after time"
+            );
             Some(code)
         }
     }
 }
 
 #[test]
-fn admission_codes() {
+fn admission_returns_the_code_of_a_refusal() {
     let sync = target("sync", "desk", 1_000, false);
     let away = target("away", "elsewhere", 1_000, false);
     let options = PolicyOptions {
@@ -67,8 +70,8 @@
 #[case(AttemptOutcome::Failed, true, RetryStep::Queued)]
 #[case(AttemptOutcome::Lost, true, RetryStep::Queued)]
 #[case(AttemptOutcome::Lapsed, true, RetryStep::Queued)]
-fn what_follows_an_end(
-    #[case] verdict: AttemptOutcome,
+fn attempt_outcome_decides_the_retry_step(
+    #[case] outcome: AttemptOutcome,
     #[case] may_run_twice: bool,
     #[case] expected: RetryStep,
 ) {
@@ -81,20 +84,23 @@
     );
     policy.enqueue(at_ms(0), work(task(1, 0), &sync, at_ms(0)));
     let started = starts(&mut policy, at_ms(0));
-    let step = policy.apply_attempt_end(at_ms(10), &end(task(1, 0), &started[0].1, verdict));
+    let step = policy.apply_attempt_end(at_ms(10), &end(task(1, 0), &started[0].1, outcome));
     assert_eq!(step, expected);
     if expected == RetryStep::Queued {
         let again = starts(&mut policy, at_ms(30));
         assert_eq!(again.len(), 1);
-        assert_ne!(again[0].1, started[0].1, "on another executor");
+        assert_ne!(
+            again[0].1, started[0].1,
+            "the retry must use another executor"
+        );
     }
 }
 
-/// A task that may not run twice was lost: nothing may start it again, and the answer must not say
-/// "not run". The same task of a class that may run twice is tried elsewhere; if that start is
-/// refused until the deadline, the earlier one still counts.
+/// An attempt of a task that may run twice is lost, so the task is started on another executor,
+/// which refuses it until the deadline has passed. The earlier attempt may have started the task,
+/// so the result code must not say that it has not run.
 #[test]
-fn an_attempt_that_may_have_started_is_never_called_not_run() {
+fn task_refused_after_a_lost_attempt_keeps_the_code_of_the_loss() {
     let sync = target("sync", "desk", 1_000, true);
     let executors = [executor("x1", "desk", 1), executor("x2", "desk", 1)];
     let mut policy = policy(
@@ -113,7 +119,7 @@
 }
 
 #[test]
-fn withdrawn_tasks_are_neither_started_nor_tried_again() {
+fn withdrawn_task_is_not_started_or_retried() {
     let sync = target("sync", "desk", 1_000, true);
     let executors = [executor("x1", "desk", 1)];
     let mut policy = policy(
@@ -125,15 +131,15 @@
         policy.enqueue(at_ms(0), work(task(1, index), &sync, at_ms(0)));
     }
     assert_eq!(starts(&mut policy, at_ms(0)).len(), 1);
-    assert!(policy.withdraw(task(1, 1)), "it waited");
-    assert!(!policy.withdraw(task(1, 0)), "it ran");
+    assert!(policy.withdraw(task(1, 1)), "the task was queued");
+    assert!(!policy.withdraw(task(1, 0)), "the task was running");
     let step = policy.apply_attempt_end(at_ms(5), &end(task(1, 0), "x1", AttemptOutcome::Refused));
     assert_eq!(step, RetryStep::GiveUp(ResultCode::RefusedByUpstream));
     assert_eq!(policy.next(at_ms(50)), NextStep::Idle);
 }
 
 #[test]
-fn late_tasks_expire() {
+fn queued_tasks_expire_at_their_deadline() {
     let sync = target("sync", "desk", 1_000, false);
     let mut policy = policy(
         PolicyOptions::default(),
@@ -144,7 +150,10 @@
         policy.enqueue(at_ms(0), work(task(1, index), &sync, at_ms(0)));
     }
     starts(&mut policy, at_ms(0));
-    assert!(policy.expired(at_ms(999)).is_empty());
-    assert_eq!(policy.expired(at_ms(1_000)), [task(1, 1), task(1, 2)]);
+    assert!(policy.take_expired_ids(at_ms(999)).is_empty());
+    assert_eq!(
+        policy.take_expired_ids(at_ms(1_000)),
+        [task(1, 1), task(1, 2)]
+    );
     assert_eq!(policy.queued_tasks(), 0);
 }
--- a/crates/onyxshed-policy/tests/policy/faults.rs
+++ b/crates/onyxshed-policy/tests/policy/faults.rs
@@ -1,4 +1,4 @@
-//! Executors and jobs that go wrong, against the queueing model.
+//! Failing executors and jobs in the queueing model.
 
 use onyxshed_policy::{BreakerReason, PlacementKind, PolicyDecision};
 use rstest::rstest;
@@ -6,7 +6,7 @@
 use crate::figures::{HOSTS, SEED, compare, mixed_fleet, two_classes};
 use crate::fixture::target;
 use crate::model::Model;
-use crate::parts::{Exec, Fault, Stream};
+use crate::parts::{Fault, ModelExecutor, Stream};
 
 /// When faults begin, in milliseconds.
 const FROM_MS: u64 = 4_000;
@@ -14,21 +14,21 @@
 /// When arrivals end, in milliseconds.
 const UNTIL_MS: u64 = 12_000;
 
-/// Least share of deadlines met that a class keeps while executors fail.
+/// Minimum share of deadlines that a class meets while executors fail.
 const HITS_MIN: f64 = 0.95;
 
-/// Most messages that serve no answer while executors fail.
+/// Maximum share of messages that contribute to no answer while executors fail.
 const WASTED_MAX: f64 = 0.10;
 
-fn fleet_with(fault: Fault, seats: std::ops::Range<usize>) -> Vec<Exec> {
+fn fleet_with(fault: Fault, indices: std::ops::Range<usize>) -> Vec<ModelExecutor> {
     let mut fleet = mixed_fleet();
-    for seat in seats {
-        fleet[seat] = fleet[seat].clone().faulty(fault, FROM_MS, u64::MAX);
+    for index in indices {
+        fleet[index] = fleet[index].clone().with_fault(fault, FROM_MS, u64::MAX);
     }
     fleet
 }
 
-fn model(streams: &[Stream], execs: Vec<Exec>) -> Model {
+fn model(streams: &[Stream], execs: Vec<ModelExecutor>) -> Model {
     Model::new(
         PlacementKind::LeastFinish,
         HOSTS,
@@ -38,22 +38,22 @@
     )
 }
 
-/// Four seconds into the run one executor, or a rack of four, goes wrong for good and nobody says
-/// so. Callers of either class must hardly notice: tasks that were there are lost, fail or are late,
-/// the breakers open, and the rest goes elsewhere with few messages wasted on finding out.
+/// Four seconds into the run one executor, or a rack of four, fails permanently without notice. Its
+/// tasks are lost, fail or are late until the breakers open; the other tasks go elsewhere. Each
+/// class must still meet nearly all deadlines, with few wasted messages.
 #[rstest]
 #[case::slow("slow", Fault::Slow(20.0), 2..3, Some(BreakerReason::Slow))]
 #[case::fails_all("fails_all", Fault::FailsAll, 2..3, Some(BreakerReason::Failing))]
 #[case::silent("silent", Fault::Silent, 2..3, None)]
 #[case::dead("dead", Fault::Dead, 2..3, Some(BreakerReason::Dead))]
 #[case::rack("rack", Fault::Dead, 0..4, Some(BreakerReason::Dead))]
-fn executors_fail(
+fn classes_meet_deadlines_while_executors_fail(
     #[case] name: &str,
     #[case] fault: Fault,
-    #[case] seats: std::ops::Range<usize>,
+    #[case] indices: std::ops::Range<usize>,
     #[case] reason: Option<BreakerReason>,
 ) {
-    let (streams, fleet) = (two_classes(0.5, UNTIL_MS), fleet_with(fault, seats));
+    let (streams, fleet) = (two_classes(0.5, UNTIL_MS), fleet_with(fault, indices));
     let mut model = model(&streams, fleet.clone());
     model.run();
     for tally in &model.tallies {
@@ -64,71 +64,82 @@
         "{}",
         model.wasted_share()
     );
-    let notes: Vec<PolicyDecision> = model
+    let decisions: Vec<PolicyDecision> = model
         .policies
         .iter_mut()
         .flat_map(|p| p.drain_decisions())
         .collect();
     let is_opened = |wanted| {
-        let opened = |note: &PolicyDecision| matches!(note, PolicyDecision::BreakerOpened { reason, .. } if *reason == wanted);
-        notes.iter().any(opened)
+        let opened = |decision: &PolicyDecision| {
+            matches!(
+                decision,
+                PolicyDecision::BreakerOpened { reason, .. } if *reason == wanted
+            )
+        };
+        decisions.iter().any(opened)
     };
-    assert!(reason.is_none_or(is_opened), "{notes:?}");
+    assert!(reason.is_none_or(is_opened), "{decisions:?}");
     let text = compare(&PlacementKind::ALL, &streams, &fleet);
     insta::assert_snapshot!(format!("fault_{name}"), text);
 }
 
-/// A class whose every task fails wherever it runs comes in beside two good ones. No executor is at
-/// fault, so no breaker may open; the class is blamed, its jobs are told that they never run, and
-/// the good classes keep their deadlines.
+/// Every task of one class fails on every executor, beside two classes that run well. No executor
+/// is at fault, so no breaker may open. The class must be marked unrunnable, its jobs get that
+/// result code, and the other classes meet their deadlines.
 #[test]
-fn a_class_that_can_never_run() {
+fn unrunnable_class_opens_no_breaker() {
     let mut streams = two_classes(0.5, UNTIL_MS);
-    let mut never = Stream::new(target("never", "desk", 2_000, true), 20.0, 50.0, UNTIL_MS);
-    never.never_runs = true;
-    streams.push(never);
+    let mut unrunnable = Stream::new(target("never", "desk", 2_000, true), 20.0, 50.0, UNTIL_MS);
+    unrunnable.never_runs = true;
+    streams.push(unrunnable);
     let mut model = model(&streams, mixed_fleet());
     model.run();
     for tally in &model.tallies[..2] {
         assert!(tally.hit_share() >= 0.99, "{tally:?}");
     }
-    let notes: Vec<PolicyDecision> = model
+    let decisions: Vec<PolicyDecision> = model
         .policies
         .iter_mut()
         .flat_map(|p| p.drain_decisions())
         .collect();
-    let is_breaker = |note: &PolicyDecision| matches!(note, PolicyDecision::BreakerOpened { .. });
-    let is_blame = |note: &PolicyDecision| matches!(note, PolicyDecision::ClassUnrunnable { .. });
-    assert!(!notes.iter().any(is_breaker), "{notes:?}");
-    assert!(notes.iter().any(is_blame), "{notes:?}");
+    let is_breaker =
+        |decision: &PolicyDecision| matches!(decision, PolicyDecision::BreakerOpened { .. });
+    let is_unrunnable =
+        |decision: &PolicyDecision| matches!(decision, PolicyDecision::ClassUnrunnable { .. });
+    assert!(!decisions.iter().any(is_breaker), "{decisions:?}");
+    assert!(decisions.iter().any(is_unrunnable), "{decisions:?}");
     let text = compare(&PlacementKind::ALL, &streams, &mixed_fleet());
     insta::assert_snapshot!("never_runs", text);
 }
 
-/// An executor is well again after it was slow, dead or failing: it must come back into use by
-/// tries alone, as nobody announces that.
+/// An executor recovers from being slow, dead or failing without notice. Probes alone must bring it
+/// back into use.
 #[rstest]
 #[case(Fault::Slow(20.0))]
 #[case(Fault::FailsAll)]
 #[case(Fault::Silent)]
 #[case(Fault::Dead)]
-fn a_healed_executor_gets_work_again(#[case] fault: Fault) {
+fn recovered_executor_gets_tasks_again(#[case] fault: Fault) {
     let mut fleet = mixed_fleet();
-    fleet[2] = fleet[2].clone().faulty(fault, FROM_MS, 6_000);
+    fleet[2] = fleet[2].clone().with_fault(fault, FROM_MS, 6_000);
     let mut model = model(&two_classes(0.5, 16_000), fleet);
     model.run();
-    let late = model.starts_on(2, 14_000);
-    assert!(late > 0, "no start on the healed executor");
+    let late_starts = model.starts_on(2, 14_000);
+    assert!(
+        late_starts > 0,
+        "no task was started on the recovered executor"
+    );
 }
 
-/// No executor can be reached for two seconds, as when this host's own network is down; every breaker
-/// opens. Callers are told "not run" meanwhile. Two seconds after the way is back every deadline must
-/// be met again: one try a second finds it, and its success brings the others' forward.
+/// No executor can be reached for two seconds, as when this host's own network is down, and every
+/// breaker opens. Callers get "not run" meanwhile. Two seconds after the recovery every deadline
+/// must be met again: frequent probes detect it, and the first success moves the other probes
+/// forward.
 #[test]
-fn recovery_after_every_executor_was_out_of_reach() {
+fn deadlines_are_met_after_every_executor_was_unreachable() {
     let mut fleet = mixed_fleet();
     for exec in &mut fleet {
-        *exec = exec.clone().faulty(Fault::Dead, FROM_MS, 6_000);
+        *exec = exec.clone().with_fault(Fault::Dead, FROM_MS, 6_000);
     }
     let mut streams = two_classes(0.5, 8_000);
     for mut after in two_classes(0.5, UNTIL_MS) {
--- a/crates/onyxshed-policy/tests/policy/figures.rs
+++ b/crates/onyxshed-policy/tests/policy/figures.rs
@@ -1,4 +1,4 @@
-//! The three placements side by side; the figures are kept as a snapshot.
+//! The three placements compared on the same arrivals; the figures are kept as snapshots.
 
 use std::fmt::Write;
 
@@ -7,7 +7,7 @@
 
 use crate::fixture::{at_ms, executor, target};
 use crate::model::Model;
-use crate::parts::{Exec, Stream};
+use crate::parts::{ModelExecutor, Stream};
 
 /// Entry hosts that share the fleet.
 pub const HOSTS: u32 = 3;
@@ -15,20 +15,22 @@
 /// Seed of the runs whose figures are kept.
 pub const SEED: u64 = 11;
 
-/// Twelve executors of speeds 1, 2 and 4.
-pub fn mixed_fleet() -> Vec<Exec> {
+/// Returns twelve executors of speeds 1, 2 and 4.
+pub fn mixed_fleet() -> Vec<ModelExecutor> {
     let speeds = [1.0, 2.0, 4.0];
     let execs = (0..12).map(|index| {
         let info = executor(&format!("x{index:02}"), "desk", 8);
-        Exec::new(info, speeds[index % 3])
+        ModelExecutor::new(info, speeds[index % 3])
     });
     execs.collect()
 }
 
-/// Two classes that use `load` of what the mixed fleet can do; one of them may run twice.
+/// Returns two classes that use the fraction `load` of the mixed fleet's capacity; the second may
+/// run twice.
 pub fn two_classes(load: f64, until_ms: u64) -> Vec<Stream> {
-    // Service medians of 400 ms and 200 ms at speed 1; a fleet of 12 has the power of 28 executors
-    // of speed 1, 224 slots. The spread of service times adds 14% to the median.
+    // The median service times are 400 ms and 200 ms at speed 1. The 12 executors have the capacity
+    // of 28 executors of speed 1, which is 224 slots. The variance of the service times adds 14% to
+    // the median.
     let per_s = load * 224.0 / (0.4 * 1.14 + 0.2 * 1.14);
     vec![
         Stream::new(target("sync", "desk", 4_000, false), per_s, 400.0, until_ms),
@@ -36,7 +38,7 @@
     ]
 }
 
-/// Runs one model and writes a line for each stream.
+/// Runs a model and writes one line per stream.
 pub fn line(out: &mut String, kind: PlacementKind, model: &mut Model) {
     model.run();
     let wasted = model.wasted_share() * 100.0;
@@ -53,12 +55,12 @@
             tally.ratio(0.5),
             tally.ratio(0.99),
         )
-        .expect("a string takes text");
+        .expect("writing to a string cannot fail");
     }
 }
 
 /// Runs the placements on the same arrivals.
-pub fn compare(kinds: &[PlacementKind], streams: &[Stream], execs: &[Exec]) -> String {
+pub fn compare(kinds: &[PlacementKind], streams: &[Stream], execs: &[ModelExecutor]) -> String {
     let mut out = String::new();
     for kind in kinds {
         let mut model = Model::new(*kind, HOSTS, SEED, streams.to_vec(), execs.to_vec());
@@ -71,7 +73,7 @@
 #[case("50", 0.5)]
 #[case("80", 0.8)]
 #[case("95", 0.95)]
-fn placements_side_by_side(#[case] name: &str, #[case] load: f64) {
+fn placements_match_their_snapshots(#[case] name: &str, #[case] load: f64) {
     let text = compare(
         &PlacementKind::ALL,
         &two_classes(load, 12_000),
@@ -80,10 +82,10 @@
     insta::assert_snapshot!(format!("placements_at_{name}_percent"), text);
 }
 
-/// Executors that refuse a start instead of letting it wait make every wrong guess about a shared
-/// slot a wasted message. Three hosts at 80% load must stay under 2% of them.
+/// Executors refuse a start instead of queueing it, so every wrong guess about a shared slot is a
+/// wasted message. Three hosts at 80% load must waste less than 2%.
 #[test]
-fn executors_that_refuse() {
+fn refusing_executors_waste_few_messages() {
     let mut fleet = mixed_fleet();
     fleet.iter_mut().for_each(|exec| exec.queue_max = 0);
     let streams = two_classes(0.8, 12_000);
@@ -95,10 +97,11 @@
     insta::assert_snapshot!("executors_that_refuse", text);
 }
 
-/// Three hosts lose sight of one another and each is told that it is alone. They must still see each
-/// other's tasks in the executors' reports, or most starts would wait behind them unplaced by deadline.
+/// Three hosts lose contact with one another, so each counts itself as the only host. They must
+/// detect each other's tasks in the executors' load reports; otherwise most starts would queue at
+/// the executors, where no deadline orders them.
 #[test]
-fn hosts_that_hold_themselves_alone() {
+fn isolated_hosts_detect_each_other_by_load_reports() {
     let streams = two_classes(0.8, 12_000);
     let mut model = Model::new(
         PlacementKind::LeastFinish,
@@ -111,9 +114,9 @@
         policy.set_zone_hosts(at_ms(0), 1);
     }
     model.run();
-    let waited = model.queued_there as f64 / model.sent as f64;
+    let waited = model.queued_at_executor as f64 / model.sent as f64;
     assert!(
         waited < 0.25,
-        "{waited} of the starts waited at their executor"
+        "a share of {waited} of the starts queued at their executor"
     );
 }
--- a/crates/onyxshed-policy/tests/policy/fixture.rs
+++ b/crates/onyxshed-policy/tests/policy/fixture.rs
@@ -1,4 +1,4 @@
-//! Short ways to make what the policy takes in.
+//! Constructors for the inputs of the policy.
 
 use std::collections::BTreeMap;
 
@@ -20,13 +20,13 @@
 }
 
 pub fn class(name: &str) -> ClassName {
-    name.parse().expect("a class name")
+    name.parse().expect("the text is a valid class name")
 }
 
-/// Gets the task `index` of job number `job`.
+/// Returns the task `index` of job number `job`.
 pub fn task(job: u64, index: u16) -> TaskId {
     let text = format!("{:026}.{index}", job);
-    text.parse().expect("a task id")
+    text.parse().expect("the text is a valid task id")
 }
 
 pub fn target(
@@ -37,7 +37,7 @@
 ) -> ClassTarget {
     ClassTarget {
         class: class(name),
-        upstream: upstream.parse().expect("an upstream name"),
+        upstream: upstream.parse().expect("the text is a valid upstream name"),
         finish_within_ms: Millis(finish_within_ms),
         may_run_twice,
     }
@@ -45,9 +45,9 @@
 
 pub fn executor(name: &str, upstream: &str, slots: u32) -> ExecutorInfo {
     ExecutorInfo {
-        name: name.parse().expect("an executor name"),
-        upstream: upstream.parse().expect("an upstream name"),
-        zone: "z1".parse().expect("a zone name"),
+        name: name.parse().expect("the text is a valid executor name"),
+        upstream: upstream.parse().expect("the text is a valid upstream name"),
+        zone: "z1".parse().expect("the text is a valid zone name"),
         rack: "r1".into(),
         slots,
         is_draining: false,
@@ -78,18 +78,18 @@
     }
 }
 
-pub fn end(task: TaskId, executor: &str, verdict: AttemptOutcome) -> AttemptEnd {
-    let has_run = matches!(verdict, AttemptOutcome::Finished | AttemptOutcome::Failed);
+pub fn end(task: TaskId, executor: &str, outcome: AttemptOutcome) -> AttemptEnd {
+    let has_run = matches!(outcome, AttemptOutcome::Finished | AttemptOutcome::Failed);
     AttemptEnd {
         task,
-        executor: executor.parse().expect("an executor name"),
-        outcome: verdict,
+        executor: executor.parse().expect("the text is a valid executor name"),
+        outcome,
         service_us: has_run.then_some(Micros(100_000)),
         load: has_run.then(LoadReport::default),
     }
 }
 
-/// Asks until nothing more starts; gives back task and executor of each start.
+/// Calls `next` until nothing more starts; returns task and executor of each start.
 pub fn starts(policy: &mut Policy, now: Now) -> Vec<(TaskId, String)> {
     let mut found = Vec::new();
     while let NextStep::Start { task, executor, .. } = policy.next(now) {
--- a/crates/onyxshed-policy/tests/policy/guards.rs
+++ b/crates/onyxshed-policy/tests/policy/guards.rs
@@ -1,4 +1,4 @@
-//! Breakers, blame, budgets and hedges, one at a time.
+//! Breakers, unrunnable jobs, budgets and hedges, one at a time.
 
 use onyxshed_core::{Micros, ResultCode, TaskId};
 use onyxshed_policy::{
@@ -9,13 +9,14 @@
 
 use crate::fixture::{at_ms, at_us, end, executor, policy, starts, target, task, work};
 
-/// Runs jobs one after another, each over in `service_ms`, so that times are learned.
+/// Runs `jobs` jobs one after another, each with a service time of `service_ms`, so that the class
+/// has an estimate.
 fn warm_up(policy: &mut Policy, target: &onyxshed_core::ClassTarget, jobs: u64, service_ms: u64) {
     for job in 0..jobs {
         let now = at_us(1_000 + job);
         let id = task(1_000_000 + job, 0);
         policy.enqueue(now, work(id, target, now));
-        let (id, name) = starts(policy, now).pop().expect("a start");
+        let (id, name) = starts(policy, now).pop().expect("the policy starts a task");
         let mut finished = end(id, &name, AttemptOutcome::Finished);
         finished.service_us = Some(Micros(service_ms * 1_000));
         policy.apply_attempt_end(now, &finished);
@@ -34,15 +35,15 @@
 #[case("round_robin", Some(PlacementKind::RoundRobin))]
 #[case("least_outstanding", Some(PlacementKind::LeastOutstanding))]
 #[case("fastest", None)]
-fn placements_are_found_by_name(#[case] name: &str, #[case] kind: Option<PlacementKind>) {
+fn placement_parses_from_its_name(#[case] name: &str, #[case] kind: Option<PlacementKind>) {
     assert_eq!(name.parse().ok(), kind);
     assert!(kind.is_none_or(|kind| kind.to_string() == name));
 }
 
-/// The only executor can't be reached. Three starts come back unsent and the breaker opens; after
-/// the pause exactly one task goes there, and only when that one has finished do the others follow.
+/// The only executor cannot be reached. Three unsent starts open its breaker. After the pause
+/// exactly one task is sent as a probe, and the others follow only after it has finished.
 #[test]
-fn a_dead_executor_is_tried_with_one_task() {
+fn dead_executor_is_probed_with_one_task() {
     let once = target("once", "desk", 60_000, false);
     let executors = [executor("x1", "desk", 4)];
     let mut policy = policy(
@@ -80,14 +81,14 @@
     assert_eq!(
         starts(&mut policy, at_ms(9_000)).len(),
         1,
-        "the limit grows from one task"
+        "the limit must restart from one task"
     );
 }
 
-/// An executor fails everything at once while the class runs well elsewhere. Tasks of a class that
-/// may run twice are there to try it, so a class that may not is kept away from the tries.
+/// An executor fails every task at once while the class runs well elsewhere. A failed probe loses a
+/// task that may not run twice, so probes must use tasks of the class that may.
 #[test]
-fn tries_use_work_that_may_run_twice() {
+fn probes_use_tasks_that_may_run_twice() {
     let once = target("once", "desk", 60_000, false);
     let twice = target("twice", "desk", 60_000, true);
     let executors = [executor("x1", "desk", 1), executor("x2", "desk", 2)];
@@ -99,40 +100,43 @@
         job += 1;
         policy.enqueue(at_ms(job), work(task(job, 0), &twice, at_ms(job)));
         while let Some((id, name)) = start_one(&mut policy, job) {
-            let verdict = if name == "x1" {
+            let outcome = if name == "x1" {
                 AttemptOutcome::Failed
             } else {
                 AttemptOutcome::Finished
             };
-            let mut ended = end(id, &name, verdict);
+            let mut ended = end(id, &name, outcome);
             ended.service_us = Some(Micros(4_000_000));
             policy.apply_attempt_end(at_ms(job), &ended);
         }
         is_open = policy
             .drain_decisions()
             .iter()
-            .any(|note| matches!(note, PolicyDecision::BreakerOpened { .. }));
+            .any(|decision| matches!(decision, PolicyDecision::BreakerOpened { .. }));
     }
-    assert!(is_open, "the breaker of x1");
+    assert!(is_open, "the breaker of x1 did not open");
     let later = job + 5_000;
     policy.enqueue(at_ms(later), work(task(900, 0), &twice, at_ms(later)));
-    let first = start_one(&mut policy, later).expect("a start");
-    assert_eq!(first.1, "x1", "work that may run twice tries x1");
+    let first = start_one(&mut policy, later).expect("the policy starts a task");
+    assert_eq!(first.1, "x1", "a task that may run twice must probe x1");
     policy.apply_attempt_end(at_ms(later), &end(first.0, "x1", AttemptOutcome::Failed));
-    let second = start_one(&mut policy, later).expect("a start");
+    let second = start_one(&mut policy, later).expect("the policy starts a task");
     assert_eq!(second.1, "x2");
     policy.enqueue(
         at_ms(later + 9_000),
         work(task(901, 0), &once, at_ms(later + 9_000)),
     );
-    let third = start_one(&mut policy, later + 9_000).expect("a start");
-    assert_eq!(third.1, "x2", "work that may not is not put at risk");
+    let third = start_one(&mut policy, later + 9_000).expect("the policy starts a task");
+    assert_eq!(
+        third.1, "x2",
+        "a task that may not run twice must not probe x1"
+    );
 }
 
-/// One job fails on three executors that run other jobs of its class well. It is told that it never
-/// runs, after three attempts and not after as many as there are executors.
+/// One job fails on three executors that run other jobs of its class well. It must end with the
+/// result code for jobs that can never run, after three attempts although there are more executors.
 #[test]
-fn a_job_that_can_never_run() {
+fn job_failing_on_three_executors_is_unrunnable() {
     let twice = target("twice", "desk", 60_000, true);
     let executors = ["x1", "x2", "x3", "x4", "x5"].map(|name| executor(name, "desk", 1));
     let mut policy = policy(
@@ -146,19 +150,19 @@
     while let Some((id, name)) = start_one(&mut policy, 100) {
         steps.push(policy.apply_attempt_end(at_ms(100), &end(id, &name, AttemptOutcome::Failed)));
     }
-    let never = RetryStep::GiveUp(ResultCode::NeverRuns);
-    assert_eq!(steps, [RetryStep::Queued, RetryStep::Queued, never]);
-    let notes = policy.drain_decisions();
+    let unrunnable = RetryStep::GiveUp(ResultCode::NeverRuns);
+    assert_eq!(steps, [RetryStep::Queued, RetryStep::Queued, unrunnable]);
+    let decisions = policy.drain_decisions();
     assert!(
-        matches!(notes.as_slice(), [PolicyDecision::JobUnrunnable { .. }]),
-        "{notes:?}"
+        matches!(decisions.as_slice(), [PolicyDecision::JobUnrunnable { .. }]),
+        "{decisions:?}"
     );
 }
 
-/// Nothing finishes any more: refused starts are tried again only as long as the budget lasts, then
-/// each task gets its answer at once instead of another message.
+/// No task finishes any more. Refused starts must be retried only while the budget lasts; after
+/// that each task ends at once instead of costing another message.
 #[test]
-fn refused_starts_stop_when_the_budget_is_spent() {
+fn refused_starts_are_not_retried_without_budget() {
     let once = target("once", "desk", 60_000, false);
     let executors = [executor("x1", "desk", 8), executor("x2", "desk", 8)];
     let mut policy = policy(
@@ -179,19 +183,20 @@
     assert_eq!(policy.queued_tasks(), 0);
     assert!(
         refused <= 300,
-        "{refused} starts for 200 tasks and a budget of 100"
+        "{refused} starts were refused for 200 tasks and a retry budget of 100"
     );
     assert_eq!(policy.wasted_messages().refusals, refused);
 }
 
-/// A task takes far longer than its class usually does. A class that may run twice and whose
-/// deadline comes near gets a copy elsewhere; the first answer ends both, and the policy names the
-/// copy to stop. A loose target gets none until then, a class that may not run twice never.
+/// A task runs far longer than its class usually does. If the class may run twice, a hedge is sent
+/// when the deadline comes near; after the first copy has finished, the policy names the copy to
+/// stop. With a loose target the hedge must come late, and a class that may not run twice must get
+/// none.
 #[rstest]
 #[case::tight(true, 600, Some(200..600))]
 #[case::loose(true, 20_000, Some(19_000..20_000))]
 #[case::once(false, 600, None)]
-fn copies_of_late_tasks(
+fn late_task_is_hedged_before_its_deadline(
     #[case] may_run_twice: bool,
     #[case] within_ms: u64,
     #[case] expected: Option<std::ops::Range<u64>>,
@@ -206,27 +211,31 @@
     warm_up(&mut policy, &class, 40, 100);
     let id = task(1, 0);
     policy.enqueue(at_ms(100), work(id, &class, at_ms(100)));
-    let first = start_one(&mut policy, 100).expect("a start");
+    let first = start_one(&mut policy, 100).expect("the policy starts a task");
     let hedge = (100..100 + within_ms).find_map(|ms| Some((ms, start_one(&mut policy, ms)?)));
     assert_eq!(hedge.is_some(), expected.is_some());
     if let (Some((ms, (hedged, name))), Some(range)) = (hedge, expected) {
-        assert!(range.contains(&(ms - 100)), "after {} ms", ms - 100);
+        assert!(
+            range.contains(&(ms - 100)),
+            "the hedge was started after {} ms",
+            ms - 100
+        );
         assert_eq!(hedged, id);
         assert_ne!(name, first.1);
         policy.apply_attempt_end(at_ms(ms + 1), &end(id, &name, AttemptOutcome::Finished));
-        let left: Vec<String> = policy
-            .copies_of(id)
+        let still_running: Vec<String> = policy
+            .executors_running(id)
             .iter()
             .map(ToString::to_string)
             .collect();
-        assert_eq!(left, [first.1]);
+        assert_eq!(still_running, [first.1]);
     }
 }
 
-/// The executor says with an answer that it is leaving, before any host list does: nothing new may
-/// go there.
+/// An executor reports with a response that it is draining, before any host list does. No new task
+/// may be sent to it.
 #[test]
-fn a_draining_report_counts_at_once() {
+fn draining_report_stops_new_tasks() {
     let once = target("once", "desk", 60_000, false);
     let executors = [executor("x1", "desk", 8)];
     let mut policy = policy(
@@ -246,11 +255,11 @@
     assert_eq!(starts(&mut policy, at_ms(2_000)), []);
 }
 
-/// Every executor is dead and every breaker open, so the capacity is nil; by it, any job looks too
-/// late. One must be taken in and started all the same when a try is due, or nothing would ever find
-/// out that the executors are well again.
+/// Every executor is dead and every breaker open, so the capacity is zero and every job looks
+/// infeasible. When a probe is due, a job must still be admitted and started; otherwise the
+/// recovery of the executors would never be detected.
 #[test]
-fn nil_capacity_judges_no_job() {
+fn job_is_admitted_as_probe_at_zero_capacity() {
     let class = target("lock", "desk", 2_000, false);
     let executors = ["x1", "x2", "x3"].map(|name| executor(name, "desk", 4));
     let mut policy = policy(
@@ -265,7 +274,7 @@
         for (id, name) in starts(&mut policy, now) {
             policy.apply_attempt_end(now, &end(id, &name, AttemptOutcome::Unsent));
         }
-        policy.expired(now);
+        policy.take_expired_ids(now);
     }
     let waiting: Vec<TaskId> = (100..2_000).map(|job| task(job, 0)).collect();
     for id in waiting {
@@ -279,13 +288,13 @@
         }
         starts(&mut policy, now).pop()
     });
-    assert!(started.is_some(), "no try within a second");
+    assert!(started.is_some(), "no probe was started within a second");
 }
 
-/// A rack of eight dies and nobody says so. Its executors share their fate, so one try a pause speaks
-/// for all of them; the first that goes well brings the others back at once.
+/// A rack of eight executors fails without notice. One probe per pause must serve for all of them,
+/// and the first that succeeds must bring the others back at once.
 #[test]
-fn a_dead_rack_is_tried_with_one_task() {
+fn dead_rack_is_probed_with_one_task() {
     let class = target("lock", "desk", 2_000, true);
     let names: Vec<String> = (0..16).map(|index| format!("x{index:02}")).collect();
     let executors = names.iter().map(|name| {
@@ -309,24 +318,30 @@
     let run = |policy: &mut Policy, ms: u64, is_dead: bool| {
         let now = at_ms(ms);
         policy.enqueue(now, work(task(ms, 0), &class, now));
-        let on_rack = starts(policy, now).into_iter().map(|(id, name)| {
+        let starts_on_rack = starts(policy, now).into_iter().map(|(id, name)| {
             let is_lost = is_dead && name.as_str() < "x08";
-            let verdict = if is_lost {
+            let outcome = if is_lost {
                 AttemptOutcome::Unsent
             } else {
                 AttemptOutcome::Finished
             };
-            policy.apply_attempt_end(now, &end(id, &name, verdict));
+            policy.apply_attempt_end(now, &end(id, &name, outcome));
             usize::from(name.as_str() < "x08")
         });
-        on_rack.sum::<usize>()
+        starts_on_rack.sum::<usize>()
     };
     for ms in 100..30_100 {
         wasted += run(&mut policy, ms, true);
     }
-    assert!(wasted <= 30, "{wasted} starts on a dead rack in 30 s");
-    let healed = (30_100..40_000)
+    assert!(
+        wasted <= 30,
+        "{wasted} tasks were sent to the dead rack in 30 s"
+    );
+    let recovered_starts = (30_100..40_000)
         .map(|ms| run(&mut policy, ms, false))
         .sum::<usize>();
-    assert!(healed > 100, "{healed} starts on the healed rack in 10 s");
+    assert!(
+        recovered_starts > 100,
+        "{recovered_starts} tasks were started on the recovered rack in 10 s"
+    );
 }
--- a/crates/onyxshed-policy/tests/policy/main.rs
+++ b/crates/onyxshed-policy/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the policy, on its own and against a small queueing model in virtual time.
+//! Tests of the policy, alone and in a small queueing model in virtual time.
 
 mod facade;
 mod faults;
--- a/crates/onyxshed-policy/tests/policy/model.rs
+++ b/crates/onyxshed-policy/tests/policy/model.rs
@@ -1,5 +1,6 @@
 //! A queueing model in virtual time: entry hosts with one policy each, executors with slots, a
-//! queue and faults, a network with a fixed delay, and callers that arrive whatever happens.
+//! queue and faults, a network with a fixed delay, and callers whose arrivals do not depend on the
+//! responses.
 
 #![expect(
     clippy::cast_possible_truncation,
@@ -18,25 +19,25 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::fixture::{at_us, task, work};
-use crate::parts::{Exec, Fault, Job, Stream, Tally};
+use crate::parts::{Fault, Job, ModelExecutor, Stream, Tally};
 
-/// One way between entry host and executor, in microseconds.
+/// One-way delay between entry host and executor, in microseconds.
 const NET_US: u64 = 300;
 
-/// Time after which the shell calls a silent attempt lost, in microseconds.
+/// Time after which an attempt without a response counts as lost, in microseconds.
 const LOST_AFTER_US: u64 = 3_000_000;
 
 #[derive(Debug)]
 enum Event {
     Arrive(usize),
-    Reach(usize, usize, TaskId),
+    Deliver(usize, usize, TaskId),
     Stop(usize, usize, TaskId),
     Done(usize, usize, TaskId, u64, bool),
     Reply(usize, Box<AttemptEnd>),
-    Look(usize),
+    Wake(usize),
 }
 
-/// The whole model.
+/// State of the whole model.
 pub struct Model {
     pub policies: Vec<Policy>,
     pub tallies: Vec<Tally>,
@@ -44,15 +45,15 @@
     pub sent: u64,
     pub answered: u64,
     /// Starts that had to wait for a slot at their executor.
-    pub queued_there: u64,
-    /// Part of the jobs that all come to the first entry host.
+    pub queued_at_executor: u64,
+    /// Fraction of the jobs that all arrive at the first entry host.
     pub skew: f64,
     streams: Vec<Stream>,
-    execs: Vec<Exec>,
+    execs: Vec<ModelExecutor>,
     jobs: BTreeMap<SubmissionId, Job>,
     events: BTreeMap<(u64, u64), Event>,
-    looks: Vec<Option<u64>>,
-    last: u64,
+    wakeups: Vec<Option<u64>>,
+    last_event: u64,
     last_job: u64,
     fastest: f64,
     rng: SmallRng,
@@ -64,7 +65,7 @@
         hosts: u32,
         seed: u64,
         streams: Vec<Stream>,
-        execs: Vec<Exec>,
+        execs: Vec<ModelExecutor>,
     ) -> Self {
         let infos: Vec<ExecutorInfo> = execs.iter().map(|exec| exec.info.clone()).collect();
         let classes = streams
@@ -87,68 +88,68 @@
             tallies: vec![Tally::default(); streams.len()],
             sent: 0,
             answered: 0,
-            queued_there: 0,
+            queued_at_executor: 0,
             skew: 0.0,
-            looks: vec![None; hosts as usize],
+            wakeups: vec![None; hosts as usize],
             fastest: execs.iter().map(|exec| exec.speed).fold(0.0, f64::max),
             streams,
             execs,
             jobs: BTreeMap::new(),
             events: BTreeMap::new(),
-            last: 0,
+            last_event: 0,
             last_job: 0,
             rng: SmallRng::seed_from_u64(seed),
         };
         for stream in 0..model.streams.len() {
             let from_us = model.streams[stream].from_ms * 1_000;
-            model.at(from_us, Event::Arrive(stream));
+            model.schedule(from_us, Event::Arrive(stream));
         }
         model
     }
 
-    /// Runs to the end of all events.
+    /// Processes all events.
     pub fn run(&mut self) {
         while let Some(((us, _), event)) = self.events.pop_first() {
-            self.step(us, event);
+            self.handle(us, event);
         }
     }
 
-    /// Gets the messages that served no answer, over tasks answered.
+    /// Returns the ratio of messages that contributed to no answer to answered tasks.
     pub fn wasted_share(&self) -> f64 {
         (self.sent - self.answered) as f64 / self.answered.max(1) as f64
     }
 
-    /// Gets how many tasks an executor has begun since then.
+    /// Returns how many tasks the executor has started since `since_ms`.
     pub fn starts_on(&self, exec: usize, since_ms: u64) -> usize {
         let starts = self.execs[exec].starts_us.iter();
         starts.filter(|us| **us >= since_ms * 1_000).count()
     }
 
-    fn at(&mut self, us: u64, event: Event) {
-        self.last += 1;
-        self.events.insert((us, self.last), event);
+    fn schedule(&mut self, us: u64, event: Event) {
+        self.last_event += 1;
+        self.events.insert((us, self.last_event), event);
     }
 
-    fn step(&mut self, us: u64, event: Event) {
+    fn handle(&mut self, us: u64, event: Event) {
         match event {
             Event::Arrive(stream) => self.arrive(us, stream),
-            Event::Reach(exec, host, task) => self.reach(us, exec, host, task),
+            Event::Deliver(exec, host, task) => self.deliver(us, exec, host, task),
             Event::Stop(exec, host, task) => self.stop(us, exec, host, task),
-            Event::Done(exec, host, task, begun_us, is_ok) => {
-                if self.execs[exec].running.get(&(host, task)) == Some(&begun_us) {
-                    let verdict = if is_ok {
+            Event::Done(exec, host, task, started_us, is_ok) => {
+                if self.execs[exec].running.get(&(host, task)) == Some(&started_us) {
+                    let outcome = if is_ok {
                         AttemptOutcome::Finished
                     } else {
                         AttemptOutcome::Failed
                     };
-                    self.end(us, exec, host, task, verdict, us - begun_us);
+                    self.end(us, exec, host, task, outcome, us - started_us);
                 }
             }
             Event::Reply(host, end) => self.reply(us, host, &end),
-            Event::Look(host) => {
-                if self.looks[host] == Some(us) {
-                    self.looks[host] = None;
-                    self.pump(us, host);
+            Event::Wake(host) => {
+                if self.wakeups[host] == Some(us) {
+                    self.wakeups[host] = None;
+                    self.run_policy(us, host);
                 }
             }
         }
@@ -160,7 +161,7 @@
             return;
         }
         let gap_us = -self.rng.random_range(f64::MIN_POSITIVE..1.0).ln() / stream.per_s * 1e6;
-        self.at(us + gap_us as u64 + 1, Event::Arrive(index));
+        self.schedule(us + gap_us as u64 + 1, Event::Arrive(index));
         let services_us = (0..stream.tasks)
             .map(|_| self.draw_service_us(&stream))
             .collect();
@@ -187,11 +188,11 @@
             let id = TaskId { index, ..first };
             self.policies[host].enqueue(now, work(id, &stream.target, now));
         }
-        self.pump(us, host);
+        self.run_policy(us, host);
     }
 
     fn draw_service_us(&mut self, stream: &Stream) -> f64 {
-        // A sum of uniform draws is near enough to a normal one.
+        // A sum of uniform samples approximates a normal distribution.
         let normal: f64 = (0..4).map(|_| self.rng.random_range(-0.5..0.5)).sum();
         stream.median_ms * 1_000.0 * (normal * 0.9).exp()
     }
@@ -205,23 +206,23 @@
         }
     }
 
-    fn pump(&mut self, us: u64, host: usize) {
+    fn run_policy(&mut self, us: u64, host: usize) {
         let now = at_us(us);
-        for task in self.policies[host].expired(now) {
-            self.give_up(us, task);
+        for task in self.policies[host].take_expired_ids(now) {
+            self.fail_job(us, task);
         }
         loop {
             match self.policies[host].next(now) {
                 NextStep::Start { task, executor, .. } => {
                     let exec = self.exec_of(&executor.to_string());
                     self.sent += 1;
-                    self.at(us + NET_US, Event::Reach(exec, host, task));
+                    self.schedule(us + NET_US, Event::Deliver(exec, host, task));
                 }
-                NextStep::WaitUntil(then) => {
-                    let then = then.0.max(us + 1);
-                    if self.looks[host].is_none_or(|look| look > then || look <= us) {
-                        self.looks[host] = Some(then);
-                        self.at(then, Event::Look(host));
+                NextStep::WaitUntil(wake_us) => {
+                    let wake_us = wake_us.0.max(us + 1);
+                    if self.wakeups[host].is_none_or(|wakeup| wakeup > wake_us || wakeup <= us) {
+                        self.wakeups[host] = Some(wake_us);
+                        self.schedule(wake_us, Event::Wake(host));
                     }
                     return;
                 }
@@ -232,27 +233,36 @@
 
     fn exec_of(&self, name: &str) -> usize {
         let found = self.execs.iter().position(|e| e.info.name.as_str() == name);
-        found.expect("the policy starts on known executors")
+        found.expect("the policy must start tasks only on known executors")
     }
 
-    fn reach(&mut self, us: u64, exec: usize, host: usize, task: TaskId) {
+    fn deliver(&mut self, us: u64, exec: usize, host: usize, task: TaskId) {
         match self.execs[exec].fault_at(us) {
-            Fault::Dead => self.end_unheard(us, exec, host, task, AttemptOutcome::Unsent, 0),
+            Fault::Dead => {
+                self.end_without_response(us, exec, host, task, AttemptOutcome::Unsent, 0)
+            }
             Fault::Silent => {
-                self.end_unheard(us, exec, host, task, AttemptOutcome::Lost, LOST_AFTER_US);
+                self.end_without_response(
+                    us,
+                    exec,
+                    host,
+                    task,
+                    AttemptOutcome::Lost,
+                    LOST_AFTER_US,
+                );
             }
             _ if self.execs[exec].running.len() < self.execs[exec].info.slots as usize => {
-                self.begin(us, exec, host, task);
+                self.start_task(us, exec, host, task);
             }
             _ if self.execs[exec].queue.len() < self.execs[exec].queue_max => {
-                self.queued_there += 1;
+                self.queued_at_executor += 1;
                 self.execs[exec].queue.push_back((host, task));
             }
             _ => self.send_end(us, exec, host, task, AttemptOutcome::Refused, None),
         }
     }
 
-    fn begin(&mut self, us: u64, exec: usize, host: usize, task: TaskId) {
+    fn start_task(&mut self, us: u64, exec: usize, host: usize, task: TaskId) {
         let fault = self.execs[exec].fault_at(us);
         self.execs[exec].starts_us.push(us);
         let job = self.jobs.get(&task.submission);
@@ -266,7 +276,7 @@
         };
         self.execs[exec].running.insert((host, task), us);
         let done_us = us + service_us as u64 + 1;
-        self.at(done_us, Event::Done(exec, host, task, us, is_ok));
+        self.schedule(done_us, Event::Done(exec, host, task, us, is_ok));
     }
 
     fn end(
@@ -275,14 +285,14 @@
         exec: usize,
         host: usize,
         task: TaskId,
-        verdict: AttemptOutcome,
-        ran: u64,
+        outcome: AttemptOutcome,
+        ran_us: u64,
     ) {
         self.execs[exec].running.remove(&(host, task));
         if let Some((next_host, next)) = self.execs[exec].queue.pop_front() {
-            self.begin(us, exec, next_host, next);
+            self.start_task(us, exec, next_host, next);
         }
-        self.send_end(us, exec, host, task, verdict, Some(Micros(ran)));
+        self.send_end(us, exec, host, task, outcome, Some(Micros(ran_us)));
     }
 
     fn stop(&mut self, us: u64, exec: usize, host: usize, task: TaskId) {
@@ -303,7 +313,7 @@
         exec: usize,
         host: usize,
         task: TaskId,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
         service_us: Option<Micros>,
     ) {
         let load = LoadReport {
@@ -314,30 +324,30 @@
         let end = AttemptEnd {
             task,
             executor: self.execs[exec].info.name.clone(),
-            outcome: verdict,
+            outcome,
             service_us,
             load: Some(load),
         };
-        self.at(us + NET_US, Event::Reply(host, Box::new(end)));
+        self.schedule(us + NET_US, Event::Reply(host, Box::new(end)));
     }
 
-    fn end_unheard(
+    fn end_without_response(
         &mut self,
         us: u64,
         exec: usize,
         host: usize,
         task: TaskId,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
         after_us: u64,
     ) {
         let end = AttemptEnd {
             task,
             executor: self.execs[exec].info.name.clone(),
-            outcome: verdict,
+            outcome,
             service_us: None,
             load: None,
         };
-        self.at(us + NET_US + after_us, Event::Reply(host, Box::new(end)));
+        self.schedule(us + NET_US + after_us, Event::Reply(host, Box::new(end)));
     }
 
     fn reply(&mut self, us: u64, host: usize, end: &AttemptEnd) {
@@ -346,13 +356,13 @@
         if end.outcome == AttemptOutcome::Finished {
             self.finish(us, host, end.task);
         } else if let RetryStep::GiveUp(code) = step {
-            // That a task failed is an answer too.
+            // The result that a task failed is an answer too.
             let is_answer = matches!(code, ResultCode::TaskFailed | ResultCode::NeverRuns);
-            let is_open = self.jobs.contains_key(&end.task.submission);
-            self.answered += u64::from(is_answer && is_open);
-            self.give_up(us, end.task);
+            let is_running = self.jobs.contains_key(&end.task.submission);
+            self.answered += u64::from(is_answer && is_running);
+            self.fail_job(us, end.task);
         }
-        self.pump(us, host);
+        self.run_policy(us, host);
     }
 
     fn finish(&mut self, us: u64, host: usize, id: TaskId) {
@@ -369,10 +379,10 @@
     }
 
     fn stop_copies(&mut self, us: u64, host: usize, id: TaskId) {
-        for copy in self.policies[host].copies_of(id) {
+        for copy in self.policies[host].executors_running(id) {
             let exec = self.exec_of(&copy.to_string());
             self.sent += 1;
-            self.at(us + NET_US, Event::Stop(exec, host, id));
+            self.schedule(us + NET_US, Event::Stop(exec, host, id));
         }
     }
 
@@ -392,7 +402,7 @@
     }
 
     /// Ends a job as failed: its other tasks are withdrawn or stopped.
-    fn give_up(&mut self, us: u64, id: TaskId) {
+    fn fail_job(&mut self, us: u64, id: TaskId) {
         let Some(job) = self.jobs.remove(&id.submission) else {
             return;
         };
--- a/crates/onyxshed-policy/tests/policy/orders.rs
+++ b/crates/onyxshed-policy/tests/policy/orders.rs
@@ -1,4 +1,4 @@
-//! Order among waiting tasks, isolation between classes and upstreams.
+//! Order of queued tasks, and isolation between classes and upstreams.
 
 use onyxshed_policy::PolicyOptions;
 
@@ -16,10 +16,11 @@
     assert_eq!(starts(&mut policy, at_ms(0))[0].0, task(2, 0));
 }
 
-/// A class floods its upstream with tasks that all have earlier deadlines than another class's.
-/// By deadlines alone the other class would wait for all of them; it gets its even part instead.
+/// A class floods its upstream with tasks whose deadlines are all earlier than those of another
+/// class. By deadlines alone the other class would wait for all of them; it must get its fair share
+/// instead.
 #[test]
-fn a_flood_does_not_take_another_class_s_places() {
+fn flooding_class_leaves_the_fair_share_of_another() {
     let flood = target("flood", "desk", 1_000, false);
     let other = target("other", "desk", 3_000, false);
     let executors = [executor("x1", "desk", 8)];
@@ -34,9 +35,9 @@
     assert_eq!((started.len(), of_other), (8, 4));
 }
 
-/// One upstream is full and its queue is long; tasks of another one start at once all the same.
+/// One upstream is full and has a long queue. A task of another upstream must still start at once.
 #[test]
-fn a_full_upstream_blocks_no_other() {
+fn full_upstream_does_not_block_another() {
     let a = target("a", "alpha", 1_000, false);
     let b = target("b", "beta", 9_000, false);
     let executors = [executor("xa", "alpha", 1), executor("xb", "beta", 1)];
--- a/crates/onyxshed-policy/tests/policy/overload.rs
+++ b/crates/onyxshed-policy/tests/policy/overload.rs
@@ -13,17 +13,17 @@
     model
 }
 
-/// Deadlines met, weighed by the work of each class.
+/// Returns the number of deadlines met, weighted by the work of each class.
 fn goodput(model: &Model) -> f64 {
     let works = [2.0, 1.0];
     let hits = model.tallies.iter().map(|tally| tally.hits as f64);
     hits.zip(works).map(|(hits, work)| hits * work).sum()
 }
 
-/// Twice the capacity arrives for good. Callers that can't be served in time are told so at once;
-/// the work that is done must be about as much as at full load, not spent on tasks that are late.
+/// Twice the capacity arrives permanently. Callers that cannot be served in time must be refused at
+/// once, so that the useful work stays close to that at full load and is not spent on late tasks.
 #[test]
-fn goodput_at_twice_the_capacity() {
+fn goodput_holds_at_twice_the_capacity() {
     let full = model(&two_classes(1.0, 12_000));
     let twice = model(&two_classes(2.0, 12_000));
     let share = goodput(&twice) / goodput(&full);
@@ -36,10 +36,10 @@
     insta::assert_snapshot!("overload_200_percent", text);
 }
 
-/// Twice the capacity arrives for four seconds and half of it afterwards. Two seconds after the
-/// overload's end every deadline must be met again.
+/// Twice the capacity arrives for four seconds and half of it afterwards. Two seconds after the end
+/// of the overload every deadline must be met again.
 #[test]
-fn recovery_after_an_overload() {
+fn deadlines_are_met_after_an_overload() {
     let mut streams = two_classes(2.0, 6_000);
     for mut after in two_classes(0.5, 12_000) {
         let mut between = after.clone();
@@ -53,10 +53,10 @@
     }
 }
 
-/// For two seconds ten times as many jobs of one class arrive. The other class must not notice by
-/// its deadlines, as it stays within its even part.
+/// Ten times as many jobs of one class arrive for two seconds. The other class stays within its
+/// fair share and must still meet its deadlines.
 #[test]
-fn a_burst_of_one_class() {
+fn burst_of_one_class_leaves_the_other_on_time() {
     let mut streams = two_classes(0.5, 12_000);
     let mut burst = streams[1].clone();
     burst.per_s *= 10.0;
--- a/crates/onyxshed-policy/tests/policy/parts.rs
+++ b/crates/onyxshed-policy/tests/policy/parts.rs
@@ -1,4 +1,4 @@
-//! What the queueing model is made of: faults, streams of jobs, executors, tallies.
+//! Parts of the queueing model: faults, streams of jobs, executors and result counts.
 
 #![expect(
     clippy::cast_possible_truncation,
@@ -12,17 +12,17 @@
 use onyxshed_core::{ClassTarget, TaskId};
 use onyxshed_policy::ExecutorInfo;
 
-/// What is wrong with an executor.
+/// Fault of an executor.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     None,
-    /// It takes so many times as long.
+    /// Tasks take this many times as long.
     Slow(f64),
-    /// It fails everything at once.
+    /// Every task fails at once.
     FailsAll,
-    /// It takes tasks and never answers.
+    /// The executor accepts tasks and never responds.
     Silent,
-    /// Connections to it are refused.
+    /// The executor refuses connections.
     Dead,
 }
 
@@ -33,11 +33,11 @@
     pub per_s: f64,
     /// Median service time on an executor of speed 1.
     pub median_ms: f64,
-    /// Whether its tasks fail wherever they run.
+    /// Whether its tasks fail on every executor.
     pub never_runs: bool,
-    /// Tasks of each job.
+    /// Tasks per job.
     pub tasks: u16,
-    /// When it comes, in milliseconds.
+    /// Start and end of the stream, in milliseconds.
     pub from_ms: u64,
     pub until_ms: u64,
 }
@@ -58,22 +58,22 @@
 
 /// An executor of the model.
 #[derive(Debug, Clone)]
-pub struct Exec {
+pub struct ModelExecutor {
     pub info: ExecutorInfo,
     pub speed: f64,
     pub fault: Fault,
-    /// When the fault begins and ends, in milliseconds.
+    /// Start and end of the fault, in milliseconds.
     pub fault_ms: (u64, u64),
     pub running: BTreeMap<(usize, TaskId), u64>,
     pub queue: VecDeque<(usize, TaskId)>,
-    /// Tasks that may wait here before more are refused.
+    /// Tasks that may queue at the executor before it refuses more.
     pub queue_max: usize,
     pub starts_us: Vec<u64>,
 }
 
-impl Exec {
+impl ModelExecutor {
     pub fn new(info: ExecutorInfo, speed: f64) -> Self {
-        Exec {
+        ModelExecutor {
             info,
             speed,
             fault: Fault::None,
@@ -85,7 +85,7 @@
         }
     }
 
-    pub fn faulty(mut self, fault: Fault, from_ms: u64, until_ms: u64) -> Self {
+    pub fn with_fault(mut self, fault: Fault, from_ms: u64, until_ms: u64) -> Self {
         self.fault = fault;
         self.fault_ms = (from_ms, until_ms);
         self
@@ -93,12 +93,12 @@
 
     pub fn fault_at(&self, us: u64) -> Fault {
         let (from_ms, until_ms) = self.fault_ms;
-        let is_on = (from_ms..until_ms).contains(&(us / 1_000));
-        if is_on { self.fault } else { Fault::None }
+        let is_active = (from_ms..until_ms).contains(&(us / 1_000));
+        if is_active { self.fault } else { Fault::None }
     }
 }
 
-/// A job that is under way.
+/// A job that has not ended.
 #[derive(Debug)]
 pub struct Job {
     pub stream: usize,
@@ -109,7 +109,7 @@
     pub is_done: Vec<bool>,
 }
 
-/// What became of one stream's jobs.
+/// Results of one stream's jobs.
 #[derive(Default, Clone)]
 pub struct Tally {
     pub offered: u64,
