--- a/crates/onyxshed-policy/src/class.rs
+++ b/crates/onyxshed-policy/src/class.rs
@@ -7,7 +7,7 @@
 use crate::faults::ClassFaults;
 use crate::span::to_micros;
 
-/// Quantile of the service time that counts as the shortest possible one.
+/// Quantile of the service time that counts as the shortest possible time.
 const MIN_TIME_QUANTILE: f64 = 0.02;
 
 /// Quantile that takes the place of `MIN_TIME_QUANTILE` under overload.
--- a/crates/onyxshed-policy/src/executor.rs
+++ b/crates/onyxshed-policy/src/executor.rs
@@ -96,7 +96,7 @@
     /// Returns whether the executor has a free slot for one more task of this host under these
     /// conditions.
     pub fn has_free_slot(&self, now: Mono, conditions: StartConditions) -> bool {
-        self.peer_load.may_start(
+        self.peer_load.can_start(
             now,
             StartRequest {
                 limit: self.limit.get(self.info.slots),
--- a/crates/onyxshed-policy/src/executor/sharing.rs
+++ b/crates/onyxshed-policy/src/executor/sharing.rs
@@ -82,7 +82,7 @@
     /// that all slots are taken: the task would only be refused or wait at the executor. Beyond its
     /// share it borrows slots, only with a fresh report and only while a further slot stays idle,
     /// so that a host that claims its own share finds a free slot.
-    pub fn may_start(&self, now: Mono, request: StartRequest) -> bool {
+    pub fn can_start(&self, now: Mono, request: StartRequest) -> bool {
         let in_flight = f64::from(request.in_flight);
         if in_flight + 1.0 > request.limit {
             return false;
--- a/crates/onyxshed-policy/src/lib.rs
+++ b/crates/onyxshed-policy/src/lib.rs
@@ -1,10 +1,10 @@
 //! Scheduling decisions without input or output: which jobs to admit, which task to start next and
 //! on which executor, what to retry, and which executors to stop using.
 //!
-//! [`Policy`] is a state machine in one entry host, for the executors of one zone. The dispatch
-//! tells it the configured classes and executors, the tasks to run and the end of each attempt; it
-//! returns the tasks to start and the time of the next call. Operators set only targets, so every
-//! other parameter is learned or derived.
+//! [`Policy`] is a state machine in one entry host, for the executors of one zone. It receives the
+//! configured classes and executors, the tasks to run and the end of each attempt from the
+//! dispatch, and returns the tasks to start and the time of the next call. Operators set only
+//! targets, so every other parameter is learned or derived.
 
 pub mod decision;
 pub mod placement;
--- a/crates/onyxshed-policy/src/policy/end.rs
+++ b/crates/onyxshed-policy/src/policy/end.rs
@@ -335,8 +335,8 @@
     ratio
 }
 
-/// Returns the signal of a finished task: a success, unless the executor is slow, or was probed for
-/// being slow and still is.
+/// Returns the signal of a finished task: a success, unless the executor is slow, or was probed and
+/// is still slow.
 fn speed_signal(executor: &mut Executor, attempt: Attempt, ratio: Option<f64>) -> Signal {
     let slow = Signal::Failure {
         weight: SLOW_WEIGHT,
--- a/crates/onyxshed-policy/src/policy/hedge.rs
+++ b/crates/onyxshed-policy/src/policy/hedge.rs
@@ -20,7 +20,7 @@
 impl Policy {
     /// Plans a hedge for a task that was just started.
     pub(super) fn plan_hedge(&mut self, now: Mono, task: TaskId) {
-        let Some(at) = self.hedge_time(now, task) else {
+        let Some(at) = self.hedge_due_at(now, task) else {
             return;
         };
         if let Some(running) = self.running.get_mut(&task) {
@@ -52,7 +52,7 @@
 
     /// Returns when the deadline is at risk; `None` if no hedge is allowed, or if one sent then
     /// would be too late.
-    fn hedge_time(&self, now: Mono, task: TaskId) -> Option<Mono> {
+    fn hedge_due_at(&self, now: Mono, task: TaskId) -> Option<Mono> {
         let work = &self.running.get(&task)?.ticket.work;
         if !work.may_run_twice || !self.placement.kind().is_guarded() {
             return None;
--- a/crates/onyxshed-policy/src/policy/intake.rs
+++ b/crates/onyxshed-policy/src/policy/intake.rs
@@ -17,7 +17,8 @@
 /// Retry-after if no executor is known: about the time in which a new host list arrives.
 const NO_UPSTREAM_RETRY_AFTER: Micros = Micros(1_000_000);
 
-/// Minimum retry-after while every breaker is open and a probe is running.
+/// Minimum retry-after while every breaker is open and a probe has to find out whether an executor
+/// has recovered.
 const PROBING_RETRY_AFTER_MIN: Micros = Micros(250_000);
 
 /// Retry-after if the class is not configured: about the time in which a new configuration arrives.
@@ -113,7 +114,7 @@
                 })
             };
             let tickets = upstream.queue.remove_expired(now.mono, min_time);
-            expired.extend(tickets.iter().map(Ticket::expired));
+            expired.extend(tickets.iter().map(Ticket::to_expired));
         }
         for dropped_task in &expired {
             self.untrack_queued(dropped_task.task);
@@ -125,7 +126,7 @@
     /// the class is unknown.
     pub(super) fn queue_ticket(&mut self, ticket: Ticket, not_before: Option<Mono>) {
         let Some(class) = self.classes.get(&ticket.work.class) else {
-            self.dropped.push(ticket.expired());
+            self.dropped.push(ticket.to_expired());
             return;
         };
         let name = class.target.upstream.clone();
@@ -216,7 +217,7 @@
 /// Returns the maximum retry-after.
 ///
 /// While most breakers are open, the next probes may restore the capacity, so the present capacity
-/// is no base for a long delay.
+/// is no basis for a long delay.
 fn max_retry_after(upstream: &Upstream) -> Micros {
     let is_mostly_open = upstream.capacity.usable * 2 < upstream.capacity.schedulable;
     if is_mostly_open {
@@ -226,7 +227,8 @@
     }
 }
 
-/// Returns the retry-after if no task can be started on the upstream; `None` if one can.
+/// Returns the retry-after if no task can be started on the upstream; `None` if a task can be
+/// started or may serve as a probe.
 fn unavailable_retry_after(now: Mono, upstream: &Upstream) -> Option<Micros> {
     let capacity = &upstream.capacity;
     if capacity.schedulable == 0 {
--- a/crates/onyxshed-policy/src/policy/place.rs
+++ b/crates/onyxshed-policy/src/policy/place.rs
@@ -138,7 +138,7 @@
             false => baseline_gate(now, executor),
         };
         let is_probe = gate == Gate::Probe;
-        if gate == Gate::Blocked || (is_probe && !self.may_probe(now, name, ticket, executor)) {
+        if gate == Gate::Blocked || (is_probe && !self.can_probe(now, name, ticket, executor)) {
             return Fit::No;
         }
         // If hardly any other executor is usable, avoiding this one would keep the task from being
@@ -165,7 +165,7 @@
     /// A failed probe loses a task that may not run twice, so such a task probes only if no class
     /// on the upstream has tasks running that may. A slow executor is probed only with a task that
     /// can still meet its deadline there.
-    fn may_probe(
+    fn can_probe(
         &self,
         now: Mono,
         name: &UpstreamName,
--- a/crates/onyxshed-policy/src/policy/turn.rs
+++ b/crates/onyxshed-policy/src/policy/turn.rs
@@ -9,7 +9,7 @@
 use crate::queue::{ShareUse, Ticket};
 use crate::upstream::Upstream;
 
-/// Delay before a task is tried again for which only executors that it must avoid are free.
+/// Delay before the next attempt to place a task that only executors it must avoid could take.
 const AVOIDED_RETRY_DELAY: Millis = Millis(5);
 
 /// Fraction of an upstream's slots that a class marked as unrunnable may use.
@@ -81,7 +81,7 @@
     /// Drops the first task of a class, to be reported as expired.
     pub(super) fn drop_first(&mut self, name: &UpstreamName, class: &ClassName) {
         if let Some(ticket) = self.pop_first(name, class) {
-            self.dropped.push(ticket.expired());
+            self.dropped.push(ticket.to_expired());
         }
     }
 
--- a/crates/onyxshed-policy/src/policy/watch.rs
+++ b/crates/onyxshed-policy/src/policy/watch.rs
@@ -165,7 +165,8 @@
         }
     }
 
-    /// Returns the executors of the same rack whose breaker is open as dead, `key` itself included.
+    /// Returns the executors of the same rack and upstream whose breaker is open for
+    /// [`BreakerReason::Dead`], `key` itself included.
     fn dead_rack_peers(&self, key: ExecutorKey) -> Vec<ExecutorKey> {
         let is_dead = |key: &ExecutorKey| {
             let executor = self.fleet.get(*key);
--- a/crates/onyxshed-policy/src/queue.rs
+++ b/crates/onyxshed-policy/src/queue.rs
@@ -14,8 +14,8 @@
 use crate::fleet::ExecutorKey;
 use crate::work::{ExpiredTask, QueuedTask};
 
-/// Divisor of the time from queueing to deadline after which a class below its fair share takes
-/// precedence.
+/// Divisor of the time from queueing to deadline: a class below its fair share counts as due after
+/// this part of it.
 const ADVANCE_DIVISOR: u64 = 4;
 
 /// A task with the history of its attempts.
@@ -49,7 +49,7 @@
     }
 
     /// Returns the report of the task as expired.
-    pub fn expired(&self) -> ExpiredTask {
+    pub fn to_expired(&self) -> ExpiredTask {
         ExpiredTask {
             task: self.work.task,
             deadline: self.work.deadline,
--- a/crates/onyxshed-policy/src/span.rs
+++ b/crates/onyxshed-policy/src/span.rs
@@ -12,7 +12,7 @@
     span.0 as f64
 }
 
-/// Rounds down to whole microseconds; a negative or undefined value becomes zero, one that is too
+/// Converts to whole microseconds; a negative or undefined value becomes zero, one that is too
 /// large the maximum.
 pub fn to_micros(us: f64) -> Micros {
     if us.is_nan() || us <= 0.0 {
--- a/crates/onyxshed-policy/tests/policy/facade.rs
+++ b/crates/onyxshed-policy/tests/policy/facade.rs
@@ -96,9 +96,9 @@
     }
 }
 
-/// An attempt of a task that may run twice is lost, so the task is started on another executor,
-/// which refuses it until the deadline has passed. The earlier attempt may have started the task,
-/// so the result code must not say that it has not run.
+/// A lost attempt may have started its task, so the task must not end as "not run", and must not be
+/// started again if it may not run twice. Here it may run twice and is started on another executor,
+/// which refuses it until the deadline; the result code must be that of the lost attempt.
 #[test]
 fn task_refused_after_a_lost_attempt_keeps_the_code_of_the_loss() {
     let sync = target("sync", "desk", 1_000, true);
--- a/crates/onyxshed-policy/tests/policy/faults.rs
+++ b/crates/onyxshed-policy/tests/policy/faults.rs
@@ -133,8 +133,8 @@
 
 /// No executor can be reached for two seconds, as when this host's own network is down, and every
 /// breaker opens. Callers get "not run" meanwhile. Two seconds after the recovery every deadline
-/// must be met again: frequent probes detect it, and the first success moves the other probes
-/// forward.
+/// must be met again: a few probes per second detect it, and the first success moves the other
+/// probes forward.
 #[test]
 fn deadlines_are_met_after_every_executor_was_unreachable() {
     let mut fleet = mixed_fleet();
