--- a/crates/onyxshed-host/src/directory.rs
+++ b/crates/onyxshed-host/src/directory.rs
@@ -18,9 +18,9 @@
 use smol_str::{SmolStr, format_smolstr};
 
 use crate::boot_clock;
-use crate::divisions::Divisions;
 use crate::engine::Engine;
 use crate::links::Links;
+use crate::shard_layouts::Divisions;
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 
 pub use lookup::{LOOKUP_INTERVAL_MAX, OwnerStatus};
--- a/crates/onyxshed-host/src/executors.rs
+++ b/crates/onyxshed-host/src/executors.rs
@@ -14,8 +14,8 @@
 use onyxshed_pool::{ExecutorFacts, ExecutorId, FencingToken, PoolId, ShardLayout};
 use smol_str::{SmolStr, format_smolstr};
 
-use crate::divisions::Divisions;
 use crate::engine::Engine;
+use crate::shard_layouts::Divisions;
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 
 /// Time between two reads. A heartbeat of each executor comes every 1.5 s; a draining executor
--- a/crates/onyxshed-host/src/links.rs
+++ b/crates/onyxshed-host/src/links.rs
@@ -26,10 +26,10 @@
 use smol_str::{SmolStr, format_smolstr};
 
 use crate::directory::member_name;
-use crate::divisions::Divisions;
 use crate::engine::Engine;
 use crate::evacuations::ZoneEvacuations;
 use crate::names::{ENGINE, LINKS, MANIFEST};
+use crate::shard_layouts::Divisions;
 
 pub use remote::{RemoteLink, Waiting};
 
--- a/crates/onyxshed-host/src/links/port.rs
+++ b/crates/onyxshed-host/src/links/port.rs
@@ -13,10 +13,10 @@
 use smol_str::SmolStr;
 
 use super::Links;
-use crate::divisions::Divisions;
 use crate::engine::Engine;
 use crate::evacuations::ZoneEvacuations;
 use crate::manifest::ManifestHolder;
+use crate::shard_layouts::Divisions;
 
 /// Serves entry hosts.
 pub struct Port {
--- a/crates/onyxshed-host/src/ownership.rs
+++ b/crates/onyxshed-host/src/ownership.rs
@@ -21,11 +21,11 @@
 use smol_str::SmolStr;
 
 use crate::directory::{Directory, member_name};
-use crate::divisions::Divisions;
 use crate::engine::Engine;
 use crate::last_owner;
 use crate::links::Links;
 use crate::names::{DIVISIONS, ENGINE, LINKS, OWNERSHIP};
+use crate::shard_layouts::Divisions;
 use crate::store_watch::StoreWatch;
 use crate::topic;
 use contender::Contender;
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -19,11 +19,11 @@
 use super::{OwnershipOptions, OwnershipService};
 use crate::boot_clock;
 use crate::directory::{Directory, POOL_PART, address_of, ask_owner, group_of, member_name};
-use crate::divisions::Divisions;
 use crate::engine::Engine;
 use crate::executors::{self, ExecutorsRead, KnownExecutors};
 use crate::last_owner;
 use crate::links::{Links, RemoteLink};
+use crate::shard_layouts::Divisions;
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 
 /// Longest time between two looks for a pool that nobody owns; one that is found is told at once.
--- a/crates/onyxshed-host/src/peer_state.rs
+++ b/crates/onyxshed-host/src/peer_state.rs
@@ -17,11 +17,11 @@
 use onyxshed_proto::rpc;
 use smol_str::format_smolstr;
 
-use crate::divisions::Divisions;
 use crate::evacuations::ZoneEvacuations;
 use crate::links::Links;
 use crate::manifest::ManifestHolder;
 use crate::names::{DIVISIONS, LINKS, MANIFEST, PEER_STATE};
+use crate::shard_layouts::Divisions;
 
 /// How long the store may take to tell the manifest before others are asked: a first read takes two
 /// calls, and a host at its processor limit is late to read the answers.
--- a/crates/onyxshed-host/src/process.rs
+++ b/crates/onyxshed-host/src/process.rs
@@ -18,7 +18,6 @@
 use onyxshed_telemetry::{Telemetry, TelemetryOptions};
 
 use crate::callers::{CallerOptions, CallerService};
-use crate::divisions::{DivisionService, Divisions};
 use crate::engine::{Engine, EngineService};
 use crate::evacuations::ZoneEvacuations;
 use crate::links::{LinkOptions, LinkService, Links};
@@ -27,6 +26,7 @@
 use crate::peer_state::PeerStateService;
 use crate::ready::ReadyService;
 use crate::reload::ReloadService;
+use crate::shard_layouts::{DivisionService, Divisions};
 
 /// The binary's name.
 const NAME: &str = "onyxshed-host";
