--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -24,9 +24,9 @@
 use crate::boot_clock;
 use crate::links::Links;
 use crate::manifest::ManifestHolder;
-use crate::measures::Measures;
+use crate::measures::HostMetrics;
 use crate::names::{CALLERS, LINKS, MANIFEST};
-use replies::{answer, refuse};
+use replies::{job_reply, rejection_reply};
 
 /// How long a stopping host goes on serving before it looks for its end: the balancer asks for
 /// readiness once a second and needs two misses.
@@ -44,16 +44,16 @@
 
 /// How long after its start a host lets requests wait for the manifest and an owner with executors: after
 /// a loss of power both are known 60 to 300 ms after the start.
-const START_PATIENCE: Duration = Duration::from_millis(400);
+const STARTUP_WAIT_MAX: Duration = Duration::from_millis(400);
 
 /// How often a host that has just started looks whether it knows them.
-const START_POLL: Duration = Duration::from_millis(10);
+const STARTUP_POLL: Duration = Duration::from_millis(10);
 
 /// When a caller is asked back while no owner of a pool is known; a new one takes about that long.
-const NO_POOL_RETRY: Millis = Millis(2_000);
+const NO_POOL_RETRY_AFTER: Millis = Millis(2_000);
 
 /// When a caller is asked back whose kind of job is not built: it won't be soon.
-const UNSUPPORTED_RETRY: Millis = Millis(60_000);
+const UNSUPPORTED_RETRY_AFTER: Millis = Millis(60_000);
 
 /// Where callers are served, and within which limits.
 #[derive(Debug, Clone, Copy)]
@@ -63,7 +63,7 @@
     /// Limits of the address.
     pub server: ServerOptions,
     /// How long a stopping host waits for the jobs under way.
-    pub last_call: Duration,
+    pub drain_timeout: Duration,
 }
 
 /// Handle to the callers' requests.
@@ -73,30 +73,30 @@
     links: Rc<Links>,
     /// Counts of the address, from when it is served on.
     stats: OnceCell<Rc<ServerStats>>,
-    measures: Measures,
+    metrics: HostMetrics,
     /// Closed when this host knows what it needs to serve, or had its time for that.
-    started: Receiver<()>,
+    startup_over: Receiver<()>,
     /// Closed when this host can wait no longer for the jobs under way.
-    last_call: Receiver<()>,
-    last_call_sender: Sender<()>,
+    drain_expired: Receiver<()>,
+    drain_expired_sender: Sender<()>,
     /// When that will be, once the host is stopping.
-    last_call_at: Cell<Option<Instant>>,
+    drain_deadline: Cell<Option<Instant>>,
 }
 
 /// A submission as it was understood.
-struct Asked {
-    request: SmolStr,
+struct SubmissionContext {
+    request_id: SmolStr,
     route: SmolStr,
-    version: u64,
+    manifest_version: u64,
     job: JobId,
     arrived: Mono,
 }
 
-impl Asked {
+impl SubmissionContext {
     /// Makes an event about the submission.
     fn event(&self, kind: EventKind) -> Event {
         Event::new(kind)
-            .request(self.request.clone())
+            .request(self.request_id.clone())
             .job(format_smolstr!("{}", self.job))
             .party(self.route.clone())
     }
@@ -104,28 +104,28 @@
 
 /// Writes the line of a submission whose caller left before its answer: the request's future is
 /// dropped then, and nothing after it runs.
-struct CallerLeft {
+struct DisconnectGuard {
     kernel: Kernel,
     event: Option<Event>,
     arrived: Mono,
 }
 
-impl CallerLeft {
-    fn watch(kernel: &Kernel, asked: &Asked) -> Self {
+impl DisconnectGuard {
+    fn arm(kernel: &Kernel, asked: &SubmissionContext) -> Self {
         let event = asked.event(EventKind::PoolJobLost);
-        CallerLeft {
+        DisconnectGuard {
             kernel: kernel.clone(),
             event: Some(event),
             arrived: asked.arrived,
         }
     }
 
-    fn stayed(mut self) {
+    fn disarm(mut self) {
         self.event = None;
     }
 }
 
-impl Drop for CallerLeft {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(event) = self.event.take() {
             let took = boot_clock::now().since(self.arrived).as_millis();
@@ -138,22 +138,22 @@
 impl Callers {
     async fn handle(&self, call: Call) -> Reply {
         let arrived = boot_clock::now();
-        self.start_over().await;
+        self.wait_for_startup().await;
         let Some(manifest) = self.manifest.get() else {
-            let retry = Some(NO_POOL_RETRY);
-            return self.decline(&call, 503, "no manifest is known yet", retry);
+            let retry = Some(NO_POOL_RETRY_AFTER);
+            return self.reject_request(&call, 503, "no manifest is known yet", retry);
         };
         let host = call.header("host").unwrap_or_default();
         let Some(route) = manifest.route(host, call.path()) else {
-            return self.decline(&call, 404, "no such route", None);
+            return self.reject_request(&call, 404, "no such route", None);
         };
         let rest = &call.path()[route.path_prefix.len()..];
         match (call.method(), rest.is_empty()) {
             (Method::Post, false) => self.submit(&call, arrived, &manifest, route).await,
             (Method::Get, true) => Reply::json(200, &job::pending_body(0)),
             // Jobs that need not be stored are known to nobody but the caller that waits.
-            (Method::Get | Method::Delete, false) => refuse(410, "no such job", None),
-            _ => refuse(404, "no such method here", None),
+            (Method::Get | Method::Delete, false) => rejection_reply(410, "no such job", None),
+            _ => rejection_reply(404, "no such method here", None),
         }
     }
 
@@ -161,9 +161,9 @@
     ///
     /// After a loss of power callers connect as soon as a process listens, a moment before it knows the
     /// manifest and an owner. The wait counts towards the job's target.
-    async fn start_over(&self) {
+    async fn wait_for_startup(&self) {
         // Ends when the channel is closed; nothing is ever sent.
-        let _ = self.started.recv().await;
+        let _ = self.startup_over.recv().await;
     }
 
     async fn submit(
@@ -174,7 +174,7 @@
         route: &Route,
     ) -> Reply {
         if call.body.len() as u64 > manifest.body_max_bytes {
-            return self.decline(
+            return self.reject_request(
                 call,
                 413,
                 "the body is larger than the manifest allows",
@@ -184,43 +184,43 @@
         let request = SmolStr::new(call.header(REQUEST_HEADER).unwrap_or_default());
         let job = match job::job_id(call.path(), &route.path_prefix) {
             Ok(job) => job,
-            Err(error) => return self.decline(call, 400, &format_smolstr!("{error}"), None),
+            Err(error) => return self.reject_request(call, 400, &format_smolstr!("{error}"), None),
         };
-        let asked = Asked {
-            request,
+        let asked = SubmissionContext {
+            request_id: request,
             route: route.name.clone(),
-            version: manifest.version,
+            manifest_version: manifest.version,
             job,
             arrived,
         };
         let simple = match job::parse(&call.body) {
             Ok(Submission::Simple(simple)) if !route.needs_advice => simple,
-            Ok(Submission::Simple(_)) => return self.unsupported(&asked, "advice"),
-            Ok(Submission::Unsupported(what)) => return self.unsupported(&asked, what),
-            Err(error) => return self.decline(call, 400, &format_smolstr!("{error}"), None),
+            Ok(Submission::Simple(_)) => return self.reject_unsupported(&asked, "advice"),
+            Ok(Submission::Unsupported(what)) => return self.reject_unsupported(&asked, what),
+            Err(error) => return self.reject_request(call, 400, &format_smolstr!("{error}"), None),
         };
-        let deadline = self.before_last_call(deadline_of(call));
-        let job = self.request_of(route, &asked, simple, deadline);
-        let leaving = CallerLeft::watch(&self.kernel, &asked);
+        let deadline = self.limit_to_drain_deadline(requested_time_limit(call));
+        let job = self.job_request(route, &asked, simple, deadline);
+        let leaving = DisconnectGuard::arm(&self.kernel, &asked);
         let spent = boot_clock::now().since(arrived);
         let give_up = Duration::from(job.time_left).saturating_sub(spent.into());
         let served = within(give_up, self.dispatch(&job, arrived));
-        let (end, pool) = match served.or(self.cut_off()).await {
+        let (end, pool) = match served.or(self.wait_for_drain_expiry()).await {
             Some(served) => served,
             None => (
                 JobEnd::Unknown(UnknownReason::TimeOut),
                 SmolStr::new_static("?"),
             ),
         };
-        leaving.stayed();
-        self.tell(&asked, &job, &end, &pool);
-        self.answer(&end)
+        leaving.disarm();
+        self.record_end(&asked, &job, &end, &pool);
+        self.reply(&end)
     }
 
     /// Makes the answer to a job. A refusal ends the connection if another host may serve the caller: the
     /// balancer moves new connections only.
-    fn answer(&self, end: &JobEnd) -> Reply {
-        let reply = answer(end);
+    fn reply(&self, end: &JobEnd) -> Reply {
+        let reply = job_reply(end);
         match end {
             JobEnd::NotRun(..) if self.links.should_send_callers_away() => reply.last(),
             _ => reply,
@@ -228,18 +228,18 @@
     }
 
     /// Ends the start, by dropping its sender, when this host knows what it needs to serve.
-    async fn watch_start(self: Rc<Self>, _starting: Sender<()>) {
-        let over_at = Instant::now() + START_PATIENCE;
-        let knows_enough = || self.manifest.get().is_some() && self.links.reaches_an_executor();
+    async fn watch_startup(self: Rc<Self>, _starting: Sender<()>) {
+        let over_at = Instant::now() + STARTUP_WAIT_MAX;
+        let knows_enough = || self.manifest.get().is_some() && self.links.can_reach_executor();
         while !knows_enough() && Instant::now() < over_at {
-            Timer::after(START_POLL).await;
+            Timer::after(STARTUP_POLL).await;
         }
     }
 
     /// Shortens a caller's deadline to what a stopping host can still wait, so that a job which
     /// can't end by then is refused and not cut off.
-    fn before_last_call(&self, deadline: Millis) -> Millis {
-        let Some(at) = self.last_call_at.get() else {
+    fn limit_to_drain_deadline(&self, deadline: Millis) -> Millis {
+        let Some(at) = self.drain_deadline.get() else {
             return deadline;
         };
         let left = at.saturating_duration_since(Instant::now()).as_millis();
@@ -250,9 +250,9 @@
     ///
     /// The platform kills a host that is still at work when its grace is over. Callers who are told before
     /// that their jobs' fate is unknown send them again.
-    async fn cut_off(&self) -> Option<(JobEnd, SmolStr)> {
+    async fn wait_for_drain_expiry(&self) -> Option<(JobEnd, SmolStr)> {
         // Ends when the channel is closed; nothing is ever sent.
-        let _ = self.last_call.recv().await;
+        let _ = self.drain_expired.recv().await;
         Some((
             JobEnd::Unknown(UnknownReason::EntryStopped),
             SmolStr::new_static("?"),
@@ -260,32 +260,38 @@
     }
 
     /// Refuses a request before it is a job, and writes its line.
-    fn decline(&self, call: &Call, status: u16, why: &str, retry_after: Option<Millis>) -> Reply {
+    fn reject_request(
+        &self,
+        call: &Call,
+        status: u16,
+        why: &str,
+        retry_after: Option<Millis>,
+    ) -> Reply {
         let event = Event::new(EventKind::PoolJobRefused)
             .request(call.header(REQUEST_HEADER).unwrap_or_default())
             .party(call.path())
             .detail(format_smolstr!("status {status}: {why}"));
         self.kernel.emit(event);
-        refuse(status, why, retry_after)
+        rejection_reply(status, why, retry_after)
     }
 
-    fn unsupported(&self, asked: &Asked, what: &'static str) -> Reply {
+    fn reject_unsupported(&self, asked: &SubmissionContext, what: &'static str) -> Reply {
         let event = asked
             .event(EventKind::PoolJobRefused)
             .detail(format_smolstr!("not built: {what}"));
         self.kernel.emit(event);
-        refuse(503, what, Some(UNSUPPORTED_RETRY))
+        rejection_reply(503, what, Some(UNSUPPORTED_RETRY_AFTER))
     }
 
-    fn request_of(
+    fn job_request(
         &self,
         route: &Route,
-        asked: &Asked,
+        asked: &SubmissionContext,
         simple: SimpleJob,
         deadline: Millis,
     ) -> JobRequest {
         JobRequest {
-            peer: self.links.own(),
+            peer: self.links.incarnation(),
             // Each hand-over has a number of its own.
             submission: SubmissionNumber(0),
             job: asked.job,
@@ -308,10 +314,10 @@
     /// Hands a job to the pool that serves it best; to the next one while it is not run.
     async fn dispatch(&self, job: &JobRequest, arrived: Mono) -> (JobEnd, SmolStr) {
         let mut last = (
-            JobEnd::NotRun(self.links.why_no_pool(), NO_POOL_RETRY),
+            JobEnd::NotRun(self.links.no_pool_reason(), NO_POOL_RETRY_AFTER),
             SmolStr::new_static("none"),
         );
-        for pool in self.links.order(job) {
+        for pool in self.links.rank_pools(job) {
             let mut job = job.clone();
             job.submission = self.links.next_submission();
             job.elapsed = boot_clock::now().since(arrived).as_millis();
@@ -331,14 +337,20 @@
         stats.is_some_and(|stats| stats.busy.get() > 0)
     }
 
-    fn tell(&self, asked: &Asked, job: &JobRequest, end: &JobEnd, pool: &SmolStr) {
+    fn record_end(
+        &self,
+        asked: &SubmissionContext,
+        job: &JobRequest,
+        end: &JobEnd,
+        pool: &SmolStr,
+    ) {
         let kind = match end {
             JobEnd::Completed | JobEnd::Failed => EventKind::PoolJobAnswered,
             JobEnd::NotRun(..) => EventKind::PoolJobRefused,
             JobEnd::Unknown(_) => EventKind::PoolJobLost,
         };
         let took = boot_clock::now().since(asked.arrived);
-        self.measures.answered(end, took);
+        self.metrics.record_reply(end, took);
         let summary = JobSummary {
             end: *end,
             took: took.as_millis(),
@@ -347,14 +359,14 @@
             estimate: job.estimate,
             demand: job.demand,
             pool: pool.clone(),
-            manifest: asked.version,
+            manifest: asked.manifest_version,
         };
         let event = asked.event(kind).detail(format_smolstr!("{summary}"));
         self.kernel.emit(event);
     }
 }
 
-fn deadline_of(call: &Call) -> Millis {
+fn requested_time_limit(call: &Call) -> Millis {
     let told = call.header(DEADLINE_HEADER);
     told.and_then(|text| text.parse().ok())
         .map_or(DEADLINE_DEFAULT, Millis)
@@ -379,20 +391,23 @@
             manifest: kernel.find(MANIFEST)?,
             links: kernel.find(LINKS)?,
             stats: OnceCell::new(),
-            measures: Measures::new(),
-            started,
-            last_call,
-            last_call_sender,
-            last_call_at: Cell::new(None),
+            metrics: HostMetrics::new(),
+            startup_over: started,
+            drain_expired: last_call,
+            drain_expired_sender: last_call_sender,
+            drain_deadline: Cell::new(None),
         });
-        kernel.spawn(callers.clone().watch_start(starting)).detach();
+        kernel
+            .spawn(callers.clone().watch_startup(starting))
+            .detach();
         let served = callers.clone();
         let handle = move |call| {
             let callers = served.clone();
             async move { callers.handle(call).await }
         };
-        let reject =
-            |code: ResultCode| refuse(code.http_status(), &format_smolstr!("{code}"), None);
+        let reject = |code: ResultCode| {
+            rejection_reply(code.http_status(), &format_smolstr!("{code}"), None)
+        };
         let CallerOptions {
             address, server, ..
         } = self.options;
@@ -427,12 +442,12 @@
             let Ok(callers) = kernel.find::<Callers>(CALLERS) else {
                 return;
             };
-            let last_call_at = Instant::now() + self.options.last_call;
-            callers.last_call_at.set(Some(last_call_at));
+            let last_call_at = Instant::now() + self.options.drain_timeout;
+            callers.drain_deadline.set(Some(last_call_at));
             Timer::after(DRAIN_NOTICE).await;
             while callers.is_busy() {
                 if Instant::now() >= last_call_at {
-                    callers.last_call_sender.close();
+                    callers.drain_expired_sender.close();
                 }
                 Timer::after(DRAIN_POLL).await;
             }
--- a/crates/onyxshed-host/src/callers/replies.rs
+++ b/crates/onyxshed-host/src/callers/replies.rs
@@ -6,7 +6,7 @@
 use onyxshed_pool::{JobEnd, NotRunReason, UnknownReason};
 
 /// Makes the answer to a request that is not served.
-pub fn refuse(status: u16, reason: &str, retry_after: Option<Millis>) -> Reply {
+pub fn rejection_reply(status: u16, reason: &str, retry_after: Option<Millis>) -> Reply {
     let reply = Reply::json(status, &job::reason_body(reason));
     match retry_after {
         Some(wait) => reply.retry_after_ms(wait.0),
@@ -15,19 +15,19 @@
 }
 
 /// Makes the answer to a job.
-pub fn answer(end: &JobEnd) -> Reply {
+pub fn job_reply(end: &JobEnd) -> Reply {
     match end {
         JobEnd::Completed => Reply::json(200, &job::state_body("completed")),
         JobEnd::Failed => Reply::json(200, &job::state_body("failed")),
         JobEnd::NotRun(reason, retry_after) => {
             let wait = Millis(retry_after.0.max(1));
-            refuse(503, not_run_words(*reason), Some(wait))
+            rejection_reply(503, not_run_text(*reason), Some(wait))
         }
-        JobEnd::Unknown(reason) => refuse(504, unknown_words(*reason), None),
+        JobEnd::Unknown(reason) => rejection_reply(504, unknown_text(*reason), None),
     }
 }
 
-fn not_run_words(reason: NotRunReason) -> &'static str {
+fn not_run_text(reason: NotRunReason) -> &'static str {
     match reason {
         NotRunReason::NoTime => "not run: it could not end in time",
         NotRunReason::NoExecutor => "not run: no executor can run it",
@@ -36,7 +36,7 @@
     }
 }
 
-fn unknown_words(reason: UnknownReason) -> &'static str {
+fn unknown_text(reason: UnknownReason) -> &'static str {
     match reason {
         UnknownReason::OwnerChanged => "unknown: the pool's owner was lost",
         UnknownReason::OwnerPaused => "unknown: the pool's owner stood still",
--- a/crates/onyxshed-host/src/decisions.rs
+++ b/crates/onyxshed-host/src/decisions.rs
@@ -13,7 +13,7 @@
             executor,
             expected,
             waited,
-        } => about_run(EventKind::PoolRunOrdered, *task, executor).detail(format_smolstr!(
+        } => run_event(EventKind::PoolRunOrdered, *task, executor).detail(format_smolstr!(
             "run {run}, expected {}, waited {}, token {token}",
             expected.as_millis(),
             waited.as_millis()
@@ -23,48 +23,54 @@
             run,
             executor,
             reason: why,
-        } => about_run(EventKind::PoolRunEnded, *task, executor)
+        } => run_event(EventKind::PoolRunEnded, *task, executor)
             .detail(format_smolstr!("run {run}: {why}, token {token}")),
         Decision::OrphanStopped {
             task,
             run,
             executor,
-        } => about_run(EventKind::PoolStrayStopped, *task, executor)
+        } => run_event(EventKind::PoolStrayStopped, *task, executor)
             .detail(format_smolstr!("run {run}, token {token}")),
         Decision::RunMoved {
             task,
             run,
             executor,
             remaining: left,
-        } => about_run(EventKind::PoolRunMoved, *task, executor).detail(format_smolstr!(
+        } => run_event(EventKind::PoolRunMoved, *task, executor).detail(format_smolstr!(
             "run {run}, {} left there, token {token}",
             left.as_millis()
         )),
-        Decision::ExecutorAcquired(id) => about(EventKind::PoolExecutorTaken, id.0.clone()),
-        Decision::ExecutorUnresponsive(id) => about(EventKind::PoolExecutorSilent, id.0.clone()),
-        Decision::ExecutorRecovered(id) => about(EventKind::PoolExecutorBack, id.0.clone()),
-        Decision::ExecutorAvoided(id, span) => about(EventKind::PoolExecutorAvoided, id.0.clone())
-            .detail(format_smolstr!("for {span}")),
-        Decision::ExecutorDraining(id) => about(EventKind::PoolExecutorDraining, id.0.clone()),
-        Decision::ExecutorForgotten(id) => about(EventKind::PoolExecutorGone, id.0.clone()),
+        Decision::ExecutorAcquired(id) => event_about(EventKind::PoolExecutorTaken, id.0.clone()),
+        Decision::ExecutorUnresponsive(id) => {
+            event_about(EventKind::PoolExecutorSilent, id.0.clone())
+        }
+        Decision::ExecutorRecovered(id) => event_about(EventKind::PoolExecutorBack, id.0.clone()),
+        Decision::ExecutorAvoided(id, span) => {
+            event_about(EventKind::PoolExecutorAvoided, id.0.clone())
+                .detail(format_smolstr!("for {span}"))
+        }
+        Decision::ExecutorDraining(id) => {
+            event_about(EventKind::PoolExecutorDraining, id.0.clone())
+        }
+        Decision::ExecutorForgotten(id) => event_about(EventKind::PoolExecutorGone, id.0.clone()),
         Decision::PeerUnresponsive(life, jobs) => {
-            about(EventKind::PoolPeerSilent, format_smolstr!("{life}"))
+            event_about(EventKind::PoolPeerSilent, format_smolstr!("{life}"))
                 .detail(format_smolstr!("{jobs} jobs given up"))
         }
         Decision::HandoverBegun { handed_back, kept } => {
-            emptying(EventKind::PoolHandoverBegun, token, *handed_back, *kept)
+            drain_event(EventKind::PoolHandoverBegun, token, *handed_back, *kept)
         }
         Decision::HandoverEnded => {
             Event::new(EventKind::PoolHandoverEnded).detail(format_smolstr!("token {token}"))
         }
         Decision::EvacuationBegun { handed_back, kept } => {
-            emptying(EventKind::PoolEvacuationBegun, token, *handed_back, *kept)
+            drain_event(EventKind::PoolEvacuationBegun, token, *handed_back, *kept)
         }
         Decision::EvacuationEnded => {
             Event::new(EventKind::PoolEvacuationEnded).detail(format_smolstr!("token {token}"))
         }
         Decision::OwnershipTransferred(successor) => {
-            about(EventKind::PoolTransferred, format_smolstr!("{successor}"))
+            event_about(EventKind::PoolTransferred, format_smolstr!("{successor}"))
                 .detail(format_smolstr!("token {token}"))
         }
         Decision::Paused(span, jobs) => Event::new(EventKind::PauseDetected).detail(
@@ -73,18 +79,18 @@
     }
 }
 
-fn about(kind: EventKind, party: SmolStr) -> Event {
+fn event_about(kind: EventKind, party: SmolStr) -> Event {
     Event::new(kind).party(party)
 }
 
-fn about_run(kind: EventKind, task: TaskId, executor: &ExecutorId) -> Event {
-    about(kind, executor.0.clone())
+fn run_event(kind: EventKind, task: TaskId, executor: &ExecutorId) -> Event {
+    event_about(kind, executor.0.clone())
         .job(format_smolstr!("{}", task.job))
         .task(task.index)
 }
 
 /// Makes an event of a pool that takes no new jobs from now on.
-fn emptying(kind: EventKind, token: FencingToken, handed_back: usize, kept: usize) -> Event {
+fn drain_event(kind: EventKind, token: FencingToken, handed_back: usize, kept: usize) -> Event {
     Event::new(kind).detail(format_smolstr!(
         "token {token}, {handed_back} jobs handed back, {kept} end here"
     ))
--- a/crates/onyxshed-host/src/engine.rs
+++ b/crates/onyxshed-host/src/engine.rs
@@ -27,11 +27,11 @@
 use crate::boot_clock;
 use crate::decisions;
 use crate::evacuations::ZoneEvacuations;
-use crate::measures::Measures;
+use crate::measures::HostMetrics;
 use crate::names::ENGINE;
 
 /// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_PERIOD: Duration = Duration::from_millis(20);
 
 /// Longest time to open a connection to an executor; a fresh one takes up to 20 ms across zones.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
@@ -46,28 +46,28 @@
 /// How long a stopping owner that nobody takes over from serves on after its own callers are gone:
 /// with the balancer's notice some 3,700 ms of the platform's grace of 6,000, whose rest its last jobs
 /// get. A zone that is cut off from the store has no next owner until the cut heals.
-const SERVE_ON: Duration = Duration::from_millis(1_500);
+const SUCCESSOR_WAIT_MAX: Duration = Duration::from_millis(1_500);
 
 /// How often a stopping owner looks whether its jobs have ended.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
-type Waiting = BTreeMap<(PeerIncarnation, SubmissionNumber), Sender<JobEnd>>;
+type PendingReplies = BTreeMap<(PeerIncarnation, SubmissionNumber), Sender<JobEnd>>;
 
 /// Handle to the pool that this host owns.
 pub struct Engine {
     kernel: Kernel,
-    own: PeerIncarnation,
+    incarnation: PeerIncarnation,
     options: PoolOptions,
     pool: RefCell<Option<Pool>>,
-    owned: RefCell<Option<PoolId>>,
-    waiting: RefCell<Waiting>,
+    owned_pool: RefCell<Option<PoolId>>,
+    pending_replies: RefCell<PendingReplies>,
     connections: RefCell<BTreeMap<ExecutorId, Rc<ConnectionPool>>>,
     was_fenced: Cell<bool>,
     /// Owners before this one that the store may still list, while this one is a successor that the store
     /// does not know.
     past_members: RefCell<Vec<SmolStr>>,
     evacuations: Rc<ZoneEvacuations>,
-    measures: Measures,
+    metrics: HostMetrics,
 }
 
 impl Engine {
@@ -80,27 +80,27 @@
     ) -> Rc<Self> {
         Rc::new(Engine {
             kernel: kernel.clone(),
-            own,
+            incarnation: own,
             options,
             pool: RefCell::default(),
-            owned: RefCell::default(),
-            waiting: RefCell::default(),
+            owned_pool: RefCell::default(),
+            pending_replies: RefCell::default(),
             connections: RefCell::default(),
             was_fenced: Cell::new(false),
             past_members: RefCell::default(),
             evacuations,
-            measures: Measures::new(),
+            metrics: HostMetrics::new(),
         })
     }
 
     /// Gets this run of this host.
-    pub fn own(&self) -> PeerIncarnation {
-        self.own
+    pub fn incarnation(&self) -> PeerIncarnation {
+        self.incarnation
     }
 
     /// Gets the pool owned, none if this host owns none.
-    pub fn owned(&self) -> Option<PoolId> {
-        self.owned.borrow().clone()
+    pub fn owned_pool(&self) -> Option<PoolId> {
+        self.owned_pool.borrow().clone()
     }
 
     /// Gets the token of the pool owned, none if this host owns none.
@@ -121,13 +121,23 @@
     }
 
     /// Begins to own the pool; the last owner may still answer and use some of its executors.
-    pub fn own_pool(self: &Rc<Self>, token: FencingToken, id: PoolId, last_owner_answers: bool) {
+    pub fn acquire_pool(
+        self: &Rc<Self>,
+        token: FencingToken,
+        id: PoolId,
+        last_owner_answers: bool,
+    ) {
         let detail = match last_owner_answers {
             true => format_smolstr!("pool {id}, token {token}, from an owner that answers"),
             false => format_smolstr!("pool {id}, token {token}"),
         };
-        *self.owned.borrow_mut() = Some(id);
-        let mut pool = Pool::new(boot_clock::now(), token, self.own, self.options.clone());
+        *self.owned_pool.borrow_mut() = Some(id);
+        let mut pool = Pool::new(
+            boot_clock::now(),
+            token,
+            self.incarnation,
+            self.options.clone(),
+        );
         if last_owner_answers {
             pool.await_predecessor();
         }
@@ -139,11 +149,11 @@
     }
 
     /// Gives the pool up; the fate of its jobs is unknown.
-    pub fn give_up(self: &Rc<Self>, why: &'static str) {
+    pub fn step_down(self: &Rc<Self>, why: &'static str) {
         let Some(mut pool) = self.pool.borrow_mut().take() else {
             return;
         };
-        self.owned.take();
+        self.owned_pool.take();
         let jobs = pool.job_count();
         let token = pool.token();
         let actions = pool.step_down();
@@ -155,7 +165,7 @@
     }
 
     /// Says that this owner wants to be replaced; it serves on until then.
-    pub fn leave(&self) {
+    pub fn begin_drain(&self) {
         if let Some(pool) = self.pool.borrow_mut().as_mut() {
             pool.begin_drain();
         }
@@ -175,7 +185,7 @@
 
     /// Tells whether a pool is owned here and takes jobs.
     pub fn serves(&self, pool: &PoolId) -> bool {
-        self.owned.borrow().as_ref() == Some(pool) && !self.is_releasing()
+        self.owned_pool.borrow().as_ref() == Some(pool) && !self.is_releasing()
     }
 
     /// Lets go of what the next owner may take, and gets what it may not take yet; none if no pool
@@ -194,8 +204,12 @@
     }
 
     /// Takes in which executors the last owner still uses.
-    pub fn predecessor_holds(self: &Rc<Self>, token: FencingToken, held: BTreeSet<ExecutorId>) {
-        self.dispatch_event_under(token, |pool| {
+    pub fn apply_predecessor_executors(
+        self: &Rc<Self>,
+        token: FencingToken,
+        held: BTreeSet<ExecutorId>,
+    ) {
+        self.dispatch_call_result(token, |pool| {
             pool.apply_predecessor_executors(boot_clock::now(), held)
         });
     }
@@ -212,7 +226,7 @@
     }
 
     /// Feeds what came of a call that was made under a token.
-    fn dispatch_event_under(
+    fn dispatch_call_result(
         self: &Rc<Self>,
         token: FencingToken,
         event: impl FnOnce(&mut Pool) -> Vec<Action>,
@@ -236,7 +250,7 @@
                 } => self.deliver(peer, submission, end),
                 Action::StepDown => {
                     self.was_fenced.set(true);
-                    self.give_up("another host owns it");
+                    self.step_down("another host owns it");
                 }
                 Action::Log(decision) => self.log_decision(token, &decision),
             }
@@ -251,7 +265,11 @@
     }
 
     fn deliver(&self, peer: PeerIncarnation, submission: SubmissionNumber, end: JobEnd) {
-        if let Some(sender) = self.waiting.borrow_mut().remove(&(peer, submission)) {
+        if let Some(sender) = self
+            .pending_replies
+            .borrow_mut()
+            .remove(&(peer, submission))
+        {
             // The receiver is gone when its caller has left; nobody wants the answer then.
             let _ = sender.try_send(end);
         }
@@ -267,7 +285,7 @@
             return receiver;
         }
         let key = (request.peer, request.submission);
-        self.waiting.borrow_mut().insert(key, sender);
+        self.pending_replies.borrow_mut().insert(key, sender);
         self.dispatch_event(|pool| pool.submit(boot_clock::now(), session, request));
         receiver
     }
@@ -281,12 +299,14 @@
         reason: UnknownReason,
     ) {
         self.dispatch_event(|pool| pool.cancel(boot_clock::now(), peer, submission, job, reason));
-        self.waiting.borrow_mut().remove(&(peer, submission));
+        self.pending_replies
+            .borrow_mut()
+            .remove(&(peer, submission));
     }
 
     /// Notes that an entry host was heard, with what it offers; its session, none if no pool is
     /// owned.
-    pub fn peer_heard(
+    pub fn record_peer_contact(
         &self,
         life: PeerIncarnation,
         offer: Option<SuccessorOffer>,
@@ -297,14 +317,14 @@
     }
 
     /// Says whether a successor is needed, for want of the store.
-    pub fn seek_successor(&self, is_sought: bool) {
+    pub fn set_successor_needed(&self, is_sought: bool) {
         if let Some(pool) = self.pool.borrow_mut().as_mut() {
             pool.set_successor_needed(is_sought);
         }
     }
 
     /// Gets what a host that was just heard is given, if it is the successor.
-    pub fn transfer(
+    pub fn transfer_ownership(
         &self,
         life: PeerIncarnation,
         own_member: &SmolStr,
@@ -328,7 +348,7 @@
     }
 
     /// Notes that the list of the pool's executors was read.
-    pub fn executors_read(&self) {
+    pub fn mark_executors_read(&self) {
         if let Some(pool) = self.pool.borrow_mut().as_mut() {
             pool.mark_executors_read();
         }
@@ -341,17 +361,17 @@
     }
 
     /// Takes in an executor as the platform lists it.
-    pub fn executor_listed(self: &Rc<Self>, id: ExecutorId, facts: ExecutorFacts) {
-        self.keep_connections(&id, &facts);
+    pub fn list_executor(self: &Rc<Self>, id: ExecutorId, facts: ExecutorFacts) {
+        self.update_connections(&id, &facts);
         self.dispatch_event(|pool| pool.list_executor(boot_clock::now(), id, facts));
     }
 
     /// Takes in that an executor is no longer listed.
-    pub fn executor_unlisted(self: &Rc<Self>, id: &ExecutorId) {
+    pub fn unlist_executor(self: &Rc<Self>, id: &ExecutorId) {
         self.dispatch_event(|pool| pool.unlist_executor(boot_clock::now(), id));
     }
 
-    fn keep_connections(&self, id: &ExecutorId, facts: &ExecutorFacts) {
+    fn update_connections(&self, id: &ExecutorId, facts: &ExecutorFacts) {
         let mut held = self.connections.borrow_mut();
         if held
             .get(id)
@@ -369,14 +389,14 @@
 
     /// Passes on whether the pool's zone is evacuated.
     fn update_evacuation(self: &Rc<Self>) {
-        let owned = self.owned();
+        let owned = self.owned_pool();
         let is_evacuated = owned.is_some_and(|pool| self.evacuations.contains(&pool.zone));
         self.dispatch_event(|pool| pool.set_evacuated(boot_clock::now(), is_evacuated));
     }
 
     async fn tick(self: Rc<Self>, token: FencingToken) {
         while self.token() == Some(token) {
-            Timer::after(TICK).await;
+            Timer::after(TICK_PERIOD).await;
             self.update_evacuation();
             self.dispatch_event(|pool| pool.tick(boot_clock::now()));
         }
@@ -413,8 +433,8 @@
     /// Serves on for a while if no other host takes the pool over, then waits for its last jobs.
     fn drain<'a>(&'a self, _kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async move {
-            let close_at = Instant::now() + SERVE_ON;
-            let owns = || self.engine.owned().is_some() && !self.engine.is_releasing();
+            let close_at = Instant::now() + SUCCESSOR_WAIT_MAX;
+            let owns = || self.engine.owned_pool().is_some() && !self.engine.is_releasing();
             while owns() && Instant::now() < close_at {
                 Timer::after(DRAIN_POLL).await;
             }
--- a/crates/onyxshed-host/src/engine/calls.rs
+++ b/crates/onyxshed-host/src/engine/calls.rs
@@ -24,7 +24,7 @@
 
 /// Time without an answer after which a connection is replaced rather than trusted. Connections
 /// may go silent for good while new ones work; a start on one loses the order's timeout.
-const PROVEN_WITHIN: Duration = Duration::from_secs(8);
+const CONNECTION_PROVEN_WITHIN: Duration = Duration::from_secs(8);
 
 impl Engine {
     pub(super) fn spawn_start(
@@ -38,8 +38,8 @@
             let sent_at = boot_clock::now();
             let answer = engine.start(&id, &order).await;
             let took = boot_clock::now().since(sent_at);
-            engine.measures.ordered(OrderKind::Start, took);
-            engine.dispatch_event_under(token, |pool| {
+            engine.metrics.record_order(OrderKind::Start, took);
+            engine.dispatch_call_result(token, |pool| {
                 pool.apply_start_answer(boot_clock::now(), &id, order.task, order.run, &answer)
             });
         };
@@ -50,7 +50,7 @@
         let call = async |connection: &mut Connection| {
             orders::start(connection, &id.0, order, ORDER_TIMEOUT).await
         };
-        match self.on_connection(id, call).await {
+        match self.call_executor(id, call).await {
             None => StartAnswer::NotSent,
             Some(Ok(answer)) => answer,
             Some(Err(Error::NoReply { source })) if source.sent == Sent::Nothing => {
@@ -71,8 +71,8 @@
             let sent_at = boot_clock::now();
             let answer = engine.stop(&id, &order).await;
             let took = boot_clock::now().since(sent_at);
-            engine.measures.ordered(OrderKind::Stop, took);
-            engine.dispatch_event_under(token, |pool| {
+            engine.metrics.record_order(OrderKind::Stop, took);
+            engine.dispatch_call_result(token, |pool| {
                 pool.apply_stop_answer(boot_clock::now(), &id, order.task, order.run, answer)
             });
         };
@@ -83,7 +83,7 @@
         let call = async |connection: &mut Connection| {
             orders::stop(connection, &id.0, order, ORDER_TIMEOUT).await
         };
-        match self.on_connection(id, call).await {
+        match self.call_executor(id, call).await {
             Some(Ok(answer)) => answer,
             Some(Err(_)) | None => StopAnswer::Unknown,
         }
@@ -103,7 +103,7 @@
             }
             let sent_at = boot_clock::now();
             let answer = engine.hold(&id, &order).await;
-            engine.dispatch_event_under(token, |pool| {
+            engine.dispatch_call_result(token, |pool| {
                 pool.apply_hold_answer(boot_clock::now(), &id, sent_at, answer)
             });
         };
@@ -115,7 +115,7 @@
         let call = async |connection: &mut Connection| {
             orders::hold(connection, &id.0, order, timeout).await
         };
-        match self.on_connection(id, call).await {
+        match self.call_executor(id, call).await {
             Some(Ok(report)) => HoldAnswer::Report(report),
             Some(Err(_)) | None => HoldAnswer::Unknown,
         }
@@ -125,13 +125,16 @@
     ///
     /// The connection is kept if it is still of use; otherwise the idle ones go too, since what
     /// made one silent may have made all of them silent.
-    async fn on_connection<T>(
+    async fn call_executor<T>(
         &self,
         id: &ExecutorId,
         call: impl AsyncFnOnce(&mut Connection) -> Result<T, Error>,
     ) -> Option<Result<T, Error>> {
         let pool = self.connections.borrow().get(id).cloned()?;
-        let mut connection = pool.get(Health::Proven(PROVEN_WITHIN)).await.ok()?;
+        let mut connection = pool
+            .get(Health::Proven(CONNECTION_PROVEN_WITHIN))
+            .await
+            .ok()?;
         let answer = call(&mut connection).await;
         let is_of_use = answer.as_ref().err().is_none_or(Error::keeps_connection);
         match is_of_use {
--- a/crates/onyxshed-host/src/evacuations.rs
+++ b/crates/onyxshed-host/src/evacuations.rs
@@ -22,7 +22,7 @@
     kernel: Kernel,
     zones: Vec<SmolStr>,
     known: RefCell<Evacuations>,
-    evacuated: Gauge,
+    evacuated_gauge: Gauge,
 }
 
 impl ZoneEvacuations {
@@ -33,7 +33,7 @@
             kernel: kernel.clone(),
             zones,
             known: RefCell::default(),
-            evacuated: metric::gauge(EVACUATED_ZONES, text),
+            evacuated_gauge: metric::gauge(EVACUATED_ZONES, text),
         })
     }
 
@@ -59,25 +59,25 @@
     }
 
     /// Takes in records, and who told them.
-    pub fn learn(&self, records: impl IntoIterator<Item = EvacuationRecord>, from: &str) {
+    pub fn apply(&self, records: impl IntoIterator<Item = EvacuationRecord>, from: &str) {
         for record in records {
             let change = self.known.borrow_mut().apply(record);
-            self.publish(change, from);
+            self.log_change(change, from);
         }
     }
 
     /// Takes in everything that the store lists.
-    pub fn learn_snapshot(&self, snapshot: EvacuationSnapshot) {
+    pub fn apply_snapshot(&self, snapshot: EvacuationSnapshot) {
         let Some(at) = snapshot.at else {
             return;
         };
         let changes = self.known.borrow_mut().apply_snapshot(snapshot.records, at);
         for change in changes {
-            self.publish(change, "the store");
+            self.log_change(change, "the store");
         }
     }
 
-    fn publish(&self, change: EvacuationChange, from: &str) {
+    fn log_change(&self, change: EvacuationChange, from: &str) {
         let (kind, zone) = match change {
             EvacuationChange::Unchanged => return,
             EvacuationChange::Evacuated(zone) => (EventKind::ZoneEvacuated, zone),
@@ -100,7 +100,7 @@
             .filter(|zone| known.contains(zone))
             .count();
         // A deployment has a handful of zones.
-        self.evacuated
+        self.evacuated_gauge
             .set(f64::from(u32::try_from(count).unwrap_or(u32::MAX)));
     }
 }
--- a/crates/onyxshed-host/src/executors.rs
+++ b/crates/onyxshed-host/src/executors.rs
@@ -15,7 +15,7 @@
 use smol_str::{SmolStr, format_smolstr};
 
 use crate::engine::Engine;
-use crate::shard_layouts::Divisions;
+use crate::shard_layouts::ShardLayouts;
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 
 /// Time between two reads. A heartbeat of each executor comes every 1.5 s; a draining executor
@@ -29,13 +29,13 @@
 pub type ExecutorsRead = Task<onyxshed_adapter::Result<Records>>;
 
 /// Executors that a new owner knows when it begins.
-pub enum KnownExecutors {
+pub enum InitialExecutors {
     /// None.
     None,
     /// The list, as it is being read.
     Reading(ExecutorsRead),
     /// Those of its predecessor.
-    Predecessors(Vec<(ExecutorId, ExecutorFacts)>),
+    FromPredecessor(Vec<(ExecutorId, ExecutorFacts)>),
 }
 
 /// Tries to read the list of all executors.
@@ -49,9 +49,9 @@
 pub async fn follow(
     kernel: Kernel,
     engine: Rc<Engine>,
-    divisions: Rc<Divisions>,
+    divisions: Rc<ShardLayouts>,
     (token, pool, division): (FencingToken, PoolId, ShardLayout),
-    known: KnownExecutors,
+    known: InitialExecutors,
     address: SocketAddr,
 ) {
     let watch = StoreWatch::new(&kernel, "executors");
@@ -59,48 +59,48 @@
     let mut follower = Follower {
         kernel,
         engine,
-        divisions,
+        shard_layouts: divisions,
         token,
         pool,
-        division,
-        listed: BTreeSet::new(),
-        of_zone: BTreeSet::new(),
+        layout: division,
+        pool_executors: BTreeSet::new(),
+        zone_executors: BTreeSet::new(),
         unreadable: BTreeSet::new(),
     };
     let mut list = match known {
-        KnownExecutors::None => None,
-        KnownExecutors::Reading(list) => Some(list),
-        KnownExecutors::Predecessors(known) => {
-            follower.take_predecessors(known);
+        InitialExecutors::None => None,
+        InitialExecutors::Reading(list) => Some(list),
+        InitialExecutors::FromPredecessor(known) => {
+            follower.apply_predecessor_list(known);
             None
         }
     };
-    while follower.is_needed() {
+    while follower.is_owner() {
         let followed = follower.follow_once(&mut store, &watch, list.take()).await;
         let Err(error) = followed else {
             return;
         };
-        watch.before_reading_anew(&error).await;
+        watch.pause_before_reread(&error).await;
     }
 }
 
 struct Follower {
     kernel: Kernel,
     engine: Rc<Engine>,
-    divisions: Rc<Divisions>,
+    shard_layouts: Rc<ShardLayouts>,
     token: FencingToken,
     pool: PoolId,
-    division: ShardLayout,
+    layout: ShardLayout,
     /// Executors of the pool.
-    listed: BTreeSet<SmolStr>,
+    pool_executors: BTreeSet<SmolStr>,
     /// Executors of the whole zone, by which it is divided.
-    of_zone: BTreeSet<SmolStr>,
+    zone_executors: BTreeSet<SmolStr>,
     /// Ids whose newest entry can't be read.
     unreadable: BTreeSet<SmolStr>,
 }
 
 impl Follower {
-    fn is_needed(&self) -> bool {
+    fn is_owner(&self) -> bool {
         self.engine.token() == Some(self.token)
     }
 
@@ -116,70 +116,72 @@
             Some(list) => list.await?,
             None => store.newest(EXECUTORS_TOPIC, ANSWER_TIMEOUT).await?,
         };
-        self.take_newest(&newest.records);
+        self.apply_snapshot(&newest.records);
         let mut next = newest.next;
-        while self.is_needed() {
-            if self.divide_anew(store).await? {
+        while self.is_owner() {
+            if self.step_down_if_resharded(store).await? {
                 return Ok(());
             }
-            watch.answered();
+            watch.record_answer();
             Timer::after(READ_PERIOD).await;
             let read = store
                 .read_keyed(EXECUTORS_TOPIC, next, Millis(0), ANSWER_TIMEOUT)
                 .await?;
             next = read.next;
-            read.records.iter().for_each(|record| self.take(record));
+            read.records
+                .iter()
+                .for_each(|record| self.apply_record(record));
         }
         Ok(())
     }
 
     /// Gives the pool up if its zone has another division by now; the owner of the zone's first
     /// pool makes one when the number of executors asks for it.
-    async fn divide_anew(&self, store: &mut Store) -> onyxshed_adapter::Result<bool> {
+    async fn step_down_if_resharded(&self, store: &mut Store) -> onyxshed_adapter::Result<bool> {
         if self.pool.index == 0
-            && let Some(renewed) = self.division.resharded(self.of_zone.len())
+            && let Some(renewed) = self.layout.resharded(self.zone_executors.len())
         {
-            self.divisions
+            self.shard_layouts
                 .publish(store, &self.pool.zone, renewed)
                 .await?;
         }
-        let is_new = self.divisions.of(&self.pool.zone) != self.division;
+        let is_new = self.shard_layouts.layout_of(&self.pool.zone) != self.layout;
         if is_new {
-            self.engine.give_up("the zone is divided anew");
+            self.engine.step_down("the zone is divided anew");
         }
         Ok(is_new)
     }
 
     /// Takes in what the last owner has told; the store's list corrects it when it can be read.
-    fn take_predecessors(&mut self, known: Vec<(ExecutorId, ExecutorFacts)>) {
+    fn apply_predecessor_list(&mut self, known: Vec<(ExecutorId, ExecutorFacts)>) {
         if known.is_empty() {
             return;
         }
         for (id, facts) in known {
-            self.listed.insert(id.0.clone());
-            self.engine.executor_listed(id, facts);
+            self.pool_executors.insert(id.0.clone());
+            self.engine.list_executor(id, facts);
         }
-        self.engine.executors_read();
+        self.engine.mark_executors_read();
     }
 
     /// Takes in the whole list: whoever is not on it is no longer listed.
-    fn take_newest(&mut self, records: &[KeyedRecord]) {
+    fn apply_snapshot(&mut self, records: &[KeyedRecord]) {
         let present: BTreeSet<&SmolStr> = records.iter().map(|record| &record.key).collect();
         let gone: Vec<SmolStr> = self
-            .listed
+            .pool_executors
             .iter()
             .filter(|id| !present.contains(id))
             .cloned()
             .collect();
-        self.of_zone.retain(|id| present.contains(id));
+        self.zone_executors.retain(|id| present.contains(id));
         for id in gone {
             self.unlist(&id);
         }
-        records.iter().for_each(|record| self.take(record));
-        self.engine.executors_read();
+        records.iter().for_each(|record| self.apply_record(record));
+        self.engine.mark_executors_read();
     }
 
-    fn take(&mut self, record: &KeyedRecord) {
+    fn apply_record(&mut self, record: &KeyedRecord) {
         let Some(value) = &record.value else {
             return self.unlist(&record.key);
         };
@@ -187,23 +189,23 @@
         // known of an executor of that id stays.
         let entry = match ExecutorEntry::parse(value) {
             Ok(entry) => entry,
-            Err(error) => return self.tell_unreadable(&record.key, &error),
+            Err(error) => return self.log_unreadable(&record.key, &error),
         };
         self.unreadable.remove(&record.key);
         if entry.zone != self.pool.zone {
             return;
         }
-        self.of_zone.insert(record.key.clone());
+        self.zone_executors.insert(record.key.clone());
         let id = ExecutorId(record.key.clone());
-        if self.division.index_of(&id) != self.pool.index {
+        if self.layout.index_of(&id) != self.pool.index {
             return;
         }
-        self.listed.insert(record.key.clone());
-        self.engine.executor_listed(id, facts_of(entry));
+        self.pool_executors.insert(record.key.clone());
+        self.engine.list_executor(id, facts_of(entry));
     }
 
     /// Writes one line for an entry that can't be read, until it can.
-    fn tell_unreadable(&mut self, id: &SmolStr, error: &Error) {
+    fn log_unreadable(&mut self, id: &SmolStr, error: &Error) {
         if self.unreadable.len() < UNREADABLE_MAX && self.unreadable.insert(id.clone()) {
             let event = Event::new(EventKind::PoolExecutorUnreadable).party(id.clone());
             self.kernel.emit(event.detail(format_smolstr!("{error}")));
@@ -211,9 +213,9 @@
     }
 
     fn unlist(&mut self, id: &SmolStr) {
-        self.of_zone.remove(id);
-        if self.listed.remove(id) {
-            self.engine.executor_unlisted(&ExecutorId(id.clone()));
+        self.zone_executors.remove(id);
+        if self.pool_executors.remove(id) {
+            self.engine.unlist_executor(&ExecutorId(id.clone()));
         }
     }
 }
--- a/crates/onyxshed-host/src/last_owner.rs
+++ b/crates/onyxshed-host/src/last_owner.rs
@@ -20,10 +20,10 @@
 const TOPIC: &str = "keyed.onyxshed.owners";
 
 /// How long a read waits at the store for the record of a new owner.
-const WAIT: Millis = Millis(10_000);
+const LONG_POLL_WAIT: Millis = Millis(10_000);
 
 /// Time between two reads while there is no record at all.
-const EMPTY_PERIOD: Duration = Duration::from_millis(1_000);
+const ABSENT_TOPIC_PERIOD: Duration = Duration::from_millis(1_000);
 
 /// Tries to write down who owns a pool from now on, by its member's name in the pool's group.
 pub async fn write(store: &mut Store, pool: &PoolId, member: &str) -> onyxshed_adapter::Result<()> {
@@ -53,17 +53,17 @@
 }
 
 /// How the records of new owners are followed.
-pub const FOLLOWED: TopicOptions = TopicOptions {
+pub const TOPIC_OPTIONS: TopicOptions = TopicOptions {
     name: TOPIC,
-    wait: WAIT,
-    absent_pause: Some(EMPTY_PERIOD),
+    wait: LONG_POLL_WAIT,
+    absent_period: Some(ABSENT_TOPIC_PERIOD),
 };
 
 /// Passes the records of new owners to the directory. Earlier ones may name owners that are gone.
 impl TopicReader for Directory {
-    fn take_newest(&self, _newest: Records) {}
+    fn apply_snapshot(&self, _newest: Records) {}
 
-    fn take(&self, record: KeyedRecord) {
+    fn apply_record(&self, record: KeyedRecord) {
         let pool: Option<PoolId> = record.key.parse().ok();
         if let (Some(pool), Some(member)) = (pool, member_of(record)) {
             self.observe_owner_record(&pool, member);
--- a/crates/onyxshed-host/src/links.rs
+++ b/crates/onyxshed-host/src/links.rs
@@ -29,9 +29,9 @@
 use crate::engine::Engine;
 use crate::evacuations::ZoneEvacuations;
 use crate::names::{ENGINE, LINKS, MANIFEST};
-use crate::shard_layouts::Divisions;
+use crate::shard_layouts::ShardLayouts;
 
-pub use remote::{RemoteLink, Waiting};
+pub use remote::{RemoteLink, WaiterGuard};
 
 /// Pools whose owners every host may hear at the full rate.
 const POOLS_AT_FULL_RATE: u32 = 4;
@@ -64,20 +64,20 @@
 pub struct Links {
     kernel: Kernel,
     engine: Rc<Engine>,
-    divisions: Rc<Divisions>,
+    shard_layouts: Rc<ShardLayouts>,
     evacuations: Rc<ZoneEvacuations>,
     options: LinkOptions,
-    chooser: RefCell<PoolSelector>,
+    selector: RefCell<PoolSelector>,
     remote: RefCell<BTreeMap<PoolId, Rc<RemoteLink>>>,
     last_submission: Cell<u64>,
     /// Pools of which an owner was known at any time.
-    heard: RefCell<BTreeSet<PoolId>>,
+    known_pools: RefCell<BTreeSet<PoolId>>,
     /// Owners whose successors have taken over, which the store may still name.
-    succeeded: RefCell<BTreeMap<PoolId, SocketAddr>>,
+    superseded: RefCell<BTreeMap<PoolId, SocketAddr>>,
     /// What this host was made the successor of, until it is taken up.
-    transfer: RefCell<Option<(Mono, PoolId, OwnershipTransfer)>>,
-    transferred: Change,
-    changed: Change,
+    pending_transfer: RefCell<Option<(Mono, PoolId, OwnershipTransfer)>>,
+    transfer_received: Change,
+    owner_changed: Change,
 }
 
 impl Links {
@@ -85,30 +85,30 @@
     pub fn new(
         kernel: &Kernel,
         engine: Rc<Engine>,
-        divisions: Rc<Divisions>,
+        divisions: Rc<ShardLayouts>,
         evacuations: Rc<ZoneEvacuations>,
         options: LinkOptions,
     ) -> Rc<Self> {
         Rc::new(Links {
-            divisions,
+            shard_layouts: divisions,
             evacuations,
             kernel: kernel.clone(),
             engine,
             options,
-            chooser: RefCell::default(),
+            selector: RefCell::default(),
             remote: RefCell::default(),
             last_submission: Cell::new(0),
-            heard: RefCell::default(),
-            succeeded: RefCell::default(),
-            transfer: RefCell::default(),
-            transferred: Change::default(),
-            changed: Change::default(),
+            known_pools: RefCell::default(),
+            superseded: RefCell::default(),
+            pending_transfer: RefCell::default(),
+            transfer_received: Change::default(),
+            owner_changed: Change::default(),
         })
     }
 
     /// Gets this run of this host.
-    pub fn own(&self) -> PeerIncarnation {
-        self.engine.own()
+    pub fn incarnation(&self) -> PeerIncarnation {
+        self.engine.incarnation()
     }
 
     /// Numbers a hand-over.
@@ -118,24 +118,27 @@
     }
 
     /// Gets the pool that this host hands its jobs to first.
-    pub fn preferred(&self) -> PoolId {
+    pub fn preferred_pool(&self) -> PoolId {
         let zone = &self.options.zone;
         PoolId {
             zone: zone.clone(),
-            index: self.divisions.of(zone).preferred_index(&self.options.host),
+            index: self
+                .shard_layouts
+                .layout_of(zone)
+                .preferred_index(&self.options.host),
         }
     }
 
     /// Gets the time between two heartbeats on a link that no job waits on: with many pools, all
     /// hosts' heartbeats together would take an owner's processor.
-    fn idle_heartbeat(&self) -> Duration {
+    fn idle_heartbeat_period(&self) -> Duration {
         let pools = u32::try_from(self.remote.borrow().len()).unwrap_or(u32::MAX);
         let crowd = pools.div_ceil(POOLS_AT_FULL_RATE).max(1);
-        (remote::HEARTBEAT * crowd).min(IDLE_HEARTBEAT_MAX)
+        (remote::HEARTBEAT_PERIOD * crowd).min(IDLE_HEARTBEAT_MAX)
     }
 
     /// Closes the links to pools that are no more.
-    pub fn keep_only(self: &Rc<Self>, pools: &[PoolId]) {
+    pub fn retain_pools(self: &Rc<Self>, pools: &[PoolId]) {
         let gone: Vec<PoolId> = {
             let remote = self.remote.borrow();
             let gone = remote.keys().filter(|pool| !pools.contains(pool));
@@ -147,21 +150,21 @@
     }
 
     /// Gets the pools in the order in which a job should be handed to them.
-    pub fn order(self: &Rc<Self>, job: &JobRequest) -> Vec<PoolId> {
-        if let (Some(load), Some(owned)) = (self.engine.load(), self.engine.owned()) {
+    pub fn rank_pools(self: &Rc<Self>, job: &JobRequest) -> Vec<PoolId> {
+        if let (Some(load), Some(owned)) = (self.engine.load(), self.engine.owned_pool()) {
             if self.engine.serves(&owned) {
-                self.chooser.borrow_mut().update_load(&owned, load);
+                self.selector.borrow_mut().update_load(&owned, load);
             } else if let Some(successor) = load.successor {
                 self.follow_successor(&owned, successor);
             }
         }
-        let chooser = self.chooser.borrow();
+        let chooser = self.selector.borrow();
         let evacuations = self.evacuations.known();
-        chooser.rank_pools(&self.preferred(), job.demand, job.tasks, &evacuations)
+        chooser.rank_pools(&self.preferred_pool(), job.demand, job.tasks, &evacuations)
     }
 
     /// Gets why a job that no pool can be asked for is not run.
-    pub fn why_no_pool(&self) -> NotRunReason {
+    pub fn no_pool_reason(&self) -> NotRunReason {
         match self.evacuations.covers_deployment() {
             true => NotRunReason::ZoneEvacuated,
             false => NotRunReason::NotOwner,
@@ -169,11 +172,11 @@
     }
 
     /// Tells whether a pool that is not evacuated is owned here, or its owner answers.
-    pub fn reaches_a_pool(&self) -> bool {
+    pub fn can_reach_pool(&self) -> bool {
         let remote = self.remote.borrow();
         let answering = remote.iter().filter(|(_, link)| link.is_up());
         let mut pools = answering.map(|(pool, _)| pool);
-        let owned = self.engine.owned();
+        let owned = self.engine.owned_pool();
         owned.is_some_and(|pool| self.is_in_service(&pool))
             || pools.any(|pool| self.is_in_service(pool))
     }
@@ -181,7 +184,7 @@
     /// Tells whether another host may serve callers whom this one can't: not while every zone is
     /// evacuated, since every host refuses them then.
     pub fn should_send_callers_away(&self) -> bool {
-        !self.reaches_a_pool() && !self.evacuations.covers_deployment()
+        !self.can_reach_pool() && !self.evacuations.covers_deployment()
     }
 
     fn is_in_service(&self, pool: &PoolId) -> bool {
@@ -189,9 +192,10 @@
     }
 
     /// Tells whether any pool is known to have executors that take work.
-    pub fn reaches_an_executor(&self) -> bool {
+    pub fn can_reach_executor(&self) -> bool {
         let own = self.engine.load();
-        own.is_some_and(|load| load.capacity_cpu_millis > 0) || self.chooser.borrow().has_capacity()
+        own.is_some_and(|load| load.capacity_cpu_millis > 0)
+            || self.selector.borrow().has_capacity()
     }
 
     /// Takes in who owns a pool; none if nobody does, or this host itself.
@@ -203,8 +207,8 @@
         if let Some(link) = self.remote.borrow_mut().remove(pool) {
             link.close();
         }
-        self.succeeded.borrow_mut().remove(pool);
-        self.chooser.borrow_mut().remove_pool(pool);
+        self.superseded.borrow_mut().remove(pool);
+        self.selector.borrow_mut().remove_pool(pool);
         let party = match owner {
             Some(address) => {
                 let link = RemoteLink::open(self.clone(), pool.clone(), address);
@@ -226,25 +230,25 @@
 
     /// Tells whether the owner of a pool answers and means to stay.
     pub fn is_settled(&self, pool: &PoolId) -> bool {
-        self.is_up(pool) && !self.chooser.borrow().needs_replacement(pool)
+        self.is_up(pool) && !self.selector.borrow().needs_replacement(pool)
     }
 
     /// Tells whether an owner of a pool was known at any time.
-    pub fn has_heard(&self, pool: &PoolId) -> bool {
-        self.heard.borrow().contains(pool)
+    pub fn has_known_owner(&self, pool: &PoolId) -> bool {
+        self.known_pools.borrow().contains(pool)
     }
 
     /// Notes that an owner of a pool is known: this host itself, or one that has answered.
     pub fn record_owner(&self, pool: &PoolId) {
-        self.heard.borrow_mut().insert(pool.clone());
+        self.known_pools.borrow_mut().insert(pool.clone());
     }
 
     /// Waits until the owner of a pool has answered, or is found not to; tells whether it did.
-    pub async fn answers(&self, pool: &PoolId, timeout: Duration) -> bool {
+    pub async fn probe_owner(&self, pool: &PoolId, timeout: Duration) -> bool {
         let Some(link) = self.remote.borrow().get(pool).cloned() else {
             return false;
         };
-        within(timeout, link.first_answer()).await;
+        within(timeout, link.wait_for_first_attempt()).await;
         link.is_up()
     }
 
@@ -261,32 +265,36 @@
         let mut owners: Vec<(PoolId, SocketAddr)> = up
             .map(|(pool, link)| (pool.clone(), link.address()))
             .collect();
-        if let Some(owned) = self.engine.owned().filter(|pool| self.engine.serves(pool)) {
+        if let Some(owned) = self
+            .engine
+            .owned_pool()
+            .filter(|pool| self.engine.serves(pool))
+        {
             owners.push((owned, self.options.advertised));
         }
         owners
     }
 
     /// Takes in who owns a pool by another host's word, unless this host knows an owner that answers.
-    pub fn learn_owner(self: &Rc<Self>, pool: &PoolId, owner: SocketAddr) {
-        let is_known = self.is_up(pool) || self.engine.owned().as_ref() == Some(pool);
+    pub fn apply_peer_owner(self: &Rc<Self>, pool: &PoolId, owner: SocketAddr) {
+        let is_known = self.is_up(pool) || self.engine.owned_pool().as_ref() == Some(pool);
         if !is_known && owner != self.options.advertised {
             self.set_owner(pool, Some(owner));
         }
     }
 
     /// Gets what is told when an owner is lost or wants to be replaced.
-    pub fn changed(&self) -> &Change {
-        &self.changed
+    pub fn owner_changed(&self) -> &Change {
+        &self.owner_changed
     }
 
     /// Takes in what an owner tells of its pool.
     fn update_load(self: &Rc<Self>, pool: &PoolId, load: PoolLoad) {
         if load.needs_replacement && self.is_settled(pool) {
-            self.changed.notify();
+            self.owner_changed.notify();
         }
         let successor = load.successor;
-        self.chooser.borrow_mut().update_load(pool, load);
+        self.selector.borrow_mut().update_load(pool, load);
         if let Some(successor) = successor {
             self.follow_successor(pool, successor);
         }
@@ -294,11 +302,11 @@
 
     /// Hands a job to a pool and waits for its end. Dropping the future gives the job up.
     pub async fn run(self: &Rc<Self>, pool: &PoolId, job: JobRequest) -> JobEnd {
-        self.chooser
+        self.selector
             .borrow_mut()
             .record_dispatch(pool, job.demand, job.tasks, job.estimate);
         if self.engine.serves(pool) {
-            return self.run_here(job).await;
+            return self.run_locally(job).await;
         }
         let link = self.remote.borrow().get(pool).cloned();
         match link {
@@ -307,34 +315,34 @@
         }
     }
 
-    async fn run_here(&self, job: JobRequest) -> JobEnd {
-        let guard = LocalGuard {
+    async fn run_locally(&self, job: JobRequest) -> JobEnd {
+        let guard = LocalCancelGuard {
             engine: self.engine.clone(),
             job: Some((job.submission, job.job)),
         };
         let receiver = self.engine.submit(onyxshed_pool::Session(0), job);
         let end = receiver.recv().await;
-        guard.settle();
+        guard.disarm();
         end.unwrap_or(JobEnd::Unknown(UnknownReason::OwnerChanged))
     }
 }
 
 /// Gives a job up at the engine of this host if its caller leaves.
-struct LocalGuard {
+struct LocalCancelGuard {
     engine: Rc<Engine>,
     job: Option<(SubmissionNumber, onyxshed_pool::JobId)>,
 }
 
-impl LocalGuard {
-    fn settle(mut self) {
+impl LocalCancelGuard {
+    fn disarm(mut self) {
         self.job = None;
     }
 }
 
-impl Drop for LocalGuard {
+impl Drop for LocalCancelGuard {
     fn drop(&mut self) {
         if let Some((submission, job)) = self.job {
-            let own = self.engine.own();
+            let own = self.engine.incarnation();
             self.engine
                 .cancel(own, submission, job, UnknownReason::Cancelled);
         }
@@ -366,11 +374,11 @@
         Box::pin(async move {
             let links = &self.links;
             let (listener, _) = listen(kernel, LINKS, "peer", links.options.address).await?;
-            let member = member_name(links.options.advertised, links.own());
-            let known = port::Known {
+            let member = member_name(links.options.advertised, links.incarnation());
+            let known = port::DeploymentState {
                 links: links.clone(),
                 manifest: kernel.find(MANIFEST)?,
-                divisions: links.divisions.clone(),
+                shard_layouts: links.shard_layouts.clone(),
                 evacuations: links.evacuations.clone(),
             };
             let port = port::Port::new(links.engine.clone(), member, known);
--- a/crates/onyxshed-host/src/links/port.rs
+++ b/crates/onyxshed-host/src/links/port.rs
@@ -16,34 +16,34 @@
 use crate::engine::Engine;
 use crate::evacuations::ZoneEvacuations;
 use crate::manifest::ManifestHolder;
-use crate::shard_layouts::Divisions;
+use crate::shard_layouts::ShardLayouts;
 
 /// Serves entry hosts.
 pub struct Port {
     engine: Rc<Engine>,
     /// This host's name in the groups of pools.
     member: SmolStr,
-    known: Known,
+    deployment: DeploymentState,
 }
 
 /// What this host knows of the deployment.
-pub struct Known {
+pub struct DeploymentState {
     /// Owners of pools.
     pub links: Rc<Links>,
     /// The operators' manifest.
     pub manifest: Rc<ManifestHolder>,
     /// How zones are divided.
-    pub divisions: Rc<Divisions>,
+    pub shard_layouts: Rc<ShardLayouts>,
     /// Which zones are evacuated.
     pub evacuations: Rc<ZoneEvacuations>,
 }
 
-impl Known {
-    fn sum_up(&self) -> pool::PeerState {
+impl DeploymentState {
+    fn to_peer_state(&self) -> pool::PeerState {
         pool::PeerState {
             manifest: self.manifest.text(),
             owners: self.links.owners(),
-            divisions: self.divisions.known(),
+            divisions: self.shard_layouts.known(),
             evacuations: self.evacuations.records(),
         }
     }
@@ -51,27 +51,27 @@
 
 impl Port {
     /// Makes the interface of a host that joins groups under a name.
-    pub fn new(engine: Rc<Engine>, member: SmolStr, known: Known) -> Self {
+    pub fn new(engine: Rc<Engine>, member: SmolStr, known: DeploymentState) -> Self {
         Port {
             engine,
             member,
-            known,
+            deployment: known,
         }
     }
 
-    fn is_mine(&self, pool: &str) -> bool {
+    fn owns(&self, pool: &str) -> bool {
         let asked: Option<PoolId> = pool.parse().ok();
-        asked.is_some() && asked == self.engine.owned()
+        asked.is_some() && asked == self.engine.owned_pool()
     }
 }
 
 /// Gives a job up if its entry host's connection closes before its end.
-struct Guard {
+struct CancelGuard {
     engine: Rc<Engine>,
     job: Option<(PeerIncarnation, SubmissionNumber, JobId)>,
 }
 
-impl Drop for Guard {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         if let Some((peer, submission, job)) = self.job {
             self.engine
@@ -87,7 +87,7 @@
         mut results: pool_port::HeartbeatResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        if !self.is_mine(params.get_pool()?.to_str()?) {
+        if !self.owns(params.get_pool()?.to_str()?) {
             return Ok(());
         }
         let life = PeerIncarnation(params.get_life());
@@ -96,10 +96,10 @@
             false => None,
         };
         let told = pool::read_evacuations(params.get_evacuations()?)?;
-        self.known.evacuations.learn(told, "an entry host");
-        let session = self.engine.peer_heard(life, offer);
+        self.deployment.evacuations.apply(told, "an entry host");
+        let session = self.engine.record_peer_contact(life, offer);
         let mut results = results.get();
-        let records = self.known.evacuations.records();
+        let records = self.deployment.evacuations.records();
         let list = results.reborrow().init_evacuations(pool::length(&records)?);
         pool::write_evacuations(&records, list);
         if let (Some(session), Some(load)) = (session, self.engine.load()) {
@@ -107,7 +107,7 @@
             results.set_session(session.0);
             pool::write_load(&load, results.reborrow().init_load());
         }
-        if let Some(transfer) = self.engine.transfer(life, &self.member) {
+        if let Some(transfer) = self.engine.transfer_ownership(life, &self.member) {
             pool::write_transfer(&transfer, results.init_transfer())?;
         }
         Ok(())
@@ -121,8 +121,8 @@
         let params = params.get()?;
         let peer = PeerIncarnation(params.get_life());
         let job = pool::read_job(peer, params.get_job()?)?;
-        let end = if self.is_mine(params.get_pool()?.to_str()?) {
-            let mut guard = Guard {
+        let end = if self.owns(params.get_pool()?.to_str()?) {
+            let mut guard = CancelGuard {
                 engine: self.engine.clone(),
                 job: Some((peer, job.submission, job.job)),
             };
@@ -163,7 +163,7 @@
         mut results: pool_port::ReleaseResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        if !self.is_mine(params.get_pool()?.to_str()?) {
+        if !self.owns(params.get_pool()?.to_str()?) {
             return Ok(());
         }
         let Some(held) = self.engine.release(FencingToken(params.get_token())) else {
@@ -179,7 +179,7 @@
         _params: pool_port::PeerStateParams,
         mut results: pool_port::PeerStateResults,
     ) -> capnp::Result<()> {
-        let known = self.known.sum_up();
+        let known = self.deployment.to_peer_state();
         pool::write_peer_state(&known, results.get().init_state())
     }
 }
--- a/crates/onyxshed-host/src/manifest.rs
+++ b/crates/onyxshed-host/src/manifest.rs
@@ -17,23 +17,23 @@
 use crate::topic::{self, TopicOptions, TopicReader};
 
 /// Shortest time that a read waits at the store for a change.
-const WAIT_MIN: Millis = Millis(1_500);
+const LONG_POLL_WAIT_MIN: Millis = Millis(1_500);
 
 /// Part of the time within which a manifest has to be in force that is kept for the answer's timeout, a
 /// new connection and the read that finds the change.
-const WAIT_MARGIN: Millis = Millis(1_200);
+const LONG_POLL_MARGIN: Millis = Millis(1_200);
 
 /// Gets how long a read waits at the store for a change, given the time within which a manifest has to
 /// be in force. The wait bounds for how long a connection that has gone silent is trusted.
-pub fn read_wait(manifest_within: Option<Millis>) -> Millis {
-    let wait_ms = manifest_within.map_or(0, |within| within.0.saturating_sub(WAIT_MARGIN.0));
-    WAIT_MIN.max(Millis(wait_ms))
+pub fn long_poll_wait(manifest_within: Option<Millis>) -> Millis {
+    let wait_ms = manifest_within.map_or(0, |within| within.0.saturating_sub(LONG_POLL_MARGIN.0));
+    LONG_POLL_WAIT_MIN.max(Millis(wait_ms))
 }
 
 /// The newest manifest this host knows.
 pub struct ManifestHolder {
     kernel: Kernel,
-    held: RefCell<Option<Rc<Manifest>>>,
+    current: RefCell<Option<Rc<Manifest>>>,
     /// The same as the store holds it, for hosts that start while the store is away.
     text: RefCell<Vec<u8>>,
 }
@@ -41,7 +41,7 @@
 impl ManifestHolder {
     /// Gets the manifest in force; none before the first one is known.
     pub fn get(&self) -> Option<Rc<Manifest>> {
-        self.held.borrow().clone()
+        self.current.borrow().clone()
     }
 
     /// Gets the manifest in force as the store holds it; empty before the first one is known.
@@ -51,18 +51,18 @@
 
     /// Takes in a record. A version that is not higher changes nothing: the store may show an
     /// older state for a while, and what is in force never goes back.
-    fn take(&self, record: &KeyedRecord) {
+    fn apply_record(&self, record: &KeyedRecord) {
         if record.key != MANIFEST_KEY {
             return;
         }
         let Some(value) = &record.value else {
             return;
         };
-        self.learn(value, "the store");
+        self.apply(value, "the store");
     }
 
     /// Takes in a manifest as the store holds it, and who told it.
-    pub fn learn(&self, text: &[u8], from: &str) {
+    pub fn apply(&self, text: &[u8], from: &str) {
         match Manifest::parse(text) {
             Ok(manifest) => self.install(manifest, text, from),
             Err(error) => {
@@ -73,7 +73,7 @@
     }
 
     fn install(&self, manifest: Manifest, text: &[u8], from: &str) {
-        let held = self.held.borrow().as_ref().map(|held| held.version);
+        let held = self.current.borrow().as_ref().map(|held| held.version);
         if held.is_some_and(|version| version >= manifest.version) {
             return;
         }
@@ -82,7 +82,7 @@
             manifest.version,
             manifest.routes.len()
         );
-        *self.held.borrow_mut() = Some(Rc::new(manifest));
+        *self.current.borrow_mut() = Some(Rc::new(manifest));
         *self.text.borrow_mut() = text.to_vec();
         self.kernel
             .emit(Event::new(EventKind::ManifestInForce).detail(detail));
@@ -92,7 +92,7 @@
 /// Follows the manifest as a service.
 pub struct ManifestService {
     store: SocketAddr,
-    read_wait: Millis,
+    long_poll_wait: Millis,
     evacuations: Rc<ZoneEvacuations>,
 }
 
@@ -102,7 +102,7 @@
     pub fn new(store: SocketAddr, read_wait: Millis, evacuations: Rc<ZoneEvacuations>) -> Self {
         ManifestService {
             store,
-            read_wait,
+            long_poll_wait: read_wait,
             evacuations,
         }
     }
@@ -117,7 +117,7 @@
         Box::pin(async move {
             let holder = Rc::new(ManifestHolder {
                 kernel: kernel.clone(),
-                held: RefCell::default(),
+                current: RefCell::default(),
                 text: RefCell::default(),
             });
             let reader = OperatorRecords {
@@ -126,8 +126,8 @@
             };
             let topic = TopicOptions {
                 name: OPERATORS_TOPIC,
-                wait: self.read_wait,
-                absent_pause: None,
+                wait: self.long_poll_wait,
+                absent_period: None,
             };
             let watch = StoreWatch::new(kernel, "manifest");
             let follow = topic::follow(topic, self.store, watch, Rc::new(reader));
@@ -148,17 +148,17 @@
 }
 
 impl TopicReader for OperatorRecords {
-    fn take_newest(&self, newest: Records) {
+    fn apply_snapshot(&self, newest: Records) {
         for record in &newest.records {
-            self.manifest.take(record);
+            self.manifest.apply_record(record);
         }
         self.evacuations
-            .learn_snapshot(evacuation::snapshot(&newest));
+            .apply_snapshot(evacuation::snapshot(&newest));
     }
 
-    fn take(&self, record: KeyedRecord) {
-        self.manifest.take(&record);
+    fn apply_record(&self, record: KeyedRecord) {
+        self.manifest.apply_record(&record);
         let evacuation = evacuation::read(&record);
-        self.evacuations.learn(evacuation, "the store");
+        self.evacuations.apply(evacuation, "the store");
     }
 }
--- a/crates/onyxshed-host/src/measures.rs
+++ b/crates/onyxshed-host/src/measures.rs
@@ -21,7 +21,7 @@
 }
 
 /// Histograms, described once at start.
-pub struct Measures {
+pub struct HostMetrics {
     completed: Histogram,
     failed: Histogram,
     not_run: Histogram,
@@ -30,7 +30,7 @@
     stop: Histogram,
 }
 
-impl Measures {
+impl HostMetrics {
     /// Registers every histogram.
     pub fn new() -> Self {
         let job = |end: &str| {
@@ -41,7 +41,7 @@
             let text = "Time that an executor takes to answer an order, by kind.";
             labelled_seconds_histogram(ORDER_SECONDS, text, "order", kind.to_owned())
         };
-        Measures {
+        HostMetrics {
             completed: job("completed"),
             failed: job("failed"),
             not_run: job("not_run"),
@@ -52,7 +52,7 @@
     }
 
     /// Notes the answer to a job.
-    pub fn answered(&self, end: &JobEnd, took: Micros) {
+    pub fn record_reply(&self, end: &JobEnd, took: Micros) {
         let histogram = match end {
             JobEnd::Completed => &self.completed,
             JobEnd::Failed => &self.failed,
@@ -63,7 +63,7 @@
     }
 
     /// Notes the answer to an order.
-    pub fn ordered(&self, kind: OrderKind, took: Micros) {
+    pub fn record_order(&self, kind: OrderKind, took: Micros) {
         let histogram = match kind {
             OrderKind::Start => &self.start,
             OrderKind::Stop => &self.stop,
@@ -72,8 +72,8 @@
     }
 }
 
-impl Default for Measures {
+impl Default for HostMetrics {
     fn default() -> Self {
-        Measures::new()
+        HostMetrics::new()
     }
 }
--- a/crates/onyxshed-host/src/names.rs
+++ b/crates/onyxshed-host/src/names.rs
@@ -12,7 +12,7 @@
 pub const EXECUTORS: ServiceName = ServiceName::new("executors");
 
 /// How many pools each zone has.
-pub const DIVISIONS: ServiceName = ServiceName::new("divisions");
+pub const SHARD_LAYOUTS: ServiceName = ServiceName::new("divisions");
 
 /// Links to the owners of pools.
 pub const LINKS: ServiceName = ServiceName::new("links");
--- a/crates/onyxshed-host/src/ownership.rs
+++ b/crates/onyxshed-host/src/ownership.rs
@@ -24,8 +24,8 @@
 use crate::engine::Engine;
 use crate::last_owner;
 use crate::links::Links;
-use crate::names::{DIVISIONS, ENGINE, LINKS, OWNERSHIP};
-use crate::shard_layouts::Divisions;
+use crate::names::{ENGINE, LINKS, OWNERSHIP, SHARD_LAYOUTS};
+use crate::shard_layouts::ShardLayouts;
 use crate::store_watch::StoreWatch;
 use crate::topic;
 use contender::Contender;
@@ -50,7 +50,7 @@
 /// Ownership as a service.
 pub struct OwnershipService {
     options: OwnershipOptions,
-    divisions: Rc<Divisions>,
+    shard_layouts: Rc<ShardLayouts>,
     engine: Rc<Engine>,
     links: Rc<Links>,
 }
@@ -59,13 +59,13 @@
     /// Makes the service.
     pub fn new(
         options: OwnershipOptions,
-        divisions: Rc<Divisions>,
+        divisions: Rc<ShardLayouts>,
         engine: Rc<Engine>,
         links: Rc<Links>,
     ) -> Self {
         OwnershipService {
             options,
-            divisions,
+            shard_layouts: divisions,
             engine,
             links,
         }
@@ -78,7 +78,7 @@
     }
 
     fn needs(&self) -> &[ServiceName] {
-        &[ENGINE, LINKS, DIVISIONS]
+        &[ENGINE, LINKS, SHARD_LAYOUTS]
     }
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
@@ -86,8 +86,8 @@
             let options = &self.options;
             let directory = Directory::new(
                 options.zone.clone(),
-                member_name(options.address, self.engine.own()),
-                self.divisions.clone(),
+                member_name(options.address, self.engine.incarnation()),
+                self.shard_layouts.clone(),
                 self.engine.clone(),
                 self.links.clone(),
                 StoreWatch::new(kernel, "owners"),
@@ -96,11 +96,11 @@
                 .spawn(directory.clone().follow(options.store))
                 .detach();
             let written = StoreWatch::new(kernel, "owners written down");
-            let followed = last_owner::FOLLOWED;
+            let followed = last_owner::TOPIC_OPTIONS;
             let follow = topic::follow(followed, options.store, written, directory.clone());
             kernel.spawn(follow).detach();
             let contender = Contender::new(kernel, self, directory);
-            kernel.spawn(contender.live()).detach();
+            kernel.spawn(contender.run()).detach();
             Ok(())
         })
     }
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -18,12 +18,12 @@
 use super::successor::REGISTER_PERIOD;
 use super::{OwnershipOptions, OwnershipService};
 use crate::boot_clock;
-use crate::directory::{Directory, POOL_PART, address_of, ask_owner, group_of, member_name};
+use crate::directory::{Directory, POOL_PARTITION, address_of, group_of, member_name, read_owner};
 use crate::engine::Engine;
-use crate::executors::{self, ExecutorsRead, KnownExecutors};
+use crate::executors::{self, ExecutorsRead, InitialExecutors};
 use crate::last_owner;
 use crate::links::{Links, RemoteLink};
-use crate::shard_layouts::Divisions;
+use crate::shard_layouts::ShardLayouts;
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 
 /// Longest time between two looks for a pool that nobody owns; one that is found is told at once.
@@ -42,7 +42,7 @@
 
 /// How long a stopping owner waits for the store to make another host the owner before it names a
 /// successor: the smallest hosts join after 900 ms.
-const TRANSFER_PATIENCE: Millis = Millis(1_200);
+const STORE_OWNER_WAIT: Millis = Millis(1_200);
 
 /// How long an owner that the store has replaced serves on for the next one to ask; the next one
 /// has joined before, and asks within a call or two.
@@ -53,7 +53,7 @@
     kernel: Kernel,
     pub(super) engine: Rc<Engine>,
     pub(super) links: Rc<Links>,
-    pub(super) divisions: Rc<Divisions>,
+    pub(super) shard_layouts: Rc<ShardLayouts>,
     directory: Rc<Directory>,
     options: OwnershipOptions,
     pub(super) member: SmolStr,
@@ -62,11 +62,11 @@
     generation: u64,
     candidates: BTreeMap<PoolId, Candidate>,
     /// Executor list, fetched while this host waits to join, so that a new owner can use it at once.
-    executors: Option<ExecutorsRead>,
+    prefetched_executors: Option<ExecutorsRead>,
 }
 
 /// What a contender does next.
-pub(super) enum Next {
+pub(super) enum OwnershipStep {
     /// Looks for a pool that nobody owns.
     Contend,
     /// Joins a pool's group, since nobody owns the pool.
@@ -87,28 +87,28 @@
             kernel: kernel.clone(),
             engine: service.engine.clone(),
             links: service.links.clone(),
-            divisions: service.divisions.clone(),
+            shard_layouts: service.shard_layouts.clone(),
             directory,
-            member: member_name(options.address, service.engine.own()),
+            member: member_name(options.address, service.engine.incarnation()),
             store: Store::new(options.store),
             watch: StoreWatch::new(kernel, "ownership"),
             generation: 0,
             candidates: BTreeMap::new(),
-            executors: None,
+            prefetched_executors: None,
             options,
         }
     }
 
     /// Contends for a pool and owns it in turns, for as long as the process lives.
-    pub async fn live(mut self) {
-        let mut next = Next::Contend;
+    pub async fn run(mut self) {
+        let mut next = OwnershipStep::Contend;
         loop {
             next = match next {
-                Next::Contend => self.contend().await,
-                Next::Join(pool) => self.join(pool).await,
-                Next::Succeed(pool, transfer) => self.succeed(pool, transfer),
-                Next::Renew(pool) => self.renew(pool).await,
-                Next::Leave(pool) => self.leave(pool).await,
+                OwnershipStep::Contend => self.contend().await,
+                OwnershipStep::Join(pool) => self.join(pool).await,
+                OwnershipStep::Succeed(pool, transfer) => self.succeed(pool, transfer),
+                OwnershipStep::Renew(pool) => self.renew(pool).await,
+                OwnershipStep::Leave(pool) => self.leave(pool).await,
             };
         }
     }
@@ -121,48 +121,48 @@
         MEMBER_TTL.max(self.options.ttl_min_ms)
     }
 
-    async fn contend(&mut self) -> Next {
+    async fn contend(&mut self) -> OwnershipStep {
         // A list that was fetched for a pool that another host took would be stale for the next one.
-        self.executors = None;
-        let news = self.directory.news().waiting();
-        let transferred = self.links.transfers().waiting();
+        self.prefetched_executors = None;
+        let news = self.directory.pool_available().waiting();
+        let transferred = self.links.transfer_received().waiting();
         let period = async {
             Timer::after(CONTEND_PERIOD).await;
         };
         news.wait().or(transferred.wait()).or(period).await;
-        let vacant = self.directory.vacant_at_home();
+        let vacant = self.directory.vacant_local_pools();
         self.candidates.retain(|pool, _| vacant.contains(pool));
         if self.is_stopping() {
-            return Next::Contend;
+            return OwnershipStep::Contend;
         }
         if let Some((pool, transfer)) = self.links.take_transfer() {
-            return Next::Succeed(pool, transfer);
+            return OwnershipStep::Succeed(pool, transfer);
         }
         if let Some((pool, member)) = self.directory.take_orphaned(boot_clock::now()) {
-            return self.inherit(pool, member).await;
+            return self.replace_earlier_process(pool, member).await;
         }
         // Hosts begin at different pools, so that they do not all want the same one.
-        let preferred = self.links.preferred();
+        let preferred = self.links.preferred_pool();
         let count = vacant.len();
         let first = vacant.iter().position(|pool| *pool >= preferred);
         for step in 0..count {
             let pool = &vacant[(first.unwrap_or(0) + step) % count];
-            if let Some(pause) = self.takes_over(pool).await {
-                return self.look_again(pool.clone(), pause).await;
+            if let Some(pause) = self.takeover_pause(pool).await {
+                return self.recheck_and_join(pool.clone(), pause).await;
             }
         }
-        Next::Contend
+        OwnershipStep::Contend
     }
 
     /// Tells after which pause this host joins for a vacant pool; none if it leaves it alone.
-    async fn takes_over(&mut self, pool: &PoolId) -> Option<Millis> {
+    async fn takeover_pause(&mut self, pool: &PoolId) -> Option<Millis> {
         let last_owner = self.last_owner(pool).await;
         let cpu_millis = self.options.cpu_millis;
         let candidate = self
             .candidates
             .entry(pool.clone())
             .or_insert_with(|| Candidate::new(cpu_millis));
-        let back_at = self.directory.store_back_at();
+        let back_at = self.directory.store_recovered_at();
         match candidate.evaluate_vacancy(boot_clock::now(), last_owner, back_at, rand::random()) {
             CandidateStep::Defer => None,
             CandidateStep::JoinAfter(pause) => Some(pause),
@@ -175,13 +175,13 @@
             return LastOwner::Active;
         }
         // Before the first start of all there was no owner.
-        if self.links.has_heard(pool) || self.options.is_first_start {
+        if self.links.has_known_owner(pool) || self.options.is_first_start {
             return LastOwner::Gone;
         }
         let address = match last_owner::read(&mut self.store, pool).await {
             Ok(member) => member.and_then(|member| address_of(&member)),
             Err(error) => {
-                self.watch.failed(&error);
+                self.watch.record_failure(&error);
                 return LastOwner::Unknown;
             }
         };
@@ -190,7 +190,7 @@
             return LastOwner::Gone;
         };
         self.links.set_owner(pool, Some(address));
-        match self.links.answers(pool, PROBE_TIMEOUT).await {
+        match self.links.probe_owner(pool, PROBE_TIMEOUT).await {
             true => LastOwner::Active,
             false => LastOwner::Gone,
         }
@@ -200,37 +200,37 @@
     ///
     /// The address is this process's own, so whoever joined under it before is gone, and its membership is
     /// ended rather than left to lapse.
-    async fn inherit(&mut self, pool: PoolId, member: SmolStr) -> Next {
+    async fn replace_earlier_process(&mut self, pool: PoolId, member: SmolStr) -> OwnershipStep {
         match self.end_membership(&pool, &member).await {
-            true => Next::Join(pool),
-            false => Next::Contend,
+            true => OwnershipStep::Join(pool),
+            false => OwnershipStep::Contend,
         }
     }
 
     /// Waits and looks again: two hosts that join at once move the pool twice, and after their
     /// pauses all but one find it owned.
-    async fn look_again(&mut self, pool: PoolId, pause: Millis) -> Next {
+    async fn recheck_and_join(&mut self, pool: PoolId, pause: Millis) -> OwnershipStep {
         let address = self.options.store;
-        self.executors = Some(self.kernel.spawn(executors::read_all(address)));
+        self.prefetched_executors = Some(self.kernel.spawn(executors::read_all(address)));
         Timer::after(pause.into()).await;
-        match self.ask_holder(&pool).await {
+        match self.read_holder(&pool).await {
             // The store is moving the partition back to an owner that answers.
-            Some(None) if self.takes_over(&pool).await.is_none() => Next::Contend,
-            Some(None) => Next::Join(pool),
-            Some(Some(owner)) if owner == self.member => Next::Join(pool),
+            Some(None) if self.takeover_pause(&pool).await.is_none() => OwnershipStep::Contend,
+            Some(None) => OwnershipStep::Join(pool),
+            Some(Some(owner)) if owner == self.member => OwnershipStep::Join(pool),
             Some(Some(_)) => {
-                self.directory.taken(&pool);
-                Next::Contend
+                self.directory.remove_vacant(&pool);
+                OwnershipStep::Contend
             }
-            None => Next::Contend,
+            None => OwnershipStep::Contend,
         }
     }
 
-    async fn join(&mut self, pool: PoolId) -> Next {
+    async fn join(&mut self, pool: PoolId) -> OwnershipStep {
         match self.send_join(&pool).await {
-            Some(true) => self.begin(pool).await,
-            Some(false) => Next::Leave(pool),
-            None => Next::Contend,
+            Some(true) => self.start_ownership(pool).await,
+            Some(false) => OwnershipStep::Leave(pool),
+            None => OwnershipStep::Contend,
         }
     }
 
@@ -249,12 +249,12 @@
             .await;
         match joined {
             Ok(membership) => {
-                self.watch.answered();
+                self.watch.record_answer();
                 self.generation = membership.generation;
-                Some(membership.parts.contains(&POOL_PART))
+                Some(membership.parts.contains(&POOL_PARTITION))
             }
             Err(error) => {
-                self.watch.failed(&error);
+                self.watch.record_failure(&error);
                 None
             }
         }
@@ -264,54 +264,54 @@
     ///
     /// A pool may change hands twice before this host hears of it. Whoever wrote itself down last is asked:
     /// an earlier owner is done with the pool while the last one still uses it.
-    async fn predecessor(&mut self, pool: &PoolId) -> Option<Rc<RemoteLink>> {
+    async fn last_owner_link(&mut self, pool: &PoolId) -> Option<Rc<RemoteLink>> {
         match last_owner::read(&mut self.store, pool).await {
             Ok(member) => {
                 let address = member.and_then(|member| address_of(&member));
                 let address = address.filter(|address| *address != self.options.address);
                 self.links.set_owner(pool, address);
-                self.links.answers(pool, PROBE_TIMEOUT).await;
+                self.links.probe_owner(pool, PROBE_TIMEOUT).await;
             }
             // The owner that is known by other ways is asked.
-            Err(error) => self.watch.failed(&error),
+            Err(error) => self.watch.record_failure(&error),
         }
         self.links.link_to(pool)
     }
 
     /// Begins to own a pool, if the zone's division still has it.
-    async fn begin(&mut self, pool: PoolId) -> Next {
+    async fn start_ownership(&mut self, pool: PoolId) -> OwnershipStep {
         // Without an answer the division known is taken; executors refuse a token of an old one.
-        if let Err(error) = self.divisions.refresh(&mut self.store).await {
-            self.watch.failed(&error);
+        if let Err(error) = self.shard_layouts.refresh(&mut self.store).await {
+            self.watch.record_failure(&error);
         }
-        let division = self.divisions.of(&pool.zone);
+        let division = self.shard_layouts.layout_of(&pool.zone);
         if pool.index >= division.pools {
-            return Next::Leave(pool);
+            return OwnershipStep::Leave(pool);
         }
         let token = division.token(&pool, self.generation);
-        let last_owner = self.predecessor(&pool).await;
-        self.own(token, &pool, last_owner);
+        let last_owner = self.last_owner_link(&pool).await;
+        self.acquire_pool(token, &pool, last_owner);
         let known = self
-            .executors
+            .prefetched_executors
             .take()
-            .map_or(KnownExecutors::None, KnownExecutors::Reading);
+            .map_or(InitialExecutors::None, InitialExecutors::Reading);
         self.follow_executors(token, &pool, division, known);
-        self.log_decision(&pool).await;
-        Next::Renew(pool)
+        self.write_owner_record(&pool).await;
+        OwnershipStep::Renew(pool)
     }
 
     /// Owns a pool under a token from now on; the last owner is given if it answers.
-    pub(super) fn own(
+    pub(super) fn acquire_pool(
         &mut self,
         token: FencingToken,
         pool: &PoolId,
         last_owner: Option<Rc<RemoteLink>>,
     ) {
-        self.directory.taken(pool);
+        self.directory.remove_vacant(pool);
         self.links.record_owner(pool);
         self.engine.take_fenced();
         self.engine
-            .own_pool(token, pool.clone(), last_owner.is_some());
+            .acquire_pool(token, pool.clone(), last_owner.is_some());
         if let Some(link) = last_owner {
             let open = link.keep_open();
             let handover = follow_release(self.engine.clone(), link, open, token);
@@ -321,9 +321,9 @@
     }
 
     /// Writes this owner down: hosts that start later find it while the store's books show none.
-    pub(super) async fn log_decision(&mut self, pool: &PoolId) {
+    pub(super) async fn write_owner_record(&mut self, pool: &PoolId) {
         if let Err(error) = last_owner::write(&mut self.store, pool, &self.member).await {
-            self.watch.failed(&error);
+            self.watch.record_failure(&error);
         }
     }
 
@@ -332,12 +332,12 @@
         token: FencingToken,
         pool: &PoolId,
         division: ShardLayout,
-        known: KnownExecutors,
+        known: InitialExecutors,
     ) {
         let follow = executors::follow(
             self.kernel.clone(),
             self.engine.clone(),
-            self.divisions.clone(),
+            self.shard_layouts.clone(),
             (token, pool.clone(), division),
             known,
             self.options.store,
@@ -346,20 +346,20 @@
     }
 
     /// Asks the store who holds a pool; none without an answer.
-    pub(super) async fn ask_holder(&mut self, pool: &PoolId) -> Option<Option<SmolStr>> {
-        match ask_owner(&mut self.store, pool).await {
+    pub(super) async fn read_holder(&mut self, pool: &PoolId) -> Option<Option<SmolStr>> {
+        match read_owner(&mut self.store, pool).await {
             Ok(holder) => {
-                self.watch.answered();
+                self.watch.record_answer();
                 Some(holder)
             }
             Err(error) => {
-                self.watch.failed(&error);
+                self.watch.record_failure(&error);
                 None
             }
         }
     }
 
-    async fn renew(&mut self, pool: PoolId) -> Next {
+    async fn renew(&mut self, pool: PoolId) -> OwnershipStep {
         let past_members = self.engine.past_members();
         let is_registered = past_members.is_empty();
         let period = match is_registered {
@@ -367,19 +367,19 @@
             false => REGISTER_PERIOD,
         };
         Timer::after(period).await;
-        if self.engine.take_fenced() || self.engine.owned().is_none() {
-            return Next::Leave(pool);
+        if self.engine.take_fenced() || self.engine.owned_pool().is_none() {
+            return OwnershipStep::Leave(pool);
         }
         if self.is_stopping() {
-            return self.retire(pool).await;
+            return self.hand_over(pool).await;
         }
         if !is_registered {
             return self.register(pool, &past_members).await;
         }
-        match self.still_holds(&pool).await {
+        match self.renew_membership(&pool).await {
             // Without an answer the owner goes on: whoever replaces it has a higher token.
-            Some(true) | None => Next::Renew(pool),
-            Some(false) => self.retire(pool).await,
+            Some(true) | None => OwnershipStep::Renew(pool),
+            Some(false) => self.hand_over(pool).await,
         }
     }
 
@@ -387,7 +387,7 @@
     ///
     /// Another host that joins the group and leaves again makes the store rebalance twice. The owner's
     /// next join then releases the partition, and a second one, in the newest generation, gets it back.
-    async fn still_holds(&mut self, pool: &PoolId) -> Option<bool> {
+    async fn renew_membership(&mut self, pool: &PoolId) -> Option<bool> {
         match self.send_join(pool).await {
             Some(false) => self.send_join(pool).await,
             holds => holds,
@@ -395,28 +395,28 @@
     }
 
     /// Serves on while another host takes the pool over, until the last job here has ended.
-    pub(super) async fn retire(&mut self, pool: PoolId) -> Next {
-        self.engine.leave();
+    pub(super) async fn hand_over(&mut self, pool: PoolId) -> OwnershipStep {
+        self.engine.begin_drain();
         let mut has_left = false;
         let given_up_at = boot_clock::now() + HANDOVER_WAIT;
         let mut was_releasing = false;
-        let transfer_due_at = boot_clock::now() + TRANSFER_PATIENCE;
+        let transfer_due_at = boot_clock::now() + STORE_OWNER_WAIT;
         loop {
             let is_cut_off = !has_left && self.watch.is_lost();
             let is_transfer_due = is_cut_off || boot_clock::now() >= transfer_due_at;
             self.engine
-                .seek_successor(self.is_stopping() && is_transfer_due);
+                .set_successor_needed(self.is_stopping() && is_transfer_due);
             if !has_left {
                 has_left = self.leave_group(&pool).await;
             }
             if self.engine.is_releasing() && !std::mem::replace(&mut was_releasing, true) {
-                self.directory.wake();
+                self.directory.trigger_lookups();
             }
-            if self.engine.owned().is_none() {
-                return Next::Leave(pool);
+            if self.engine.owned_pool().is_none() {
+                return OwnershipStep::Leave(pool);
             }
-            if let Some(why) = self.why_give_up(given_up_at) {
-                self.engine.give_up(why);
+            if let Some(why) = self.step_down_reason(given_up_at) {
+                self.engine.step_down(why);
             }
             Timer::after(HANDOVER_POLL).await;
         }
@@ -424,7 +424,7 @@
 
     /// Gets why an owner that is being replaced has nothing left to do; none while it has. One that
     /// the store replaced waits until `given_up_at` for the next owner to ask.
-    fn why_give_up(&self, given_up_at: Mono) -> Option<&'static str> {
+    fn step_down_reason(&self, given_up_at: Mono) -> Option<&'static str> {
         let is_idle = self.engine.counts().1 == 0;
         if self.engine.is_releasing() {
             return is_idle.then_some("handed over");
@@ -447,26 +447,26 @@
         let group = group_of(pool);
         match self.store.leave(&group, member, ANSWER_TIMEOUT).await {
             Ok(()) => {
-                self.watch.answered();
+                self.watch.record_answer();
                 true
             }
             Err(error) => {
-                self.watch.failed(&error);
+                self.watch.record_failure(&error);
                 false
             }
         }
     }
 
-    async fn leave(&mut self, pool: PoolId) -> Next {
-        self.directory.wake();
+    async fn leave(&mut self, pool: PoolId) -> OwnershipStep {
+        self.directory.trigger_lookups();
         // Without an answer the membership lapses by itself after its time to live.
         self.leave_group(&pool).await;
         // A division that this host has not read yet may be why its token was refused.
-        if let Err(error) = self.divisions.refresh(&mut self.store).await {
-            self.watch.failed(&error);
+        if let Err(error) = self.shard_layouts.refresh(&mut self.store).await {
+            self.watch.record_failure(&error);
         }
         self.generation = 0;
         self.engine.set_past_members(Vec::new());
-        Next::Contend
+        OwnershipStep::Contend
     }
 }
--- a/crates/onyxshed-host/src/ownership/handover.rs
+++ b/crates/onyxshed-host/src/ownership/handover.rs
@@ -10,7 +10,7 @@
 
 use crate::boot_clock;
 use crate::engine::Engine;
-use crate::links::{RemoteLink, Waiting};
+use crate::links::{RemoteLink, WaiterGuard};
 
 /// Time between two questions of a new owner to the last one, and between two looks of that one for
 /// its end: a tenth of a short task's time.
@@ -25,7 +25,7 @@
 pub(super) async fn follow_release(
     engine: Rc<Engine>,
     last_owner: Rc<RemoteLink>,
-    _open: Waiting,
+    _open: WaiterGuard,
     token: FencingToken,
 ) {
     let over_at = boot_clock::now() + HANDOVER_MAX;
@@ -33,9 +33,9 @@
         match last_owner.release(token).await {
             None => break,
             Some(held) if held.is_empty() => break,
-            Some(held) => engine.predecessor_holds(token, held),
+            Some(held) => engine.apply_predecessor_executors(token, held),
         }
         Timer::after(HANDOVER_POLL).await;
     }
-    engine.predecessor_holds(token, BTreeSet::new());
+    engine.apply_predecessor_executors(token, BTreeSet::new());
 }
--- a/crates/onyxshed-host/src/ownership/successor.rs
+++ b/crates/onyxshed-host/src/ownership/successor.rs
@@ -8,8 +8,8 @@
 use onyxshed_pool::{OwnershipTransfer, PoolId};
 use smol_str::SmolStr;
 
-use super::contender::{Contender, Next};
-use crate::executors::KnownExecutors;
+use super::contender::{Contender, OwnershipStep};
+use crate::executors::InitialExecutors;
 
 /// Time between two tries of a successor to be written into the store's books: soon after the store
 /// answers, others find the pool vacant there.
@@ -17,46 +17,50 @@
 
 impl Contender {
     /// Takes a pool over by its last owner's word, without the store.
-    pub(super) fn succeed(&mut self, pool: PoolId, transfer: OwnershipTransfer) -> Next {
+    pub(super) fn succeed(&mut self, pool: PoolId, transfer: OwnershipTransfer) -> OwnershipStep {
         let token = transfer.token;
         let last_owner = self.links.link_to(&pool);
-        self.own(token, &pool, last_owner);
-        let division = self.divisions.of(&pool.zone);
-        let known = KnownExecutors::Predecessors(transfer.executors);
+        self.acquire_pool(token, &pool, last_owner);
+        let division = self.shard_layouts.layout_of(&pool.zone);
+        let known = InitialExecutors::FromPredecessor(transfer.executors);
         self.follow_executors(token, &pool, division, known);
         self.engine.set_past_members(transfer.past_members);
-        Next::Renew(pool)
+        OwnershipStep::Renew(pool)
     }
 
     /// Joins the pool's group as the successor of owners that the store may still list.
-    pub(super) async fn register(&mut self, pool: PoolId, past_members: &[SmolStr]) -> Next {
+    pub(super) async fn register(
+        &mut self,
+        pool: PoolId,
+        past_members: &[SmolStr],
+    ) -> OwnershipStep {
         // While the store is away the successor serves without it.
-        let Some(holder) = self.ask_holder(&pool).await else {
-            return Next::Renew(pool);
+        let Some(holder) = self.read_holder(&pool).await else {
+            return OwnershipStep::Renew(pool);
         };
-        self.log_decision(&pool).await;
+        self.write_owner_record(&pool).await;
         if let Some(holder) = holder.filter(|holder| past_members.contains(holder)) {
             self.end_membership(&pool, &holder).await;
         }
         match self.send_join(&pool).await {
             Some(true) => {
                 self.engine.set_past_members(Vec::new());
-                Next::Renew(pool)
+                OwnershipStep::Renew(pool)
             }
             Some(false) => self.yield_to_holder(pool, past_members).await,
-            None => Next::Renew(pool),
+            None => OwnershipStep::Renew(pool),
         }
     }
 
     /// Makes way for another owner that the store has made meanwhile, if there is one; else the pool
     /// is about to be this successor's.
-    async fn yield_to_holder(&mut self, pool: PoolId, past_members: &[SmolStr]) -> Next {
-        match self.ask_holder(&pool).await {
+    async fn yield_to_holder(&mut self, pool: PoolId, past_members: &[SmolStr]) -> OwnershipStep {
+        match self.read_holder(&pool).await {
             Some(Some(holder)) if holder != self.member && !past_members.contains(&holder) => {
                 self.engine.set_past_members(Vec::new());
-                self.retire(pool).await
+                self.hand_over(pool).await
             }
-            _ => Next::Renew(pool),
+            _ => OwnershipStep::Renew(pool),
         }
     }
 }
--- a/crates/onyxshed-host/src/peer_state.rs
+++ b/crates/onyxshed-host/src/peer_state.rs
@@ -20,12 +20,12 @@
 use crate::evacuations::ZoneEvacuations;
 use crate::links::Links;
 use crate::manifest::ManifestHolder;
-use crate::names::{DIVISIONS, LINKS, MANIFEST, PEER_STATE};
-use crate::shard_layouts::Divisions;
+use crate::names::{LINKS, MANIFEST, PEER_STATE, SHARD_LAYOUTS};
+use crate::shard_layouts::ShardLayouts;
 
 /// How long the store may take to tell the manifest before others are asked: a first read takes two
 /// calls, and a host at its processor limit is late to read the answers.
-const STORE_PATIENCE: Duration = Duration::from_millis(250);
+const STORE_WAIT: Duration = Duration::from_millis(250);
 
 /// Time between two rounds of questions, while neither the store nor another host has told the manifest.
 const ROUND_PERIOD: Duration = Duration::from_millis(250);
@@ -36,7 +36,7 @@
 
 /// Learning from others as a service.
 pub struct PeerStateService {
-    own: SocketAddr,
+    own_address: SocketAddr,
     seeds: Vec<SocketAddr>,
     evacuations: Rc<ZoneEvacuations>,
 }
@@ -45,7 +45,7 @@
     /// Makes the service of a host that others reach at `own`, with the hosts that it may ask.
     pub fn new(own: SocketAddr, seeds: Vec<SocketAddr>, evacuations: Rc<ZoneEvacuations>) -> Self {
         PeerStateService {
-            own,
+            own_address: own,
             seeds,
             evacuations,
         }
@@ -58,22 +58,25 @@
     }
 
     fn needs(&self) -> &[ServiceName] {
-        &[MANIFEST, LINKS, DIVISIONS]
+        &[MANIFEST, LINKS, SHARD_LAYOUTS]
     }
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
         Box::pin(async move {
-            let newcomer = Newcomer {
+            let newcomer = PeerStateClient {
                 kernel: kernel.clone(),
                 seeds: self.seeds.clone(),
                 manifest: kernel.find(MANIFEST)?,
                 links: kernel.find(LINKS)?,
-                divisions: kernel.find(DIVISIONS)?,
+                shard_layouts: kernel.find(SHARD_LAYOUTS)?,
                 evacuations: self.evacuations.clone(),
             };
-            let others = newcomer.seeds.iter().filter(|seed| **seed != self.own);
+            let others = newcomer
+                .seeds
+                .iter()
+                .filter(|seed| **seed != self.own_address);
             if others.count() > 0 {
-                kernel.spawn(newcomer.learn(self.own)).detach();
+                kernel.spawn(newcomer.fetch(self.own_address)).detach();
             }
             Ok(())
         })
@@ -81,32 +84,32 @@
 }
 
 /// A host that has just started.
-struct Newcomer {
+struct PeerStateClient {
     kernel: Kernel,
     seeds: Vec<SocketAddr>,
     manifest: Rc<ManifestHolder>,
     links: Rc<Links>,
-    divisions: Rc<Divisions>,
+    shard_layouts: Rc<ShardLayouts>,
     evacuations: Rc<ZoneEvacuations>,
 }
 
-impl Newcomer {
+impl PeerStateClient {
     /// Asks the other hosts in turn until the manifest is known.
-    async fn learn(self, own: SocketAddr) {
-        Timer::after(STORE_PATIENCE).await;
+    async fn fetch(self, own: SocketAddr) {
+        Timer::after(STORE_WAIT).await;
         while self.manifest.get().is_none() {
             for seed in self.seeds.iter().filter(|seed| **seed != own) {
-                let answer = within(ANSWER_TIMEOUT, self.ask(*seed)).await;
+                let answer = within(ANSWER_TIMEOUT, self.query(*seed)).await;
                 // One that is gone or knows nothing is no news: the next one is asked.
                 if let Some(Ok(known)) = answer {
-                    self.take(*seed, &known);
+                    self.apply_state(*seed, &known);
                 }
             }
             Timer::after(ROUND_PERIOD).await;
         }
     }
 
-    async fn ask(&self, seed: SocketAddr) -> capnp::Result<PeerState> {
+    async fn query(&self, seed: SocketAddr) -> capnp::Result<PeerState> {
         let executor = self.kernel.executor();
         let client = rpc::connect::<pool_port::Client>(seed, &executor).await;
         let client = client.map_err(|error| capnp::Error::failed(error.to_string()))?;
@@ -114,7 +117,7 @@
         pool::read_peer_state(reply.get()?.get_state()?)
     }
 
-    fn take(&self, seed: SocketAddr, known: &PeerState) {
+    fn apply_state(&self, seed: SocketAddr, known: &PeerState) {
         let told = Event::new(EventKind::PeerStateLearned).party(format_smolstr!("{seed}"));
         let detail = format_smolstr!(
             "{} bytes of manifest, {} owners",
@@ -123,15 +126,15 @@
         );
         self.kernel.emit(told.detail(detail));
         for (zone, division) in &known.divisions {
-            self.divisions.learn(zone, *division);
+            self.shard_layouts.apply(zone, *division);
         }
         for (pool, owner) in &known.owners {
-            self.links.learn_owner(pool, *owner);
+            self.links.apply_peer_owner(pool, *owner);
         }
         self.evacuations
-            .learn(known.evacuations.iter().cloned(), "another host");
+            .apply(known.evacuations.iter().cloned(), "another host");
         if !known.manifest.is_empty() {
-            self.manifest.learn(&known.manifest, "another host");
+            self.manifest.apply(&known.manifest, "another host");
         }
     }
 }
--- a/crates/onyxshed-host/src/process.rs
+++ b/crates/onyxshed-host/src/process.rs
@@ -21,12 +21,12 @@
 use crate::engine::{Engine, EngineService};
 use crate::evacuations::ZoneEvacuations;
 use crate::links::{LinkOptions, LinkService, Links};
-use crate::manifest::{ManifestService, read_wait};
+use crate::manifest::{ManifestService, long_poll_wait};
 use crate::ownership::{OwnershipOptions, OwnershipService};
 use crate::peer_state::PeerStateService;
 use crate::ready::ReadyService;
 use crate::reload::ReloadService;
-use crate::shard_layouts::{DivisionService, Divisions};
+use crate::shard_layouts::{ShardLayoutService, ShardLayouts};
 
 /// The binary's name.
 const NAME: &str = "onyxshed-host";
@@ -42,7 +42,7 @@
 
 /// Left between the last answers of a stopping host and the platform's kill: a host at its processor
 /// limit takes a few hundred milliseconds to write a hundred answers.
-const LAST_CALL_MARGIN: Millis = Millis(1_000);
+const FINAL_REPLIES_MARGIN: Millis = Millis(1_000);
 
 /// Most callers' connections at a time, well below the descriptors that a host has.
 const CONNECTIONS_MAX: usize = 1_500;
@@ -209,7 +209,7 @@
         zone: settings.zone.clone(),
         host: settings.host.clone(),
     };
-    let divisions = Divisions::new(settings.zones.clone());
+    let divisions = ShardLayouts::new(settings.zones.clone());
     let advertised = link_options.advertised;
     let ownership = OwnershipOptions {
         zone: settings.zone.clone(),
@@ -234,7 +234,7 @@
             gives_up_with_peer: true,
             ..ServerOptions::default()
         },
-        last_call: Millis(settings.grace_ms.0.saturating_sub(LAST_CALL_MARGIN.0)).into(),
+        drain_timeout: Millis(settings.grace_ms.0.saturating_sub(FINAL_REPLIES_MARGIN.0)).into(),
     };
     vec![
         Box::new(AdminService::new(
@@ -247,11 +247,11 @@
         )),
         Box::new(ManifestService::new(
             settings.store_address,
-            read_wait(settings.manifest_within_ms),
+            long_poll_wait(settings.manifest_within_ms),
             evacuations.clone(),
         )),
         Box::new(EngineService::new(engine.clone())),
-        Box::new(DivisionService::new(
+        Box::new(ShardLayoutService::new(
             divisions.clone(),
             settings.store_address,
         )),
--- a/crates/onyxshed-host/src/ready.rs
+++ b/crates/onyxshed-host/src/ready.rs
@@ -13,10 +13,10 @@
 use crate::names::{LINKS, MANIFEST, READY};
 
 /// Status of a host that takes callers.
-const TAKES_CALLERS: u16 = 200;
+const STATUS_READY: u16 = 200;
 
 /// Status of a host that does not.
-const TAKES_NONE: u16 = 503;
+const STATUS_NOT_READY: u16 = 503;
 
 /// Readiness as a service.
 pub struct ReadyService {
@@ -37,10 +37,14 @@
             let is_ready = readiness.is_ready()
                 && manifest.get().is_some()
                 && !links.should_send_callers_away();
-            let status = if is_ready { TAKES_CALLERS } else { TAKES_NONE };
+            let status = if is_ready {
+                STATUS_READY
+            } else {
+                STATUS_NOT_READY
+            };
             Box::pin(async move { Reply::bytes(status, Vec::new()) })
         });
-        let reject = Rc::new(|_code: ResultCode| Reply::bytes(TAKES_NONE, Vec::new()));
+        let reject = Rc::new(|_code: ResultCode| Reply::bytes(STATUS_NOT_READY, Vec::new()));
         let options = ServerOptions {
             connections_max: 32,
             ..ServerOptions::default()
--- a/crates/onyxshed-host/src/reload.rs
+++ b/crates/onyxshed-host/src/reload.rs
@@ -18,7 +18,7 @@
 use crate::names::RELOAD;
 
 /// How often the file is looked at; a change without a signal is taken up within that time.
-const LOOK_PERIOD: Duration = Duration::from_millis(2_000);
+const POLL_PERIOD: Duration = Duration::from_millis(2_000);
 
 /// Reloading as a service.
 pub struct ReloadService {
@@ -63,7 +63,7 @@
     loop {
         let signal = async { signals.next().await.is_some() };
         let look = async {
-            Timer::after(LOOK_PERIOD).await;
+            Timer::after(POLL_PERIOD).await;
             false
         };
         let was_told = signal.or(look).await;
--- a/crates/onyxshed-host/src/shard_layouts.rs
+++ b/crates/onyxshed-host/src/shard_layouts.rs
@@ -13,7 +13,7 @@
 use onyxshed_pool::{PoolId, ShardLayout};
 use smol_str::SmolStr;
 
-use crate::names::DIVISIONS;
+use crate::names::SHARD_LAYOUTS;
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 use crate::topic::{self, TopicOptions, TopicReader};
 
@@ -21,29 +21,29 @@
 const TOPIC: &str = "keyed.onyxshed.pools";
 
 /// Time between two reads while no zone was ever divided.
-const UNDIVIDED_PERIOD: Duration = Duration::from_millis(3_000);
+const ABSENT_TOPIC_PERIOD: Duration = Duration::from_millis(3_000);
 
 /// How long a read waits at the store for a change; divisions change with the size of a deployment,
 /// seldom.
-const WAIT: Millis = Millis(10_000);
+const LONG_POLL_WAIT: Millis = Millis(10_000);
 
 /// Handle to the divisions known.
-pub struct Divisions {
+pub struct ShardLayouts {
     zones: Vec<SmolStr>,
     known: RefCell<BTreeMap<SmolStr, ShardLayout>>,
 }
 
-impl Divisions {
+impl ShardLayouts {
     /// Makes a handle for a deployment's zones, none of which is known to be divided.
     pub fn new(zones: Vec<SmolStr>) -> Rc<Self> {
-        Rc::new(Divisions {
+        Rc::new(ShardLayouts {
             zones,
             known: RefCell::default(),
         })
     }
 
     /// Gets a zone's division.
-    pub fn of(&self, zone: &str) -> ShardLayout {
+    pub fn layout_of(&self, zone: &str) -> ShardLayout {
         self.known.borrow().get(zone).copied().unwrap_or_default()
     }
 
@@ -51,7 +51,7 @@
     pub fn pools(&self) -> Vec<PoolId> {
         let zones = self.zones.iter();
         let pools = zones.flat_map(|zone| {
-            (0..self.of(zone).pools).map(|index| PoolId {
+            (0..self.layout_of(zone).pools).map(|index| PoolId {
                 zone: zone.clone(),
                 index,
             })
@@ -69,7 +69,7 @@
     }
 
     /// Takes in a zone's division; an older one than is known changes nothing.
-    pub fn learn(&self, zone: &SmolStr, division: ShardLayout) {
+    pub fn apply(&self, zone: &SmolStr, division: ShardLayout) {
         let mut known = self.known.borrow_mut();
         let held = known.entry(zone.clone()).or_default();
         if division.version > held.version {
@@ -88,7 +88,7 @@
         division: ShardLayout,
     ) -> onyxshed_adapter::Result<()> {
         let end = self.refresh(store).await?;
-        if self.of(zone).version + 1 != division.version {
+        if self.layout_of(zone).version + 1 != division.version {
             return Ok(());
         }
         let text = division.to_text();
@@ -96,7 +96,7 @@
             .append_keyed(TOPIC, Some(end), zone, text.as_bytes(), ANSWER_TIMEOUT)
             .await?;
         if is_written {
-            self.learn(zone, division);
+            self.apply(zone, division);
         }
         Ok(())
     }
@@ -108,42 +108,45 @@
             return Ok(0);
         };
         let next = newest.next;
-        self.take_newest(newest);
+        self.apply_snapshot(newest);
         Ok(next)
     }
 }
 
-impl TopicReader for Divisions {
-    fn take_newest(&self, newest: Records) {
+impl TopicReader for ShardLayouts {
+    fn apply_snapshot(&self, newest: Records) {
         for record in newest.records {
-            self.take(record);
+            self.apply_record(record);
         }
     }
 
-    fn take(&self, record: KeyedRecord) {
+    fn apply_record(&self, record: KeyedRecord) {
         let text = record.value.and_then(|value| String::from_utf8(value).ok());
         if let Some(division) = text.as_deref().and_then(ShardLayout::from_text) {
-            self.learn(&record.key, division);
+            self.apply(&record.key, division);
         }
     }
 }
 
 /// The divisions as a service.
-pub struct DivisionService {
-    divisions: Rc<Divisions>,
+pub struct ShardLayoutService {
+    shard_layouts: Rc<ShardLayouts>,
     store: SocketAddr,
 }
 
-impl DivisionService {
+impl ShardLayoutService {
     /// Makes the service.
-    pub fn new(divisions: Rc<Divisions>, store: SocketAddr) -> Self {
-        DivisionService { divisions, store }
+    pub fn new(divisions: Rc<ShardLayouts>, store: SocketAddr) -> Self {
+        ShardLayoutService {
+            shard_layouts: divisions,
+            store,
+        }
     }
 }
 
-impl Service for DivisionService {
+impl Service for ShardLayoutService {
     fn name(&self) -> ServiceName {
-        DIVISIONS
+        SHARD_LAYOUTS
     }
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
@@ -151,16 +154,16 @@
             let watch = StoreWatch::new(kernel, "divisions");
             let topic = TopicOptions {
                 name: TOPIC,
-                wait: WAIT,
-                absent_pause: Some(UNDIVIDED_PERIOD),
+                wait: LONG_POLL_WAIT,
+                absent_period: Some(ABSENT_TOPIC_PERIOD),
             };
-            let follow = topic::follow(topic, self.store, watch, self.divisions.clone());
+            let follow = topic::follow(topic, self.store, watch, self.shard_layouts.clone());
             kernel.spawn(follow).detach();
             let descriptor = Descriptor {
-                name: DIVISIONS,
+                name: SHARD_LAYOUTS,
                 summary: "how many pools each zone has",
             };
-            kernel.register(descriptor, self.divisions.clone())
+            kernel.register(descriptor, self.shard_layouts.clone())
         })
     }
 }
--- a/crates/onyxshed-host/src/store_watch.rs
+++ b/crates/onyxshed-host/src/store_watch.rs
@@ -21,9 +21,9 @@
 /// Tells once when the store stops answering, and once when it answers again.
 pub struct StoreWatch {
     kernel: Kernel,
-    what: &'static str,
+    user: &'static str,
     lost_at: Cell<Option<Mono>>,
-    back_at: Cell<Option<Mono>>,
+    recovered_at: Cell<Option<Mono>>,
 }
 
 impl StoreWatch {
@@ -31,37 +31,37 @@
     pub fn new(kernel: &Kernel, what: &'static str) -> Self {
         StoreWatch {
             kernel: kernel.clone(),
-            what,
+            user: what,
             lost_at: Cell::new(None),
-            back_at: Cell::new(None),
+            recovered_at: Cell::new(None),
         }
     }
 
     /// Notes an answer.
-    pub fn answered(&self) {
+    pub fn record_answer(&self) {
         let Some(since) = self.lost_at.take() else {
             return;
         };
         let now = boot_clock::now();
-        self.back_at.set(Some(now));
+        self.recovered_at.set(Some(now));
         let away = now.since(since).as_millis();
         let detail = format_smolstr!("after {away}");
-        let event = Event::new(EventKind::StoreBack).party(self.what);
+        let event = Event::new(EventKind::StoreBack).party(self.user);
         self.kernel.emit(event.detail(detail));
     }
 
     /// Takes in why a follower of a topic reads it anew, and pauses before it does; not where only
     /// the history that it was about to read is gone.
-    pub async fn before_reading_anew(&self, error: &Error) {
+    pub async fn pause_before_reread(&self, error: &Error) {
         if !matches!(error, Error::Trimmed { .. }) {
-            self.failed(error);
+            self.record_failure(error);
             Timer::after(RETRY_PAUSE).await;
         }
     }
 
     /// Gets when the store answered again after it was lost; none if it never was.
-    pub fn back_at(&self) -> Option<Mono> {
-        self.back_at.get()
+    pub fn recovered_at(&self) -> Option<Mono> {
+        self.recovered_at.get()
     }
 
     /// Tells whether the last call failed.
@@ -70,12 +70,12 @@
     }
 
     /// Notes a call that failed.
-    pub fn failed(&self, error: &Error) {
+    pub fn record_failure(&self, error: &Error) {
         if self.is_lost() {
             return;
         }
         self.lost_at.set(Some(boot_clock::now()));
-        let event = Event::new(EventKind::StoreLost).party(self.what);
+        let event = Event::new(EventKind::StoreLost).party(self.user);
         self.kernel.emit(event.detail(format_smolstr!("{error}")));
     }
 }
--- a/crates/onyxshed-host/src/topic.rs
+++ b/crates/onyxshed-host/src/topic.rs
@@ -18,10 +18,10 @@
 /// What is done with a topic's records.
 pub trait TopicReader {
     /// Takes in the newest record of each key; called first, and again after a call has failed.
-    fn take_newest(&self, newest: Records);
+    fn apply_snapshot(&self, newest: Records);
 
     /// Takes in a record that was written since.
-    fn take(&self, record: KeyedRecord);
+    fn apply_record(&self, record: KeyedRecord);
 }
 
 /// How a topic is followed.
@@ -32,7 +32,7 @@
     /// How long a read waits at the store for a change.
     pub wait: Millis,
     /// Time between two looks at a topic that does not exist; none if it has to exist.
-    pub absent_pause: Option<Duration>,
+    pub absent_period: Option<Duration>,
 }
 
 /// Passes a topic's records to a reader for as long as the process lives.
@@ -45,7 +45,7 @@
     let mut store = Store::new(address);
     loop {
         if let Err(error) = follow_once(topic, &mut store, &watch, &*reader).await {
-            watch.before_reading_anew(&error).await;
+            watch.pause_before_reread(&error).await;
         }
     }
 }
@@ -59,22 +59,22 @@
 ) -> onyxshed_adapter::Result<()> {
     let Some(newest) = store.newest_if_any(topic.name, ANSWER_TIMEOUT).await? else {
         let status = NO_SUCH_TOPIC;
-        let pause = topic.absent_pause.ok_or(Error::Status { status })?;
-        watch.answered();
+        let pause = topic.absent_period.ok_or(Error::Status { status })?;
+        watch.record_answer();
         Timer::after(pause).await;
         return Ok(());
     };
     let mut next = newest.next;
-    reader.take_newest(newest);
+    reader.apply_snapshot(newest);
     let timeout = ANSWER_TIMEOUT + Duration::from(topic.wait);
     loop {
-        watch.answered();
+        watch.record_answer();
         let read = store
             .read_keyed(topic.name, next, topic.wait, timeout)
             .await?;
         next = read.next;
         read.records
             .into_iter()
-            .for_each(|record| reader.take(record));
+            .for_each(|record| reader.apply_record(record));
     }
 }
--- a/crates/onyxshed-host/tests/lookup.rs
+++ b/crates/onyxshed-host/tests/lookup.rs
@@ -2,7 +2,7 @@
 
 use onyxshed_core::Millis;
 use onyxshed_host::directory::OwnerStatus;
-use onyxshed_host::manifest::read_wait;
+use onyxshed_host::manifest::long_poll_wait;
 
 /// Gets the lookups per minute of a host that owns no pool while every owner answers.
 fn lookups_per_minute(zones: usize, pools_a_zone: usize) -> u64 {
@@ -40,7 +40,7 @@
 #[test]
 fn a_silent_connection_is_replaced_before_a_manifest_is_overdue() {
     let within = Millis(4_000);
-    let found_after_ms = read_wait(Some(within)).0 + 700;
+    let found_after_ms = long_poll_wait(Some(within)).0 + 700;
     assert!(found_after_ms < within.0);
-    assert_eq!(read_wait(Some(Millis(2_000))), read_wait(None));
+    assert_eq!(long_poll_wait(Some(Millis(2_000))), long_poll_wait(None));
 }
