--- a/crates/onyxshed-host/src/boot_clock.rs
+++ b/crates/onyxshed-host/src/boot_clock.rs
@@ -1,12 +1,12 @@
-//! A steady clock that counts the time in which the machine was suspended.
+//! A monotonic clock that includes the time during which the machine was suspended.
 //!
-//! The monotonic clock stands still while a machine is suspended, and leases that have long lapsed would
-//! look fresh. `CLOCK_BOOTTIME` goes on.
+//! `CLOCK_MONOTONIC` stops while a machine is suspended, so that leases which expired long ago
+//! would appear valid. `CLOCK_BOOTTIME` continues.
 
 use onyxshed_core::Mono;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Reads the clock.
+/// Returns the current time.
 pub fn now() -> Mono {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -1,4 +1,5 @@
-//! Requests of callers.
+//! The HTTP interface for callers: parses each request, submits its job to a pool and sends the
+//! reply.
 
 mod replies;
 
@@ -28,62 +29,63 @@
 use crate::names::{CALLERS, LINKS, MANIFEST};
 use replies::{job_reply, rejection_reply};
 
-/// How long a stopping host goes on serving before it looks for its end: the balancer asks for
-/// readiness once a second and needs two misses.
+/// How long a stopping host continues to serve before it waits for the last reply: the balancer
+/// polls readiness once a second and stops sending callers after two failed polls.
 const DRAIN_NOTICE: Duration = Duration::from_millis(2_200);
 
-/// How often a stopping host looks whether the last reply has been written.
+/// Interval at which a stopping host checks whether the last reply has been written.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
-/// What a request without a deadline gets.
+/// Time limit of a request without a deadline header.
 const DEADLINE_DEFAULT: Millis = Millis(5_000);
 
-/// Kept free before the caller's deadline, so that the answer reaches it: the way there and back
-/// and a standstill of a host at its processor limit.
+/// Time reserved before the caller's deadline so that the reply arrives in time: covers a network
+/// round trip and a pause of a host at its CPU limit.
 const DEADLINE_MARGIN: Millis = Millis(60);
 
-/// How long after its start a host lets requests wait for the manifest and an owner with executors: after
-/// a loss of power both are known 60 to 300 ms after the start.
+/// How long after its start a host delays requests until the manifest and an owner with executors
+/// are known: after a power failure both are known 60 to 300 ms after the start.
 const STARTUP_WAIT_MAX: Duration = Duration::from_millis(400);
 
-/// How often a host that has just started looks whether it knows them.
+/// Interval at which a starting host checks whether the manifest and such an owner are known.
 const STARTUP_POLL: Duration = Duration::from_millis(10);
 
-/// When a caller is asked back while no owner of a pool is known; a new one takes about that long.
+/// Retry-after time while no pool has a known owner; about the time until a new owner takes over.
 const NO_POOL_RETRY_AFTER: Millis = Millis(2_000);
 
-/// When a caller is asked back whose kind of job is not built: it won't be soon.
+/// Retry-after time for a kind of job that is not supported; a sooner retry would be rejected as
+/// well.
 const UNSUPPORTED_RETRY_AFTER: Millis = Millis(60_000);
 
-/// Where callers are served, and within which limits.
+/// Address and limits of the callers' interface.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerOptions {
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub address: SocketAddr,
-    /// Limits of the address.
+    /// Limits of the HTTP server.
     pub server: ServerOptions,
-    /// How long a stopping host waits for the jobs under way.
+    /// How long a stopping host waits for unfinished jobs, from the start of its drain.
     pub drain_timeout: Duration,
 }
 
-/// Handle to the callers' requests.
+/// State that all requests of callers share.
 pub struct Callers {
     kernel: Kernel,
     manifest: Rc<ManifestHolder>,
     links: Rc<Links>,
-    /// Counts of the address, from when it is served on.
+    /// Counters of the HTTP server; empty until it listens.
     stats: OnceCell<Rc<ServerStats>>,
     metrics: HostMetrics,
-    /// Closed when this host knows what it needs to serve, or had its time for that.
+    /// Closed when this host can serve requests or [`STARTUP_WAIT_MAX`] has elapsed.
     startup_over: Receiver<()>,
-    /// Closed when this host can wait no longer for the jobs under way.
+    /// Closed when a stopping host can no longer wait for unfinished jobs.
     drain_expired: Receiver<()>,
     drain_expired_sender: Sender<()>,
-    /// When that will be, once the host is stopping.
+    /// Time at which `drain_expired` is closed; `None` until the host is stopping.
     drain_deadline: Cell<Option<Instant>>,
 }
 
-/// A submission as it was understood.
+/// A parsed submission, with the values that its log events carry.
 struct SubmissionContext {
     request_id: SmolStr,
     route: SmolStr,
@@ -93,7 +95,7 @@
 }
 
 impl SubmissionContext {
-    /// Makes an event about the submission.
+    /// Creates a log event about the submission.
     fn event(&self, kind: EventKind) -> Event {
         Event::new(kind)
             .request(self.request_id.clone())
@@ -102,8 +104,8 @@
     }
 }
 
-/// Writes the line of a submission whose caller left before its answer: the request's future is
-/// dropped then, and nothing after it runs.
+/// Logs a submission whose caller disconnects before the reply: the request's future is dropped
+/// then, and no later code of it runs.
 struct DisconnectGuard {
     kernel: Kernel,
     event: Option<Event>,
@@ -111,12 +113,12 @@
 }
 
 impl DisconnectGuard {
-    fn arm(kernel: &Kernel, asked: &SubmissionContext) -> Self {
-        let event = asked.event(EventKind::PoolJobLost);
+    fn arm(kernel: &Kernel, context: &SubmissionContext) -> Self {
+        let event = context.event(EventKind::PoolJobLost);
         DisconnectGuard {
             kernel: kernel.clone(),
             event: Some(event),
-            arrived: asked.arrived,
+            arrived: context.arrived,
         }
     }
 
@@ -128,8 +130,8 @@
 impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(event) = self.event.take() {
-            let took = boot_clock::now().since(self.arrived).as_millis();
-            let detail = format_smolstr!("the caller left after {took}");
+            let elapsed = boot_clock::now().since(self.arrived).as_millis();
+            let detail = format_smolstr!("the caller left after {elapsed}");
             self.kernel.emit(event.detail(detail));
         }
     }
@@ -151,18 +153,18 @@
         match (call.method(), rest.is_empty()) {
             (Method::Post, false) => self.submit(&call, arrived, &manifest, route).await,
             (Method::Get, true) => Reply::json(200, &job::pending_body(0)),
-            // Jobs that need not be stored are known to nobody but the caller that waits.
+            // Jobs that need not be stored are known only to the caller that waits for them.
             (Method::Get | Method::Delete, false) => rejection_reply(410, "no such job", None),
             _ => rejection_reply(404, "no such method here", None),
         }
     }
 
-    /// Waits until this host knows what it needs to serve, for a moment after its start at most.
+    /// Waits until this host can serve requests, for at most [`STARTUP_WAIT_MAX`] after its start.
     ///
-    /// After a loss of power callers connect as soon as a process listens, a moment before it knows the
-    /// manifest and an owner. The wait counts towards the job's target.
+    /// After a power failure callers connect as soon as the process listens, shortly before it
+    /// knows the manifest and an owner. The wait counts towards the job's target time.
     async fn wait_for_startup(&self) {
-        // Ends when the channel is closed; nothing is ever sent.
+        // Completes when the channel is closed; no value is ever sent.
         let _ = self.startup_over.recv().await;
     }
 
@@ -181,13 +183,13 @@
                 None,
             );
         }
-        let request = SmolStr::new(call.header(REQUEST_HEADER).unwrap_or_default());
+        let request_id = SmolStr::new(call.header(REQUEST_HEADER).unwrap_or_default());
         let job = match job::job_id(call.path(), &route.path_prefix) {
             Ok(job) => job,
             Err(error) => return self.reject_request(call, 400, &format_smolstr!("{error}"), None),
         };
-        let asked = SubmissionContext {
-            request_id: request,
+        let context = SubmissionContext {
+            request_id,
             route: route.name.clone(),
             manifest_version: manifest.version,
             job,
@@ -195,30 +197,30 @@
         };
         let simple = match job::parse(&call.body) {
             Ok(Submission::Simple(simple)) if !route.needs_advice => simple,
-            Ok(Submission::Simple(_)) => return self.reject_unsupported(&asked, "advice"),
-            Ok(Submission::Unsupported(what)) => return self.reject_unsupported(&asked, what),
+            Ok(Submission::Simple(_)) => return self.reject_unsupported(&context, "advice"),
+            Ok(Submission::Unsupported(kind)) => return self.reject_unsupported(&context, kind),
             Err(error) => return self.reject_request(call, 400, &format_smolstr!("{error}"), None),
         };
         let deadline = self.limit_to_drain_deadline(requested_time_limit(call));
-        let job = self.job_request(route, &asked, simple, deadline);
-        let leaving = DisconnectGuard::arm(&self.kernel, &asked);
-        let spent = boot_clock::now().since(arrived);
-        let give_up = Duration::from(job.time_left).saturating_sub(spent.into());
-        let served = within(give_up, self.dispatch(&job, arrived));
-        let (end, pool) = match served.or(self.wait_for_drain_expiry()).await {
-            Some(served) => served,
+        let job = self.job_request(route, &context, simple, deadline);
+        let disconnect_guard = DisconnectGuard::arm(&self.kernel, &context);
+        let elapsed = boot_clock::now().since(arrived);
+        let timeout = Duration::from(job.time_left).saturating_sub(elapsed.into());
+        let outcome = within(timeout, self.dispatch(&job, arrived));
+        let (end, pool) = match outcome.or(self.wait_for_drain_expiry()).await {
+            Some(outcome) => outcome,
             None => (
                 JobEnd::Unknown(UnknownReason::TimeOut),
                 SmolStr::new_static("?"),
             ),
         };
-        leaving.disarm();
-        self.record_end(&asked, &job, &end, &pool);
+        disconnect_guard.disarm();
+        self.record_end(&context, &job, &end, &pool);
         self.reply(&end)
     }
 
-    /// Makes the answer to a job. A refusal ends the connection if another host may serve the caller: the
-    /// balancer moves new connections only.
+    /// Returns the reply to a job. A rejection closes the connection if another host may serve the
+    /// caller, since the balancer only redirects new connections.
     fn reply(&self, end: &JobEnd) -> Reply {
         let reply = job_reply(end);
         match end {
@@ -227,31 +229,34 @@
         }
     }
 
-    /// Ends the start, by dropping its sender, when this host knows what it needs to serve.
-    async fn watch_startup(self: Rc<Self>, _starting: Sender<()>) {
-        let over_at = Instant::now() + STARTUP_WAIT_MAX;
-        let knows_enough = || self.manifest.get().is_some() && self.links.can_reach_executor();
-        while !knows_enough() && Instant::now() < over_at {
+    /// Waits until this host can serve requests or [`STARTUP_WAIT_MAX`] has elapsed, then drops the
+    /// sender, which closes `startup_over`.
+    async fn watch_startup(self: Rc<Self>, _startup_sender: Sender<()>) {
+        let deadline = Instant::now() + STARTUP_WAIT_MAX;
+        let can_serve = || self.manifest.get().is_some() && self.links.can_reach_executor();
+        while !can_serve() && Instant::now() < deadline {
             Timer::after(STARTUP_POLL).await;
         }
     }
 
-    /// Shortens a caller's deadline to what a stopping host can still wait, so that a job which
-    /// can't end by then is refused and not cut off.
+    /// Limits the time of a job to the remaining drain time of a stopping host, so that a job which
+    /// cannot end by then is rejected instead of aborted.
     fn limit_to_drain_deadline(&self, deadline: Millis) -> Millis {
-        let Some(at) = self.drain_deadline.get() else {
+        let Some(drain_deadline) = self.drain_deadline.get() else {
             return deadline;
         };
-        let left = at.saturating_duration_since(Instant::now()).as_millis();
-        deadline.min(Millis(u64::try_from(left).unwrap_or(u64::MAX)))
+        let remaining = drain_deadline
+            .saturating_duration_since(Instant::now())
+            .as_millis();
+        deadline.min(Millis(u64::try_from(remaining).unwrap_or(u64::MAX)))
     }
 
-    /// Waits until this host can wait no longer.
+    /// Waits for the end of the drain, and returns the outcome of a job that is unfinished then.
     ///
-    /// The platform kills a host that is still at work when its grace is over. Callers who are told before
-    /// that their jobs' fate is unknown send them again.
+    /// The platform kills a host that is still running at the end of its grace period. Callers that
+    /// receive an unknown outcome before that resubmit their jobs.
     async fn wait_for_drain_expiry(&self) -> Option<(JobEnd, SmolStr)> {
-        // Ends when the channel is closed; nothing is ever sent.
+        // Completes when the channel is closed; no value is ever sent.
         let _ = self.drain_expired.recv().await;
         Some((
             JobEnd::Unknown(UnknownReason::EntryStopped),
@@ -259,42 +264,42 @@
         ))
     }
 
-    /// Refuses a request before it is a job, and writes its line.
+    /// Rejects a request that contains no valid job, and logs the rejection.
     fn reject_request(
         &self,
         call: &Call,
         status: u16,
-        why: &str,
+        reason: &str,
         retry_after: Option<Millis>,
     ) -> Reply {
         let event = Event::new(EventKind::PoolJobRefused)
             .request(call.header(REQUEST_HEADER).unwrap_or_default())
             .party(call.path())
-            .detail(format_smolstr!("status {status}: {why}"));
+            .detail(format_smolstr!("status {status}: {reason}"));
         self.kernel.emit(event);
-        rejection_reply(status, why, retry_after)
+        rejection_reply(status, reason, retry_after)
     }
 
-    fn reject_unsupported(&self, asked: &SubmissionContext, what: &'static str) -> Reply {
-        let event = asked
+    fn reject_unsupported(&self, context: &SubmissionContext, kind: &'static str) -> Reply {
+        let event = context
             .event(EventKind::PoolJobRefused)
-            .detail(format_smolstr!("not built: {what}"));
+            .detail(format_smolstr!("not supported: {kind}"));
         self.kernel.emit(event);
-        rejection_reply(503, what, Some(UNSUPPORTED_RETRY_AFTER))
+        rejection_reply(503, kind, Some(UNSUPPORTED_RETRY_AFTER))
     }
 
     fn job_request(
         &self,
         route: &Route,
-        asked: &SubmissionContext,
+        context: &SubmissionContext,
         simple: SimpleJob,
         deadline: Millis,
     ) -> JobRequest {
         JobRequest {
             peer: self.links.incarnation(),
-            // Each hand-over has a number of its own.
+            // Set for each attempt to submit the job to a pool.
             submission: SubmissionNumber(0),
-            job: asked.job,
+            job: context.job,
             upstream: route.upstream.clone(),
             spec: simple.spec,
             tasks: simple.tasks,
@@ -311,7 +316,8 @@
         }
     }
 
-    /// Hands a job to the pool that serves it best; to the next one while it is not run.
+    /// Submits a job to the pools in the order of [`Links::rank_pools`] until one of them runs it.
+    /// Returns the job's end and the pool that was tried last.
     async fn dispatch(&self, job: &JobRequest, arrived: Mono) -> (JobEnd, SmolStr) {
         let mut last = (
             JobEnd::NotRun(self.links.no_pool_reason(), NO_POOL_RETRY_AFTER),
@@ -331,7 +337,7 @@
         last
     }
 
-    /// Tells whether a request is being answered.
+    /// Returns whether a request is in progress.
     fn is_busy(&self) -> bool {
         let stats = self.stats.get();
         stats.is_some_and(|stats| stats.busy.get() > 0)
@@ -339,7 +345,7 @@
 
     fn record_end(
         &self,
-        asked: &SubmissionContext,
+        context: &SubmissionContext,
         job: &JobRequest,
         end: &JobEnd,
         pool: &SmolStr,
@@ -349,60 +355,61 @@
             JobEnd::NotRun(..) => EventKind::PoolJobRefused,
             JobEnd::Unknown(_) => EventKind::PoolJobLost,
         };
-        let took = boot_clock::now().since(asked.arrived);
-        self.metrics.record_reply(end, took);
+        let elapsed = boot_clock::now().since(context.arrived);
+        self.metrics.record_reply(end, elapsed);
         let summary = JobSummary {
             end: *end,
-            took: took.as_millis(),
+            took: elapsed.as_millis(),
             target: job.target().as_millis(),
             tasks: job.tasks,
             estimate: job.estimate,
             demand: job.demand,
             pool: pool.clone(),
-            manifest: asked.manifest_version,
+            manifest: context.manifest_version,
         };
-        let event = asked.event(kind).detail(format_smolstr!("{summary}"));
+        let event = context.event(kind).detail(format_smolstr!("{summary}"));
         self.kernel.emit(event);
     }
 }
 
 fn requested_time_limit(call: &Call) -> Millis {
-    let told = call.header(DEADLINE_HEADER);
-    told.and_then(|text| text.parse().ok())
+    let header = call.header(DEADLINE_HEADER);
+    header
+        .and_then(|text| text.parse().ok())
         .map_or(DEADLINE_DEFAULT, Millis)
 }
 
-/// The callers' address as a service.
+/// Service that accepts requests of callers.
 pub struct CallerService {
     options: CallerOptions,
 }
 
 impl CallerService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(options: CallerOptions) -> Self {
         CallerService { options }
     }
 
     async fn open(&self, kernel: &Kernel) -> Result<()> {
-        let (last_call_sender, last_call) = async_channel::bounded(1);
-        let (starting, started) = async_channel::bounded(1);
+        let (drain_expired_sender, drain_expired) = async_channel::bounded(1);
+        let (startup_sender, startup_over) = async_channel::bounded(1);
         let callers = Rc::new(Callers {
             kernel: kernel.clone(),
             manifest: kernel.find(MANIFEST)?,
             links: kernel.find(LINKS)?,
             stats: OnceCell::new(),
             metrics: HostMetrics::new(),
-            startup_over: started,
-            drain_expired: last_call,
-            drain_expired_sender: last_call_sender,
+            startup_over,
+            drain_expired,
+            drain_expired_sender,
             drain_deadline: Cell::new(None),
         });
         kernel
-            .spawn(callers.clone().watch_startup(starting))
+            .spawn(callers.clone().watch_startup(startup_sender))
             .detach();
-        let served = callers.clone();
+        let handler_state = callers.clone();
         let handle = move |call| {
-            let callers = served.clone();
+            let callers = handler_state.clone();
             async move { callers.handle(call).await }
         };
         let reject = |code: ResultCode| {
@@ -413,7 +420,7 @@
         } = self.options;
         let stats =
             serve_requests(kernel, CALLERS, "caller", address, server, handle, reject).await?;
-        // The cell is empty until here.
+        // Cannot fail: the cell is set only here.
         let _ = callers.stats.set(stats);
         let descriptor = Descriptor {
             name: CALLERS,
@@ -436,17 +443,18 @@
         Box::pin(self.open(kernel))
     }
 
-    /// Serves on until the balancer has noticed, then waits for the last reply.
+    /// Continues to serve until the balancer has noticed that this host is not ready, then waits
+    /// for the last reply.
     fn drain<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async move {
             let Ok(callers) = kernel.find::<Callers>(CALLERS) else {
                 return;
             };
-            let last_call_at = Instant::now() + self.options.drain_timeout;
-            callers.drain_deadline.set(Some(last_call_at));
+            let drain_deadline = Instant::now() + self.options.drain_timeout;
+            callers.drain_deadline.set(Some(drain_deadline));
             Timer::after(DRAIN_NOTICE).await;
             while callers.is_busy() {
-                if Instant::now() >= last_call_at {
+                if Instant::now() >= drain_deadline {
                     callers.drain_expired_sender.close();
                 }
                 Timer::after(DRAIN_POLL).await;
--- a/crates/onyxshed-host/src/callers/replies.rs
+++ b/crates/onyxshed-host/src/callers/replies.rs
@@ -1,11 +1,11 @@
-//! Answers to callers, in the platform's words.
+//! Replies to callers, in the format that the platform specifies.
 
 use onyxshed_adapter::job;
 use onyxshed_core::Millis;
 use onyxshed_http::Reply;
 use onyxshed_pool::{JobEnd, NotRunReason, UnknownReason};
 
-/// Makes the answer to a request that is not served.
+/// Returns the reply to a request that is rejected.
 pub fn rejection_reply(status: u16, reason: &str, retry_after: Option<Millis>) -> Reply {
     let reply = Reply::json(status, &job::reason_body(reason));
     match retry_after {
@@ -14,7 +14,7 @@
     }
 }
 
-/// Makes the answer to a job.
+/// Returns the reply to a job, by how the job ended.
 pub fn job_reply(end: &JobEnd) -> Reply {
     match end {
         JobEnd::Completed => Reply::json(200, &job::state_body("completed")),
--- a/crates/onyxshed-host/src/decisions.rs
+++ b/crates/onyxshed-host/src/decisions.rs
@@ -1,10 +1,10 @@
-//! Decisions of a pool as events of the log.
+//! Converts the decisions of a pool to log events.
 
 use onyxshed_core::{Event, EventKind};
 use onyxshed_pool::{Decision, ExecutorId, FencingToken, TaskId};
 use smol_str::{SmolStr, format_smolstr};
 
-/// Makes an event of a decision, with the token under which it was made.
+/// Returns the log event of a decision that was made under a fencing token.
 pub fn event_of(decision: &Decision, token: FencingToken) -> Event {
     match decision {
         Decision::RunOrdered {
@@ -22,9 +22,9 @@
             task,
             run,
             executor,
-            reason: why,
+            reason,
         } => run_event(EventKind::PoolRunEnded, *task, executor)
-            .detail(format_smolstr!("run {run}: {why}, token {token}")),
+            .detail(format_smolstr!("run {run}: {reason}, token {token}")),
         Decision::OrphanStopped {
             task,
             run,
@@ -35,10 +35,10 @@
             task,
             run,
             executor,
-            remaining: left,
+            remaining,
         } => run_event(EventKind::PoolRunMoved, *task, executor).detail(format_smolstr!(
-            "run {run}, {} left there, token {token}",
-            left.as_millis()
+            "run {run}, {} remaining there, token {token}",
+            remaining.as_millis()
         )),
         Decision::ExecutorAcquired(id) => event_about(EventKind::PoolExecutorTaken, id.0.clone()),
         Decision::ExecutorUnresponsive(id) => {
@@ -53,8 +53,8 @@
             event_about(EventKind::PoolExecutorDraining, id.0.clone())
         }
         Decision::ExecutorForgotten(id) => event_about(EventKind::PoolExecutorGone, id.0.clone()),
-        Decision::PeerUnresponsive(life, jobs) => {
-            event_about(EventKind::PoolPeerSilent, format_smolstr!("{life}"))
+        Decision::PeerUnresponsive(peer, jobs) => {
+            event_about(EventKind::PoolPeerSilent, format_smolstr!("{peer}"))
                 .detail(format_smolstr!("{jobs} jobs given up"))
         }
         Decision::HandoverBegun { handed_back, kept } => {
@@ -89,7 +89,7 @@
         .task(task.index)
 }
 
-/// Makes an event of a pool that takes no new jobs from now on.
+/// Creates the event of a pool that stops accepting jobs.
 fn drain_event(kind: EventKind, token: FencingToken, handed_back: usize, kept: usize) -> Event {
     Event::new(kind).detail(format_smolstr!(
         "token {token}, {handed_back} jobs handed back, {kept} end here"
--- a/crates/onyxshed-host/src/directory.rs
+++ b/crates/onyxshed-host/src/directory.rs
@@ -1,4 +1,4 @@
-//! Who owns which pool, as the store's groups tell it.
+//! The owners of all pools, as looked up in the store's groups.
 
 mod lookup;
 
@@ -25,69 +25,69 @@
 
 pub use lookup::{LOOKUP_INTERVAL_MAX, OwnerStatus};
 
-/// The partition of a group whose holder owns the pool.
+/// Number of the partition whose holder owns the pool of the group.
 pub const POOL_PARTITION: u32 = 0;
 
-/// How long a successor takes to be written into the store's books once the store answers again: a try each
-/// 100 ms and four calls, where the store had refused calls; half of a call's timeout more in the mean
-/// where it had been silent.
+/// How long a successor takes to register in the store once the store answers again: one attempt
+/// per 100 ms and four calls if the store was refusing calls, and on average another half of a
+/// call's timeout if it was unresponsive.
 const SUCCESSOR_REGISTRATION_MAX: Millis = Millis(500);
 
-/// Shortest pause between two rounds.
+/// Minimum pause between two rounds of lookups.
 const ROUND_PAUSE: Duration = Duration::from_millis(20);
 
-/// Pause after the store turned a call away because there are too many.
+/// Pause after the store has rejected a call because there were too many.
 const TOO_MANY_REQUESTS_PAUSE: Duration = Duration::from_millis(500);
 
-/// Status of a store that takes no more calls.
+/// HTTP status with which the store rejects a call because there are too many.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Gets the name of a pool's group and topic.
+/// Returns the name of a pool's group and topic.
 pub fn group_of(pool: &PoolId) -> SmolStr {
     format_smolstr!("pool.{}.{}", pool.zone, pool.index)
 }
 
-/// Writes a member's name: its address, and the run of its process.
-pub fn member_name(address: SocketAddr, life: PeerIncarnation) -> SmolStr {
-    format_smolstr!("{address}/{life}")
+/// Returns the name of a member: its address and the incarnation of its process.
+pub fn member_name(address: SocketAddr, incarnation: PeerIncarnation) -> SmolStr {
+    format_smolstr!("{address}/{incarnation}")
 }
 
-/// Who the store says owns a pool, as this host sees it.
+/// The owner of a pool according to the store, in relation to this host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Owner {
-    /// Nobody.
+    /// The pool has no owner.
     Vacant,
-    /// This very process.
+    /// This process.
     ThisProcess,
-    /// An earlier process at this host's address, by its member's name.
+    /// An earlier process at this host's address, with its member name.
     EarlierProcess(SmolStr),
-    /// Another host, at an address if its name tells one.
+    /// Another host, with its address if the member name contains a valid one.
     Other(Option<SocketAddr>),
 }
 
 impl Owner {
-    /// Tells who a member is to the host that joins groups as `own`.
-    pub fn classify(member: Option<SmolStr>, own: &str) -> Owner {
+    /// Classifies a member from the view of the host whose member name is `own_member`.
+    pub fn classify(member: Option<SmolStr>, own_member: &str) -> Owner {
         let Some(member) = member else {
             return Owner::Vacant;
         };
-        if member == own {
+        if member == own_member {
             return Owner::ThisProcess;
         }
         let address = address_of(&member);
-        match address.is_some() && address == address_of(own) {
+        match address.is_some() && address == address_of(own_member) {
             true => Owner::EarlierProcess(member),
             false => Owner::Other(address),
         }
     }
 }
 
-/// Reads the address out of a member's name.
+/// Parses the address in a member's name. Returns `None` if there is no valid one.
 pub fn address_of(member: &str) -> Option<SocketAddr> {
     member.split_once('/')?.0.parse().ok()
 }
 
-/// Finds who holds the partition that stands for the pool.
+/// Returns the member that holds the partition of the pool, or `None` if no member does.
 fn partition_holder(owners: Vec<PartOwner>) -> Option<SmolStr> {
     let mut owners = owners.into_iter();
     owners
@@ -95,7 +95,8 @@
         .map(|owner| owner.member)
 }
 
-/// Asks the store who owns a pool; none where nobody does.
+/// Reads the owner of a pool from the store, as a member name. Returns `None` if the pool has no
+/// owner.
 pub async fn read_owner(
     store: &mut Store,
     pool: &PoolId,
@@ -108,7 +109,7 @@
     }
 }
 
-/// Follows the owners of all pools that this host does not own itself.
+/// Tracks the owners of all pools that this host does not own itself.
 pub struct Directory {
     zone: SmolStr,
     member: SmolStr,
@@ -117,19 +118,19 @@
     links: Rc<Links>,
     looked_up_at: RefCell<BTreeMap<PoolId, Mono>>,
     vacant: RefCell<BTreeSet<PoolId>>,
-    /// Pools that the store still holds for an earlier process of this host.
+    /// Pools that the store still assigns to an earlier process of this host, with its member name.
     orphaned: RefCell<BTreeMap<PoolId, SmolStr>>,
     watch: StoreWatch,
-    /// Told when a pool is found that this host may come to own.
+    /// Notified when a pool is found that this host may acquire.
     pool_available: Change,
 }
 
 impl Directory {
-    /// Makes the directory of a host in a zone that joins groups under a name.
+    /// Creates the directory of a host in `zone` that joins groups as `member`.
     pub fn new(
         zone: SmolStr,
         member: SmolStr,
-        divisions: Rc<ShardLayouts>,
+        shard_layouts: Rc<ShardLayouts>,
         engine: Rc<Engine>,
         links: Rc<Links>,
         watch: StoreWatch,
@@ -137,7 +138,7 @@
         Rc::new(Directory {
             zone,
             member,
-            shard_layouts: divisions,
+            shard_layouts,
             engine,
             links,
             looked_up_at: RefCell::default(),
@@ -148,28 +149,30 @@
         })
     }
 
-    /// Gets the pools of this host's zone that nobody owned when they were last looked at.
+    /// Returns the pools of this host's zone that had no owner at their last lookup.
     pub fn vacant_local_pools(&self) -> Vec<PoolId> {
         let vacant = self.vacant.borrow();
-        let home = vacant.iter().filter(|pool| pool.zone == self.zone);
-        home.cloned().collect()
+        let local = vacant.iter().filter(|pool| pool.zone == self.zone);
+        local.cloned().collect()
     }
 
-    /// Notes that a pool was taken, or has to be looked at again before it may be.
+    /// Removes a pool from the vacant ones: it has been acquired, or needs another lookup before
+    /// this host may acquire it.
     pub fn remove_vacant(&self, pool: &PoolId) {
         self.vacant.borrow_mut().remove(pool);
     }
 
-    /// Gets when the store answered the look for owners again; none if it always did.
+    /// Returns when the store last answered owner lookups again after a failure, or `None` if it
+    /// has not recovered from a failure yet.
     pub fn store_recovered_at(&self) -> Option<Mono> {
         self.watch.recovered_at()
     }
 
-    /// Follows the owners for as long as the process lives.
+    /// Looks up the owners of pools until the process ends.
     pub async fn follow(self: Rc<Self>, address: SocketAddr) {
         let mut store = Store::new(address);
         loop {
-            let changed = self.links.owner_changed().waiting();
+            let owner_changed = self.links.owner_changed().waiting();
             let pools = self.shard_layouts.pools();
             self.links.retain_pools(&pools);
             for pool in &pools {
@@ -190,14 +193,14 @@
                 }
             }
             Timer::after(ROUND_PAUSE).await;
-            let next_look = async {
+            let next_lookup = async {
                 Timer::after(self.time_until_due(&pools)).await;
             };
-            changed.wait().or(next_look).await;
+            owner_changed.wait().or(next_lookup).await;
         }
     }
 
-    /// Tells whether a pool is to be looked at now, and notes that it is.
+    /// Returns whether the lookup of a pool is due, and records the time of the lookup if so.
     fn is_due(&self, pool: &PoolId, pools: usize) -> bool {
         let now = boot_clock::now();
         let is_due = self.due_at(pool, pools).is_some_and(|at| now >= at);
@@ -207,11 +210,11 @@
         is_due
     }
 
-    /// Gets when a pool is to be looked at; none while it is owned here.
+    /// Returns the time of the next lookup of a pool, or `None` while this host owns it.
     fn due_at(&self, pool: &PoolId, pools: usize) -> Option<Mono> {
-        let period = self.status_of(pool).lookup_interval(pools)?;
+        let interval = self.status_of(pool).lookup_interval(pools)?;
         let last = self.looked_up_at.borrow().get(pool).copied();
-        Some(last.map_or(Mono(0), |last| last + period))
+        Some(last.map_or(Mono(0), |last| last + interval))
     }
 
     fn status_of(&self, pool: &PoolId) -> OwnerStatus {
@@ -226,7 +229,7 @@
         }
     }
 
-    /// Gets how long no pool is to be looked at, unless something changes.
+    /// Returns the time until the next lookup of any pool is due.
     fn time_until_due(&self, pools: &[PoolId]) -> Duration {
         let due = pools
             .iter()
@@ -235,31 +238,35 @@
         next.since(boot_clock::now()).into()
     }
 
-    /// Looks again at pools that are due, as after this host has given one up.
+    /// Triggers a round of lookups, for example after this host has given up a pool.
     pub fn trigger_lookups(&self) {
         self.links.owner_changed().notify();
     }
 
-    /// Gets what is told when a pool is found that this host may come to own.
+    /// Returns the notifier for pools that this host may acquire.
     pub fn pool_available(&self) -> &Change {
         &self.pool_available
     }
 
-    /// Takes a pool that the store still holds for an earlier process of this host, with that
-    /// process's name in the pool's group; none for a moment after the store has come back.
+    /// Removes and returns a pool that the store still assigns to an earlier process of this host,
+    /// with the member name of that process. Returns `None` if there is no such pool, and for
+    /// [`SUCCESSOR_REGISTRATION_MAX`] after the store has recovered.
     ///
-    /// That process may have been stopped while the store was away, after it made another host its successor,
-    /// which ends the membership within `SUCCESSOR_REGISTERS_WITHIN`. A process that starts after the store
-    /// has come back does not wait: it can't tell this case from a kill.
+    /// The earlier process may have been stopped while the store was unavailable, after it selected
+    /// another host as its successor, which removes the membership within that time. A process that
+    /// starts after the store has recovered does not wait: it cannot distinguish this case from a
+    /// kill.
     pub fn take_orphaned(&self, now: Mono) -> Option<(PoolId, SmolStr)> {
-        let back_at = self.store_recovered_at();
-        if back_at.is_some_and(|back_at| now.since(back_at) < SUCCESSOR_REGISTRATION_MAX.into()) {
+        let recovered_at = self.store_recovered_at();
+        if recovered_at
+            .is_some_and(|recovered_at| now.since(recovered_at) < SUCCESSOR_REGISTRATION_MAX.into())
+        {
             return None;
         }
         self.orphaned.borrow_mut().pop_first()
     }
 
-    /// Takes in a record of a new owner, named as a member of the pool's group.
+    /// Applies the record of a new owner, which holds its member name in the pool's group.
     pub fn observe_owner_record(&self, pool: &PoolId, member: SmolStr) {
         let is_other = matches!(
             Owner::classify(Some(member.clone()), &self.member),
@@ -272,7 +279,7 @@
 
     fn apply_owner(&self, pool: &PoolId, owner: Option<SmolStr>) {
         match Owner::classify(owner, &self.member) {
-            // The store is behind: it has not heard of the successor yet.
+            // The store is out of date: the successor has not registered yet.
             Owner::Other(address) if self.links.is_superseded(pool, address) => {
                 self.vacant.borrow_mut().remove(pool);
             }
@@ -285,7 +292,7 @@
                 self.orphaned.borrow_mut().insert(pool.clone(), member);
                 self.pool_available.notify();
             }
-            // The last owner may serve on until a new one takes over: its link stays.
+            // The link stays open: the last owner may continue to serve until a new one takes over.
             Owner::Vacant | Owner::ThisProcess => {
                 self.vacant.borrow_mut().insert(pool.clone());
                 self.pool_available.notify();
--- a/crates/onyxshed-host/src/directory/lookup.rs
+++ b/crates/onyxshed-host/src/directory/lookup.rs
@@ -1,40 +1,42 @@
-//! How often a host looks up the owner of a pool in the store.
+//! Intervals at which a host looks up the owner of a pool in the store.
 //!
-//! Answers size: every host knows the owner of every pool, so the lookups of all hosts together grow
-//! with hosts times pools. Owners announce their end over their links and their beginning in a record
-//! that every host follows; a lookup only finds what neither announces, and comes the later the more
-//! pools there are.
+//! Every host knows the owner of every pool, so the lookups of all hosts grow with hosts times
+//! pools. An owner announces that it stops over its links, and that it has started in a record that
+//! every host reads. Lookups only have to find the changes that are announced in neither way, so
+//! their interval grows with the number of pools.
 
 use onyxshed_core::Millis;
 
-/// Time between two lookups of a pool in the host's own zone whose owner does not answer or is
-/// stopping: callers are refused until a new one is found.
+/// Lookup interval for a pool of the host's own zone whose owner does not answer or is stopping:
+/// callers are rejected until a new owner is found.
 const UNSETTLED_LOCAL_INTERVAL: Millis = Millis(100);
 
-/// The same for a pool of another zone, whose new owner announces itself.
+/// Lookup interval for a pool of another zone whose owner does not answer or is stopping. The new
+/// owner announces itself.
 const UNSETTLED_REMOTE_INTERVAL: Millis = Millis(500);
 
-/// Time between two lookups of a pool in the host's own zone whose owner answers and means to stay.
-/// Finds a living owner whose membership in the store has lapsed.
+/// Lookup interval for a pool of the host's own zone whose owner answers and is not stopping.
+/// Detects a running owner whose membership in the store has expired.
 const SETTLED_LOCAL_INTERVAL: Millis = Millis(2_000);
 
-/// The same for a pool of another zone, which this host never owns.
+/// Lookup interval for a pool of another zone whose owner answers and is not stopping. This host
+/// never owns such a pool.
 const SETTLED_REMOTE_INTERVAL: Millis = Millis(20_000);
 
-/// Pools up to which these intervals hold; with more they grow in proportion.
+/// Number of pools up to which these intervals apply; with more pools they grow in proportion.
 const POOLS_AT_FULL_RATE: usize = 4;
 
-/// Longest time without any lookup.
+/// Maximum time without any lookup.
 pub const LOOKUP_INTERVAL_MAX: Millis = SETTLED_LOCAL_INTERVAL;
 
-/// What a host knows of the owner of a pool.
+/// Status of the owner of a pool, as known to a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnerStatus {
     /// This host is the owner.
     Owned,
-    /// The pool is in this host's zone; its owner answers and means to stay.
+    /// The pool is in this host's zone; its owner answers and is not stopping.
     SettledLocal,
-    /// The pool is in another zone; its owner answers and means to stay.
+    /// The pool is in another zone; its owner answers and is not stopping.
     SettledRemote,
     /// The pool is in this host's zone; its owner is unknown, does not answer or is stopping.
     UnsettledLocal,
@@ -43,7 +45,8 @@
 }
 
 impl OwnerStatus {
-    /// Gets the time between two lookups, given the number of pools; none if no lookup is needed.
+    /// Returns the time between two lookups for a given number of pools, or `None` if no lookup is
+    /// needed.
     pub fn lookup_interval(self, pools: usize) -> Option<Millis> {
         let interval = match self {
             OwnerStatus::Owned => return None,
@@ -52,7 +55,7 @@
             OwnerStatus::UnsettledLocal => UNSETTLED_LOCAL_INTERVAL,
             OwnerStatus::UnsettledRemote => UNSETTLED_REMOTE_INTERVAL,
         };
-        let crowd = u64::try_from(pools.div_ceil(POOLS_AT_FULL_RATE)).unwrap_or(1);
-        Some(Millis(interval.0 * crowd.max(1)))
+        let scale = u64::try_from(pools.div_ceil(POOLS_AT_FULL_RATE)).unwrap_or(1);
+        Some(Millis(interval.0 * scale.max(1)))
     }
 }
--- a/crates/onyxshed-host/src/engine.rs
+++ b/crates/onyxshed-host/src/engine.rs
@@ -1,8 +1,8 @@
-//! Runs the decisions of the pool that this host owns.
+//! Drives the state machine of the pool that this host owns.
 //!
-//! Each call to an executor is a task of its own; what comes of it goes back into the decisions,
-//! whose actions become the next calls. Calls made under an earlier token are ignored when they
-//! come back.
+//! Each call to an executor runs as a separate asynchronous task. Its result is passed to the state
+//! machine, whose actions become the next calls. Results of calls that were made under an earlier
+//! fencing token are ignored.
 
 mod calls;
 
@@ -30,30 +30,33 @@
 use crate::measures::HostMetrics;
 use crate::names::ENGINE;
 
-/// Time between two looks at what is due.
+/// Interval at which the pool's timers are evaluated.
 const TICK_PERIOD: Duration = Duration::from_millis(20);
 
-/// Longest time to open a connection to an executor; a fresh one takes up to 20 ms across zones.
+/// Timeout for opening a connection to an executor; a new connection takes up to 20 ms across
+/// zones.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Idle connections kept for each executor: one that holds, and one for each of the starts and
-/// stops that usually come together.
+/// Number of idle connections that are kept per executor: one for the pending hold, and one for
+/// each of the starts and stops that are usually sent together.
 const IDLE_CONNECTIONS: usize = 4;
 
-/// How long a stopping owner waits for the jobs of its pool.
+/// How long a stopping owner waits for the jobs of its pool to end.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// How long a stopping owner that nobody takes over from serves on after its own callers are gone:
-/// with the balancer's notice some 3,700 ms of the platform's grace of 6,000, whose rest its last jobs
-/// get. A zone that is cut off from the store has no next owner until the cut heals.
+/// How long a stopping owner continues to serve without a successor after its own callers are gone.
+///
+/// Together with the time that the balancer needs to notice, this takes about 3,700 ms of the
+/// platform's grace period of 6,000 ms; the last jobs get the rest. A zone that is partitioned from
+/// the store has no next owner until the partition heals.
 const SUCCESSOR_WAIT_MAX: Duration = Duration::from_millis(1_500);
 
-/// How often a stopping owner looks whether its jobs have ended.
+/// Interval at which a stopping owner checks whether its jobs have ended.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
 type PendingReplies = BTreeMap<(PeerIncarnation, SubmissionNumber), Sender<JobEnd>>;
 
-/// Handle to the pool that this host owns.
+/// Handle to the pool that this host owns, if it owns one.
 pub struct Engine {
     kernel: Kernel,
     incarnation: PeerIncarnation,
@@ -63,24 +66,24 @@
     pending_replies: RefCell<PendingReplies>,
     connections: RefCell<BTreeMap<ExecutorId, Rc<ConnectionPool>>>,
     was_fenced: Cell<bool>,
-    /// Owners before this one that the store may still list, while this one is a successor that the store
-    /// does not know.
+    /// Member names of previous owners that the store may still list; empty unless this owner is a
+    /// successor that is not registered in the store yet.
     past_members: RefCell<Vec<SmolStr>>,
     evacuations: Rc<ZoneEvacuations>,
     metrics: HostMetrics,
 }
 
 impl Engine {
-    /// Makes the handle of a host that owns nothing yet.
+    /// Creates the handle of a host that owns no pool yet.
     pub fn new(
         kernel: &Kernel,
-        own: PeerIncarnation,
+        incarnation: PeerIncarnation,
         options: PoolOptions,
         evacuations: Rc<ZoneEvacuations>,
     ) -> Rc<Self> {
         Rc::new(Engine {
             kernel: kernel.clone(),
-            incarnation: own,
+            incarnation,
             options,
             pool: RefCell::default(),
             owned_pool: RefCell::default(),
@@ -93,34 +96,36 @@
         })
     }
 
-    /// Gets this run of this host.
+    /// Returns the incarnation of this host, which is new for each start of its process.
     pub fn incarnation(&self) -> PeerIncarnation {
         self.incarnation
     }
 
-    /// Gets the pool owned, none if this host owns none.
+    /// Returns the pool that this host owns, or `None` if it owns none.
     pub fn owned_pool(&self) -> Option<PoolId> {
         self.owned_pool.borrow().clone()
     }
 
-    /// Gets the token of the pool owned, none if this host owns none.
+    /// Returns the fencing token of the owned pool, or `None` if this host owns none.
     pub fn token(&self) -> Option<FencingToken> {
         self.pool.borrow().as_ref().map(Pool::token)
     }
 
-    /// Gets how many executors and jobs the pool has.
+    /// Returns the number of executors and the number of unfinished jobs of the owned pool; both
+    /// are 0 if this host owns none.
     pub fn counts(&self) -> (usize, usize) {
         let pool = self.pool.borrow();
         pool.as_ref()
             .map_or((0, 0), |pool| (pool.executors(), pool.job_count()))
     }
 
-    /// Tells, once, whether an executor refused this host's token.
+    /// Returns whether an executor has refused this host's fencing token, and resets the flag.
     pub fn take_fenced(&self) -> bool {
         self.was_fenced.take()
     }
 
-    /// Begins to own the pool; the last owner may still answer and use some of its executors.
+    /// Becomes the owner of a pool. If `last_owner_answers`, the previous owner may still use some
+    /// of the pool's executors, which are left to it until it releases them.
     pub fn acquire_pool(
         self: &Rc<Self>,
         token: FencingToken,
@@ -128,7 +133,7 @@
         last_owner_answers: bool,
     ) {
         let detail = match last_owner_answers {
-            true => format_smolstr!("pool {id}, token {token}, from an owner that answers"),
+            true => format_smolstr!("pool {id}, token {token}, previous owner answers"),
             false => format_smolstr!("pool {id}, token {token}"),
         };
         *self.owned_pool.borrow_mut() = Some(id);
@@ -148,8 +153,9 @@
             .emit(Event::new(EventKind::PoolOwned).detail(detail));
     }
 
-    /// Gives the pool up; the fate of its jobs is unknown.
-    pub fn step_down(self: &Rc<Self>, why: &'static str) {
+    /// Gives up ownership of the pool, if one is owned. The outcome of its unfinished jobs is
+    /// reported as unknown.
+    pub fn step_down(self: &Rc<Self>, reason: &'static str) {
         let Some(mut pool) = self.pool.borrow_mut().take() else {
             return;
         };
@@ -159,73 +165,79 @@
         let actions = pool.step_down();
         self.execute(token, actions);
         self.connections.borrow_mut().clear();
-        let detail = format_smolstr!("{why}, token {token}, {jobs} jobs");
+        let detail = format_smolstr!("{reason}, token {token}, {jobs} jobs");
         self.kernel
             .emit(Event::new(EventKind::PoolGivenUp).detail(detail));
     }
 
-    /// Says that this owner wants to be replaced; it serves on until then.
+    /// Announces that this owner wants to be replaced. It continues to serve until another host
+    /// takes over.
     pub fn begin_drain(&self) {
         if let Some(pool) = self.pool.borrow_mut().as_mut() {
             pool.begin_drain();
         }
     }
 
-    /// Tells whether the next owner is taking the pool over.
+    /// Returns whether the next owner is taking over the pool.
     pub fn is_releasing(&self) -> bool {
         let pool = self.pool.borrow();
         pool.as_ref().is_some_and(Pool::is_releasing)
     }
 
-    /// Tells whether the pool takes no jobs any more.
+    /// Returns whether the pool has stopped accepting jobs.
     pub fn is_closed(&self) -> bool {
         let pool = self.pool.borrow();
         pool.as_ref().is_some_and(Pool::is_closed)
     }
 
-    /// Tells whether a pool is owned here and takes jobs.
+    /// Returns whether this host owns a pool and has not begun to release it to the next owner.
     pub fn serves(&self, pool: &PoolId) -> bool {
         self.owned_pool.borrow().as_ref() == Some(pool) && !self.is_releasing()
     }
 
-    /// Lets go of what the next owner may take, and gets what it may not take yet; none if no pool
-    /// is owned or the asker's token is no later one.
+    /// Releases idle executors to the next owner, and returns those that this owner still uses.
+    ///
+    /// Returns `None` if no pool is owned or if the token of the next owner is not higher than this
+    /// one's.
     pub fn release(self: &Rc<Self>, next: FencingToken) -> Option<Vec<ExecutorId>> {
         if self.token().is_none_or(|token| token >= next) {
             return None;
         }
-        let mut held = Vec::new();
+        let mut used = Vec::new();
         self.dispatch_event(|pool| {
-            let (actions, still_held) = pool.release(boot_clock::now(), next);
-            held = still_held;
+            let (actions, still_used) = pool.release(boot_clock::now(), next);
+            used = still_used;
             actions
         });
-        Some(held)
+        Some(used)
     }
 
-    /// Takes in which executors the last owner still uses.
+    /// Sets the executors that the previous owner still uses; ignored if `token` is not the current
+    /// one.
     pub fn apply_predecessor_executors(
         self: &Rc<Self>,
         token: FencingToken,
-        held: BTreeSet<ExecutorId>,
+        executors: BTreeSet<ExecutorId>,
     ) {
         self.dispatch_call_result(token, |pool| {
-            pool.apply_predecessor_executors(boot_clock::now(), held)
+            pool.apply_predecessor_executors(boot_clock::now(), executors)
         });
     }
 
-    /// Feeds the decisions and carries out what they say; nothing if no pool is owned.
+    /// Passes an input to the pool's state machine and executes the resulting actions. Does nothing
+    /// if no pool is owned.
     fn dispatch_event(self: &Rc<Self>, event: impl FnOnce(&mut Pool) -> Vec<Action>) {
-        let fed = {
+        let result = {
             let mut pool = self.pool.borrow_mut();
             pool.as_mut().map(|pool| (pool.token(), event(pool)))
         };
-        if let Some((token, actions)) = fed {
+        if let Some((token, actions)) = result {
             self.execute(token, actions);
         }
     }
 
-    /// Feeds what came of a call that was made under a token.
+    /// Passes the result of a call to the pool's state machine, unless the call was made under a
+    /// fencing token other than the current one.
     fn dispatch_call_result(
         self: &Rc<Self>,
         token: FencingToken,
@@ -250,7 +262,7 @@
                 } => self.deliver(peer, submission, end),
                 Action::StepDown => {
                     self.was_fenced.set(true);
-                    self.step_down("another host owns it");
+                    self.step_down("another host owns the pool");
                 }
                 Action::Log(decision) => self.log_decision(token, &decision),
             }
@@ -270,17 +282,17 @@
             .borrow_mut()
             .remove(&(peer, submission))
         {
-            // The receiver is gone when its caller has left; nobody wants the answer then.
+            // Fails if the caller has disconnected, which drops the receiver.
             let _ = sender.try_send(end);
         }
     }
 
-    /// Takes in a job and gets what its end will come through.
+    /// Submits a job, and returns the channel on which its end is delivered.
     pub fn submit(self: &Rc<Self>, session: Session, request: JobRequest) -> Receiver<JobEnd> {
         let (sender, receiver) = async_channel::bounded(1);
         if self.pool.borrow().is_none() {
             let end = JobEnd::NotRun(NotRunReason::NotOwner, onyxshed_core::Millis(0));
-            // The channel has room for the one answer.
+            // Cannot fail: the channel has capacity for the single reply.
             let _ = sender.try_send(end);
             return receiver;
         }
@@ -290,7 +302,7 @@
         receiver
     }
 
-    /// Gives up a job for its entry host.
+    /// Cancels a job on behalf of its entry host.
     pub fn cancel(
         self: &Rc<Self>,
         peer: PeerIncarnation,
@@ -304,76 +316,77 @@
             .remove(&(peer, submission));
     }
 
-    /// Notes that an entry host was heard, with what it offers; its session, none if no pool is
-    /// owned.
+    /// Records a heartbeat of an entry host, with its offer to become the successor. Returns the
+    /// host's session, or `None` if no pool is owned.
     pub fn record_peer_contact(
         &self,
-        life: PeerIncarnation,
+        peer: PeerIncarnation,
         offer: Option<SuccessorOffer>,
     ) -> Option<Session> {
         let mut pool = self.pool.borrow_mut();
         pool.as_mut()
-            .map(|pool| pool.record_peer_contact(boot_clock::now(), life, offer))
+            .map(|pool| pool.record_peer_contact(boot_clock::now(), peer, offer))
     }
 
-    /// Says whether a successor is needed, for want of the store.
-    pub fn set_successor_needed(&self, is_sought: bool) {
+    /// Sets whether this owner needs a successor because the store has not appointed a new owner.
+    pub fn set_successor_needed(&self, is_needed: bool) {
         if let Some(pool) = self.pool.borrow_mut().as_mut() {
-            pool.set_successor_needed(is_sought);
+            pool.set_successor_needed(is_needed);
         }
     }
 
-    /// Gets what a host that was just heard is given, if it is the successor.
+    /// Returns the ownership transfer for a host that has just sent a heartbeat, or `None` if that
+    /// host is not the successor.
     pub fn transfer_ownership(
         &self,
-        life: PeerIncarnation,
+        peer: PeerIncarnation,
         own_member: &SmolStr,
     ) -> Option<OwnershipTransfer> {
         let mut pool = self.pool.borrow_mut();
         let mut members = self.past_members();
         members.push(own_member.clone());
         pool.as_mut()
-            .and_then(|pool| pool.transfer_ownership(boot_clock::now(), life, members))
+            .and_then(|pool| pool.transfer_ownership(boot_clock::now(), peer, members))
     }
 
-    /// Gets the owners before this one that the store may still list; none unless this one is a successor
-    /// that the store does not know.
+    /// Returns the member names of previous owners that the store may still list; empty unless this
+    /// owner is a successor that is not registered in the store yet.
     pub fn past_members(&self) -> Vec<SmolStr> {
         self.past_members.borrow().clone()
     }
 
-    /// Sets the owners before this one that the store may still list.
+    /// Sets the member names of previous owners that the store may still list.
     pub fn set_past_members(&self, members: Vec<SmolStr>) {
         *self.past_members.borrow_mut() = members;
     }
 
-    /// Notes that the list of the pool's executors was read.
+    /// Records that the list of the pool's executors has been read.
     pub fn mark_executors_read(&self) {
         if let Some(pool) = self.pool.borrow_mut().as_mut() {
             pool.mark_executors_read();
         }
     }
 
-    /// Sums up the pool, none if no pool is owned.
+    /// Returns the load report of the pool, or `None` if no pool is owned.
     pub fn load(&self) -> Option<PoolLoad> {
         let pool = self.pool.borrow();
         pool.as_ref().map(|pool| pool.load(boot_clock::now()))
     }
 
-    /// Takes in an executor as the platform lists it.
+    /// Adds or updates an executor as the platform lists it.
     pub fn list_executor(self: &Rc<Self>, id: ExecutorId, facts: ExecutorFacts) {
         self.update_connections(&id, &facts);
         self.dispatch_event(|pool| pool.list_executor(boot_clock::now(), id, facts));
     }
 
-    /// Takes in that an executor is no longer listed.
+    /// Removes an executor that the platform no longer lists.
     pub fn unlist_executor(self: &Rc<Self>, id: &ExecutorId) {
         self.dispatch_event(|pool| pool.unlist_executor(boot_clock::now(), id));
     }
 
     fn update_connections(&self, id: &ExecutorId, facts: &ExecutorFacts) {
-        let mut held = self.connections.borrow_mut();
-        if held
+        let mut connections = self.connections.borrow_mut();
+        if connections
             .get(id)
             .is_some_and(|pool| pool.address() == facts.address)
         {
@@ -384,10 +397,10 @@
             ..ClientOptions::default()
         };
         let pool = ConnectionPool::new(facts.address, options, IDLE_CONNECTIONS);
-        held.insert(id.clone(), Rc::new(pool));
+        connections.insert(id.clone(), Rc::new(pool));
     }
 
-    /// Passes on whether the pool's zone is evacuated.
+    /// Updates the pool's state machine with whether its zone is evacuated.
     fn update_evacuation(self: &Rc<Self>) {
         let owned = self.owned_pool();
         let is_evacuated = owned.is_some_and(|pool| self.evacuations.contains(&pool.zone));
@@ -403,13 +416,13 @@
     }
 }
 
-/// The owned pool as a service.
+/// Service that registers the [`Engine`] and drains its pool at shutdown.
 pub struct EngineService {
     engine: Rc<Engine>,
 }
 
 impl EngineService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(engine: Rc<Engine>) -> Self {
         EngineService { engine }
     }
@@ -430,12 +443,13 @@
         })
     }
 
-    /// Serves on for a while if no other host takes the pool over, then waits for its last jobs.
+    /// Continues to serve for up to [`SUCCESSOR_WAIT_MAX`] until another host takes over the pool,
+    /// then rejects new jobs and waits for the last ones to end.
     fn drain<'a>(&'a self, _kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async move {
-            let close_at = Instant::now() + SUCCESSOR_WAIT_MAX;
+            let drain_at = Instant::now() + SUCCESSOR_WAIT_MAX;
             let owns = || self.engine.owned_pool().is_some() && !self.engine.is_releasing();
-            while owns() && Instant::now() < close_at {
+            while owns() && Instant::now() < drain_at {
                 Timer::after(DRAIN_POLL).await;
             }
             if let Some(pool) = self.engine.pool.borrow_mut().as_mut() {
--- a/crates/onyxshed-host/src/engine/calls.rs
+++ b/crates/onyxshed-host/src/engine/calls.rs
@@ -1,4 +1,5 @@
-//! Orders to executors, each as a task of its own.
+//! Orders to executors. Each order runs as a separate asynchronous task, which passes the answer to
+//! the pool's state machine.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,14 +17,17 @@
 use crate::boot_clock;
 use crate::measures::OrderKind;
 
-/// How long the answer to a start or a stop may take before the order is sent again, which changes
-/// nothing if it was carried out. An executor answers within 10 ms; an answer that came while this
-/// host stood still counts, however late it is read. A job of many short tasks has little time to
-/// spare, and is late as soon as one of its orders waits for long.
+/// Timeout of a start or stop order, after which the idempotent order is sent again.
+///
+/// An executor answers within 10 ms. An answer that arrives while this host is paused counts,
+/// however late it is read. A job of many short tasks has little slack and misses its objective as
+/// soon as one of its orders is delayed.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Time without an answer after which a connection is replaced rather than trusted. Connections
-/// may go silent for good while new ones work; a start on one loses the order's timeout.
+/// Time without an answer after which a connection is replaced instead of reused.
+///
+/// Existing connections may stop delivering data for good while new ones work; a start order on
+/// such a connection is delayed by its timeout.
 const CONNECTION_PROVEN_WITHIN: Duration = Duration::from_secs(8);
 
 impl Engine {
@@ -37,8 +41,8 @@
         let call = async move {
             let sent_at = boot_clock::now();
             let answer = engine.start(&id, &order).await;
-            let took = boot_clock::now().since(sent_at);
-            engine.metrics.record_order(OrderKind::Start, took);
+            let elapsed = boot_clock::now().since(sent_at);
+            engine.metrics.record_order(OrderKind::Start, elapsed);
             engine.dispatch_call_result(token, |pool| {
                 pool.apply_start_answer(boot_clock::now(), &id, order.task, order.run, &answer)
             });
@@ -70,8 +74,8 @@
         let call = async move {
             let sent_at = boot_clock::now();
             let answer = engine.stop(&id, &order).await;
-            let took = boot_clock::now().since(sent_at);
-            engine.metrics.record_order(OrderKind::Stop, took);
+            let elapsed = boot_clock::now().since(sent_at);
+            engine.metrics.record_order(OrderKind::Stop, elapsed);
             engine.dispatch_call_result(token, |pool| {
                 pool.apply_stop_answer(boot_clock::now(), &id, order.task, order.run, answer)
             });
@@ -121,10 +125,10 @@
         }
     }
 
-    /// Makes a call on a connection to an executor; none where no connection can be had.
+    /// Makes a call on a connection to an executor. Returns `None` if no connection can be opened.
     ///
-    /// The connection is kept if it is still of use; otherwise the idle ones go too, since what
-    /// made one silent may have made all of them silent.
+    /// The connection is returned to the pool if it can be reused. Otherwise all idle connections
+    /// are closed too, since the fault that made one of them unresponsive may affect all of them.
     async fn call_executor<T>(
         &self,
         id: &ExecutorId,
@@ -136,8 +140,8 @@
             .await
             .ok()?;
         let answer = call(&mut connection).await;
-        let is_of_use = answer.as_ref().err().is_none_or(Error::keeps_connection);
-        match is_of_use {
+        let is_reusable = answer.as_ref().err().is_none_or(Error::keeps_connection);
+        match is_reusable {
             true => pool.put(connection),
             false => pool.clear(),
         }
--- a/crates/onyxshed-host/src/evacuations.rs
+++ b/crates/onyxshed-host/src/evacuations.rs
@@ -1,7 +1,7 @@
-//! Availability zones that operators have evacuated, as this host knows them.
+//! Availability zones that operators have evacuated, as known to this host.
 //!
-//! The store tells them, and other hosts do: one that loses the store learns of an evacuation from the
-//! owners and entry hosts that it talks to.
+//! Evacuations are read from the store and exchanged with peers: a host that cannot reach the store
+//! receives them from the owners and entry hosts that it is connected to.
 
 use std::cell::{Ref, RefCell};
 use std::rc::Rc;
@@ -14,10 +14,10 @@
 use onyxshed_telemetry::metric;
 use smol_str::{SmolStr, format_smolstr};
 
-/// Gauge of the zones that are evacuated by this host's knowledge.
+/// Name of the gauge of the evacuated zones that this host knows.
 pub const EVACUATED_ZONES: &str = "onyxshed_evacuated_zones";
 
-/// Handle to the evacuations known.
+/// Handle to the known evacuations.
 pub struct ZoneEvacuations {
     kernel: Kernel,
     zones: Vec<SmolStr>,
@@ -26,7 +26,7 @@
 }
 
 impl ZoneEvacuations {
-    /// Makes the handle for a deployment's zones, none of which is known to be evacuated.
+    /// Creates the handle for a deployment's zones, none of which is known to be evacuated.
     pub fn new(kernel: &Kernel, zones: Vec<SmolStr>) -> Rc<Self> {
         let text = "Availability zones that are evacuated.";
         Rc::new(ZoneEvacuations {
@@ -37,36 +37,36 @@
         })
     }
 
-    /// Tells whether a zone is evacuated.
+    /// Returns whether a zone is evacuated.
     pub fn contains(&self, zone: &str) -> bool {
         self.known.borrow().contains(zone)
     }
 
-    /// Tells whether every zone of the deployment is evacuated.
+    /// Returns whether every zone of the deployment is evacuated.
     pub fn covers_deployment(&self) -> bool {
         let known = self.known.borrow();
         self.zones.iter().all(|zone| known.contains(zone))
     }
 
-    /// Gets everything known.
+    /// Returns the state of all known evacuations.
     pub fn known(&self) -> Ref<'_, Evacuations> {
         self.known.borrow()
     }
 
-    /// Gets the records that other hosts are told.
+    /// Returns the records that are sent to peers.
     pub fn records(&self) -> Vec<EvacuationRecord> {
         self.known.borrow().records()
     }
 
-    /// Takes in records, and who told them.
-    pub fn apply(&self, records: impl IntoIterator<Item = EvacuationRecord>, from: &str) {
+    /// Applies records and logs the changes; `source` names their source in the log.
+    pub fn apply(&self, records: impl IntoIterator<Item = EvacuationRecord>, source: &str) {
         for record in records {
             let change = self.known.borrow_mut().apply(record);
-            self.log_change(change, from);
+            self.log_change(change, source);
         }
     }
 
-    /// Takes in everything that the store lists.
+    /// Applies a snapshot of the store's records; ignored if it has no time.
     pub fn apply_snapshot(&self, snapshot: EvacuationSnapshot) {
         let Some(at) = snapshot.at else {
             return;
@@ -77,15 +77,15 @@
         }
     }
 
-    fn log_change(&self, change: EvacuationChange, from: &str) {
+    fn log_change(&self, change: EvacuationChange, source: &str) {
         let (kind, zone) = match change {
             EvacuationChange::Unchanged => return,
             EvacuationChange::Evacuated(zone) => (EventKind::ZoneEvacuated, zone),
             EvacuationChange::Restored(zone) => (EventKind::ZoneRestored, zone),
         };
         let detail = match self.zones.contains(&zone) {
-            true => format_smolstr!("from {from}"),
-            false => format_smolstr!("from {from}; no such zone"),
+            true => format_smolstr!("from {source}"),
+            false => format_smolstr!("from {source}; no such zone"),
         };
         let event = Event::new(kind).party(zone).detail(detail);
         self.kernel.emit(event);
@@ -99,7 +99,7 @@
             .iter()
             .filter(|zone| known.contains(zone))
             .count();
-        // A deployment has a handful of zones.
+        // The conversion does not fail: a deployment has a handful of zones.
         self.evacuated_gauge
             .set(f64::from(u32::try_from(count).unwrap_or(u32::MAX)));
     }
--- a/crates/onyxshed-host/src/executors.rs
+++ b/crates/onyxshed-host/src/executors.rs
@@ -1,4 +1,7 @@
-//! Follows the executors' entries in the platform's store, while this host owns a pool.
+//! Follows the executors' entries in the platform's store while this host owns a pool.
+//!
+//! A follower runs for each period of ownership, and passes the executors of the pool to the
+//! engine.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,40 +21,40 @@
 use crate::shard_layouts::ShardLayouts;
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 
-/// Time between two reads. A heartbeat of each executor comes every 1.5 s; a draining executor
-/// must get no new task after 2 s.
+/// Interval between two reads. Each executor sends a heartbeat every 1.5 s; a draining executor
+/// must receive no new task after 2 s.
 const READ_PERIOD: Duration = Duration::from_millis(300);
 
-/// Most unreadable entries that are remembered, and told of.
+/// Maximum number of unreadable entries that are tracked and logged.
 const UNREADABLE_MAX: usize = 64;
 
-/// The list of all executors, as it is being read.
+/// A pending read of the list of all executors.
 pub type ExecutorsRead = Task<onyxshed_adapter::Result<Records>>;
 
-/// Executors that a new owner knows when it begins.
+/// Executors that a new owner knows at its start.
 pub enum InitialExecutors {
-    /// None.
+    /// The owner knows no executors yet.
     None,
-    /// The list, as it is being read.
+    /// The list of all executors, whose read has been started.
     Reading(ExecutorsRead),
-    /// Those of its predecessor.
+    /// The executors that the previous owner has sent with the ownership transfer.
     FromPredecessor(Vec<(ExecutorId, ExecutorFacts)>),
 }
 
-/// Tries to read the list of all executors.
+/// Reads the list of all executors from the store.
 pub async fn read_all(address: SocketAddr) -> onyxshed_adapter::Result<Records> {
     Store::new(address)
         .newest(EXECUTORS_TOPIC, ANSWER_TIMEOUT)
         .await
 }
 
-/// Follows the entries for one pool until it has another owner.
+/// Follows the executors' entries for one pool until this host no longer owns it under `token`.
 pub async fn follow(
     kernel: Kernel,
     engine: Rc<Engine>,
-    divisions: Rc<ShardLayouts>,
-    (token, pool, division): (FencingToken, PoolId, ShardLayout),
-    known: InitialExecutors,
+    shard_layouts: Rc<ShardLayouts>,
+    (token, pool, layout): (FencingToken, PoolId, ShardLayout),
+    initial: InitialExecutors,
     address: SocketAddr,
 ) {
     let watch = StoreWatch::new(&kernel, "executors");
@@ -59,25 +62,25 @@
     let mut follower = Follower {
         kernel,
         engine,
-        shard_layouts: divisions,
+        shard_layouts,
         token,
         pool,
-        layout: division,
+        layout,
         pool_executors: BTreeSet::new(),
         zone_executors: BTreeSet::new(),
         unreadable: BTreeSet::new(),
     };
-    let mut list = match known {
+    let mut list = match initial {
         InitialExecutors::None => None,
         InitialExecutors::Reading(list) => Some(list),
-        InitialExecutors::FromPredecessor(known) => {
-            follower.apply_predecessor_list(known);
+        InitialExecutors::FromPredecessor(initial) => {
+            follower.apply_predecessor_list(initial);
             None
         }
     };
     while follower.is_owner() {
-        let followed = follower.follow_once(&mut store, &watch, list.take()).await;
-        let Err(error) = followed else {
+        let result = follower.follow_once(&mut store, &watch, list.take()).await;
+        let Err(error) = result else {
             return;
         };
         watch.pause_before_reread(&error).await;
@@ -91,11 +94,11 @@
     token: FencingToken,
     pool: PoolId,
     layout: ShardLayout,
-    /// Executors of the pool.
+    /// Executors that are listed for the pool.
     pool_executors: BTreeSet<SmolStr>,
-    /// Executors of the whole zone, by which it is divided.
+    /// Executors of the whole zone, whose number determines the shard layout.
     zone_executors: BTreeSet<SmolStr>,
-    /// Ids whose newest entry can't be read.
+    /// Ids of the executors whose newest entry cannot be parsed.
     unreadable: BTreeSet<SmolStr>,
 }
 
@@ -104,8 +107,9 @@
         self.engine.token() == Some(self.token)
     }
 
-    /// Reads the newest state, unless that has begun before, and every change from there on, until a call
-    /// fails; ends well when the pool has another owner.
+    /// Reads the newest state, or waits for `list` if that read has been started, and then every
+    /// change until a call fails. Returns `Ok` when this host no longer owns the pool under this
+    /// token.
     async fn follow_once(
         &mut self,
         store: &mut Store,
@@ -135,46 +139,47 @@
         Ok(())
     }
 
-    /// Gives the pool up if its zone has another division by now; the owner of the zone's first
-    /// pool makes one when the number of executors asks for it.
+    /// Gives up the pool and returns `true` if the shard layout of its zone has changed. The owner
+    /// of the zone's first pool publishes a new layout when the number of executors requires one.
     async fn step_down_if_resharded(&self, store: &mut Store) -> onyxshed_adapter::Result<bool> {
         if self.pool.index == 0
-            && let Some(renewed) = self.layout.resharded(self.zone_executors.len())
+            && let Some(new_layout) = self.layout.resharded(self.zone_executors.len())
         {
             self.shard_layouts
-                .publish(store, &self.pool.zone, renewed)
+                .publish(store, &self.pool.zone, new_layout)
                 .await?;
         }
-        let is_new = self.shard_layouts.layout_of(&self.pool.zone) != self.layout;
-        if is_new {
-            self.engine.step_down("the zone is divided anew");
+        let is_resharded = self.shard_layouts.layout_of(&self.pool.zone) != self.layout;
+        if is_resharded {
+            self.engine.step_down("the zone was resharded");
         }
-        Ok(is_new)
+        Ok(is_resharded)
     }
 
-    /// Takes in what the last owner has told; the store's list corrects it when it can be read.
-    fn apply_predecessor_list(&mut self, known: Vec<(ExecutorId, ExecutorFacts)>) {
-        if known.is_empty() {
+    /// Applies the executors that the previous owner has sent. The store's list corrects them once
+    /// it can be read.
+    fn apply_predecessor_list(&mut self, executors: Vec<(ExecutorId, ExecutorFacts)>) {
+        if executors.is_empty() {
             return;
         }
-        for (id, facts) in known {
+        for (id, facts) in executors {
             self.pool_executors.insert(id.0.clone());
             self.engine.list_executor(id, facts);
         }
         self.engine.mark_executors_read();
     }
 
-    /// Takes in the whole list: whoever is not on it is no longer listed.
+    /// Applies the complete list, and removes the executors that it does not contain.
     fn apply_snapshot(&mut self, records: &[KeyedRecord]) {
         let present: BTreeSet<&SmolStr> = records.iter().map(|record| &record.key).collect();
-        let gone: Vec<SmolStr> = self
+        let removed: Vec<SmolStr> = self
             .pool_executors
             .iter()
             .filter(|id| !present.contains(id))
             .cloned()
             .collect();
         self.zone_executors.retain(|id| present.contains(id));
-        for id in gone {
+        for id in removed {
             self.unlist(&id);
         }
         records.iter().for_each(|record| self.apply_record(record));
@@ -185,8 +190,8 @@
         let Some(value) = &record.value else {
             return self.unlist(&record.key);
         };
-        // An entry that can't be read comes from a foreign writer and names no executor; what is
-        // known of an executor of that id stays.
+        // An entry that cannot be parsed comes from a foreign writer and describes no executor.
+        // Known facts about an executor of that id are kept.
         let entry = match ExecutorEntry::parse(value) {
             Ok(entry) => entry,
             Err(error) => return self.log_unreadable(&record.key, &error),
@@ -204,7 +209,7 @@
         self.engine.list_executor(id, facts_of(entry));
     }
 
-    /// Writes one line for an entry that can't be read, until it can.
+    /// Logs an entry that cannot be parsed, once until it can be parsed again.
     fn log_unreadable(&mut self, id: &SmolStr, error: &Error) {
         if self.unreadable.len() < UNREADABLE_MAX && self.unreadable.insert(id.clone()) {
             let event = Event::new(EventKind::PoolExecutorUnreadable).party(id.clone());
--- a/crates/onyxshed-host/src/last_owner.rs
+++ b/crates/onyxshed-host/src/last_owner.rs
@@ -1,8 +1,8 @@
-//! Who owned a pool last, as the owners write it into the store.
+//! Owner records: each new owner of a pool writes its member name into the store.
 //!
-//! The store's books show who holds a pool's partition now. When they show nobody, the last owner
-//! may serve on all the same: its membership lapsed while the store was away. A host that has just
-//! started has never heard it, and finds it here.
+//! The pool's group shows the current holder of its partition. If it shows none, the last owner may
+//! still be serving, since its membership expires while the store is unavailable. A host that has
+//! just started has no link to that owner and finds its address in the record.
 
 use std::time::Duration;
 
@@ -16,16 +16,16 @@
 use crate::store_watch::ANSWER_TIMEOUT;
 use crate::topic::{TopicOptions, TopicReader};
 
-/// Topic of this system's own records, by pool.
+/// Topic of the owner records, with the pool as key.
 const TOPIC: &str = "keyed.onyxshed.owners";
 
-/// How long a read waits at the store for the record of a new owner.
+/// How long a read waits in the store for the record of a new owner.
 const LONG_POLL_WAIT: Millis = Millis(10_000);
 
-/// Time between two reads while there is no record at all.
+/// Interval between two reads while the topic does not exist.
 const ABSENT_TOPIC_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// Tries to write down who owns a pool from now on, by its member's name in the pool's group.
+/// Writes the owner record of a pool, with the member name of its new owner in the pool's group.
 pub async fn write(store: &mut Store, pool: &PoolId, member: &str) -> onyxshed_adapter::Result<()> {
     let key = format_smolstr!("{pool}");
     let value = member.as_bytes();
@@ -35,7 +35,7 @@
         .map(drop)
 }
 
-/// Tries to read who wrote itself down last; none if nobody ever did.
+/// Reads the member name of a pool's last owner. Returns `None` if the pool has no owner record.
 pub async fn read(store: &mut Store, pool: &PoolId) -> onyxshed_adapter::Result<Option<SmolStr>> {
     let Some(newest) = store.newest_if_any(TOPIC, ANSWER_TIMEOUT).await? else {
         return Ok(None);
@@ -46,20 +46,21 @@
     Ok(record.and_then(member_of))
 }
 
-/// Gets the name of the member that a record holds.
+/// Returns the member name in an owner record, or `None` if the record is empty or not valid UTF-8.
 fn member_of(record: KeyedRecord) -> Option<SmolStr> {
     let bytes = record.value?;
     String::from_utf8(bytes).ok().map(SmolStr::from)
 }
 
-/// How the records of new owners are followed.
+/// Options for following the topic of the owner records.
 pub const TOPIC_OPTIONS: TopicOptions = TopicOptions {
     name: TOPIC,
     wait: LONG_POLL_WAIT,
     absent_period: Some(ABSENT_TOPIC_PERIOD),
 };
 
-/// Passes the records of new owners to the directory. Earlier ones may name owners that are gone.
+/// Passes the records of new owners to the directory. The snapshot is ignored, since it may name
+/// owners that no longer exist.
 impl TopicReader for Directory {
     fn apply_snapshot(&self, _newest: Records) {}
 
--- a/crates/onyxshed-host/src/lib.rs
+++ b/crates/onyxshed-host/src/lib.rs
@@ -1,13 +1,14 @@
-//! `onyxshed-host`: one host of the system on the users' platform.
+//! `onyxshed-host`: the process that runs on each host of the users' platform.
 //!
-//! Every host takes callers' jobs ([`callers`]) and hands each one whole to the owner of a pool of
-//! executors, over a link ([`links`]) or within the process. Each availability zone has a pool, or
-//! several where it is large ([`divisions`]); a pool's owner is the host that holds its partition of
-//! a group in the platform's store ([`directory`], [`ownership`]); a host that
-//! starts while the store is away learns from others what it needs ([`peer_state`]). The owner runs the decisions of `onyxshed-pool` ([`engine`]).
+//! Every host accepts jobs from callers ([`callers`]) and forwards each job as a whole to the owner
+//! of a pool of executors, over a link ([`links`]) or within the process. An availability zone has
+//! one pool, or several if it is large ([`shard_layouts`]). The owner of a pool is the host that
+//! holds the partition of the pool's group in the platform's store ([`directory`], [`ownership`]).
+//! A host that starts while the store is unavailable fetches the state that it needs from peers
+//! ([`peer_state`]). The owner drives the state machine of `onyxshed-pool` ([`engine`]).
 //!
-//! Nothing here decides about tasks: these services turn sockets and timers into events of the
-//! decisions, and their actions into calls.
+//! This crate makes no scheduling decisions. Its services translate socket and timer events into
+//! inputs of the pool's state machine, and the actions that it returns into calls.
 
 pub mod boot_clock;
 pub mod callers;
--- a/crates/onyxshed-host/src/links.rs
+++ b/crates/onyxshed-host/src/links.rs
@@ -1,8 +1,8 @@
 //! Links to the owners of pools, over `capnp-rpc`.
 //!
-//! A link's heartbeats tell the owner that this host lives, and bring back its session and the sum
-//! of its pool. A link that is not answered in time is given up with every job handed over on it:
-//! their fate is unknown, and their callers are told so at once.
+//! The heartbeats of a link show the owner that this host is running. Their replies carry the
+//! session of this host and the load report of the pool. If the owner does not answer in time, the
+//! link goes down, and every job that was submitted on it ends at once with an unknown outcome.
 
 mod port;
 mod remote;
@@ -33,34 +33,35 @@
 
 pub use remote::{RemoteLink, WaiterGuard};
 
-/// Pools whose owners every host may hear at the full rate.
+/// Number of pools up to which every idle link sends heartbeats at the full rate.
 const POOLS_AT_FULL_RATE: u32 = 4;
 
-/// Longest time between two heartbeats on a link that no job waits on.
+/// Maximum interval between two heartbeats on an idle link.
 const IDLE_HEARTBEAT_MAX: Duration = Duration::from_millis(1_000);
 
-/// Most hosts that an owner serves at a time.
+/// Maximum number of hosts that an owner serves at the same time.
 ///
-/// Above it the oldest link makes room for each new one, which loses its jobs. Together with callers and
-/// executors it stays below the descriptors of small hosts (3,075).
+/// Above this limit each new connection closes the oldest one, whose jobs are lost. Together with
+/// the connections of callers and executors the limit stays below the number of file descriptors of
+/// small hosts (3,075).
 pub const PEERS_MAX: usize = 640;
 
-/// Who this host is to others.
+/// Addresses and properties of this host that concern its peers.
 #[derive(Debug, Clone)]
 pub struct LinkOptions {
-    /// Where this host listens for others.
+    /// Address on which this host listens for peers.
     pub address: SocketAddr,
-    /// Where others reach it.
+    /// Address at which peers reach this host.
     pub advertised: SocketAddr,
-    /// Its share of a core, in thousandths.
+    /// CPU share of this host, in thousandths of a core.
     pub cpu_millis: u32,
-    /// This host's zone.
+    /// Availability zone of this host.
     pub zone: SmolStr,
-    /// This host's name.
+    /// Name of this host.
     pub host: SmolStr,
 }
 
-/// Handle to the links.
+/// Handle to the links to all pools' owners.
 pub struct Links {
     kernel: Kernel,
     engine: Rc<Engine>,
@@ -70,27 +71,28 @@
     selector: RefCell<PoolSelector>,
     remote: RefCell<BTreeMap<PoolId, Rc<RemoteLink>>>,
     last_submission: Cell<u64>,
-    /// Pools of which an owner was known at any time.
+    /// Pools of which an owner has been known at any time.
     known_pools: RefCell<BTreeSet<PoolId>>,
-    /// Owners whose successors have taken over, which the store may still name.
+    /// Previous owners that a successor has replaced, which the store may still list.
     superseded: RefCell<BTreeMap<PoolId, SocketAddr>>,
-    /// What this host was made the successor of, until it is taken up.
+    /// The pool of which this host was made the successor and the time of that message, until the
+    /// transfer is taken.
     pending_transfer: RefCell<Option<(Mono, PoolId, OwnershipTransfer)>>,
     transfer_received: Change,
     owner_changed: Change,
 }
 
 impl Links {
-    /// Makes the handle.
+    /// Creates the handle, without any links.
     pub fn new(
         kernel: &Kernel,
         engine: Rc<Engine>,
-        divisions: Rc<ShardLayouts>,
+        shard_layouts: Rc<ShardLayouts>,
         evacuations: Rc<ZoneEvacuations>,
         options: LinkOptions,
     ) -> Rc<Self> {
         Rc::new(Links {
-            shard_layouts: divisions,
+            shard_layouts,
             evacuations,
             kernel: kernel.clone(),
             engine,
@@ -106,18 +108,18 @@
         })
     }
 
-    /// Gets this run of this host.
+    /// Returns the incarnation of this host.
     pub fn incarnation(&self) -> PeerIncarnation {
         self.engine.incarnation()
     }
 
-    /// Numbers a hand-over.
+    /// Returns the number of the next submission.
     pub fn next_submission(&self) -> SubmissionNumber {
         self.last_submission.set(self.last_submission.get() + 1);
         SubmissionNumber(self.last_submission.get())
     }
 
-    /// Gets the pool that this host hands its jobs to first.
+    /// Returns the pool to which this host submits its jobs first.
     pub fn preferred_pool(&self) -> PoolId {
         let zone = &self.options.zone;
         PoolId {
@@ -129,27 +131,27 @@
         }
     }
 
-    /// Gets the time between two heartbeats on a link that no job waits on: with many pools, all
-    /// hosts' heartbeats together would take an owner's processor.
+    /// Returns the time between two heartbeats on an idle link. It grows with the number of pools:
+    /// at the full rate the heartbeats of all hosts would use up the CPU of an owner.
     fn idle_heartbeat_period(&self) -> Duration {
         let pools = u32::try_from(self.remote.borrow().len()).unwrap_or(u32::MAX);
-        let crowd = pools.div_ceil(POOLS_AT_FULL_RATE).max(1);
-        (remote::HEARTBEAT_PERIOD * crowd).min(IDLE_HEARTBEAT_MAX)
+        let scale = pools.div_ceil(POOLS_AT_FULL_RATE).max(1);
+        (remote::HEARTBEAT_PERIOD * scale).min(IDLE_HEARTBEAT_MAX)
     }
 
-    /// Closes the links to pools that are no more.
+    /// Closes the links to pools that no longer exist.
     pub fn retain_pools(self: &Rc<Self>, pools: &[PoolId]) {
-        let gone: Vec<PoolId> = {
+        let removed: Vec<PoolId> = {
             let remote = self.remote.borrow();
-            let gone = remote.keys().filter(|pool| !pools.contains(pool));
-            gone.cloned().collect()
+            let removed = remote.keys().filter(|pool| !pools.contains(pool));
+            removed.cloned().collect()
         };
-        for pool in gone {
+        for pool in removed {
             self.set_owner(&pool, None);
         }
     }
 
-    /// Gets the pools in the order in which a job should be handed to them.
+    /// Returns the pools in the order in which a job should be submitted to them.
     pub fn rank_pools(self: &Rc<Self>, job: &JobRequest) -> Vec<PoolId> {
         if let (Some(load), Some(owned)) = (self.engine.load(), self.engine.owned_pool()) {
             if self.engine.serves(&owned) {
@@ -158,12 +160,12 @@
                 self.follow_successor(&owned, successor);
             }
         }
-        let chooser = self.selector.borrow();
+        let selector = self.selector.borrow();
         let evacuations = self.evacuations.known();
-        chooser.rank_pools(&self.preferred_pool(), job.demand, job.tasks, &evacuations)
+        selector.rank_pools(&self.preferred_pool(), job.demand, job.tasks, &evacuations)
     }
 
-    /// Gets why a job that no pool can be asked for is not run.
+    /// Returns the reason for which a job is not run if there is no pool to submit it to.
     pub fn no_pool_reason(&self) -> NotRunReason {
         match self.evacuations.covers_deployment() {
             true => NotRunReason::ZoneEvacuated,
@@ -171,7 +173,8 @@
         }
     }
 
-    /// Tells whether a pool that is not evacuated is owned here, or its owner answers.
+    /// Returns whether this host owns a pool whose zone is not evacuated, or reaches the owner of
+    /// one.
     pub fn can_reach_pool(&self) -> bool {
         let remote = self.remote.borrow();
         let answering = remote.iter().filter(|(_, link)| link.is_up());
@@ -181,8 +184,8 @@
             || pools.any(|pool| self.is_in_service(pool))
     }
 
-    /// Tells whether another host may serve callers whom this one can't: not while every zone is
-    /// evacuated, since every host refuses them then.
+    /// Returns whether callers should be sent to another host, since this one reaches no pool. This
+    /// is not the case while every zone is evacuated, since every host rejects callers then.
     pub fn should_send_callers_away(&self) -> bool {
         !self.can_reach_pool() && !self.evacuations.covers_deployment()
     }
@@ -191,17 +194,18 @@
         !self.evacuations.contains(&pool.zone)
     }
 
-    /// Tells whether any pool is known to have executors that take work.
+    /// Returns whether any pool is known to have executors that accept work.
     pub fn can_reach_executor(&self) -> bool {
-        let own = self.engine.load();
-        own.is_some_and(|load| load.capacity_cpu_millis > 0)
+        let own_load = self.engine.load();
+        own_load.is_some_and(|load| load.capacity_cpu_millis > 0)
             || self.selector.borrow().has_capacity()
     }
 
-    /// Takes in who owns a pool; none if nobody does, or this host itself.
+    /// Sets the owner of a pool, to `None` if it has no owner or if this host owns it. Opens a link
+    /// to a new owner and closes the one to the previous owner.
     pub fn set_owner(self: &Rc<Self>, pool: &PoolId, owner: Option<SocketAddr>) {
-        let held = self.remote.borrow().get(pool).map(|link| link.address());
-        if held == owner {
+        let current = self.remote.borrow().get(pool).map(|link| link.address());
+        if current == owner {
             return;
         }
         if let Some(link) = self.remote.borrow_mut().remove(pool) {
@@ -222,28 +226,29 @@
             .emit(event.detail(format_smolstr!("pool {pool}")));
     }
 
-    /// Tells whether the owner of a pool is known and answers.
+    /// Returns whether the owner of a pool is known and answers.
     pub fn is_up(&self, pool: &PoolId) -> bool {
         let remote = self.remote.borrow();
         remote.get(pool).is_some_and(|link| link.is_up())
     }
 
-    /// Tells whether the owner of a pool answers and means to stay.
+    /// Returns whether the owner of a pool answers and does not want to be replaced.
     pub fn is_settled(&self, pool: &PoolId) -> bool {
         self.is_up(pool) && !self.selector.borrow().needs_replacement(pool)
     }
 
-    /// Tells whether an owner of a pool was known at any time.
+    /// Returns whether an owner of a pool has been known at any time.
     pub fn has_known_owner(&self, pool: &PoolId) -> bool {
         self.known_pools.borrow().contains(pool)
     }
 
-    /// Notes that an owner of a pool is known: this host itself, or one that has answered.
+    /// Records that an owner of a pool is known: this host, or another one that has answered.
     pub fn record_owner(&self, pool: &PoolId) {
         self.known_pools.borrow_mut().insert(pool.clone());
     }
 
-    /// Waits until the owner of a pool has answered, or is found not to; tells whether it did.
+    /// Waits until the first connection to the owner of a pool has succeeded or failed. Returns
+    /// whether the owner answers.
     pub async fn probe_owner(&self, pool: &PoolId, timeout: Duration) -> bool {
         let Some(link) = self.remote.borrow().get(pool).cloned() else {
             return false;
@@ -252,13 +257,13 @@
         link.is_up()
     }
 
-    /// Gets the link to a pool's owner, if the owner answers.
+    /// Returns the link to a pool's owner, or `None` if the owner is unknown or does not answer.
     pub fn link_to(&self, pool: &PoolId) -> Option<Rc<RemoteLink>> {
         let link = self.remote.borrow().get(pool).cloned();
         link.filter(|link| link.is_up())
     }
 
-    /// Gets the pools whose owners answer, and where those are asked.
+    /// Returns the pools whose owners answer, with the owners' addresses.
     pub fn owners(&self) -> Vec<(PoolId, SocketAddr)> {
         let remote = self.remote.borrow();
         let up = remote.iter().filter(|(_, link)| link.is_up());
@@ -275,7 +280,8 @@
         owners
     }
 
-    /// Takes in who owns a pool by another host's word, unless this host knows an owner that answers.
+    /// Applies the owner of a pool as reported by a peer, unless this host knows an owner that
+    /// answers.
     pub fn apply_peer_owner(self: &Rc<Self>, pool: &PoolId, owner: SocketAddr) {
         let is_known = self.is_up(pool) || self.engine.owned_pool().as_ref() == Some(pool);
         if !is_known && owner != self.options.advertised {
@@ -283,12 +289,12 @@
         }
     }
 
-    /// Gets what is told when an owner is lost or wants to be replaced.
+    /// Returns the notifier for owners that are lost or want to be replaced.
     pub fn owner_changed(&self) -> &Change {
         &self.owner_changed
     }
 
-    /// Takes in what an owner tells of its pool.
+    /// Applies the load report of a pool's owner.
     fn update_load(self: &Rc<Self>, pool: &PoolId, load: PoolLoad) {
         if load.needs_replacement && self.is_settled(pool) {
             self.owner_changed.notify();
@@ -300,7 +306,7 @@
         }
     }
 
-    /// Hands a job to a pool and waits for its end. Dropping the future gives the job up.
+    /// Submits a job to a pool and waits for its end. Dropping the future cancels the job.
     pub async fn run(self: &Rc<Self>, pool: &PoolId, job: JobRequest) -> JobEnd {
         self.selector
             .borrow_mut()
@@ -327,7 +333,8 @@
     }
 }
 
-/// Gives a job up at the engine of this host if its caller leaves.
+/// Cancels a job at the engine of this host when it is dropped before the job's end, as when the
+/// caller disconnects.
 struct LocalCancelGuard {
     engine: Rc<Engine>,
     job: Option<(SubmissionNumber, onyxshed_pool::JobId)>,
@@ -342,20 +349,20 @@
 impl Drop for LocalCancelGuard {
     fn drop(&mut self) {
         if let Some((submission, job)) = self.job {
-            let own = self.engine.incarnation();
+            let incarnation = self.engine.incarnation();
             self.engine
-                .cancel(own, submission, job, UnknownReason::Cancelled);
+                .cancel(incarnation, submission, job, UnknownReason::Cancelled);
         }
     }
 }
 
-/// The links as a service.
+/// Service that accepts the connections of peers and registers the [`Links`].
 pub struct LinkService {
     links: Rc<Links>,
 }
 
 impl LinkService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(links: Rc<Links>) -> Self {
         LinkService { links }
     }
@@ -375,13 +382,13 @@
             let links = &self.links;
             let (listener, _) = listen(kernel, LINKS, "peer", links.options.address).await?;
             let member = member_name(links.options.advertised, links.incarnation());
-            let known = port::DeploymentState {
+            let deployment = port::DeploymentState {
                 links: links.clone(),
                 manifest: kernel.find(MANIFEST)?,
                 shard_layouts: links.shard_layouts.clone(),
                 evacuations: links.evacuations.clone(),
             };
-            let port = port::Port::new(links.engine.clone(), member, known);
+            let port = port::Port::new(links.engine.clone(), member, deployment);
             let client: pool_port::Client = capnp_rpc::new_client(port);
             serve_rpc(kernel, listener, client.client, PEERS_MAX);
             let descriptor = Descriptor {
--- a/crates/onyxshed-host/src/links/port.rs
+++ b/crates/onyxshed-host/src/links/port.rs
@@ -1,4 +1,4 @@
-//! The interface that entry hosts call at the owner of a pool.
+//! The RPC interface that entry hosts call on the owner of a pool.
 
 use std::rc::Rc;
 
@@ -18,23 +18,23 @@
 use crate::manifest::ManifestHolder;
 use crate::shard_layouts::ShardLayouts;
 
-/// Serves entry hosts.
+/// RPC server for entry hosts and other peers.
 pub struct Port {
     engine: Rc<Engine>,
-    /// This host's name in the groups of pools.
+    /// Member name of this host in the groups of pools.
     member: SmolStr,
     deployment: DeploymentState,
 }
 
-/// What this host knows of the deployment.
+/// State of the deployment as known to this host.
 pub struct DeploymentState {
-    /// Owners of pools.
+    /// Links to the owners of pools.
     pub links: Rc<Links>,
     /// The operators' manifest.
     pub manifest: Rc<ManifestHolder>,
-    /// How zones are divided.
+    /// Shard layouts of the zones.
     pub shard_layouts: Rc<ShardLayouts>,
-    /// Which zones are evacuated.
+    /// Evacuated zones.
     pub evacuations: Rc<ZoneEvacuations>,
 }
 
@@ -50,22 +50,22 @@
 }
 
 impl Port {
-    /// Makes the interface of a host that joins groups under a name.
-    pub fn new(engine: Rc<Engine>, member: SmolStr, known: DeploymentState) -> Self {
+    /// Creates the server of a host that joins groups as `member`.
+    pub fn new(engine: Rc<Engine>, member: SmolStr, deployment: DeploymentState) -> Self {
         Port {
             engine,
             member,
-            deployment: known,
+            deployment,
         }
     }
 
     fn owns(&self, pool: &str) -> bool {
-        let asked: Option<PoolId> = pool.parse().ok();
-        asked.is_some() && asked == self.engine.owned_pool()
+        let requested: Option<PoolId> = pool.parse().ok();
+        requested.is_some() && requested == self.engine.owned_pool()
     }
 }
 
-/// Gives a job up if its entry host's connection closes before its end.
+/// Cancels a job if the connection of its entry host closes before the job's end.
 struct CancelGuard {
     engine: Rc<Engine>,
     job: Option<(PeerIncarnation, SubmissionNumber, JobId)>,
@@ -90,14 +90,16 @@
         if !self.owns(params.get_pool()?.to_str()?) {
             return Ok(());
         }
-        let life = PeerIncarnation(params.get_life());
+        let peer = PeerIncarnation(params.get_life());
         let offer = match params.has_offer() {
             true => Some(pool::read_offer(params.get_offer()?)?),
             false => None,
         };
-        let told = pool::read_evacuations(params.get_evacuations()?)?;
-        self.deployment.evacuations.apply(told, "an entry host");
-        let session = self.engine.record_peer_contact(life, offer);
+        let evacuations = pool::read_evacuations(params.get_evacuations()?)?;
+        self.deployment
+            .evacuations
+            .apply(evacuations, "an entry host");
+        let session = self.engine.record_peer_contact(peer, offer);
         let mut results = results.get();
         let records = self.deployment.evacuations.records();
         let list = results.reborrow().init_evacuations(pool::length(&records)?);
@@ -107,7 +109,7 @@
             results.set_session(session.0);
             pool::write_load(&load, results.reborrow().init_load());
         }
-        if let Some(transfer) = self.engine.transfer_ownership(life, &self.member) {
+        if let Some(transfer) = self.engine.transfer_ownership(peer, &self.member) {
             pool::write_transfer(&transfer, results.init_transfer())?;
         }
         Ok(())
@@ -166,12 +168,12 @@
         if !self.owns(params.get_pool()?.to_str()?) {
             return Ok(());
         }
-        let Some(held) = self.engine.release(FencingToken(params.get_token())) else {
+        let Some(executors) = self.engine.release(FencingToken(params.get_token())) else {
             return Ok(());
         };
         let mut results = results.get();
         results.set_is_owner(true);
-        pool::write_executors(&held, results)
+        pool::write_executors(&executors, results)
     }
 
     async fn peer_state(
@@ -179,7 +181,7 @@
         _params: pool_port::PeerStateParams,
         mut results: pool_port::PeerStateResults,
     ) -> capnp::Result<()> {
-        let known = self.deployment.to_peer_state();
-        pool::write_peer_state(&known, results.get().init_state())
+        let state = self.deployment.to_peer_state();
+        pool::write_peer_state(&state, results.get().init_state())
     }
 }
--- a/crates/onyxshed-host/src/links/remote.rs
+++ b/crates/onyxshed-host/src/links/remote.rs
@@ -1,4 +1,4 @@
-//! A link to an owner on another host.
+//! A link to the owner of a pool on another host.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -23,60 +23,61 @@
 use super::Links;
 use crate::boot_clock;
 
-/// Time between two heartbeats: a quarter of the silence after which owners give a host up.
+/// Interval between two heartbeats: a quarter of the time after which an owner considers a host
+/// unresponsive.
 pub const HEARTBEAT_PERIOD: Duration = Duration::from_millis(150);
 
-/// Time since its last job for which a link is heard at the full rate.
+/// Time since the last job for which a link sends heartbeats at the full rate.
 const IDLE_AFTER: Millis = Millis(2_000);
 
-/// Time since its last answer for which a link's session is trusted: half of the silence after
-/// which an owner ends it.
+/// Time since the last answer for which the session of a link is considered valid: half of the time
+/// after which an owner ends the session of an unresponsive host.
 const SESSION_FRESH_MAX: Millis = Millis(300);
 
-/// How long an owner may take to answer before the link is given up: less than the silence after
-/// which it gives this host up, so that a job is stopped there no later than its caller sends it
-/// again.
+/// Time without an answer after which the link goes down: less than the time after which the owner
+/// considers this host unresponsive, so that a job is stopped there no later than its caller
+/// resubmits it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Longest time to open a connection to an owner.
+/// Timeout for opening a connection to an owner.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause before a link that was given up is opened again.
+/// Pause before a link that went down is opened again.
 const REOPEN_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause before an owner that the store names, and that does not know it yet, is asked again; it has
-/// joined the pool's group and begins within a call of the store (4 ms).
+/// Pause before the next heartbeat to an owner that the store lists but that does not know of its
+/// ownership yet. It has joined the pool's group and starts within one call to the store (4 ms).
 const OWNER_START_PAUSE: Duration = Duration::from_millis(20);
 
-/// How long an owner may take to begin before its link is opened anew.
+/// How long an owner may take to start before its link is opened again.
 const OWNER_START_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A connection on which the owner has answered.
+/// An open connection on which the owner has answered.
 struct OpenConnection {
     client: pool_port::Client,
     session: Session,
-    /// Closed when the link is given up, which ends every job that waits on it.
+    /// Closed when the link goes down, which ends every job that waits on it.
     lost: Receiver<()>,
 }
 
-/// A link.
+/// A link to an owner on another host, which reconnects until it is closed.
 pub struct RemoteLink {
     links: Rc<Links>,
     pool: PoolId,
     address: SocketAddr,
     connection: RefCell<Option<Rc<OpenConnection>>>,
     is_closed: Cell<bool>,
-    /// Jobs that wait on the link, and when the last one was handed over.
+    /// Number of jobs and handovers that wait on the link.
     waiters: Cell<usize>,
     last_used_at: Cell<Mono>,
     last_answer_at: Cell<Mono>,
-    /// Whether the first connection has shown if the owner answers, and what tells so.
+    /// Whether the first connection has succeeded or failed.
     is_first_attempt_done: Cell<bool>,
     first_attempt_done: Change,
 }
 
 impl RemoteLink {
-    /// Opens a link that keeps itself up until it is closed.
+    /// Opens a link, which reconnects in the background until it is closed.
     pub fn open(links: Rc<Links>, pool: PoolId, address: SocketAddr) -> Rc<Self> {
         let link = Rc::new(RemoteLink {
             links,
@@ -94,52 +95,53 @@
         link
     }
 
-    /// Gets the owner's address.
+    /// Returns the owner's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Tells whether the owner answers.
+    /// Returns whether the owner answers.
     pub fn is_up(&self) -> bool {
         self.connection.borrow().is_some()
     }
 
-    /// Closes the link for good. Jobs handed over go on and bring their answers as long as the
-    /// owner answers them.
+    /// Closes the link permanently. Submitted jobs continue, and their replies are delivered as
+    /// long as the owner answers.
     pub fn close(&self) {
         self.is_closed.set(true);
     }
 
     async fn maintain(self: Rc<Self>) {
         while !self.is_closed.get() {
-            let ended = self.run_connection().await;
+            let failure = self.run_connection().await;
             self.mark_first_attempt_done();
-            if let Some(why) = ended {
-                self.mark_down(why);
+            if let Some(reason) = failure {
+                self.mark_down(reason);
             }
             Timer::after(REOPEN_PAUSE).await;
         }
     }
 
-    /// Keeps one connection until it fails; tells why it was given up, if it was up.
+    /// Opens a connection and sends heartbeats on it until it fails or the link is closed. Returns
+    /// the reason, or `None` if the connection could not be opened.
     async fn run_connection(self: &Rc<Self>) -> Option<&'static str> {
         let executor = self.links.kernel.executor();
         let connect = rpc::connect::<pool_port::Client>(self.address, &executor);
         let client = within(CONNECT_TIMEOUT, connect).await?.ok()?;
-        // Held as long as the connection is good; dropping it ends the jobs that wait.
-        let (_alive, lost): (Sender<()>, _) = async_channel::bounded(1);
-        let begin_by = Instant::now() + OWNER_START_TIMEOUT;
+        // Held while the connection is open; dropping the sender ends the jobs that wait.
+        let (_lost_sender, lost): (Sender<()>, _) = async_channel::bounded(1);
+        let start_deadline = Instant::now() + OWNER_START_TIMEOUT;
         loop {
             let answer = within(ANSWER_TIMEOUT, self.heartbeat(&client)).await;
             self.mark_first_attempt_done();
             match answer {
                 None => return Some("no answer in time"),
                 Some(Err(_)) => return Some("the connection broke"),
-                Some(Ok(None)) if !self.is_up() && Instant::now() < begin_by => {
+                Some(Ok(None)) if !self.is_up() && Instant::now() < start_deadline => {
                     Timer::after(OWNER_START_PAUSE).await;
                     continue;
                 }
-                Some(Ok(None)) => return Some("the host owns the pool no longer"),
+                Some(Ok(None)) => return Some("the host no longer owns the pool"),
                 Some(Ok(Some(session))) => self.apply_session(&client, session, &lost),
             }
             if self.is_closed.get() && self.waiters.get() == 0 {
@@ -155,33 +157,34 @@
         }
     }
 
-    /// Waits until the first connection has shown whether the owner answers.
+    /// Waits until the first connection has succeeded or failed.
     pub async fn wait_for_first_attempt(&self) {
-        let tried = self.first_attempt_done.waiting();
+        let attempted = self.first_attempt_done.waiting();
         if !self.is_first_attempt_done.get() {
-            tried.wait().await;
+            attempted.wait().await;
         }
     }
 
-    /// Gets the time until the next heartbeat: seldom on a link that is not used.
+    /// Returns the time until the next heartbeat, which is longer on an idle link.
     fn heartbeat_pause(&self) -> Duration {
-        let unused = boot_clock::now().since(self.last_used_at.get());
-        if self.waiters.get() > 0 || unused < IDLE_AFTER.into() {
+        let idle = boot_clock::now().since(self.last_used_at.get());
+        if self.waiters.get() > 0 || idle < IDLE_AFTER.into() {
             HEARTBEAT_PERIOD
         } else {
             self.links.idle_heartbeat_period()
         }
     }
 
-    /// Renews the session of a link that was heard seldom, before a job is handed over on it.
-    async fn renew_session(&self, open: &OpenConnection) -> bool {
-        let quiet = boot_clock::now().since(self.last_answer_at.get());
-        if quiet < SESSION_FRESH_MAX.into() {
+    /// Renews the session of a link with infrequent heartbeats before a job is submitted on it.
+    /// Returns whether the session is valid.
+    async fn renew_session(&self, connection: &OpenConnection) -> bool {
+        let elapsed = boot_clock::now().since(self.last_answer_at.get());
+        if elapsed < SESSION_FRESH_MAX.into() {
             return true;
         }
-        match within(ANSWER_TIMEOUT, self.heartbeat(&open.client)).await {
+        match within(ANSWER_TIMEOUT, self.heartbeat(&connection.client)).await {
             Some(Ok(Some(session))) => {
-                self.apply_session(&open.client, session, &open.lost);
+                self.apply_session(&connection.client, session, &connection.lost);
                 true
             }
             _ => false,
@@ -189,7 +192,7 @@
     }
 
     fn apply_session(&self, client: &pool_port::Client, session: Session, lost: &Receiver<()>) {
-        // A renewal may be answered after its connection was given up.
+        // A renewal may be answered after its connection has failed.
         if lost.is_closed() {
             return;
         }
@@ -199,7 +202,7 @@
             .connection
             .borrow()
             .as_ref()
-            .is_some_and(|open| open.session == session);
+            .is_some_and(|connection| connection.session == session);
         if !is_same {
             *self.connection.borrow_mut() = Some(Rc::new(OpenConnection {
                 client: client.clone(),
@@ -229,8 +232,8 @@
         if !reply.get_is_owner() {
             return Ok(None);
         }
-        let told = pool::read_evacuations(reply.get_evacuations()?)?;
-        self.links.evacuations.apply(told, "an owner");
+        let evacuations = pool::read_evacuations(reply.get_evacuations()?)?;
+        self.links.evacuations.apply(evacuations, "an owner");
         self.update_load(reply.get_load()?)?;
         if reply.has_transfer() && !self.is_closed.get() {
             let transfer = pool::read_transfer(reply.get_transfer()?)?;
@@ -239,7 +242,8 @@
         Ok(Some(Session(reply.get_session())))
     }
 
-    /// Takes in the sum of the pool, unless the pool is another owner's by now.
+    /// Applies the load report of the pool, unless the link is closed because the pool has another
+    /// owner.
     fn update_load(&self, load: pool_load::Reader<'_>) -> capnp::Result<()> {
         let load = pool::read_load(load)?;
         if !self.is_closed.get() {
@@ -248,19 +252,20 @@
         Ok(())
     }
 
-    /// Keeps the link up, also when it is closed, until the guard is dropped.
+    /// Keeps the connection open, even after the link is closed, until the guard is dropped.
     pub fn keep_open(self: &Rc<Self>) -> WaiterGuard {
-        WaiterGuard::on(self.clone())
+        WaiterGuard::new(self.clone())
     }
 
-    /// Asks the owner to let go of the pool, as its next owner; gets which executors it still uses,
-    /// none if it does not answer or owns the pool no longer.
+    /// Requests the release of the pool as its next owner, with fencing token `next`. Returns the
+    /// executors that the previous owner still uses, or `None` if it does not answer or no longer
+    /// owns the pool.
     pub async fn release(&self, next: FencingToken) -> Option<BTreeSet<ExecutorId>> {
         let client = self
             .connection
             .borrow()
             .as_ref()
-            .map(|open| open.client.clone())?;
+            .map(|connection| connection.client.clone())?;
         let mut request = client.release_request();
         let mut params = request.get();
         params.set_pool(format_smolstr!("{}", self.pool).as_str());
@@ -268,67 +273,69 @@
         let reply = within(ANSWER_TIMEOUT, request.send().promise).await?;
         let reply = reply.ok()?;
         let reply = reply.get().ok()?;
-        let held = pool::read_executors(reply).ok()?;
-        reply.get_is_owner().then_some(held)
+        let executors = pool::read_executors(reply).ok()?;
+        reply.get_is_owner().then_some(executors)
     }
 
-    fn mark_down(&self, why: &'static str) {
+    fn mark_down(&self, reason: &'static str) {
         if self.connection.borrow_mut().take().is_some() {
             if !self.is_closed.get() {
                 self.links.selector.borrow_mut().remove_pool(&self.pool);
                 self.links.owner_changed.notify();
             }
-            self.log_event(EventKind::PoolLinkDown, why);
+            self.log_event(EventKind::PoolLinkDown, reason);
         }
     }
 
-    fn log_event(&self, kind: EventKind, why: &str) {
+    fn log_event(&self, kind: EventKind, reason: &str) {
         let event = Event::new(kind).party(format_smolstr!("{}", self.address));
-        let detail = format_smolstr!("pool {} {why}", self.pool);
+        let detail = format_smolstr!("pool {} {reason}", self.pool);
         self.links.kernel.emit(event.detail(detail));
     }
 
-    /// Hands a job over and waits for its end. Dropping the future gives the job up.
+    /// Submits a job to the owner and waits for its end. Dropping the future cancels the job.
     pub async fn run(self: Rc<Self>, job: JobRequest) -> JobEnd {
         let not_owner = JobEnd::NotRun(NotRunReason::NotOwner, Millis(0));
-        let Some(known) = self.connection.borrow().clone() else {
+        let Some(last_known) = self.connection.borrow().clone() else {
             return not_owner;
         };
         self.last_used_at.set(boot_clock::now());
-        if !self.renew_session(&known).await {
+        if !self.renew_session(&last_known).await {
             return not_owner;
         }
-        let Some(open) = self.connection.borrow().clone() else {
+        let Some(connection) = self.connection.borrow().clone() else {
             return not_owner;
         };
-        let _waiting = WaiterGuard::on(self.clone());
+        let _waiter = WaiterGuard::new(self.clone());
         let guard = RemoteCancelGuard {
             link: self.clone(),
-            client: open.client.clone(),
+            client: connection.client.clone(),
             job: Some((job.submission, job.job)),
         };
         let lost = async {
-            // Ends when the link is given up, which closes the channel.
-            let _ = open.lost.recv().await;
+            // Completes when the link goes down, which closes the channel.
+            let _ = connection.lost.recv().await;
             None
         };
-        let end = async { Some(self.call(&open, &job).await) }.or(lost).await;
+        let end = async { Some(self.call(&connection, &job).await) }
+            .or(lost)
+            .await;
         match end {
             Some(Ok(end)) => {
                 guard.disarm();
                 end
             }
-            // The order may have reached the owner: the job may run.
+            // The request may have reached the owner, so the job may run.
             Some(Err(_)) | None => JobEnd::Unknown(UnknownReason::OwnerChanged),
         }
     }
 
-    async fn call(&self, open: &OpenConnection, job: &JobRequest) -> capnp::Result<JobEnd> {
-        let mut request = open.client.run_request();
+    async fn call(&self, connection: &OpenConnection, job: &JobRequest) -> capnp::Result<JobEnd> {
+        let mut request = connection.client.run_request();
         let mut params = request.get();
         params.set_life(self.links.engine.incarnation().0);
         params.set_pool(format_smolstr!("{}", self.pool).as_str());
-        params.set_session(open.session.0);
+        params.set_session(connection.session.0);
         pool::write_job(job, params.init_job());
         let reply = request.send().promise.await?;
         let reply = reply.get()?;
@@ -355,12 +362,12 @@
     }
 }
 
-/// Counts a job, or a handover, that waits on a link: the link stays up for it even when the pool
-/// is another owner's.
+/// Guard that counts a job or a handover that waits on a link. While one exists, the connection
+/// stays open even if the pool has another owner.
 pub struct WaiterGuard(Rc<RemoteLink>);
 
 impl WaiterGuard {
-    fn on(link: Rc<RemoteLink>) -> Self {
+    fn new(link: Rc<RemoteLink>) -> Self {
         link.waiters.set(link.waiters.get() + 1);
         WaiterGuard(link)
     }
@@ -372,7 +379,8 @@
     }
 }
 
-/// Gives a job up at its owner if its caller leaves or its fate becomes unknown.
+/// Cancels a job at its owner when it is dropped before the job's end: when the caller disconnects
+/// or the outcome becomes unknown.
 struct RemoteCancelGuard {
     link: Rc<RemoteLink>,
     client: pool_port::Client,
@@ -391,15 +399,15 @@
             return;
         };
         let link = self.link.clone();
-        // A link that is open anew reaches the owner where the old connection may not.
-        let fresh = link
+        // A link that has reconnected reaches the owner even if the old connection does not.
+        let current = link
             .connection
             .borrow()
             .as_ref()
-            .map(|open| open.client.clone());
-        let client = fresh.unwrap_or_else(|| self.client.clone());
+            .map(|connection| connection.client.clone());
+        let client = current.unwrap_or_else(|| self.client.clone());
         let cancel = async move {
-            // Where this fails the owner learns it from this host's silence.
+            // If this fails, the owner cancels the job when it considers this host unresponsive.
             let _ = within(ANSWER_TIMEOUT, link.cancel(&client, submission, job)).await;
         };
         self.link.links.kernel.spawn(cancel).detach();
--- a/crates/onyxshed-host/src/links/successors.rs
+++ b/crates/onyxshed-host/src/links/successors.rs
@@ -1,4 +1,5 @@
-//! Successors of pools, as this host hears of them or becomes one.
+//! Successors of owners: this host's offer to become one, the transfer that makes it one, and the
+//! links to the successors of other owners.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,11 +11,13 @@
 use super::Links;
 use crate::boot_clock;
 
-/// How long a transfer holds: the successor hears it with each heartbeat as long as it is meant.
+/// How long a transfer is valid: the owner repeats it in each heartbeat reply while it is in
+/// effect.
 const TRANSFER_VALIDITY: Millis = Millis(1_000);
 
 impl Links {
-    /// Gets what this host tells the owner of a pool in its zone that it could own.
+    /// Returns the offer to become the successor of a pool's owner, or `None` if this host could
+    /// not own the pool.
     pub(super) fn successor_offer(&self, pool: &PoolId) -> Option<SuccessorOffer> {
         let could_own = pool.zone == self.options.zone
             && self.engine.owned_pool().is_none()
@@ -25,43 +28,45 @@
         })
     }
 
-    /// Takes in that this host was made the successor of a pool.
+    /// Records that this host was made the successor of a pool's owner.
     pub(super) fn record_transfer(&self, pool: PoolId, transfer: OwnershipTransfer) {
         *self.pending_transfer.borrow_mut() = Some((boot_clock::now(), pool, transfer));
         self.transfer_received.notify();
     }
 
-    /// Gets what is told when this host is made a successor.
+    /// Returns the notifier for transfers that make this host a successor.
     pub fn transfer_received(&self) -> &Change {
         &self.transfer_received
     }
 
-    /// Takes what this host was made the successor of, if it was told so a moment ago.
+    /// Removes and returns the pending transfer. Returns `None` if there is none or it is older
+    /// than [`TRANSFER_VALIDITY`].
     pub fn take_transfer(&self) -> Option<(PoolId, OwnershipTransfer)> {
-        let (told_at, pool, transfer) = self.pending_transfer.take()?;
-        let age = boot_clock::now().since(told_at);
+        let (received_at, pool, transfer) = self.pending_transfer.take()?;
+        let age = boot_clock::now().since(received_at);
         (age < TRANSFER_VALIDITY.into()).then_some((pool, transfer))
     }
 
-    /// Hands jobs to the successor that takes a pool over.
+    /// Directs jobs for a pool to the successor that takes it over.
     pub(super) fn follow_successor(self: &Rc<Self>, pool: &PoolId, successor: SocketAddr) {
         if successor == self.options.advertised {
             return;
         }
-        let last = self.remote.borrow().get(pool).map(|link| link.address());
-        let last = match self.engine.owned_pool().as_ref() == Some(pool) {
+        let previous = self.remote.borrow().get(pool).map(|link| link.address());
+        let previous = match self.engine.owned_pool().as_ref() == Some(pool) {
             true => Some(self.options.advertised),
-            false => last,
+            false => previous,
         };
         self.set_owner(pool, Some(successor));
-        if let Some(last) = last.filter(|last| *last != successor) {
-            self.superseded.borrow_mut().insert(pool.clone(), last);
+        if let Some(previous) = previous.filter(|previous| *previous != successor) {
+            self.superseded.borrow_mut().insert(pool.clone(), previous);
         }
     }
 
-    /// Tells whether a host was a pool's owner, and a successor that answers has taken over from it.
+    /// Returns whether `owner` is a previous owner of a pool that a successor, which answers, has
+    /// replaced.
     pub fn is_superseded(&self, pool: &PoolId, owner: Option<SocketAddr>) -> bool {
-        let last = self.superseded.borrow().get(pool).copied();
-        last.is_some() && last == owner && self.is_up(pool)
+        let previous = self.superseded.borrow().get(pool).copied();
+        previous.is_some() && previous == owner && self.is_up(pool)
     }
 }
--- a/crates/onyxshed-host/src/main.rs
+++ b/crates/onyxshed-host/src/main.rs
@@ -1,8 +1,8 @@
-//! `onyxshed-host`: one host of the system on the users' platform.
+//! Entry point of the `onyxshed-host` process.
 
 use std::process::ExitCode;
 
-// The system's allocator stays: mimalloc takes three times the memory here and no less processor time.
+// Uses the system allocator: mimalloc needs three times the memory here and saves no CPU time.
 fn main() -> ExitCode {
     onyxshed_host::process::main()
 }
--- a/crates/onyxshed-host/src/manifest.rs
+++ b/crates/onyxshed-host/src/manifest.rs
@@ -1,4 +1,5 @@
-//! Follows what operators publish in the platform's store: the manifest, and evacuations of zones.
+//! Follows the records that operators publish in the platform's store: the manifest and the
+//! evacuations of zones.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,41 +17,42 @@
 use crate::store_watch::StoreWatch;
 use crate::topic::{self, TopicOptions, TopicReader};
 
-/// Shortest time that a read waits at the store for a change.
+/// Minimum time that a read waits in the store for a change.
 const LONG_POLL_WAIT_MIN: Millis = Millis(1_500);
 
-/// Part of the time within which a manifest has to be in force that is kept for the answer's timeout, a
-/// new connection and the read that finds the change.
+/// Part of the time within which a manifest has to take effect that is reserved for the timeout of
+/// the answer, a new connection and the read that finds the change.
 const LONG_POLL_MARGIN: Millis = Millis(1_200);
 
-/// Gets how long a read waits at the store for a change, given the time within which a manifest has to
-/// be in force. The wait bounds for how long a connection that has gone silent is trusted.
+/// Returns how long a read waits in the store for a change, given the time within which a manifest
+/// has to take effect. The wait limits how long an unresponsive connection is used.
 pub fn long_poll_wait(manifest_within: Option<Millis>) -> Millis {
     let wait_ms = manifest_within.map_or(0, |within| within.0.saturating_sub(LONG_POLL_MARGIN.0));
     LONG_POLL_WAIT_MIN.max(Millis(wait_ms))
 }
 
-/// The newest manifest this host knows.
+/// The newest manifest that this host knows.
 pub struct ManifestHolder {
     kernel: Kernel,
     current: RefCell<Option<Rc<Manifest>>>,
-    /// The same as the store holds it, for hosts that start while the store is away.
+    /// The manifest in the store's format, for peers that start while the store is unavailable.
     text: RefCell<Vec<u8>>,
 }
 
 impl ManifestHolder {
-    /// Gets the manifest in force; none before the first one is known.
+    /// Returns the manifest in effect, or `None` before the first one is known.
     pub fn get(&self) -> Option<Rc<Manifest>> {
         self.current.borrow().clone()
     }
 
-    /// Gets the manifest in force as the store holds it; empty before the first one is known.
+    /// Returns the manifest in effect in the store's format; empty before the first one is known.
     pub fn text(&self) -> Vec<u8> {
         self.text.borrow().clone()
     }
 
-    /// Takes in a record. A version that is not higher changes nothing: the store may show an
-    /// older state for a while, and what is in force never goes back.
+    /// Applies a record of the operators' topic, if it holds a manifest. A version that is not
+    /// higher is ignored: the store may return an older state for a while, and the manifest in
+    /// effect is never reverted.
     fn apply_record(&self, record: &KeyedRecord) {
         if record.key != MANIFEST_KEY {
             return;
@@ -61,10 +63,11 @@
         self.apply(value, "the store");
     }
 
-    /// Takes in a manifest as the store holds it, and who told it.
-    pub fn apply(&self, text: &[u8], from: &str) {
+    /// Applies a manifest in the store's format; `source` names its source in the log. Logs and
+    /// ignores one that cannot be parsed.
+    pub fn apply(&self, text: &[u8], source: &str) {
         match Manifest::parse(text) {
-            Ok(manifest) => self.install(manifest, text, from),
+            Ok(manifest) => self.install(manifest, text, source),
             Err(error) => {
                 let event = Event::new(EventKind::ConfigRecordIgnored);
                 self.kernel.emit(event.detail(format_smolstr!("{error}")));
@@ -72,13 +75,17 @@
         }
     }
 
-    fn install(&self, manifest: Manifest, text: &[u8], from: &str) {
-        let held = self.current.borrow().as_ref().map(|held| held.version);
-        if held.is_some_and(|version| version >= manifest.version) {
+    fn install(&self, manifest: Manifest, text: &[u8], source: &str) {
+        let current = self
+            .current
+            .borrow()
+            .as_ref()
+            .map(|current| current.version);
+        if current.is_some_and(|version| version >= manifest.version) {
             return;
         }
         let detail = format_smolstr!(
-            "version {}, {} routes, from {from}",
+            "version {}, {} routes, from {source}",
             manifest.version,
             manifest.routes.len()
         );
@@ -89,7 +96,7 @@
     }
 }
 
-/// Follows the manifest as a service.
+/// Service that follows the operators' topic and registers the [`ManifestHolder`].
 pub struct ManifestService {
     store: SocketAddr,
     long_poll_wait: Millis,
@@ -97,12 +104,16 @@
 }
 
 impl ManifestService {
-    /// Makes the service for a store's address; reads wait up to `read_wait` for a change. Evacuations are
-    /// passed on as they are read.
-    pub fn new(store: SocketAddr, read_wait: Millis, evacuations: Rc<ZoneEvacuations>) -> Self {
+    /// Creates the service for a store's address. Reads wait up to `long_poll_wait` for a change.
+    /// Evacuations are passed to `evacuations`.
+    pub fn new(
+        store: SocketAddr,
+        long_poll_wait: Millis,
+        evacuations: Rc<ZoneEvacuations>,
+    ) -> Self {
         ManifestService {
             store,
-            long_poll_wait: read_wait,
+            long_poll_wait,
             evacuations,
         }
     }
@@ -141,7 +152,7 @@
     }
 }
 
-/// Passes the operators' records on to what they are about.
+/// Passes the operators' records to the manifest and the evacuations.
 struct OperatorRecords {
     manifest: Rc<ManifestHolder>,
     evacuations: Rc<ZoneEvacuations>,
--- a/crates/onyxshed-host/src/measures.rs
+++ b/crates/onyxshed-host/src/measures.rs
@@ -1,26 +1,26 @@
-//! Counters and latency histograms of a host.
+//! Latency histograms of a host.
 
 use metrics::Histogram;
 use onyxshed_core::Micros;
 use onyxshed_pool::JobEnd;
 use onyxshed_telemetry::metric::{labelled_seconds_histogram, seconds};
 
-/// Histogram of the time from a job's arrival to its answer.
+/// Name of the histogram of the time from a job's arrival to its reply.
 pub const JOB_SECONDS: &str = "onyxshed_pool_job_seconds";
 
-/// Histogram of the time an executor takes to answer an order.
+/// Name of the histogram of the time that an executor takes to answer an order.
 pub const ORDER_SECONDS: &str = "onyxshed_pool_order_seconds";
 
-/// Kinds of orders to executors.
+/// Kind of an order to an executor, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderKind {
-    /// To start a run.
+    /// An order to start a run.
     Start,
-    /// To stop one.
+    /// An order to stop a run.
     Stop,
 }
 
-/// Histograms, described once at start.
+/// Handles to the histograms of this host, one per label value.
 pub struct HostMetrics {
     completed: Histogram,
     failed: Histogram,
@@ -31,7 +31,7 @@
 }
 
 impl HostMetrics {
-    /// Registers every histogram.
+    /// Registers and describes every histogram.
     pub fn new() -> Self {
         let job = |end: &str| {
             let text = "Time from a job's arrival to its answer, by how it ended.";
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Notes the answer to a job.
+    /// Records the reply to a job and the time since the job's arrival.
     pub fn record_reply(&self, end: &JobEnd, took: Micros) {
         let histogram = match end {
             JobEnd::Completed => &self.completed,
@@ -62,7 +62,7 @@
         histogram.record(seconds(took));
     }
 
-    /// Notes the answer to an order.
+    /// Records the answer to an order and the time that it took.
     pub fn record_order(&self, kind: OrderKind, took: Micros) {
         let histogram = match kind {
             OrderKind::Start => &self.start,
--- a/crates/onyxshed-host/src/ownership.rs
+++ b/crates/onyxshed-host/src/ownership.rs
@@ -1,13 +1,14 @@
-//! How this host comes to own a pool, and loses it.
+//! Acquires and renews ownership of a pool, and hands it over.
 //!
-//! A pool belongs to the host that holds partition 0 of the pool's group in the store. A host joins
-//! the group only while nobody holds that partition, so that hosts which come and go move nothing,
-//! and owns one pool at most. The group's generation in which the partition was won makes the
-//! owner's token: it is higher than any earlier owner's.
+//! A pool is owned by the host that holds partition 0 of the pool's group in the store. A host
+//! joins the group only while no member holds that partition, so that hosts which start or stop
+//! cause no rebalancing. A host owns at most one pool. The fencing token of an owner is derived
+//! from the group's generation in which it acquired the partition, and is higher than the token of
+//! any earlier owner.
 //!
-//! While the store is away the owner goes on; nobody takes over on a timeout of its own. An owner
-//! that the store has replaced learns it from the store or from the first executor that refuses its
-//! token.
+//! While the store is unavailable the owner continues; no host takes over on a timeout of its own.
+//! An owner that the store has replaced detects this from the store, or from the first executor
+//! that refuses its token.
 
 mod contender;
 mod handover;
@@ -30,24 +31,24 @@
 use crate::topic;
 use contender::Contender;
 
-/// Who this host is in the groups.
+/// Settings with which this host takes part in the pools' groups.
 #[derive(Debug, Clone)]
 pub struct OwnershipOptions {
-    /// The host's zone.
+    /// Availability zone of this host.
     pub zone: SmolStr,
-    /// Where this host serves other hosts.
+    /// Address at which peers reach this host; part of its member name.
     pub address: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Shortest time to live that the store grants.
+    /// Shortest time to live of a membership that the store accepts.
     pub ttl_min_ms: Millis,
-    /// This host's share of a core, in thousandths.
+    /// CPU share of this host, in thousandths of a core.
     pub cpu_millis: u32,
-    /// The whole system starts for the first time.
+    /// Whether the deployment starts for the first time, so that no pool can have a previous owner.
     pub is_first_start: bool,
 }
 
-/// Ownership as a service.
+/// Service that acquires and keeps ownership of a pool of the host's zone.
 pub struct OwnershipService {
     options: OwnershipOptions,
     shard_layouts: Rc<ShardLayouts>,
@@ -56,16 +57,16 @@
 }
 
 impl OwnershipService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(
         options: OwnershipOptions,
-        divisions: Rc<ShardLayouts>,
+        shard_layouts: Rc<ShardLayouts>,
         engine: Rc<Engine>,
         links: Rc<Links>,
     ) -> Self {
         OwnershipService {
             options,
-            shard_layouts: divisions,
+            shard_layouts,
             engine,
             links,
         }
@@ -95,9 +96,14 @@
             kernel
                 .spawn(directory.clone().follow(options.store))
                 .detach();
-            let written = StoreWatch::new(kernel, "owners written down");
-            let followed = last_owner::TOPIC_OPTIONS;
-            let follow = topic::follow(followed, options.store, written, directory.clone());
+            let record_watch = StoreWatch::new(kernel, "owner records");
+            let topic_options = last_owner::TOPIC_OPTIONS;
+            let follow = topic::follow(
+                topic_options,
+                options.store,
+                record_watch,
+                directory.clone(),
+            );
             kernel.spawn(follow).detach();
             let contender = Contender::new(kernel, self, directory);
             kernel.spawn(contender.run()).detach();
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -1,4 +1,4 @@
-//! The steps by which a host comes to own a pool, keeps it and lets go of it.
+//! The steps by which a host acquires ownership of a pool, renews it and hands it over.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -26,29 +26,30 @@
 use crate::shard_layouts::ShardLayouts;
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 
-/// Longest time between two looks for a pool that nobody owns; one that is found is told at once.
+/// Maximum interval between two checks for vacant pools; a vacancy that the directory finds
+/// triggers a check at once.
 const CONTEND_PERIOD: Duration = Duration::from_millis(500);
 
-/// Time between two renewals of an owner: a quarter of the time to live.
+/// Interval at which an owner renews its membership: a quarter of its time to live.
 const RENEW_PERIOD: Duration = Duration::from_millis(350);
 
-/// How long a member lives in the group without renewal: long enough for one lost call and a slow
-/// store, short enough that a dead owner is replaced within two seconds.
+/// Time to live of a membership without renewal: long enough for one lost call and a slow store,
+/// short enough that a crashed owner is replaced within two seconds.
 const MEMBER_TTL: Millis = Millis(1_400);
 
-/// How long the last owner of a vacant pool may take to answer a host that has just started: a new
-/// connection and a call, over zones, on a host at its processor limit (75 ms).
+/// Timeout of the probe of a vacant pool's last owner by a host that has just started: covers a new
+/// connection and a call across zones to a host at its CPU limit (75 ms).
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How long a stopping owner waits for the store to make another host the owner before it names a
-/// successor: the smallest hosts join after 900 ms.
+/// How long a stopping owner waits until another host becomes the owner through the store before it
+/// selects a successor itself: the smallest hosts join after 900 ms.
 const STORE_OWNER_WAIT: Millis = Millis(1_200);
 
-/// How long an owner that the store has replaced serves on for the next one to ask; the next one
-/// has joined before, and asks within a call or two.
+/// How long an owner that the store has replaced continues to serve until the next owner requests
+/// the handover. The next owner has joined by then and sends its request within one or two calls.
 const HANDOVER_WAIT: Millis = Millis(1_000);
 
-/// This host as a contender for, or owner of, a pool of its zone.
+/// State machine of this host as a contender for a pool of its zone, or as the owner of one.
 pub(super) struct Contender {
     kernel: Kernel,
     pub(super) engine: Rc<Engine>,
@@ -61,26 +62,27 @@
     watch: StoreWatch,
     generation: u64,
     candidates: BTreeMap<PoolId, Candidate>,
-    /// Executor list, fetched while this host waits to join, so that a new owner can use it at once.
+    /// Executor list that is fetched while this host waits to join, so that a new owner can use it
+    /// at once.
     prefetched_executors: Option<ExecutorsRead>,
 }
 
-/// What a contender does next.
+/// The next step of a contender.
 pub(super) enum OwnershipStep {
-    /// Looks for a pool that nobody owns.
+    /// Waits for a vacant pool.
     Contend,
-    /// Joins a pool's group, since nobody owns the pool.
+    /// Joins the group of a vacant pool.
     Join(PoolId),
-    /// Takes a pool over by its last owner's word.
+    /// Takes over a pool whose last owner has made this host its successor.
     Succeed(PoolId, OwnershipTransfer),
-    /// Renews its ownership.
+    /// Renews the ownership of a pool.
     Renew(PoolId),
-    /// Leaves the group.
+    /// Leaves the group of a pool.
     Leave(PoolId),
 }
 
 impl Contender {
-    /// Makes a contender that owns nothing yet.
+    /// Creates a contender that owns no pool yet.
     pub fn new(kernel: &Kernel, service: &OwnershipService, directory: Rc<Directory>) -> Self {
         let options = service.options.clone();
         Contender {
@@ -99,11 +101,11 @@
         }
     }
 
-    /// Contends for a pool and owns it in turns, for as long as the process lives.
+    /// Runs the steps until the process ends.
     pub async fn run(mut self) {
-        let mut next = OwnershipStep::Contend;
+        let mut step = OwnershipStep::Contend;
         loop {
-            next = match next {
+            step = match step {
                 OwnershipStep::Contend => self.contend().await,
                 OwnershipStep::Join(pool) => self.join(pool).await,
                 OwnershipStep::Succeed(pool, transfer) => self.succeed(pool, transfer),
@@ -122,14 +124,19 @@
     }
 
     async fn contend(&mut self) -> OwnershipStep {
-        // A list that was fetched for a pool that another host took would be stale for the next one.
+        // A list that was fetched for a pool that another host has acquired would be stale for the
+        // next pool.
         self.prefetched_executors = None;
-        let news = self.directory.pool_available().waiting();
+        let pool_available = self.directory.pool_available().waiting();
         let transferred = self.links.transfer_received().waiting();
         let period = async {
             Timer::after(CONTEND_PERIOD).await;
         };
-        news.wait().or(transferred.wait()).or(period).await;
+        pool_available
+            .wait()
+            .or(transferred.wait())
+            .or(period)
+            .await;
         let vacant = self.directory.vacant_local_pools();
         self.candidates.retain(|pool, _| vacant.contains(pool));
         if self.is_stopping() {
@@ -141,7 +148,7 @@
         if let Some((pool, member)) = self.directory.take_orphaned(boot_clock::now()) {
             return self.replace_earlier_process(pool, member).await;
         }
-        // Hosts begin at different pools, so that they do not all want the same one.
+        // Hosts start at different pools, so that they do not all contend for the same one.
         let preferred = self.links.preferred_pool();
         let count = vacant.len();
         let first = vacant.iter().position(|pool| *pool >= preferred);
@@ -154,7 +161,8 @@
         OwnershipStep::Contend
     }
 
-    /// Tells after which pause this host joins for a vacant pool; none if it leaves it alone.
+    /// Returns the pause after which this host joins the group of a vacant pool, or `None` if it
+    /// does not join.
     async fn takeover_pause(&mut self, pool: &PoolId) -> Option<Millis> {
         let last_owner = self.last_owner(pool).await;
         let cpu_millis = self.options.cpu_millis;
@@ -162,19 +170,25 @@
             .candidates
             .entry(pool.clone())
             .or_insert_with(|| Candidate::new(cpu_millis));
-        let back_at = self.directory.store_recovered_at();
-        match candidate.evaluate_vacancy(boot_clock::now(), last_owner, back_at, rand::random()) {
+        let recovered_at = self.directory.store_recovered_at();
+        match candidate.evaluate_vacancy(
+            boot_clock::now(),
+            last_owner,
+            recovered_at,
+            rand::random(),
+        ) {
             CandidateStep::Defer => None,
             CandidateStep::JoinAfter(pause) => Some(pause),
         }
     }
 
-    /// Gets what is known of a vacant pool's last owner; asks it, if this host never has.
+    /// Returns the status of a vacant pool's last owner. Probes that owner if this host has never
+    /// been connected to an owner of the pool.
     async fn last_owner(&mut self, pool: &PoolId) -> LastOwner {
         if self.links.is_settled(pool) {
             return LastOwner::Active;
         }
-        // Before the first start of all there was no owner.
+        // On the first start of the deployment there is no previous owner.
         if self.links.has_known_owner(pool) || self.options.is_first_start {
             return LastOwner::Gone;
         }
@@ -196,10 +210,10 @@
         }
     }
 
-    /// Takes over from an earlier process of this host.
+    /// Takes over a pool that the store still assigns to an earlier process of this host.
     ///
-    /// The address is this process's own, so whoever joined under it before is gone, and its membership is
-    /// ended rather than left to lapse.
+    /// That process joined under the address that this process uses now, so it has ended. Its
+    /// membership is removed at once instead of left to expire.
     async fn replace_earlier_process(&mut self, pool: PoolId, member: SmolStr) -> OwnershipStep {
         match self.end_membership(&pool, &member).await {
             true => OwnershipStep::Join(pool),
@@ -207,14 +221,15 @@
         }
     }
 
-    /// Waits and looks again: two hosts that join at once move the pool twice, and after their
-    /// pauses all but one find it owned.
+    /// Waits for the pause and checks the owner again before joining: two hosts that join at the
+    /// same time move the pool twice. After their random pauses all hosts but one find the pool
+    /// owned.
     async fn recheck_and_join(&mut self, pool: PoolId, pause: Millis) -> OwnershipStep {
         let address = self.options.store;
         self.prefetched_executors = Some(self.kernel.spawn(executors::read_all(address)));
         Timer::after(pause.into()).await;
         match self.read_holder(&pool).await {
-            // The store is moving the partition back to an owner that answers.
+            // The owner answers, and the store is about to assign the partition to it again.
             Some(None) if self.takeover_pause(&pool).await.is_none() => OwnershipStep::Contend,
             Some(None) => OwnershipStep::Join(pool),
             Some(Some(owner)) if owner == self.member => OwnershipStep::Join(pool),
@@ -234,7 +249,8 @@
         }
     }
 
-    /// Joins or renews; tells whether this host holds the pool, none without an answer.
+    /// Joins the group of a pool or renews the membership. Returns whether this host holds the
+    /// pool, or `None` if the store does not answer.
     pub(super) async fn send_join(&mut self, pool: &PoolId) -> Option<bool> {
         let ttl = self.ttl();
         let joined = self
@@ -260,10 +276,11 @@
         }
     }
 
-    /// Gets the link to the owner before this one, if it answers.
+    /// Returns the link to the previous owner, if that owner answers.
     ///
-    /// A pool may change hands twice before this host hears of it. Whoever wrote itself down last is asked:
-    /// an earlier owner is done with the pool while the last one still uses it.
+    /// Ownership may change twice before this host observes it. The owner that wrote the latest
+    /// owner record is used: an earlier one has finished with the pool while the latest may still
+    /// use it.
     async fn last_owner_link(&mut self, pool: &PoolId) -> Option<Rc<RemoteLink>> {
         match last_owner::read(&mut self.store, pool).await {
             Ok(member) => {
@@ -272,35 +289,38 @@
                 self.links.set_owner(pool, address);
                 self.links.probe_owner(pool, PROBE_TIMEOUT).await;
             }
-            // The owner that is known by other ways is asked.
+            // Falls back to the owner that the links know.
             Err(error) => self.watch.record_failure(&error),
         }
         self.links.link_to(pool)
     }
 
-    /// Begins to own a pool, if the zone's division still has it.
+    /// Acquires a pool whose group this host has joined, if the zone's shard layout still contains
+    /// it.
     async fn start_ownership(&mut self, pool: PoolId) -> OwnershipStep {
-        // Without an answer the division known is taken; executors refuse a token of an old one.
+        // Without an answer the known shard layout is used; executors refuse the token of an old
+        // layout.
         if let Err(error) = self.shard_layouts.refresh(&mut self.store).await {
             self.watch.record_failure(&error);
         }
-        let division = self.shard_layouts.layout_of(&pool.zone);
-        if pool.index >= division.pools {
+        let layout = self.shard_layouts.layout_of(&pool.zone);
+        if pool.index >= layout.pools {
             return OwnershipStep::Leave(pool);
         }
-        let token = division.token(&pool, self.generation);
+        let token = layout.token(&pool, self.generation);
         let last_owner = self.last_owner_link(&pool).await;
         self.acquire_pool(token, &pool, last_owner);
-        let known = self
+        let initial = self
             .prefetched_executors
             .take()
             .map_or(InitialExecutors::None, InitialExecutors::Reading);
-        self.follow_executors(token, &pool, division, known);
+        self.follow_executors(token, &pool, layout, initial);
         self.write_owner_record(&pool).await;
         OwnershipStep::Renew(pool)
     }
 
-    /// Owns a pool under a token from now on; the last owner is given if it answers.
+    /// Becomes the owner of a pool under a fencing token. `last_owner` is the link to the previous
+    /// owner, if it answers.
     pub(super) fn acquire_pool(
         &mut self,
         token: FencingToken,
@@ -313,14 +333,15 @@
         self.engine
             .acquire_pool(token, pool.clone(), last_owner.is_some());
         if let Some(link) = last_owner {
-            let open = link.keep_open();
-            let handover = follow_release(self.engine.clone(), link, open, token);
+            let waiter = link.keep_open();
+            let handover = follow_release(self.engine.clone(), link, waiter, token);
             self.kernel.spawn(handover).detach();
         }
         self.links.set_owner(pool, None);
     }
 
-    /// Writes this owner down: hosts that start later find it while the store's books show none.
+    /// Writes an owner record, from which hosts that start later find this owner while the group in
+    /// the store has no members.
     pub(super) async fn write_owner_record(&mut self, pool: &PoolId) {
         if let Err(error) = last_owner::write(&mut self.store, pool, &self.member).await {
             self.watch.record_failure(&error);
@@ -331,21 +352,22 @@
         &self,
         token: FencingToken,
         pool: &PoolId,
-        division: ShardLayout,
-        known: InitialExecutors,
+        layout: ShardLayout,
+        initial: InitialExecutors,
     ) {
         let follow = executors::follow(
             self.kernel.clone(),
             self.engine.clone(),
             self.shard_layouts.clone(),
-            (token, pool.clone(), division),
-            known,
+            (token, pool.clone(), layout),
+            initial,
             self.options.store,
         );
         self.kernel.spawn(follow).detach();
     }
 
-    /// Asks the store who holds a pool; none without an answer.
+    /// Reads the holder of a pool from the store: `Some(None)` if the pool has none, `None` if the
+    /// store does not answer.
     pub(super) async fn read_holder(&mut self, pool: &PoolId) -> Option<Option<SmolStr>> {
         match read_owner(&mut self.store, pool).await {
             Ok(holder) => {
@@ -377,16 +399,18 @@
             return self.register(pool, &past_members).await;
         }
         match self.renew_membership(&pool).await {
-            // Without an answer the owner goes on: whoever replaces it has a higher token.
+            // Without an answer the owner continues: an owner that replaces it has a higher token.
             Some(true) | None => OwnershipStep::Renew(pool),
             Some(false) => self.hand_over(pool).await,
         }
     }
 
-    /// Renews the membership; tells whether this host still holds the pool, none without an answer.
+    /// Renews the membership. Returns whether this host still holds the pool, or `None` if the
+    /// store does not answer.
     ///
-    /// Another host that joins the group and leaves again makes the store rebalance twice. The owner's
-    /// next join then releases the partition, and a second one, in the newest generation, gets it back.
+    /// If another host joins the group and leaves again, the store rebalances twice. The owner's
+    /// next join then releases the partition, and a second join, in the newest generation, acquires
+    /// it again.
     async fn renew_membership(&mut self, pool: &PoolId) -> Option<bool> {
         match self.send_join(pool).await {
             Some(false) => self.send_join(pool).await,
@@ -394,18 +418,19 @@
         }
     }
 
-    /// Serves on while another host takes the pool over, until the last job here has ended.
+    /// Continues to serve while another host takes over the pool, until the last job on this host
+    /// has ended.
     pub(super) async fn hand_over(&mut self, pool: PoolId) -> OwnershipStep {
         self.engine.begin_drain();
         let mut has_left = false;
-        let given_up_at = boot_clock::now() + HANDOVER_WAIT;
+        let handover_deadline = boot_clock::now() + HANDOVER_WAIT;
         let mut was_releasing = false;
-        let transfer_due_at = boot_clock::now() + STORE_OWNER_WAIT;
+        let successor_due_at = boot_clock::now() + STORE_OWNER_WAIT;
         loop {
-            let is_cut_off = !has_left && self.watch.is_lost();
-            let is_transfer_due = is_cut_off || boot_clock::now() >= transfer_due_at;
+            let is_store_lost = !has_left && self.watch.is_lost();
+            let is_successor_due = is_store_lost || boot_clock::now() >= successor_due_at;
             self.engine
-                .set_successor_needed(self.is_stopping() && is_transfer_due);
+                .set_successor_needed(self.is_stopping() && is_successor_due);
             if !has_left {
                 has_left = self.leave_group(&pool).await;
             }
@@ -415,16 +440,17 @@
             if self.engine.owned_pool().is_none() {
                 return OwnershipStep::Leave(pool);
             }
-            if let Some(why) = self.step_down_reason(given_up_at) {
-                self.engine.step_down(why);
+            if let Some(reason) = self.step_down_reason(handover_deadline) {
+                self.engine.step_down(reason);
             }
             Timer::after(HANDOVER_POLL).await;
         }
     }
 
-    /// Gets why an owner that is being replaced has nothing left to do; none while it has. One that
-    /// the store replaced waits until `given_up_at` for the next owner to ask.
-    fn step_down_reason(&self, given_up_at: Mono) -> Option<&'static str> {
+    /// Returns the reason for which an owner that is being replaced can give up its pool, or `None`
+    /// while it still has to serve. An owner that the store has replaced waits until
+    /// `handover_deadline` for the next owner to request the handover.
+    fn step_down_reason(&self, handover_deadline: Mono) -> Option<&'static str> {
         let is_idle = self.engine.counts().1 == 0;
         if self.engine.is_releasing() {
             return is_idle.then_some("handed over");
@@ -432,17 +458,17 @@
         if self.engine.is_closed() && is_idle {
             return Some("this host is stopping");
         }
-        let is_forgotten = !self.is_stopping() && boot_clock::now() > given_up_at;
-        is_forgotten.then_some("the store gave it to another host")
+        let is_replaced = !self.is_stopping() && boot_clock::now() > handover_deadline;
+        is_replaced.then_some("the store assigned the pool to another host")
     }
 
-    /// Leaves a pool's group; tells whether the store has answered.
+    /// Leaves the group of a pool. Returns whether the store has answered.
     async fn leave_group(&mut self, pool: &PoolId) -> bool {
         let member = self.member.clone();
         self.end_membership(pool, &member).await
     }
 
-    /// Ends a membership in a pool's group; tells whether the store has answered.
+    /// Removes a member from the group of a pool. Returns whether the store has answered.
     pub(super) async fn end_membership(&mut self, pool: &PoolId, member: &str) -> bool {
         let group = group_of(pool);
         match self.store.leave(&group, member, ANSWER_TIMEOUT).await {
@@ -459,9 +485,10 @@
 
     async fn leave(&mut self, pool: PoolId) -> OwnershipStep {
         self.directory.trigger_lookups();
-        // Without an answer the membership lapses by itself after its time to live.
+        // Without an answer the membership expires after its time to live.
         self.leave_group(&pool).await;
-        // A division that this host has not read yet may be why its token was refused.
+        // The token may have been refused because of a shard layout that this host has not read
+        // yet.
         if let Err(error) = self.shard_layouts.refresh(&mut self.store).await {
             self.watch.record_failure(&error);
         }
--- a/crates/onyxshed-host/src/ownership/handover.rs
+++ b/crates/onyxshed-host/src/ownership/handover.rs
@@ -1,4 +1,4 @@
-//! A new owner's side of a handover.
+//! The handover of a pool's executors, as run by the new owner.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -12,28 +12,28 @@
 use crate::engine::Engine;
 use crate::links::{RemoteLink, WaiterGuard};
 
-/// Time between two questions of a new owner to the last one, and between two looks of that one for
-/// its end: a tenth of a short task's time.
+/// Interval at which a new owner sends release requests to the previous owner, and at which the
+/// previous owner checks whether it has finished: a tenth of the run time of a short task.
 pub(super) const HANDOVER_POLL: Duration = Duration::from_millis(20);
 
-/// Longest time for which a new owner leaves executors to the last one: tasks end within a second
-/// or two, and the platform kills a stopping host after some six.
+/// Maximum time for which a new owner leaves executors to the previous owner: tasks end within one
+/// or two seconds, and the platform kills a stopping host after about six.
 const HANDOVER_MAX: Millis = Millis(4_000);
 
-/// Takes a pool's executors over from its last owner as that one lets go of them, until it holds
-/// none, answers no longer or has had its time.
+/// Takes over a pool's executors as the previous owner releases them, until the previous owner
+/// holds none, stops answering or [`HANDOVER_MAX`] has elapsed.
 pub(super) async fn follow_release(
     engine: Rc<Engine>,
     last_owner: Rc<RemoteLink>,
-    _open: WaiterGuard,
+    _waiter: WaiterGuard,
     token: FencingToken,
 ) {
-    let over_at = boot_clock::now() + HANDOVER_MAX;
-    while engine.token() == Some(token) && boot_clock::now() < over_at {
+    let deadline = boot_clock::now() + HANDOVER_MAX;
+    while engine.token() == Some(token) && boot_clock::now() < deadline {
         match last_owner.release(token).await {
             None => break,
-            Some(held) if held.is_empty() => break,
-            Some(held) => engine.apply_predecessor_executors(token, held),
+            Some(executors) if executors.is_empty() => break,
+            Some(executors) => engine.apply_predecessor_executors(token, executors),
         }
         Timer::after(HANDOVER_POLL).await;
     }
--- a/crates/onyxshed-host/src/ownership/successor.rs
+++ b/crates/onyxshed-host/src/ownership/successor.rs
@@ -1,7 +1,7 @@
-//! A pool that comes to this host by its last owner's word, without the store.
+//! Takeover of a pool by the successor that its last owner has selected, without the store.
 //!
-//! The successor serves at once; the store's books catch up when the store answers again: the memberships of
-//! the owners before it are ended, and it joins in its own name.
+//! The successor serves at once. When the store answers again, the successor removes the
+//! memberships of the previous owners and joins the pool's group itself.
 
 use std::time::Duration;
 
@@ -11,30 +11,31 @@
 use super::contender::{Contender, OwnershipStep};
 use crate::executors::InitialExecutors;
 
-/// Time between two tries of a successor to be written into the store's books: soon after the store
-/// answers, others find the pool vacant there.
+/// Interval at which a successor tries to register in the store. It is short because other hosts
+/// find the pool vacant soon after the store answers again.
 pub(super) const REGISTER_PERIOD: Duration = Duration::from_millis(100);
 
 impl Contender {
-    /// Takes a pool over by its last owner's word, without the store.
+    /// Takes over a pool whose last owner has made this host its successor.
     pub(super) fn succeed(&mut self, pool: PoolId, transfer: OwnershipTransfer) -> OwnershipStep {
         let token = transfer.token;
         let last_owner = self.links.link_to(&pool);
         self.acquire_pool(token, &pool, last_owner);
-        let division = self.shard_layouts.layout_of(&pool.zone);
-        let known = InitialExecutors::FromPredecessor(transfer.executors);
-        self.follow_executors(token, &pool, division, known);
+        let layout = self.shard_layouts.layout_of(&pool.zone);
+        let initial = InitialExecutors::FromPredecessor(transfer.executors);
+        self.follow_executors(token, &pool, layout, initial);
         self.engine.set_past_members(transfer.past_members);
         OwnershipStep::Renew(pool)
     }
 
-    /// Joins the pool's group as the successor of owners that the store may still list.
+    /// Joins the group of the pool, and removes the membership of a previous owner that the store
+    /// still lists.
     pub(super) async fn register(
         &mut self,
         pool: PoolId,
         past_members: &[SmolStr],
     ) -> OwnershipStep {
-        // While the store is away the successor serves without it.
+        // While the store is unavailable the successor serves unregistered.
         let Some(holder) = self.read_holder(&pool).await else {
             return OwnershipStep::Renew(pool);
         };
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Makes way for another owner that the store has made meanwhile, if there is one; else the pool
-    /// is about to be this successor's.
+    /// Hands the pool over to another owner if the store has appointed one in the meantime.
+    /// Otherwise the store is about to assign the pool to this successor.
     async fn yield_to_holder(&mut self, pool: PoolId, past_members: &[SmolStr]) -> OwnershipStep {
         match self.read_holder(&pool).await {
             Some(Some(holder)) if holder != self.member && !past_members.contains(&holder) => {
--- a/crates/onyxshed-host/src/peer_state.rs
+++ b/crates/onyxshed-host/src/peer_state.rs
@@ -1,8 +1,8 @@
-//! What a host that has just started learns from others while the store is away.
+//! State that a starting host fetches from peers while the store is unavailable.
 //!
-//! Hosts that start while the store is down know neither routes nor owners. The platform's settings name
-//! up to three hosts that do. What they tell may be old: the store's word replaces it, and a manifest is
-//! never replaced by an older one.
+//! A host that starts while the store is down knows neither routes nor owners. The platform's
+//! settings list up to three peers that may know them. Their state may be out of date: records from
+//! the store replace it, and a manifest is never replaced by an older one.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,18 +23,18 @@
 use crate::names::{LINKS, MANIFEST, PEER_STATE, SHARD_LAYOUTS};
 use crate::shard_layouts::ShardLayouts;
 
-/// How long the store may take to tell the manifest before others are asked: a first read takes two
-/// calls, and a host at its processor limit is late to read the answers.
+/// How long a host waits for the manifest from the store before it queries its peers: the first
+/// read takes two calls, and a host at its CPU limit reads the answers late.
 const STORE_WAIT: Duration = Duration::from_millis(250);
 
-/// Time between two rounds of questions, while neither the store nor another host has told the manifest.
+/// Interval between two rounds of queries while the manifest is unknown.
 const ROUND_PERIOD: Duration = Duration::from_millis(250);
 
-/// How long one host may take to answer: a new connection over zones and a call, on a host at its
-/// processor limit (75 ms).
+/// Timeout of a query to one peer: covers a new connection across zones and a call to a host at its
+/// CPU limit (75 ms).
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Learning from others as a service.
+/// Service that fetches the state of the deployment from peers at startup.
 pub struct PeerStateService {
     own_address: SocketAddr,
     seeds: Vec<SocketAddr>,
@@ -42,10 +42,15 @@
 }
 
 impl PeerStateService {
-    /// Makes the service of a host that others reach at `own`, with the hosts that it may ask.
-    pub fn new(own: SocketAddr, seeds: Vec<SocketAddr>, evacuations: Rc<ZoneEvacuations>) -> Self {
+    /// Creates the service of a host that peers reach at `own_address`, with the addresses of the
+    /// peers to query.
+    pub fn new(
+        own_address: SocketAddr,
+        seeds: Vec<SocketAddr>,
+        evacuations: Rc<ZoneEvacuations>,
+    ) -> Self {
         PeerStateService {
-            own_address: own,
+            own_address,
             seeds,
             evacuations,
         }
@@ -63,7 +68,7 @@
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
         Box::pin(async move {
-            let newcomer = PeerStateClient {
+            let client = PeerStateClient {
                 kernel: kernel.clone(),
                 seeds: self.seeds.clone(),
                 manifest: kernel.find(MANIFEST)?,
@@ -71,19 +76,19 @@
                 shard_layouts: kernel.find(SHARD_LAYOUTS)?,
                 evacuations: self.evacuations.clone(),
             };
-            let others = newcomer
+            let others = client
                 .seeds
                 .iter()
                 .filter(|seed| **seed != self.own_address);
             if others.count() > 0 {
-                kernel.spawn(newcomer.fetch(self.own_address)).detach();
+                kernel.spawn(client.fetch(self.own_address)).detach();
             }
             Ok(())
         })
     }
 }
 
-/// A host that has just started.
+/// Client that queries peers for the state of the deployment.
 struct PeerStateClient {
     kernel: Kernel,
     seeds: Vec<SocketAddr>,
@@ -94,15 +99,16 @@
 }
 
 impl PeerStateClient {
-    /// Asks the other hosts in turn until the manifest is known.
-    async fn fetch(self, own: SocketAddr) {
+    /// Queries the peers in turn until the manifest is known.
+    async fn fetch(self, own_address: SocketAddr) {
         Timer::after(STORE_WAIT).await;
         while self.manifest.get().is_none() {
-            for seed in self.seeds.iter().filter(|seed| **seed != own) {
+            for seed in self.seeds.iter().filter(|seed| **seed != own_address) {
                 let answer = within(ANSWER_TIMEOUT, self.query(*seed)).await;
-                // One that is gone or knows nothing is no news: the next one is asked.
-                if let Some(Ok(known)) = answer {
-                    self.apply_state(*seed, &known);
+                // A peer that does not answer is skipped; one without a manifest does not end the
+                // loop.
+                if let Some(Ok(state)) = answer {
+                    self.apply_state(*seed, &state);
                 }
             }
             Timer::after(ROUND_PERIOD).await;
@@ -117,24 +123,24 @@
         pool::read_peer_state(reply.get()?.get_state()?)
     }
 
-    fn apply_state(&self, seed: SocketAddr, known: &PeerState) {
-        let told = Event::new(EventKind::PeerStateLearned).party(format_smolstr!("{seed}"));
+    fn apply_state(&self, seed: SocketAddr, state: &PeerState) {
+        let event = Event::new(EventKind::PeerStateLearned).party(format_smolstr!("{seed}"));
         let detail = format_smolstr!(
             "{} bytes of manifest, {} owners",
-            known.manifest.len(),
-            known.owners.len()
+            state.manifest.len(),
+            state.owners.len()
         );
-        self.kernel.emit(told.detail(detail));
-        for (zone, division) in &known.divisions {
-            self.shard_layouts.apply(zone, *division);
+        self.kernel.emit(event.detail(detail));
+        for (zone, layout) in &state.divisions {
+            self.shard_layouts.apply(zone, *layout);
         }
-        for (pool, owner) in &known.owners {
+        for (pool, owner) in &state.owners {
             self.links.apply_peer_owner(pool, *owner);
         }
         self.evacuations
-            .apply(known.evacuations.iter().cloned(), "another host");
-        if !known.manifest.is_empty() {
-            self.manifest.apply(&known.manifest, "another host");
+            .apply(state.evacuations.iter().cloned(), "another host");
+        if !state.manifest.is_empty() {
+            self.manifest.apply(&state.manifest, "another host");
         }
     }
 }
--- a/crates/onyxshed-host/src/process.rs
+++ b/crates/onyxshed-host/src/process.rs
@@ -1,4 +1,5 @@
-//! The host process from its settings to its end.
+//! Startup of the host process: parses the command line, loads the settings and runs the services
+//! until the process is told to stop.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -28,31 +29,34 @@
 use crate::reload::ReloadService;
 use crate::shard_layouts::{ShardLayoutService, ShardLayouts};
 
-/// The binary's name.
+/// Name of the binary, as shown in its help, log and error messages.
 const NAME: &str = "onyxshed-host";
 
-/// Port of the metrics, the status and the time line, on the host's own address.
+/// Default port of the admin endpoint, which serves metrics, status and the time line, on the
+/// host's own address.
 pub const ADMIN_PORT_DEFAULT: u16 = 9_464;
 
-/// Events kept for the time line: about the last ten seconds of a busy host, in half a megabyte.
+/// Number of events that the time line keeps: about the last ten seconds of a busy host, in half a
+/// megabyte.
 const TIMELINE_EVENTS_MAX: usize = 1_000;
 
-/// Left between the longest drain and the platform's kill, for the last lines of the log.
+/// Time between the end of the longest drain and the platform's kill, reserved for writing the last
+/// log lines.
 const DRAIN_MARGIN: Millis = Millis(500);
 
-/// Left between the last answers of a stopping host and the platform's kill: a host at its processor
-/// limit takes a few hundred milliseconds to write a hundred answers.
+/// Time between the last replies of a stopping host and the platform's kill: a host at its CPU
+/// limit takes a few hundred milliseconds to write a hundred replies.
 const FINAL_REPLIES_MARGIN: Millis = Millis(1_000);
 
-/// Most callers' connections at a time, well below the descriptors that a host has.
+/// Maximum number of concurrent caller connections, well below the file descriptor limit of a host.
 const CONNECTIONS_MAX: usize = 1_500;
 
-/// How long a caller's connection may idle; the manifest's own figure is 15 s.
+/// How long a caller's connection may be idle before it is closed; the manifest specifies 15 s.
 const IDLE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(60);
 
 fn command() -> Command {
     Command::new(NAME)
-        .about("Faces callers and owns pools of executors on the users' platform")
+        .about("Serves callers and owns pools of executors on the users' platform")
         .version(env!("CARGO_PKG_VERSION"))
         .arg(
             Arg::new("settings")
@@ -68,36 +72,36 @@
                 .long("log-level")
                 .value_parser(["debug", "info", "warn", "error"])
                 .default_value("info")
-                .help("The quietest level that is logged"),
+                .help("Lowest severity that is logged"),
         )
         .arg(
             Arg::new("admin-port")
                 .long("admin-port")
                 .value_parser(clap::value_parser!(u16))
                 .default_value("9464")
-                .help("Port of metrics, status and time line"),
+                .help("Port of the admin endpoint: metrics, status and time line"),
         )
         .arg(
             Arg::new("advertise")
                 .long("advertise")
                 .value_name("ADDRESS")
                 .value_parser(clap::value_parser!(SocketAddr))
-                .help("Where other hosts reach this one, if not on its own address"),
+                .help("Address at which other hosts reach this host, if not on its own address"),
         )
         .arg(
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Check the settings file and end"),
+                .help("Check the settings file and exit"),
         )
 }
 
-/// Runs the process.
+/// Runs the process until it is stopped or fails.
 pub fn main() -> ExitCode {
     let matches = command().get_matches();
     let path: &PathBuf = matches
         .get_one("settings")
-        .expect("the argument is required");
+        .expect("`--settings` is a required argument");
     let settings = match HostSettings::load(path) {
         Ok(settings) => settings,
         Err(error) => {
@@ -106,7 +110,7 @@
         }
     };
     if matches.get_flag("check") {
-        println!("{NAME}: the settings of {} are well-formed", settings.host);
+        println!("{NAME}: the settings of {} are valid", settings.host);
         return ExitCode::SUCCESS;
     }
     let level = match matches.get_one::<String>("log-level").map(String::as_str) {
@@ -125,7 +129,7 @@
     run(&options, &settings)
 }
 
-/// What the command line says.
+/// Options from the command line.
 struct HostOptions {
     settings_path: PathBuf,
     level: LogLevel,
@@ -172,8 +176,10 @@
     end.into()
 }
 
-/// Gets the pool's options; executors shorten a lease that is longer than they grant, and a run that
-/// its owner takes to be leased would end.
+/// Returns the options of the pool.
+///
+/// The lease is capped at the longest one that executors grant: they shorten a longer lease, and a
+/// run would then end while its owner still considers it leased.
 fn pool_options(settings: &HostSettings) -> PoolOptions {
     let options = PoolOptions::default();
     PoolOptions {
@@ -184,11 +190,13 @@
     }
 }
 
-/// Gets how long begun jobs may start tasks in an evacuated zone: a quarter of what the platform allows at
-/// most, since the evacuation is known here some time after it was confirmed.
+/// Returns how long jobs that have started may start further tasks in an evacuated zone.
+///
+/// This is at most a quarter of the time that the platform allows, since a host observes an
+/// evacuation some time after it was confirmed.
 fn evacuation_grace(settings: &HostSettings, default: Millis) -> Millis {
-    let within = settings.evacuated_within_ms;
-    within.map_or(default, |within| default.min(Millis(within.0 / 4)))
+    let limit = settings.evacuated_within_ms;
+    limit.map_or(default, |limit| default.min(Millis(limit.0 / 4)))
 }
 
 fn services(
@@ -197,11 +205,16 @@
     settings: &HostSettings,
     telemetry: Rc<Telemetry>,
 ) -> Vec<Box<dyn Service>> {
-    let own = PeerIncarnation(rand::random());
-    let own_port = SocketAddr::new(settings.ip, settings.first_own_port);
-    let peer_address = settings.peer_address.unwrap_or(own_port);
+    let incarnation = PeerIncarnation(rand::random());
+    let default_address = SocketAddr::new(settings.ip, settings.first_own_port);
+    let peer_address = settings.peer_address.unwrap_or(default_address);
     let evacuations = ZoneEvacuations::new(kernel, settings.zones.clone());
-    let engine = Engine::new(kernel, own, pool_options(settings), evacuations.clone());
+    let engine = Engine::new(
+        kernel,
+        incarnation,
+        pool_options(settings),
+        evacuations.clone(),
+    );
     let link_options = LinkOptions {
         address: peer_address,
         advertised: options.advertised.unwrap_or(peer_address),
@@ -209,7 +222,7 @@
         zone: settings.zone.clone(),
         host: settings.host.clone(),
     };
-    let divisions = ShardLayouts::new(settings.zones.clone());
+    let shard_layouts = ShardLayouts::new(settings.zones.clone());
     let advertised = link_options.advertised;
     let ownership = OwnershipOptions {
         zone: settings.zone.clone(),
@@ -222,7 +235,7 @@
     let links = Links::new(
         kernel,
         engine.clone(),
-        divisions.clone(),
+        shard_layouts.clone(),
         evacuations.clone(),
         link_options,
     );
@@ -252,11 +265,16 @@
         )),
         Box::new(EngineService::new(engine.clone())),
         Box::new(ShardLayoutService::new(
-            divisions.clone(),
+            shard_layouts.clone(),
             settings.store_address,
         )),
         Box::new(LinkService::new(links.clone())),
-        Box::new(OwnershipService::new(ownership, divisions, engine, links)),
+        Box::new(OwnershipService::new(
+            ownership,
+            shard_layouts,
+            engine,
+            links,
+        )),
         Box::new(PeerStateService::new(
             advertised,
             settings.seeds.clone(),
--- a/crates/onyxshed-host/src/ready.rs
+++ b/crates/onyxshed-host/src/ready.rs
@@ -1,4 +1,4 @@
-//! Tells the balancer whether new callers should come here.
+//! The readiness endpoint, which tells the balancer whether to send new callers to this host.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,19 +12,19 @@
 use crate::manifest::ManifestHolder;
 use crate::names::{LINKS, MANIFEST, READY};
 
-/// Status of a host that takes callers.
+/// HTTP status of a host that accepts callers.
 const STATUS_READY: u16 = 200;
 
-/// Status of a host that does not.
+/// HTTP status of a host that does not accept callers.
 const STATUS_NOT_READY: u16 = 503;
 
-/// Readiness as a service.
+/// Service that answers the balancer's readiness checks.
 pub struct ReadyService {
     address: SocketAddr,
 }
 
 impl ReadyService {
-    /// Makes the service for an address.
+    /// Creates the service, which listens on `address`.
     pub fn new(address: SocketAddr) -> Self {
         ReadyService { address }
     }
--- a/crates/onyxshed-host/src/reload.rs
+++ b/crates/onyxshed-host/src/reload.rs
@@ -1,8 +1,8 @@
-//! Takes up settings that change while the process runs.
+//! Reloads the settings file while the process runs.
 //!
-//! The platform says so with SIGHUP, or changes the file without a word. Addresses that this
-//! process listens on stay as they are until its next start; everything else that it uses of the
-//! file holds for the life of a host.
+//! The platform sends SIGHUP after a change, or changes the file without a signal. The addresses on
+//! which this process listens do not change until its next start; all other settings that it uses
+//! are fixed for the lifetime of a host.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -17,17 +17,17 @@
 
 use crate::names::RELOAD;
 
-/// How often the file is looked at; a change without a signal is taken up within that time.
+/// Interval at which the file is read; a change without a signal is detected within that time.
 const POLL_PERIOD: Duration = Duration::from_millis(2_000);
 
-/// Reloading as a service.
+/// Service that reloads the settings file and logs changes and errors.
 pub struct ReloadService {
     path: PathBuf,
     settings: HostSettings,
 }
 
 impl ReloadService {
-    /// Makes the service for a file and what was read from it at the start.
+    /// Creates the service for a settings file and the settings that were read from it at startup.
     pub fn new(path: PathBuf, settings: HostSettings) -> Self {
         ReloadService { path, settings }
     }
@@ -59,22 +59,22 @@
     }
 }
 
-async fn watch(kernel: Kernel, mut signals: Signals, path: PathBuf, mut held: HostSettings) {
+async fn watch(kernel: Kernel, mut signals: Signals, path: PathBuf, mut current: HostSettings) {
     loop {
         let signal = async { signals.next().await.is_some() };
-        let look = async {
+        let poll = async {
             Timer::after(POLL_PERIOD).await;
             false
         };
-        let was_told = signal.or(look).await;
+        let was_signalled = signal.or(poll).await;
         match HostSettings::load(&path) {
             Ok(settings) => {
-                let is_new = settings != held;
-                if was_told || is_new {
-                    let detail = format_smolstr!("told: {was_told}, changed: {is_new}");
+                let is_changed = settings != current;
+                if was_signalled || is_changed {
+                    let detail = format_smolstr!("told: {was_signalled}, changed: {is_changed}");
                     kernel.emit(Event::new(EventKind::SettingsReloaded).detail(detail));
                 }
-                held = settings;
+                current = settings;
             }
             Err(error) => {
                 let event = Event::new(EventKind::SettingsRejected);
--- a/crates/onyxshed-host/src/shard_layouts.rs
+++ b/crates/onyxshed-host/src/shard_layouts.rs
@@ -1,4 +1,4 @@
-//! How many pools each zone has, as its owners have written it into the store.
+//! Shard layouts: the number of pools of each zone, which owners publish in the store.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,24 +17,24 @@
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 use crate::topic::{self, TopicOptions, TopicReader};
 
-/// Topic of this system's own records.
+/// Topic of the shard layouts, with the zone as key.
 const TOPIC: &str = "keyed.onyxshed.pools";
 
-/// Time between two reads while no zone was ever divided.
+/// Interval between two reads while the topic does not exist, since no layout has been published.
 const ABSENT_TOPIC_PERIOD: Duration = Duration::from_millis(3_000);
 
-/// How long a read waits at the store for a change; divisions change with the size of a deployment,
-/// seldom.
+/// How long a read waits in the store for a change. Layouts change rarely, with the size of a
+/// deployment.
 const LONG_POLL_WAIT: Millis = Millis(10_000);
 
-/// Handle to the divisions known.
+/// Handle to the known shard layouts.
 pub struct ShardLayouts {
     zones: Vec<SmolStr>,
     known: RefCell<BTreeMap<SmolStr, ShardLayout>>,
 }
 
 impl ShardLayouts {
-    /// Makes a handle for a deployment's zones, none of which is known to be divided.
+    /// Creates a handle for a deployment's zones, each with the default layout.
     pub fn new(zones: Vec<SmolStr>) -> Rc<Self> {
         Rc::new(ShardLayouts {
             zones,
@@ -42,12 +42,12 @@
         })
     }
 
-    /// Gets a zone's division.
+    /// Returns the shard layout of a zone, which is the default one if none is known.
     pub fn layout_of(&self, zone: &str) -> ShardLayout {
         self.known.borrow().get(zone).copied().unwrap_or_default()
     }
 
-    /// Gets every pool of every zone.
+    /// Returns the pools of all zones.
     pub fn pools(&self) -> Vec<PoolId> {
         let zones = self.zones.iter();
         let pools = zones.flat_map(|zone| {
@@ -59,51 +59,52 @@
         pools.collect()
     }
 
-    /// Gets every division known.
+    /// Returns the zones with a known shard layout, and the layouts.
     pub fn known(&self) -> Vec<(SmolStr, ShardLayout)> {
         let known = self.known.borrow();
         known
             .iter()
-            .map(|(zone, division)| (zone.clone(), *division))
+            .map(|(zone, layout)| (zone.clone(), *layout))
             .collect()
     }
 
-    /// Takes in a zone's division; an older one than is known changes nothing.
-    pub fn apply(&self, zone: &SmolStr, division: ShardLayout) {
+    /// Applies a zone's shard layout, unless its version is not higher than that of the known one.
+    pub fn apply(&self, zone: &SmolStr, layout: ShardLayout) {
         let mut known = self.known.borrow_mut();
-        let held = known.entry(zone.clone()).or_default();
-        if division.version > held.version {
-            *held = division;
+        let current = known.entry(zone.clone()).or_default();
+        if layout.version > current.version {
+            *current = layout;
         }
     }
 
-    /// Tries to write a zone's division into the store, in place of the one before it.
+    /// Publishes the next version of a zone's shard layout in the store. Does nothing if the
+    /// version in the store is not the one before it.
     ///
-    /// The record is written only where nothing was written since the version before it was read: two owners
-    /// that divide the zone under one version would each hold the same executors.
+    /// The write is conditional on the topic's end being unchanged since the read: two owners that
+    /// reshard the zone under the same version would each claim the same executors.
     pub async fn publish(
         &self,
         store: &mut Store,
         zone: &SmolStr,
-        division: ShardLayout,
+        layout: ShardLayout,
     ) -> onyxshed_adapter::Result<()> {
         let end = self.refresh(store).await?;
-        if self.layout_of(zone).version + 1 != division.version {
+        if self.layout_of(zone).version + 1 != layout.version {
             return Ok(());
         }
-        let text = division.to_text();
+        let text = layout.to_text();
         let is_written = store
             .append_keyed(TOPIC, Some(end), zone, text.as_bytes(), ANSWER_TIMEOUT)
             .await?;
         if is_written {
-            self.apply(zone, division);
+            self.apply(zone, layout);
         }
         Ok(())
     }
 
-    /// Reads the store's records once, and gets where they end.
+    /// Reads and applies the published layouts once. Returns the offset at which the topic ends.
     pub async fn refresh(&self, store: &mut Store) -> onyxshed_adapter::Result<u64> {
-        // Before anything was written no zone is divided.
+        // No layout has been published yet.
         let Some(newest) = store.newest_if_any(TOPIC, ANSWER_TIMEOUT).await? else {
             return Ok(0);
         };
@@ -122,23 +123,23 @@
 
     fn apply_record(&self, record: KeyedRecord) {
         let text = record.value.and_then(|value| String::from_utf8(value).ok());
-        if let Some(division) = text.as_deref().and_then(ShardLayout::from_text) {
-            self.apply(&record.key, division);
+        if let Some(layout) = text.as_deref().and_then(ShardLayout::from_text) {
+            self.apply(&record.key, layout);
         }
     }
 }
 
-/// The divisions as a service.
+/// Service that follows the published shard layouts.
 pub struct ShardLayoutService {
     shard_layouts: Rc<ShardLayouts>,
     store: SocketAddr,
 }
 
 impl ShardLayoutService {
-    /// Makes the service.
-    pub fn new(divisions: Rc<ShardLayouts>, store: SocketAddr) -> Self {
+    /// Creates the service.
+    pub fn new(shard_layouts: Rc<ShardLayouts>, store: SocketAddr) -> Self {
         ShardLayoutService {
-            shard_layouts: divisions,
+            shard_layouts,
             store,
         }
     }
@@ -161,7 +162,7 @@
             kernel.spawn(follow).detach();
             let descriptor = Descriptor {
                 name: SHARD_LAYOUTS,
-                summary: "how many pools each zone has",
+                summary: "number of pools of each zone",
             };
             kernel.register(descriptor, self.shard_layouts.clone())
         })
--- a/crates/onyxshed-host/src/store_watch.rs
+++ b/crates/onyxshed-host/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! Whether the platform's store answers one of this host's followers, for the log.
+//! Tracks whether the platform's store answers one of its users in this process, and logs changes.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 
 use crate::boot_clock;
 
-/// How long an answer of the store may take, beyond what it was asked to wait; its slowest ones take
+/// Timeout of a call to the store, in addition to the requested wait; its slowest answers take
 /// about 300 ms.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Pause after a failed call before a topic is read anew.
+/// Pause after a failed call before a topic is read again from its newest state.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// Tells once when the store stops answering, and once when it answers again.
+/// Logs one event when the store stops answering, and one when it answers again.
 pub struct StoreWatch {
     kernel: Kernel,
     user: &'static str,
@@ -27,31 +27,31 @@
 }
 
 impl StoreWatch {
-    /// Makes a watch for one follower, named for the log.
-    pub fn new(kernel: &Kernel, what: &'static str) -> Self {
+    /// Creates a watch for one user of the store; `user` names it in log events.
+    pub fn new(kernel: &Kernel, user: &'static str) -> Self {
         StoreWatch {
             kernel: kernel.clone(),
-            user: what,
+            user,
             lost_at: Cell::new(None),
             recovered_at: Cell::new(None),
         }
     }
 
-    /// Notes an answer.
+    /// Records a successful call.
     pub fn record_answer(&self) {
-        let Some(since) = self.lost_at.take() else {
+        let Some(lost_at) = self.lost_at.take() else {
             return;
         };
         let now = boot_clock::now();
         self.recovered_at.set(Some(now));
-        let away = now.since(since).as_millis();
-        let detail = format_smolstr!("after {away}");
+        let outage = now.since(lost_at).as_millis();
+        let detail = format_smolstr!("after {outage}");
         let event = Event::new(EventKind::StoreBack).party(self.user);
         self.kernel.emit(event.detail(detail));
     }
 
-    /// Takes in why a follower of a topic reads it anew, and pauses before it does; not where only
-    /// the history that it was about to read is gone.
+    /// Records the error for which a follower reads its topic again, and pauses. Does neither if
+    /// the store has only trimmed the records that the follower was about to read.
     pub async fn pause_before_reread(&self, error: &Error) {
         if !matches!(error, Error::Trimmed { .. }) {
             self.record_failure(error);
@@ -59,17 +59,18 @@
         }
     }
 
-    /// Gets when the store answered again after it was lost; none if it never was.
+    /// Returns when the store last answered again after a failure, or `None` if no call has failed
+    /// yet or the store has not recovered from its first failure.
     pub fn recovered_at(&self) -> Option<Mono> {
         self.recovered_at.get()
     }
 
-    /// Tells whether the last call failed.
+    /// Returns whether the last call failed.
     pub fn is_lost(&self) -> bool {
         self.lost_at.get().is_some()
     }
 
-    /// Notes a call that failed.
+    /// Records a failed call.
     pub fn record_failure(&self, error: &Error) {
         if self.is_lost() {
             return;
--- a/crates/onyxshed-host/src/topic.rs
+++ b/crates/onyxshed-host/src/topic.rs
@@ -1,4 +1,4 @@
-//! Follows a keyed topic of the platform's store with long reads.
+//! Follows a keyed topic of the platform's store with long polling.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -12,30 +12,31 @@
 
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 
-/// Status of a topic that nothing was ever written to.
+/// HTTP status of a topic that has never been written to.
 const NO_SUCH_TOPIC: u16 = 404;
 
-/// What is done with a topic's records.
+/// Consumer of the records of a topic.
 pub trait TopicReader {
-    /// Takes in the newest record of each key; called first, and again after a call has failed.
+    /// Applies the newest record of each key. Called first, and again after a failed call.
     fn apply_snapshot(&self, newest: Records);
 
-    /// Takes in a record that was written since.
+    /// Applies a record that was written after the snapshot.
     fn apply_record(&self, record: KeyedRecord);
 }
 
-/// How a topic is followed.
+/// A topic and how it is followed.
 #[derive(Debug, Clone, Copy)]
 pub struct TopicOptions {
-    /// Its name.
+    /// Name of the topic in the store.
     pub name: &'static str,
-    /// How long a read waits at the store for a change.
+    /// How long a read waits in the store for a change.
     pub wait: Millis,
-    /// Time between two looks at a topic that does not exist; none if it has to exist.
+    /// Interval between two reads of a topic that does not exist; `None` if the topic must exist,
+    /// so that its absence is an error.
     pub absent_period: Option<Duration>,
 }
 
-/// Passes a topic's records to a reader for as long as the process lives.
+/// Passes a topic's records to a reader until the process ends.
 pub async fn follow(
     topic: TopicOptions,
     address: SocketAddr,
@@ -50,7 +51,8 @@
     }
 }
 
-/// Reads the newest state and every change from there on until a call fails, or pauses if there is no topic.
+/// Reads the newest state and then every change until a call fails. If the topic does not exist,
+/// pauses and returns.
 async fn follow_once(
     topic: TopicOptions,
     store: &mut Store,
--- a/crates/onyxshed-host/tests/peers.rs
+++ b/crates/onyxshed-host/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Many hosts at one owner.
+//! Connections of many hosts to one owner.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use onyxshed_proto::pool_capnp::pool_port;
 use onyxshed_proto::rpc;
 
-/// Hosts of the largest deployment measured.
+/// Number of hosts in the largest deployment measured.
 const HOSTS: usize = 302;
 
 /// An owner that answers every heartbeat.
@@ -33,24 +33,28 @@
     reply.is_ok_and(|reply| reply.get().is_ok_and(|reply| reply.get_is_owner()))
 }
 
-/// Every host of a large deployment has a link to one owner. The owner had places for 256: each
-/// further link closed the oldest one, whose host opened it again, and so on; jobs handed over on
-/// a link that closed were lost. All links stay.
+/// Every host of a large deployment has a link to one owner. With a limit of 256 connections each
+/// further link closed the oldest one, whose host then reconnected and closed the next one. Jobs
+/// that were submitted on a closed link were lost.
 #[test]
-fn every_host_of_a_large_deployment_keeps_its_link() {
+fn owner_keeps_links_of_all_hosts_of_large_deployment() {
     let executor: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
     let serving = executor.clone();
     block_on(executor.run(async move {
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let listener = TcpListener::bind(any).await.expect("a free port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind(any)
+            .await
+            .expect("binding to a free port succeeds");
+        let address = listener.local_addr().expect("the listener has an address");
         let owner: pool_port::Client = capnp_rpc::new_client(Owner);
         let dropped: rpc::Dropped = Rc::new(|_| {});
         let serve = rpc::serve(listener, owner.client, serving.clone(), PEERS_MAX, dropped);
         serving.spawn(serve).detach();
         let mut links = Vec::new();
         for _ in 0..HOSTS {
-            let link: pool_port::Client = rpc::connect(address, &serving).await.expect("a link");
+            let link: pool_port::Client = rpc::connect(address, &serving)
+                .await
+                .expect("the owner accepts the connection");
             assert!(is_answered(&link).await);
             links.push(link);
         }
