--- a/crates/onyxshed-host/src/directory.rs
+++ b/crates/onyxshed-host/src/directory.rs
@@ -250,7 +250,7 @@
 
     /// Removes and returns a pool that the store still assigns to an earlier process of this host,
     /// with the member name of that process. Returns `None` if there is no such pool, and for
-    /// [`SUCCESSOR_REGISTRATION_MAX`] after the store has recovered.
+    /// `SUCCESSOR_REGISTRATION_MAX` after the store has recovered.
     ///
     /// The earlier process may have been stopped while the store was unavailable, after it selected
     /// another host as its successor, which removes the membership within that time. A process that
@@ -277,6 +277,7 @@
         }
     }
 
+    /// Applies the result of an owner lookup, or an owner record.
     fn apply_owner(&self, pool: &PoolId, owner: Option<SmolStr>) {
         match Owner::classify(owner, &self.member) {
             // The store is out of date: the successor has not registered yet.
--- a/crates/onyxshed-host/src/engine.rs
+++ b/crates/onyxshed-host/src/engine.rs
@@ -276,6 +276,7 @@
         self.kernel.emit(decisions::event_of(decision, token));
     }
 
+    /// Sends the end of a job to the request that waits for it.
     fn deliver(&self, peer: PeerIncarnation, submission: SubmissionNumber, end: JobEnd) {
         if let Some(sender) = self
             .pending_replies
@@ -407,6 +408,7 @@
         self.dispatch_event(|pool| pool.set_evacuated(boot_clock::now(), is_evacuated));
     }
 
+    /// Evaluates the timers of the pool while this host owns it under `token`.
     async fn tick(self: Rc<Self>, token: FencingToken) {
         while self.token() == Some(token) {
             Timer::after(TICK_PERIOD).await;
@@ -443,7 +445,7 @@
         })
     }
 
-    /// Continues to serve for up to [`SUCCESSOR_WAIT_MAX`] until another host takes over the pool,
+    /// Continues to serve for up to `SUCCESSOR_WAIT_MAX` until another host takes over the pool,
     /// then rejects new jobs and waits for the last ones to end.
     fn drain<'a>(&'a self, _kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async move {
--- a/crates/onyxshed-host/src/executors.rs
+++ b/crates/onyxshed-host/src/executors.rs
@@ -217,6 +217,7 @@
         }
     }
 
+    /// Removes an executor that the store no longer lists.
     fn unlist(&mut self, id: &SmolStr) {
         self.zone_executors.remove(id);
         if self.pool_executors.remove(id) {
--- a/crates/onyxshed-host/src/links/remote.rs
+++ b/crates/onyxshed-host/src/links/remote.rs
@@ -111,6 +111,7 @@
         self.is_closed.set(true);
     }
 
+    /// Reconnects the link until it is closed.
     async fn maintain(self: Rc<Self>) {
         while !self.is_closed.get() {
             let failure = self.run_connection().await;
@@ -191,6 +192,8 @@
         }
     }
 
+    /// Records an answer of the owner, and marks the link as up. A new session replaces the
+    /// connection that jobs are submitted on.
     fn apply_session(&self, client: &pool_port::Client, session: Session, lost: &Receiver<()>) {
         // A renewal may be answered after its connection has failed.
         if lost.is_closed() {
@@ -216,6 +219,8 @@
         }
     }
 
+    /// Sends a heartbeat. Returns the session of this host, or `None` if the host at this address
+    /// does not own the pool.
     async fn heartbeat(&self, client: &pool_port::Client) -> capnp::Result<Option<Session>> {
         let mut request = client.heartbeat_request();
         let mut params = request.get();
@@ -277,6 +282,7 @@
         reply.get_is_owner().then_some(executors)
     }
 
+    /// Marks the link as down, if it was up, and logs the reason.
     fn mark_down(&self, reason: &'static str) {
         if self.connection.borrow_mut().take().is_some() {
             if !self.is_closed.get() {
--- a/crates/onyxshed-host/src/links/successors.rs
+++ b/crates/onyxshed-host/src/links/successors.rs
@@ -40,7 +40,7 @@
     }
 
     /// Removes and returns the pending transfer. Returns `None` if there is none or it is older
-    /// than [`TRANSFER_VALIDITY`].
+    /// than `TRANSFER_VALIDITY`.
     pub fn take_transfer(&self) -> Option<(PoolId, OwnershipTransfer)> {
         let (received_at, pool, transfer) = self.pending_transfer.take()?;
         let age = boot_clock::now().since(received_at);
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -123,6 +123,7 @@
         MEMBER_TTL.max(self.options.ttl_min_ms)
     }
 
+    /// Waits for a change, then looks for a pool that this host can take over.
     async fn contend(&mut self) -> OwnershipStep {
         // A list that was fetched for a pool that another host has acquired would be stale for the
         // next pool.
@@ -381,6 +382,8 @@
         }
     }
 
+    /// Waits for the renewal interval, then renews the ownership, or hands the pool over if this
+    /// host is stopping or has been replaced.
     async fn renew(&mut self, pool: PoolId) -> OwnershipStep {
         let past_members = self.engine.past_members();
         let is_registered = past_members.is_empty();
@@ -483,6 +486,7 @@
         }
     }
 
+    /// Leaves the group of a pool that this host no longer owns, and resets the membership.
     async fn leave(&mut self, pool: PoolId) -> OwnershipStep {
         self.directory.trigger_lookups();
         // Without an answer the membership expires after its time to live.
