--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -1,4 +1,5 @@
-//! Requests of callers.
+//! The HTTP interface for callers: parses each request, submits its job to a pool and sends the
+//! reply.
 
 mod replies;
 
@@ -24,112 +25,113 @@
 use crate::boot_clock;
 use crate::links::Links;
 use crate::manifest::ManifestHolder;
-use crate::measures::Measures;
+use crate::measures::HostMetrics;
 use crate::names::{CALLERS, LINKS, MANIFEST};
-use replies::{answer, refuse};
+use replies::{job_reply, rejection_reply};
 
-/// How long a stopping host goes on serving before it looks for its end: the balancer asks for
-/// readiness once a second and needs two misses.
+/// How long a stopping host continues to serve before it waits for the last reply: the balancer
+/// polls readiness once a second and stops sending callers after two failed polls.
 const DRAIN_NOTICE: Duration = Duration::from_millis(2_200);
 
-/// How often a stopping host looks whether the last reply has been written.
+/// Interval at which a stopping host checks whether the last reply has been written.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
-/// What a request without a deadline gets.
+/// Time limit of a request without a deadline header.
 const DEADLINE_DEFAULT: Millis = Millis(5_000);
 
-/// Kept free before the caller's deadline, so that the answer reaches it: the way there and back
-/// and a standstill of a host at its processor limit.
+/// Time reserved before the caller's deadline so that the reply arrives in time: covers a network
+/// round trip and a pause of a host at its CPU limit.
 const DEADLINE_MARGIN: Millis = Millis(60);
 
-/// How long after its start a host lets requests wait for the manifest and an owner with executors: after
-/// a loss of power both are known 60 to 300 ms after the start.
-const START_PATIENCE: Duration = Duration::from_millis(400);
+/// How long after its start a host delays requests until the manifest and an owner with executors
+/// are known: after a power failure both are known 60 to 300 ms after the start.
+const STARTUP_WAIT_MAX: Duration = Duration::from_millis(400);
 
-/// How often a host that has just started looks whether it knows them.
-const START_POLL: Duration = Duration::from_millis(10);
+/// Interval at which a starting host checks whether the manifest and such an owner are known.
+const STARTUP_POLL: Duration = Duration::from_millis(10);
 
-/// When a caller is asked back while no owner of a pool is known; a new one takes about that long.
-const NO_POOL_RETRY: Millis = Millis(2_000);
+/// Retry-after time while no pool has a known owner; about the time until a new owner takes over.
+const NO_POOL_RETRY_AFTER: Millis = Millis(2_000);
 
-/// When a caller is asked back whose kind of job is not built: it won't be soon.
-const UNSUPPORTED_RETRY: Millis = Millis(60_000);
+/// Retry-after time for a kind of job that is not supported; a sooner retry would be rejected as
+/// well.
+const UNSUPPORTED_RETRY_AFTER: Millis = Millis(60_000);
 
-/// Where callers are served, and within which limits.
+/// Address and limits of the callers' interface.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerOptions {
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub address: SocketAddr,
-    /// Limits of the address.
+    /// Limits of the HTTP server.
     pub server: ServerOptions,
-    /// How long a stopping host waits for the jobs under way.
-    pub last_call: Duration,
+    /// How long a stopping host waits for unfinished jobs, from the start of its drain.
+    pub drain_timeout: Duration,
 }
 
-/// Handle to the callers' requests.
+/// State that all requests of callers share.
 pub struct Callers {
     kernel: Kernel,
     manifest: Rc<ManifestHolder>,
     links: Rc<Links>,
-    /// Counts of the address, from when it is served on.
+    /// Counters of the HTTP server; empty until it listens.
     stats: OnceCell<Rc<ServerStats>>,
-    measures: Measures,
-    /// Closed when this host knows what it needs to serve, or had its time for that.
-    started: Receiver<()>,
-    /// Closed when this host can wait no longer for the jobs under way.
-    last_call: Receiver<()>,
-    last_call_sender: Sender<()>,
-    /// When that will be, once the host is stopping.
-    last_call_at: Cell<Option<Instant>>,
+    metrics: HostMetrics,
+    /// Closed when this host can serve requests or [`STARTUP_WAIT_MAX`] has elapsed.
+    startup_over: Receiver<()>,
+    /// Closed when a stopping host can no longer wait for unfinished jobs.
+    drain_expired: Receiver<()>,
+    drain_expired_sender: Sender<()>,
+    /// Time at which `drain_expired` is closed; `None` until the host is stopping.
+    drain_deadline: Cell<Option<Instant>>,
 }
 
-/// A submission as it was understood.
-struct Asked {
-    request: SmolStr,
+/// A parsed submission, with the values that its log events carry.
+struct SubmissionContext {
+    request_id: SmolStr,
     route: SmolStr,
-    version: u64,
+    manifest_version: u64,
     job: JobId,
     arrived: Mono,
 }
 
-impl Asked {
-    /// Makes an event about the submission.
+impl SubmissionContext {
+    /// Creates a log event about the submission.
     fn event(&self, kind: EventKind) -> Event {
         Event::new(kind)
-            .request(self.request.clone())
+            .request(self.request_id.clone())
             .job(format_smolstr!("{}", self.job))
             .party(self.route.clone())
     }
 }
 
-/// Writes the line of a submission whose caller left before its answer: the request's future is
-/// dropped then, and nothing after it runs.
-struct CallerLeft {
+/// Logs a submission whose caller disconnects before the reply: the request's future is dropped
+/// then, and no later code of it runs.
+struct DisconnectGuard {
     kernel: Kernel,
     event: Option<Event>,
     arrived: Mono,
 }
 
-impl CallerLeft {
-    fn watch(kernel: &Kernel, asked: &Asked) -> Self {
-        let event = asked.event(EventKind::PoolJobLost);
-        CallerLeft {
+impl DisconnectGuard {
+    fn arm(kernel: &Kernel, context: &SubmissionContext) -> Self {
+        let event = context.event(EventKind::PoolJobLost);
+        DisconnectGuard {
             kernel: kernel.clone(),
             event: Some(event),
-            arrived: asked.arrived,
+            arrived: context.arrived,
         }
     }
 
-    fn stayed(mut self) {
+    fn disarm(mut self) {
         self.event = None;
     }
 }
 
-impl Drop for CallerLeft {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if let Some(event) = self.event.take() {
-            let took = boot_clock::now().since(self.arrived).as_millis();
-            let detail = format_smolstr!("the caller left after {took}");
+            let elapsed = boot_clock::now().since(self.arrived).as_millis();
+            let detail = format_smolstr!("the caller left after {elapsed}");
             self.kernel.emit(event.detail(detail));
         }
     }
@@ -138,32 +140,32 @@
 impl Callers {
     async fn handle(&self, call: Call) -> Reply {
         let arrived = boot_clock::now();
-        self.start_over().await;
+        self.wait_for_startup().await;
         let Some(manifest) = self.manifest.get() else {
-            let retry = Some(NO_POOL_RETRY);
-            return self.decline(&call, 503, "no manifest is known yet", retry);
+            let retry = Some(NO_POOL_RETRY_AFTER);
+            return self.reject_request(&call, 503, "no manifest is known yet", retry);
         };
         let host = call.header("host").unwrap_or_default();
         let Some(route) = manifest.route(host, call.path()) else {
-            return self.decline(&call, 404, "no such route", None);
+            return self.reject_request(&call, 404, "no such route", None);
         };
         let rest = &call.path()[route.path_prefix.len()..];
         match (call.method(), rest.is_empty()) {
             (Method::Post, false) => self.submit(&call, arrived, &manifest, route).await,
             (Method::Get, true) => Reply::json(200, &job::pending_body(0)),
-            // Jobs that need not be stored are known to nobody but the caller that waits.
-            (Method::Get | Method::Delete, false) => refuse(410, "no such job", None),
-            _ => refuse(404, "no such method here", None),
+            // Jobs that need not be stored are known only to the caller that waits for them.
+            (Method::Get | Method::Delete, false) => rejection_reply(410, "no such job", None),
+            _ => rejection_reply(404, "no such method here", None),
         }
     }
 
-    /// Waits until this host knows what it needs to serve, for a moment after its start at most.
+    /// Waits until this host can serve requests, for at most [`STARTUP_WAIT_MAX`] after its start.
     ///
-    /// After a loss of power callers connect as soon as a process listens, a moment before it knows the
-    /// manifest and an owner. The wait counts towards the job's target.
-    async fn start_over(&self) {
-        // Ends when the channel is closed; nothing is ever sent.
-        let _ = self.started.recv().await;
+    /// After a power failure callers connect as soon as the process listens, shortly before it
+    /// knows the manifest and an owner. The wait counts towards the job's target time.
+    async fn wait_for_startup(&self) {
+        // Completes when the channel is closed; no value is ever sent.
+        let _ = self.startup_over.recv().await;
     }
 
     async fn submit(
@@ -174,121 +176,130 @@
         route: &Route,
     ) -> Reply {
         if call.body.len() as u64 > manifest.body_max_bytes {
-            return self.decline(
+            return self.reject_request(
                 call,
                 413,
                 "the body is larger than the manifest allows",
                 None,
             );
         }
-        let request = SmolStr::new(call.header(REQUEST_HEADER).unwrap_or_default());
+        let request_id = SmolStr::new(call.header(REQUEST_HEADER).unwrap_or_default());
         let job = match job::job_id(call.path(), &route.path_prefix) {
             Ok(job) => job,
-            Err(error) => return self.decline(call, 400, &format_smolstr!("{error}"), None),
+            Err(error) => return self.reject_request(call, 400, &format_smolstr!("{error}"), None),
         };
-        let asked = Asked {
-            request,
+        let context = SubmissionContext {
+            request_id,
             route: route.name.clone(),
-            version: manifest.version,
+            manifest_version: manifest.version,
             job,
             arrived,
         };
         let simple = match job::parse(&call.body) {
             Ok(Submission::Simple(simple)) if !route.needs_advice => simple,
-            Ok(Submission::Simple(_)) => return self.unsupported(&asked, "advice"),
-            Ok(Submission::Unsupported(what)) => return self.unsupported(&asked, what),
-            Err(error) => return self.decline(call, 400, &format_smolstr!("{error}"), None),
+            Ok(Submission::Simple(_)) => return self.reject_unsupported(&context, "advice"),
+            Ok(Submission::Unsupported(kind)) => return self.reject_unsupported(&context, kind),
+            Err(error) => return self.reject_request(call, 400, &format_smolstr!("{error}"), None),
         };
-        let deadline = self.before_last_call(deadline_of(call));
-        let job = self.request_of(route, &asked, simple, deadline);
-        let leaving = CallerLeft::watch(&self.kernel, &asked);
-        let spent = boot_clock::now().since(arrived);
-        let give_up = Duration::from(job.time_left).saturating_sub(spent.into());
-        let served = within(give_up, self.dispatch(&job, arrived));
-        let (end, pool) = match served.or(self.cut_off()).await {
-            Some(served) => served,
+        let deadline = self.limit_to_drain_deadline(requested_time_limit(call));
+        let job = self.job_request(route, &context, simple, deadline);
+        let disconnect_guard = DisconnectGuard::arm(&self.kernel, &context);
+        let elapsed = boot_clock::now().since(arrived);
+        let timeout = Duration::from(job.time_left).saturating_sub(elapsed.into());
+        let outcome = within(timeout, self.dispatch(&job, arrived));
+        let (end, pool) = match outcome.or(self.wait_for_drain_expiry()).await {
+            Some(outcome) => outcome,
             None => (
                 JobEnd::Unknown(UnknownReason::TimeOut),
                 SmolStr::new_static("?"),
             ),
         };
-        leaving.stayed();
-        self.tell(&asked, &job, &end, &pool);
-        self.answer(&end)
+        disconnect_guard.disarm();
+        self.record_end(&context, &job, &end, &pool);
+        self.reply(&end)
     }
 
-    /// Makes the answer to a job. A refusal ends the connection if another host may serve the caller: the
-    /// balancer moves new connections only.
-    fn answer(&self, end: &JobEnd) -> Reply {
-        let reply = answer(end);
+    /// Returns the reply to a job. A rejection closes the connection if another host may serve the
+    /// caller, since the balancer only redirects new connections.
+    fn reply(&self, end: &JobEnd) -> Reply {
+        let reply = job_reply(end);
         match end {
             JobEnd::NotRun(..) if self.links.should_send_callers_away() => reply.last(),
             _ => reply,
         }
     }
 
-    /// Ends the start, by dropping its sender, when this host knows what it needs to serve.
-    async fn watch_start(self: Rc<Self>, _starting: Sender<()>) {
-        let over_at = Instant::now() + START_PATIENCE;
-        let knows_enough = || self.manifest.get().is_some() && self.links.reaches_an_executor();
-        while !knows_enough() && Instant::now() < over_at {
-            Timer::after(START_POLL).await;
+    /// Waits until this host can serve requests or [`STARTUP_WAIT_MAX`] has elapsed, then drops the
+    /// sender, which closes `startup_over`.
+    async fn watch_startup(self: Rc<Self>, _startup_sender: Sender<()>) {
+        let deadline = Instant::now() + STARTUP_WAIT_MAX;
+        let can_serve = || self.manifest.get().is_some() && self.links.can_reach_executor();
+        while !can_serve() && Instant::now() < deadline {
+            Timer::after(STARTUP_POLL).await;
         }
     }
 
-    /// Shortens a caller's deadline to what a stopping host can still wait, so that a job which
-    /// can't end by then is refused and not cut off.
-    fn before_last_call(&self, deadline: Millis) -> Millis {
-        let Some(at) = self.last_call_at.get() else {
+    /// Limits the time of a job to the remaining drain time of a stopping host, so that a job which
+    /// cannot end by then is rejected instead of aborted.
+    fn limit_to_drain_deadline(&self, deadline: Millis) -> Millis {
+        let Some(drain_deadline) = self.drain_deadline.get() else {
             return deadline;
         };
-        let left = at.saturating_duration_since(Instant::now()).as_millis();
-        deadline.min(Millis(u64::try_from(left).unwrap_or(u64::MAX)))
+        let remaining = drain_deadline
+            .saturating_duration_since(Instant::now())
+            .as_millis();
+        deadline.min(Millis(u64::try_from(remaining).unwrap_or(u64::MAX)))
     }
 
-    /// Waits until this host can wait no longer.
+    /// Waits for the end of the drain, and returns the outcome of a job that is unfinished then.
     ///
-    /// The platform kills a host that is still at work when its grace is over. Callers who are told before
-    /// that their jobs' fate is unknown send them again.
-    async fn cut_off(&self) -> Option<(JobEnd, SmolStr)> {
-        // Ends when the channel is closed; nothing is ever sent.
-        let _ = self.last_call.recv().await;
+    /// The platform kills a host that is still running at the end of its grace period. Callers that
+    /// receive an unknown outcome before that resubmit their jobs.
+    async fn wait_for_drain_expiry(&self) -> Option<(JobEnd, SmolStr)> {
+        // Completes when the channel is closed; no value is ever sent.
+        let _ = self.drain_expired.recv().await;
         Some((
             JobEnd::Unknown(UnknownReason::EntryStopped),
             SmolStr::new_static("?"),
         ))
     }
 
-    /// Refuses a request before it is a job, and writes its line.
-    fn decline(&self, call: &Call, status: u16, why: &str, retry_after: Option<Millis>) -> Reply {
+    /// Rejects a request that contains no valid job, and logs the rejection.
+    fn reject_request(
+        &self,
+        call: &Call,
+        status: u16,
+        reason: &str,
+        retry_after: Option<Millis>,
+    ) -> Reply {
         let event = Event::new(EventKind::PoolJobRefused)
             .request(call.header(REQUEST_HEADER).unwrap_or_default())
             .party(call.path())
-            .detail(format_smolstr!("status {status}: {why}"));
+            .detail(format_smolstr!("status {status}: {reason}"));
         self.kernel.emit(event);
-        refuse(status, why, retry_after)
+        rejection_reply(status, reason, retry_after)
     }
 
-    fn unsupported(&self, asked: &Asked, what: &'static str) -> Reply {
-        let event = asked
+    fn reject_unsupported(&self, context: &SubmissionContext, kind: &'static str) -> Reply {
+        let event = context
             .event(EventKind::PoolJobRefused)
-            .detail(format_smolstr!("not built: {what}"));
+            .detail(format_smolstr!("not supported: {kind}"));
         self.kernel.emit(event);
-        refuse(503, what, Some(UNSUPPORTED_RETRY))
+        rejection_reply(503, kind, Some(UNSUPPORTED_RETRY_AFTER))
     }
 
-    fn request_of(
+    fn job_request(
         &self,
         route: &Route,
-        asked: &Asked,
+        context: &SubmissionContext,
         simple: SimpleJob,
         deadline: Millis,
     ) -> JobRequest {
         JobRequest {
-            peer: self.links.own(),
-            // Each hand-over has a number of its own.
+            peer: self.links.incarnation(),
+            // Set for each attempt to submit the job to a pool.
             submission: SubmissionNumber(0),
-            job: asked.job,
+            job: context.job,
             upstream: route.upstream.clone(),
             spec: simple.spec,
             tasks: simple.tasks,
@@ -305,13 +316,14 @@
         }
     }
 
-    /// Hands a job to the pool that serves it best; to the next one while it is not run.
+    /// Submits a job to the pools in the order of [`Links::rank_pools`] until one of them runs it.
+    /// Returns the job's end and the pool that was tried last.
     async fn dispatch(&self, job: &JobRequest, arrived: Mono) -> (JobEnd, SmolStr) {
         let mut last = (
-            JobEnd::NotRun(self.links.why_no_pool(), NO_POOL_RETRY),
+            JobEnd::NotRun(self.links.no_pool_reason(), NO_POOL_RETRY_AFTER),
             SmolStr::new_static("none"),
         );
-        for pool in self.links.order(job) {
+        for pool in self.links.rank_pools(job) {
             let mut job = job.clone();
             job.submission = self.links.next_submission();
             job.elapsed = boot_clock::now().since(arrived).as_millis();
@@ -325,80 +337,90 @@
         last
     }
 
-    /// Tells whether a request is being answered.
+    /// Returns whether a request is in progress.
     fn is_busy(&self) -> bool {
         let stats = self.stats.get();
         stats.is_some_and(|stats| stats.busy.get() > 0)
     }
 
-    fn tell(&self, asked: &Asked, job: &JobRequest, end: &JobEnd, pool: &SmolStr) {
+    fn record_end(
+        &self,
+        context: &SubmissionContext,
+        job: &JobRequest,
+        end: &JobEnd,
+        pool: &SmolStr,
+    ) {
         let kind = match end {
             JobEnd::Completed | JobEnd::Failed => EventKind::PoolJobAnswered,
             JobEnd::NotRun(..) => EventKind::PoolJobRefused,
             JobEnd::Unknown(_) => EventKind::PoolJobLost,
         };
-        let took = boot_clock::now().since(asked.arrived);
-        self.measures.answered(end, took);
+        let elapsed = boot_clock::now().since(context.arrived);
+        self.metrics.record_reply(end, elapsed);
         let summary = JobSummary {
             end: *end,
-            took: took.as_millis(),
+            took: elapsed.as_millis(),
             target: job.target().as_millis(),
             tasks: job.tasks,
             estimate: job.estimate,
             demand: job.demand,
             pool: pool.clone(),
-            manifest: asked.version,
+            manifest: context.manifest_version,
         };
-        let event = asked.event(kind).detail(format_smolstr!("{summary}"));
+        let event = context.event(kind).detail(format_smolstr!("{summary}"));
         self.kernel.emit(event);
     }
 }
 
-fn deadline_of(call: &Call) -> Millis {
-    let told = call.header(DEADLINE_HEADER);
-    told.and_then(|text| text.parse().ok())
+fn requested_time_limit(call: &Call) -> Millis {
+    let header = call.header(DEADLINE_HEADER);
+    header
+        .and_then(|text| text.parse().ok())
         .map_or(DEADLINE_DEFAULT, Millis)
 }
 
-/// The callers' address as a service.
+/// Service that accepts requests of callers.
 pub struct CallerService {
     options: CallerOptions,
 }
 
 impl CallerService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(options: CallerOptions) -> Self {
         CallerService { options }
     }
 
     async fn open(&self, kernel: &Kernel) -> Result<()> {
-        let (last_call_sender, last_call) = async_channel::bounded(1);
-        let (starting, started) = async_channel::bounded(1);
+        let (drain_expired_sender, drain_expired) = async_channel::bounded(1);
+        let (startup_sender, startup_over) = async_channel::bounded(1);
         let callers = Rc::new(Callers {
             kernel: kernel.clone(),
             manifest: kernel.find(MANIFEST)?,
             links: kernel.find(LINKS)?,
             stats: OnceCell::new(),
-            measures: Measures::new(),
-            started,
-            last_call,
-            last_call_sender,
-            last_call_at: Cell::new(None),
+            metrics: HostMetrics::new(),
+            startup_over,
+            drain_expired,
+            drain_expired_sender,
+            drain_deadline: Cell::new(None),
         });
-        kernel.spawn(callers.clone().watch_start(starting)).detach();
-        let served = callers.clone();
+        kernel
+            .spawn(callers.clone().watch_startup(startup_sender))
+            .detach();
+        let handler_state = callers.clone();
         let handle = move |call| {
-            let callers = served.clone();
+            let callers = handler_state.clone();
             async move { callers.handle(call).await }
         };
-        let reject =
-            |code: ResultCode| refuse(code.http_status(), &format_smolstr!("{code}"), None);
+        let reject = |code: ResultCode| {
+            rejection_reply(code.http_status(), &format_smolstr!("{code}"), None)
+        };
         let CallerOptions {
             address, server, ..
         } = self.options;
         let stats =
             serve_requests(kernel, CALLERS, "caller", address, server, handle, reject).await?;
-        // The cell is empty until here.
+        // Cannot fail: the cell is set only here.
         let _ = callers.stats.set(stats);
         let descriptor = Descriptor {
             name: CALLERS,
@@ -421,18 +443,19 @@
         Box::pin(self.open(kernel))
     }
 
-    /// Serves on until the balancer has noticed, then waits for the last reply.
+    /// Continues to serve until the balancer has noticed that this host is not ready, then waits
+    /// for the last reply.
     fn drain<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async move {
             let Ok(callers) = kernel.find::<Callers>(CALLERS) else {
                 return;
             };
-            let last_call_at = Instant::now() + self.options.last_call;
-            callers.last_call_at.set(Some(last_call_at));
+            let drain_deadline = Instant::now() + self.options.drain_timeout;
+            callers.drain_deadline.set(Some(drain_deadline));
             Timer::after(DRAIN_NOTICE).await;
             while callers.is_busy() {
-                if Instant::now() >= last_call_at {
-                    callers.last_call_sender.close();
+                if Instant::now() >= drain_deadline {
+                    callers.drain_expired_sender.close();
                 }
                 Timer::after(DRAIN_POLL).await;
             }
--- a/crates/onyxshed-host/src/engine/calls.rs
+++ b/crates/onyxshed-host/src/engine/calls.rs
@@ -1,4 +1,5 @@
-//! Orders to executors, each as a task of its own.
+//! Orders to executors. Each order runs as a separate asynchronous task, which passes the answer to
+//! the pool's state machine.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,15 +17,18 @@
 use crate::boot_clock;
 use crate::measures::OrderKind;
 
-/// How long the answer to a start or a stop may take before the order is sent again, which changes
-/// nothing if it was carried out. An executor answers within 10 ms; an answer that came while this
-/// host stood still counts, however late it is read. A job of many short tasks has little time to
-/// spare, and is late as soon as one of its orders waits for long.
+/// Timeout of a start or stop order, after which the idempotent order is sent again.
+///
+/// An executor answers within 10 ms. An answer that arrives while this host is paused counts,
+/// however late it is read. A job of many short tasks has little slack and misses its objective as
+/// soon as one of its orders is delayed.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Time without an answer after which a connection is replaced rather than trusted. Connections
-/// may go silent for good while new ones work; a start on one loses the order's timeout.
-const PROVEN_WITHIN: Duration = Duration::from_secs(8);
+/// Time without an answer after which a connection is replaced instead of reused.
+///
+/// Existing connections may stop delivering data for good while new ones work; a start order on
+/// such a connection is delayed by its timeout.
+const CONNECTION_PROVEN_WITHIN: Duration = Duration::from_secs(8);
 
 impl Engine {
     pub(super) fn spawn_start(
@@ -37,9 +41,9 @@
         let call = async move {
             let sent_at = boot_clock::now();
             let answer = engine.start(&id, &order).await;
-            let took = boot_clock::now().since(sent_at);
-            engine.measures.ordered(OrderKind::Start, took);
-            engine.dispatch_event_under(token, |pool| {
+            let elapsed = boot_clock::now().since(sent_at);
+            engine.metrics.record_order(OrderKind::Start, elapsed);
+            engine.dispatch_call_result(token, |pool| {
                 pool.apply_start_answer(boot_clock::now(), &id, order.task, order.run, &answer)
             });
         };
@@ -50,7 +54,7 @@
         let call = async |connection: &mut Connection| {
             orders::start(connection, &id.0, order, ORDER_TIMEOUT).await
         };
-        match self.on_connection(id, call).await {
+        match self.call_executor(id, call).await {
             None => StartAnswer::NotSent,
             Some(Ok(answer)) => answer,
             Some(Err(Error::NoReply { source })) if source.sent == Sent::Nothing => {
@@ -70,9 +74,9 @@
         let call = async move {
             let sent_at = boot_clock::now();
             let answer = engine.stop(&id, &order).await;
-            let took = boot_clock::now().since(sent_at);
-            engine.measures.ordered(OrderKind::Stop, took);
-            engine.dispatch_event_under(token, |pool| {
+            let elapsed = boot_clock::now().since(sent_at);
+            engine.metrics.record_order(OrderKind::Stop, elapsed);
+            engine.dispatch_call_result(token, |pool| {
                 pool.apply_stop_answer(boot_clock::now(), &id, order.task, order.run, answer)
             });
         };
@@ -83,7 +87,7 @@
         let call = async |connection: &mut Connection| {
             orders::stop(connection, &id.0, order, ORDER_TIMEOUT).await
         };
-        match self.on_connection(id, call).await {
+        match self.call_executor(id, call).await {
             Some(Ok(answer)) => answer,
             Some(Err(_)) | None => StopAnswer::Unknown,
         }
@@ -103,7 +107,7 @@
             }
             let sent_at = boot_clock::now();
             let answer = engine.hold(&id, &order).await;
-            engine.dispatch_event_under(token, |pool| {
+            engine.dispatch_call_result(token, |pool| {
                 pool.apply_hold_answer(boot_clock::now(), &id, sent_at, answer)
             });
         };
@@ -115,26 +119,29 @@
         let call = async |connection: &mut Connection| {
             orders::hold(connection, &id.0, order, timeout).await
         };
-        match self.on_connection(id, call).await {
+        match self.call_executor(id, call).await {
             Some(Ok(report)) => HoldAnswer::Report(report),
             Some(Err(_)) | None => HoldAnswer::Unknown,
         }
     }
 
-    /// Makes a call on a connection to an executor; none where no connection can be had.
+    /// Makes a call on a connection to an executor. Returns `None` if no connection can be opened.
     ///
-    /// The connection is kept if it is still of use; otherwise the idle ones go too, since what
-    /// made one silent may have made all of them silent.
-    async fn on_connection<T>(
+    /// The connection is returned to the pool if it can be reused. Otherwise all idle connections
+    /// are closed too, since the fault that made one of them unresponsive may affect all of them.
+    async fn call_executor<T>(
         &self,
         id: &ExecutorId,
         call: impl AsyncFnOnce(&mut Connection) -> Result<T, Error>,
     ) -> Option<Result<T, Error>> {
         let pool = self.connections.borrow().get(id).cloned()?;
-        let mut connection = pool.get(Health::Proven(PROVEN_WITHIN)).await.ok()?;
+        let mut connection = pool
+            .get(Health::Proven(CONNECTION_PROVEN_WITHIN))
+            .await
+            .ok()?;
         let answer = call(&mut connection).await;
-        let is_of_use = answer.as_ref().err().is_none_or(Error::keeps_connection);
-        match is_of_use {
+        let is_reusable = answer.as_ref().err().is_none_or(Error::keeps_connection);
+        match is_reusable {
             true => pool.put(connection),
             false => pool.clear(),
         }
--- a/crates/onyxshed-host/src/executors.rs
+++ b/crates/onyxshed-host/src/executors.rs
@@ -1,4 +1,7 @@
-//! Follows the executors' entries in the platform's store, while this host owns a pool.
+//! Follows the executors' entries in the platform's store while this host owns a pool.
+//!
+//! A follower runs for each period of ownership, and passes the executors of the pool to the
+//! engine.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,44 +17,44 @@
 use onyxshed_pool::{ExecutorFacts, ExecutorId, FencingToken, PoolId, ShardLayout};
 use smol_str::{SmolStr, format_smolstr};
 
-use crate::divisions::Divisions;
 use crate::engine::Engine;
+use crate::shard_layouts::ShardLayouts;
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 
-/// Time between two reads. A heartbeat of each executor comes every 1.5 s; a draining executor
-/// must get no new task after 2 s.
+/// Interval between two reads. Each executor sends a heartbeat every 1.5 s; a draining executor
+/// must receive no new task after 2 s.
 const READ_PERIOD: Duration = Duration::from_millis(300);
 
-/// Most unreadable entries that are remembered, and told of.
+/// Maximum number of unreadable entries that are tracked and logged.
 const UNREADABLE_MAX: usize = 64;
 
-/// The list of all executors, as it is being read.
+/// A pending read of the list of all executors.
 pub type ExecutorsRead = Task<onyxshed_adapter::Result<Records>>;
 
-/// Executors that a new owner knows when it begins.
-pub enum KnownExecutors {
-    /// None.
+/// Executors that a new owner knows at its start.
+pub enum InitialExecutors {
+    /// The owner knows no executors yet.
     None,
-    /// The list, as it is being read.
+    /// The list of all executors, whose read has been started.
     Reading(ExecutorsRead),
-    /// Those of its predecessor.
-    Predecessors(Vec<(ExecutorId, ExecutorFacts)>),
+    /// The executors that the previous owner has sent with the ownership transfer.
+    FromPredecessor(Vec<(ExecutorId, ExecutorFacts)>),
 }
 
-/// Tries to read the list of all executors.
+/// Reads the list of all executors from the store.
 pub async fn read_all(address: SocketAddr) -> onyxshed_adapter::Result<Records> {
     Store::new(address)
         .newest(EXECUTORS_TOPIC, ANSWER_TIMEOUT)
         .await
 }
 
-/// Follows the entries for one pool until it has another owner.
+/// Follows the executors' entries for one pool until this host no longer owns it under `token`.
 pub async fn follow(
     kernel: Kernel,
     engine: Rc<Engine>,
-    divisions: Rc<Divisions>,
-    (token, pool, division): (FencingToken, PoolId, ShardLayout),
-    known: KnownExecutors,
+    shard_layouts: Rc<ShardLayouts>,
+    (token, pool, layout): (FencingToken, PoolId, ShardLayout),
+    initial: InitialExecutors,
     address: SocketAddr,
 ) {
     let watch = StoreWatch::new(&kernel, "executors");
@@ -59,53 +62,54 @@
     let mut follower = Follower {
         kernel,
         engine,
-        divisions,
+        shard_layouts,
         token,
         pool,
-        division,
-        listed: BTreeSet::new(),
-        of_zone: BTreeSet::new(),
+        layout,
+        pool_executors: BTreeSet::new(),
+        zone_executors: BTreeSet::new(),
         unreadable: BTreeSet::new(),
     };
-    let mut list = match known {
-        KnownExecutors::None => None,
-        KnownExecutors::Reading(list) => Some(list),
-        KnownExecutors::Predecessors(known) => {
-            follower.take_predecessors(known);
+    let mut list = match initial {
+        InitialExecutors::None => None,
+        InitialExecutors::Reading(list) => Some(list),
+        InitialExecutors::FromPredecessor(initial) => {
+            follower.apply_predecessor_list(initial);
             None
         }
     };
-    while follower.is_needed() {
-        let followed = follower.follow_once(&mut store, &watch, list.take()).await;
-        let Err(error) = followed else {
+    while follower.is_owner() {
+        let result = follower.follow_once(&mut store, &watch, list.take()).await;
+        let Err(error) = result else {
             return;
         };
-        watch.before_reading_anew(&error).await;
+        watch.pause_before_reread(&error).await;
     }
 }
 
 struct Follower {
     kernel: Kernel,
     engine: Rc<Engine>,
-    divisions: Rc<Divisions>,
+    shard_layouts: Rc<ShardLayouts>,
     token: FencingToken,
     pool: PoolId,
-    division: ShardLayout,
-    /// Executors of the pool.
-    listed: BTreeSet<SmolStr>,
-    /// Executors of the whole zone, by which it is divided.
-    of_zone: BTreeSet<SmolStr>,
-    /// Ids whose newest entry can't be read.
+    layout: ShardLayout,
+    /// Executors that are listed for the pool.
+    pool_executors: BTreeSet<SmolStr>,
+    /// Executors of the whole zone, whose number determines the shard layout.
+    zone_executors: BTreeSet<SmolStr>,
+    /// Ids of the executors whose newest entry cannot be parsed.
     unreadable: BTreeSet<SmolStr>,
 }
 
 impl Follower {
-    fn is_needed(&self) -> bool {
+    fn is_owner(&self) -> bool {
         self.engine.token() == Some(self.token)
     }
 
-    /// Reads the newest state, unless that has begun before, and every change from there on, until a call
-    /// fails; ends well when the pool has another owner.
+    /// Reads the newest state, or waits for `list` if that read has been started, and then every
+    /// change until a call fails. Returns `Ok` when this host no longer owns the pool under this
+    /// token.
     async fn follow_once(
         &mut self,
         store: &mut Store,
@@ -116,104 +120,108 @@
             Some(list) => list.await?,
             None => store.newest(EXECUTORS_TOPIC, ANSWER_TIMEOUT).await?,
         };
-        self.take_newest(&newest.records);
+        self.apply_snapshot(&newest.records);
         let mut next = newest.next;
-        while self.is_needed() {
-            if self.divide_anew(store).await? {
+        while self.is_owner() {
+            if self.step_down_if_resharded(store).await? {
                 return Ok(());
             }
-            watch.answered();
+            watch.record_answer();
             Timer::after(READ_PERIOD).await;
             let read = store
                 .read_keyed(EXECUTORS_TOPIC, next, Millis(0), ANSWER_TIMEOUT)
                 .await?;
             next = read.next;
-            read.records.iter().for_each(|record| self.take(record));
+            read.records
+                .iter()
+                .for_each(|record| self.apply_record(record));
         }
         Ok(())
     }
 
-    /// Gives the pool up if its zone has another division by now; the owner of the zone's first
-    /// pool makes one when the number of executors asks for it.
-    async fn divide_anew(&self, store: &mut Store) -> onyxshed_adapter::Result<bool> {
+    /// Gives up the pool and returns `true` if the shard layout of its zone has changed. The owner
+    /// of the zone's first pool publishes a new layout when the number of executors requires one.
+    async fn step_down_if_resharded(&self, store: &mut Store) -> onyxshed_adapter::Result<bool> {
         if self.pool.index == 0
-            && let Some(renewed) = self.division.resharded(self.of_zone.len())
+            && let Some(new_layout) = self.layout.resharded(self.zone_executors.len())
         {
-            self.divisions
-                .publish(store, &self.pool.zone, renewed)
+            self.shard_layouts
+                .publish(store, &self.pool.zone, new_layout)
                 .await?;
         }
-        let is_new = self.divisions.of(&self.pool.zone) != self.division;
-        if is_new {
-            self.engine.give_up("the zone is divided anew");
+        let is_resharded = self.shard_layouts.layout_of(&self.pool.zone) != self.layout;
+        if is_resharded {
+            self.engine.step_down("the zone was resharded");
         }
-        Ok(is_new)
+        Ok(is_resharded)
     }
 
-    /// Takes in what the last owner has told; the store's list corrects it when it can be read.
-    fn take_predecessors(&mut self, known: Vec<(ExecutorId, ExecutorFacts)>) {
-        if known.is_empty() {
+    /// Applies the executors that the previous owner has sent. The store's list corrects them once
+    /// it can be read.
+    fn apply_predecessor_list(&mut self, executors: Vec<(ExecutorId, ExecutorFacts)>) {
+        if executors.is_empty() {
             return;
         }
-        for (id, facts) in known {
-            self.listed.insert(id.0.clone());
-            self.engine.executor_listed(id, facts);
+        for (id, facts) in executors {
+            self.pool_executors.insert(id.0.clone());
+            self.engine.list_executor(id, facts);
         }
-        self.engine.executors_read();
+        self.engine.mark_executors_read();
     }
 
-    /// Takes in the whole list: whoever is not on it is no longer listed.
-    fn take_newest(&mut self, records: &[KeyedRecord]) {
+    /// Applies the complete list, and removes the executors that it does not contain.
+    fn apply_snapshot(&mut self, records: &[KeyedRecord]) {
         let present: BTreeSet<&SmolStr> = records.iter().map(|record| &record.key).collect();
-        let gone: Vec<SmolStr> = self
-            .listed
+        let removed: Vec<SmolStr> = self
+            .pool_executors
             .iter()
             .filter(|id| !present.contains(id))
             .cloned()
             .collect();
-        self.of_zone.retain(|id| present.contains(id));
-        for id in gone {
+        self.zone_executors.retain(|id| present.contains(id));
+        for id in removed {
             self.unlist(&id);
         }
-        records.iter().for_each(|record| self.take(record));
-        self.engine.executors_read();
+        records.iter().for_each(|record| self.apply_record(record));
+        self.engine.mark_executors_read();
     }
 
-    fn take(&mut self, record: &KeyedRecord) {
+    fn apply_record(&mut self, record: &KeyedRecord) {
         let Some(value) = &record.value else {
             return self.unlist(&record.key);
         };
-        // An entry that can't be read comes from a foreign writer and names no executor; what is
-        // known of an executor of that id stays.
+        // An entry that cannot be parsed comes from a foreign writer and describes no executor.
+        // Known facts about an executor of that id are kept.
         let entry = match ExecutorEntry::parse(value) {
             Ok(entry) => entry,
-            Err(error) => return self.tell_unreadable(&record.key, &error),
+            Err(error) => return self.log_unreadable(&record.key, &error),
         };
         self.unreadable.remove(&record.key);
         if entry.zone != self.pool.zone {
             return;
         }
-        self.of_zone.insert(record.key.clone());
+        self.zone_executors.insert(record.key.clone());
         let id = ExecutorId(record.key.clone());
-        if self.division.index_of(&id) != self.pool.index {
+        if self.layout.index_of(&id) != self.pool.index {
             return;
         }
-        self.listed.insert(record.key.clone());
-        self.engine.executor_listed(id, facts_of(entry));
+        self.pool_executors.insert(record.key.clone());
+        self.engine.list_executor(id, facts_of(entry));
     }
 
-    /// Writes one line for an entry that can't be read, until it can.
-    fn tell_unreadable(&mut self, id: &SmolStr, error: &Error) {
+    /// Logs an entry that cannot be parsed, once until it can be parsed again.
+    fn log_unreadable(&mut self, id: &SmolStr, error: &Error) {
         if self.unreadable.len() < UNREADABLE_MAX && self.unreadable.insert(id.clone()) {
             let event = Event::new(EventKind::PoolExecutorUnreadable).party(id.clone());
             self.kernel.emit(event.detail(format_smolstr!("{error}")));
         }
     }
 
+    /// Removes an executor that the store no longer lists.
     fn unlist(&mut self, id: &SmolStr) {
-        self.of_zone.remove(id);
-        if self.listed.remove(id) {
-            self.engine.executor_unlisted(&ExecutorId(id.clone()));
+        self.zone_executors.remove(id);
+        if self.pool_executors.remove(id) {
+            self.engine.unlist_executor(&ExecutorId(id.clone()));
         }
     }
 }
--- a/crates/onyxshed-host/src/links/port.rs
+++ b/crates/onyxshed-host/src/links/port.rs
@@ -1,4 +1,4 @@
-//! The interface that entry hosts call at the owner of a pool.
+//! The RPC interface that entry hosts call on the owner of a pool.
 
 use std::rc::Rc;
 
@@ -13,65 +13,65 @@
 use smol_str::SmolStr;
 
 use super::Links;
-use crate::divisions::Divisions;
 use crate::engine::Engine;
 use crate::evacuations::ZoneEvacuations;
 use crate::manifest::ManifestHolder;
+use crate::shard_layouts::ShardLayouts;
 
-/// Serves entry hosts.
+/// RPC server for entry hosts and other peers.
 pub struct Port {
     engine: Rc<Engine>,
-    /// This host's name in the groups of pools.
+    /// Member name of this host in the groups of pools.
     member: SmolStr,
-    known: Known,
+    deployment: DeploymentState,
 }
 
-/// What this host knows of the deployment.
-pub struct Known {
-    /// Owners of pools.
+/// State of the deployment as known to this host.
+pub struct DeploymentState {
+    /// Links to the owners of pools.
     pub links: Rc<Links>,
     /// The operators' manifest.
     pub manifest: Rc<ManifestHolder>,
-    /// How zones are divided.
-    pub divisions: Rc<Divisions>,
-    /// Which zones are evacuated.
+    /// Shard layouts of the zones.
+    pub shard_layouts: Rc<ShardLayouts>,
+    /// Evacuated zones.
     pub evacuations: Rc<ZoneEvacuations>,
 }
 
-impl Known {
-    fn sum_up(&self) -> pool::PeerState {
+impl DeploymentState {
+    fn to_peer_state(&self) -> pool::PeerState {
         pool::PeerState {
             manifest: self.manifest.text(),
             owners: self.links.owners(),
-            divisions: self.divisions.known(),
+            divisions: self.shard_layouts.known(),
             evacuations: self.evacuations.records(),
         }
     }
 }
 
 impl Port {
-    /// Makes the interface of a host that joins groups under a name.
-    pub fn new(engine: Rc<Engine>, member: SmolStr, known: Known) -> Self {
+    /// Creates the server of a host that joins groups as `member`.
+    pub fn new(engine: Rc<Engine>, member: SmolStr, deployment: DeploymentState) -> Self {
         Port {
             engine,
             member,
-            known,
+            deployment,
         }
     }
 
-    fn is_mine(&self, pool: &str) -> bool {
-        let asked: Option<PoolId> = pool.parse().ok();
-        asked.is_some() && asked == self.engine.owned()
+    fn owns(&self, pool: &str) -> bool {
+        let requested: Option<PoolId> = pool.parse().ok();
+        requested.is_some() && requested == self.engine.owned_pool()
     }
 }
 
-/// Gives a job up if its entry host's connection closes before its end.
-struct Guard {
+/// Cancels a job if the connection of its entry host closes before the job's end.
+struct CancelGuard {
     engine: Rc<Engine>,
     job: Option<(PeerIncarnation, SubmissionNumber, JobId)>,
 }
 
-impl Drop for Guard {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         if let Some((peer, submission, job)) = self.job {
             self.engine
@@ -87,19 +87,21 @@
         mut results: pool_port::HeartbeatResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        if !self.is_mine(params.get_pool()?.to_str()?) {
+        if !self.owns(params.get_pool()?.to_str()?) {
             return Ok(());
         }
-        let life = PeerIncarnation(params.get_life());
+        let peer = PeerIncarnation(params.get_life());
         let offer = match params.has_offer() {
             true => Some(pool::read_offer(params.get_offer()?)?),
             false => None,
         };
-        let told = pool::read_evacuations(params.get_evacuations()?)?;
-        self.known.evacuations.learn(told, "an entry host");
-        let session = self.engine.peer_heard(life, offer);
+        let evacuations = pool::read_evacuations(params.get_evacuations()?)?;
+        self.deployment
+            .evacuations
+            .apply(evacuations, "an entry host");
+        let session = self.engine.record_peer_contact(peer, offer);
         let mut results = results.get();
-        let records = self.known.evacuations.records();
+        let records = self.deployment.evacuations.records();
         let list = results.reborrow().init_evacuations(pool::length(&records)?);
         pool::write_evacuations(&records, list);
         if let (Some(session), Some(load)) = (session, self.engine.load()) {
@@ -107,7 +109,7 @@
             results.set_session(session.0);
             pool::write_load(&load, results.reborrow().init_load());
         }
-        if let Some(transfer) = self.engine.transfer(life, &self.member) {
+        if let Some(transfer) = self.engine.transfer_ownership(peer, &self.member) {
             pool::write_transfer(&transfer, results.init_transfer())?;
         }
         Ok(())
@@ -121,8 +123,8 @@
         let params = params.get()?;
         let peer = PeerIncarnation(params.get_life());
         let job = pool::read_job(peer, params.get_job()?)?;
-        let end = if self.is_mine(params.get_pool()?.to_str()?) {
-            let mut guard = Guard {
+        let end = if self.owns(params.get_pool()?.to_str()?) {
+            let mut guard = CancelGuard {
                 engine: self.engine.clone(),
                 job: Some((peer, job.submission, job.job)),
             };
@@ -163,15 +165,15 @@
         mut results: pool_port::ReleaseResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        if !self.is_mine(params.get_pool()?.to_str()?) {
+        if !self.owns(params.get_pool()?.to_str()?) {
             return Ok(());
         }
-        let Some(held) = self.engine.release(FencingToken(params.get_token())) else {
+        let Some(executors) = self.engine.release(FencingToken(params.get_token())) else {
             return Ok(());
         };
         let mut results = results.get();
         results.set_is_owner(true);
-        pool::write_executors(&held, results)
+        pool::write_executors(&executors, results)
     }
 
     async fn peer_state(
@@ -179,7 +181,7 @@
         _params: pool_port::PeerStateParams,
         mut results: pool_port::PeerStateResults,
     ) -> capnp::Result<()> {
-        let known = self.known.sum_up();
-        pool::write_peer_state(&known, results.get().init_state())
+        let state = self.deployment.to_peer_state();
+        pool::write_peer_state(&state, results.get().init_state())
     }
 }
--- a/crates/onyxshed-host/src/links/remote.rs
+++ b/crates/onyxshed-host/src/links/remote.rs
@@ -1,4 +1,4 @@
-//! A link to an owner on another host.
+//! A link to the owner of a pool on another host.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -23,185 +23,191 @@
 use super::Links;
 use crate::boot_clock;
 
-/// Time between two heartbeats: a quarter of the silence after which owners give a host up.
-pub const HEARTBEAT: Duration = Duration::from_millis(150);
+/// Interval between two heartbeats: a quarter of the time after which an owner considers a host
+/// unresponsive.
+pub const HEARTBEAT_PERIOD: Duration = Duration::from_millis(150);
 
-/// Time since its last job for which a link is heard at the full rate.
-const USED_WITHIN: Millis = Millis(2_000);
+/// Time since the last job for which a link sends heartbeats at the full rate.
+const IDLE_AFTER: Millis = Millis(2_000);
 
-/// Time since its last answer for which a link's session is trusted: half of the silence after
-/// which an owner ends it.
-const FRESH_WITHIN: Millis = Millis(300);
+/// Time since the last answer for which the session of a link is considered valid: half of the time
+/// after which an owner ends the session of an unresponsive host.
+const SESSION_FRESH_MAX: Millis = Millis(300);
 
-/// How long an owner may take to answer before the link is given up: less than the silence after
-/// which it gives this host up, so that a job is stopped there no later than its caller sends it
-/// again.
-const SILENCE: Duration = Duration::from_millis(450);
+/// Time without an answer after which the link goes down: less than the time after which the owner
+/// considers this host unresponsive, so that a job is stopped there no later than its caller
+/// resubmits it.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Longest time to open a connection to an owner.
+/// Timeout for opening a connection to an owner.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause before a link that was given up is opened again.
+/// Pause before a link that went down is opened again.
 const REOPEN_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause before an owner that the store names, and that does not know it yet, is asked again; it has
-/// joined the pool's group and begins within a call of the store (4 ms).
-const BEGIN_PAUSE: Duration = Duration::from_millis(20);
+/// Pause before the next heartbeat to an owner that the store lists but that does not know of its
+/// ownership yet. It has joined the pool's group and starts within one call to the store (4 ms).
+const OWNER_START_PAUSE: Duration = Duration::from_millis(20);
 
-/// How long an owner may take to begin before its link is opened anew.
-const BEGIN_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long an owner may take to start before its link is opened again.
+const OWNER_START_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A connection on which the owner has answered.
-struct Open {
+/// An open connection on which the owner has answered.
+struct OpenConnection {
     client: pool_port::Client,
     session: Session,
-    /// Closed when the link is given up, which ends every job that waits on it.
+    /// Closed when the link goes down, which ends every job that waits on it.
     lost: Receiver<()>,
 }
 
-/// A link.
+/// A link to an owner on another host, which reconnects until it is closed.
 pub struct RemoteLink {
     links: Rc<Links>,
     pool: PoolId,
     address: SocketAddr,
-    open: RefCell<Option<Rc<Open>>>,
+    connection: RefCell<Option<Rc<OpenConnection>>>,
     is_closed: Cell<bool>,
-    /// Jobs that wait on the link, and when the last one was handed over.
-    waiting: Cell<usize>,
-    used_at: Cell<Mono>,
-    heard_at: Cell<Mono>,
-    /// Whether the first connection has shown if the owner answers, and what tells so.
-    is_tried: Cell<bool>,
-    tried: Change,
+    /// Number of jobs and handovers that wait on the link.
+    waiters: Cell<usize>,
+    last_used_at: Cell<Mono>,
+    last_answer_at: Cell<Mono>,
+    /// Whether the first connection has succeeded or failed.
+    is_first_attempt_done: Cell<bool>,
+    first_attempt_done: Change,
 }
 
 impl RemoteLink {
-    /// Opens a link that keeps itself up until it is closed.
+    /// Opens a link, which reconnects in the background until it is closed.
     pub fn open(links: Rc<Links>, pool: PoolId, address: SocketAddr) -> Rc<Self> {
         let link = Rc::new(RemoteLink {
             links,
             pool,
             address,
-            open: RefCell::default(),
+            connection: RefCell::default(),
             is_closed: Cell::new(false),
-            waiting: Cell::new(0),
-            used_at: Cell::new(Mono(0)),
-            heard_at: Cell::new(Mono(0)),
-            is_tried: Cell::new(false),
-            tried: Change::default(),
+            waiters: Cell::new(0),
+            last_used_at: Cell::new(Mono(0)),
+            last_answer_at: Cell::new(Mono(0)),
+            is_first_attempt_done: Cell::new(false),
+            first_attempt_done: Change::default(),
         });
-        link.links.kernel.spawn(link.clone().keep_up()).detach();
+        link.links.kernel.spawn(link.clone().maintain()).detach();
         link
     }
 
-    /// Gets the owner's address.
+    /// Returns the owner's address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Tells whether the owner answers.
+    /// Returns whether the owner answers.
     pub fn is_up(&self) -> bool {
-        self.open.borrow().is_some()
+        self.connection.borrow().is_some()
     }
 
-    /// Closes the link for good. Jobs handed over go on and bring their answers as long as the
-    /// owner answers them.
+    /// Closes the link permanently. Submitted jobs continue, and their replies are delivered as
+    /// long as the owner answers.
     pub fn close(&self) {
         self.is_closed.set(true);
     }
 
-    async fn keep_up(self: Rc<Self>) {
+    /// Reconnects the link until it is closed.
+    async fn maintain(self: Rc<Self>) {
         while !self.is_closed.get() {
-            let ended = self.one_connection().await;
-            self.set_tried();
-            if let Some(why) = ended {
-                self.gave_up(why);
+            let failure = self.run_connection().await;
+            self.mark_first_attempt_done();
+            if let Some(reason) = failure {
+                self.mark_down(reason);
             }
             Timer::after(REOPEN_PAUSE).await;
         }
     }
 
-    /// Keeps one connection until it fails; tells why it was given up, if it was up.
-    async fn one_connection(self: &Rc<Self>) -> Option<&'static str> {
+    /// Opens a connection and sends heartbeats on it until it fails or the link is closed. Returns
+    /// the reason, or `None` if the connection could not be opened.
+    async fn run_connection(self: &Rc<Self>) -> Option<&'static str> {
         let executor = self.links.kernel.executor();
         let connect = rpc::connect::<pool_port::Client>(self.address, &executor);
         let client = within(CONNECT_TIMEOUT, connect).await?.ok()?;
-        // Held as long as the connection is good; dropping it ends the jobs that wait.
-        let (_alive, lost): (Sender<()>, _) = async_channel::bounded(1);
-        let begin_by = Instant::now() + BEGIN_TIMEOUT;
+        // Held while the connection is open; dropping the sender ends the jobs that wait.
+        let (_lost_sender, lost): (Sender<()>, _) = async_channel::bounded(1);
+        let start_deadline = Instant::now() + OWNER_START_TIMEOUT;
         loop {
-            let answer = within(SILENCE, self.heartbeat(&client)).await;
-            self.set_tried();
+            let answer = within(ANSWER_TIMEOUT, self.heartbeat(&client)).await;
+            self.mark_first_attempt_done();
             match answer {
                 None => return Some("no answer in time"),
                 Some(Err(_)) => return Some("the connection broke"),
-                Some(Ok(None)) if !self.is_up() && Instant::now() < begin_by => {
-                    Timer::after(BEGIN_PAUSE).await;
+                Some(Ok(None)) if !self.is_up() && Instant::now() < start_deadline => {
+                    Timer::after(OWNER_START_PAUSE).await;
                     continue;
                 }
-                Some(Ok(None)) => return Some("the host owns the pool no longer"),
-                Some(Ok(Some(session))) => self.heard(&client, session, &lost),
+                Some(Ok(None)) => return Some("the host no longer owns the pool"),
+                Some(Ok(Some(session))) => self.apply_session(&client, session, &lost),
             }
-            if self.is_closed.get() && self.waiting.get() == 0 {
+            if self.is_closed.get() && self.waiters.get() == 0 {
                 return Some("another host owns the pool");
             }
             Timer::after(self.heartbeat_pause()).await;
         }
     }
 
-    fn set_tried(&self) {
-        if !self.is_tried.replace(true) {
-            self.tried.notify();
+    fn mark_first_attempt_done(&self) {
+        if !self.is_first_attempt_done.replace(true) {
+            self.first_attempt_done.notify();
         }
     }
 
-    /// Waits until the first connection has shown whether the owner answers.
-    pub async fn first_answer(&self) {
-        let tried = self.tried.waiting();
-        if !self.is_tried.get() {
-            tried.wait().await;
+    /// Waits until the first connection has succeeded or failed.
+    pub async fn wait_for_first_attempt(&self) {
+        let attempted = self.first_attempt_done.waiting();
+        if !self.is_first_attempt_done.get() {
+            attempted.wait().await;
         }
     }
 
-    /// Gets the time until the next heartbeat: seldom on a link that is not used.
+    /// Returns the time until the next heartbeat, which is longer on an idle link.
     fn heartbeat_pause(&self) -> Duration {
-        let unused = boot_clock::now().since(self.used_at.get());
-        if self.waiting.get() > 0 || unused < USED_WITHIN.into() {
-            HEARTBEAT
+        let idle = boot_clock::now().since(self.last_used_at.get());
+        if self.waiters.get() > 0 || idle < IDLE_AFTER.into() {
+            HEARTBEAT_PERIOD
         } else {
-            self.links.idle_heartbeat()
+            self.links.idle_heartbeat_period()
         }
     }
 
-    /// Renews the session of a link that was heard seldom, before a job is handed over on it.
-    async fn renew(&self, open: &Open) -> bool {
-        let quiet = boot_clock::now().since(self.heard_at.get());
-        if quiet < FRESH_WITHIN.into() {
+    /// Renews the session of a link with infrequent heartbeats before a job is submitted on it.
+    /// Returns whether the session is valid.
+    async fn renew_session(&self, connection: &OpenConnection) -> bool {
+        let elapsed = boot_clock::now().since(self.last_answer_at.get());
+        if elapsed < SESSION_FRESH_MAX.into() {
             return true;
         }
-        match within(SILENCE, self.heartbeat(&open.client)).await {
+        match within(ANSWER_TIMEOUT, self.heartbeat(&connection.client)).await {
             Some(Ok(Some(session))) => {
-                self.heard(&open.client, session, &open.lost);
+                self.apply_session(&connection.client, session, &connection.lost);
                 true
             }
             _ => false,
         }
     }
 
-    fn heard(&self, client: &pool_port::Client, session: Session, lost: &Receiver<()>) {
-        // A renewal may be answered after its connection was given up.
+    /// Records an answer of the owner, and marks the link as up. A new session replaces the
+    /// connection that jobs are submitted on.
+    fn apply_session(&self, client: &pool_port::Client, session: Session, lost: &Receiver<()>) {
+        // A renewal may be answered after its connection has failed.
         if lost.is_closed() {
             return;
         }
         let was_up = self.is_up();
-        self.heard_at.set(boot_clock::now());
+        self.last_answer_at.set(boot_clock::now());
         let is_same = self
-            .open
+            .connection
             .borrow()
             .as_ref()
-            .is_some_and(|open| open.session == session);
+            .is_some_and(|connection| connection.session == session);
         if !is_same {
-            *self.open.borrow_mut() = Some(Rc::new(Open {
+            *self.connection.borrow_mut() = Some(Rc::new(OpenConnection {
                 client: client.clone(),
                 session,
                 lost: lost.clone(),
@@ -209,19 +215,21 @@
         }
         if !was_up {
             self.links.record_owner(&self.pool);
-            self.tell(EventKind::PoolLinkUp, "");
+            self.log_event(EventKind::PoolLinkUp, "");
         }
     }
 
+    /// Sends a heartbeat. Returns the session of this host, or `None` if the host at this address
+    /// does not own the pool.
     async fn heartbeat(&self, client: &pool_port::Client) -> capnp::Result<Option<Session>> {
         let mut request = client.heartbeat_request();
         let mut params = request.get();
-        params.set_life(self.links.engine.own().0);
+        params.set_life(self.links.engine.incarnation().0);
         params.set_pool(format_smolstr!("{}", self.pool).as_str());
         let records = self.links.evacuations.records();
         let list = params.reborrow().init_evacuations(pool::length(&records)?);
         pool::write_evacuations(&records, list);
-        if let Some(offer) = self.links.offer_for(&self.pool) {
+        if let Some(offer) = self.links.successor_offer(&self.pool) {
             pool::write_offer(offer, params.init_offer());
         }
         let reply = request.send().promise.await?;
@@ -229,17 +237,18 @@
         if !reply.get_is_owner() {
             return Ok(None);
         }
-        let told = pool::read_evacuations(reply.get_evacuations()?)?;
-        self.links.evacuations.learn(told, "an owner");
+        let evacuations = pool::read_evacuations(reply.get_evacuations()?)?;
+        self.links.evacuations.apply(evacuations, "an owner");
         self.update_load(reply.get_load()?)?;
         if reply.has_transfer() && !self.is_closed.get() {
             let transfer = pool::read_transfer(reply.get_transfer()?)?;
-            self.links.transferred(self.pool.clone(), transfer);
+            self.links.record_transfer(self.pool.clone(), transfer);
         }
         Ok(Some(Session(reply.get_session())))
     }
 
-    /// Takes in the sum of the pool, unless the pool is another owner's by now.
+    /// Applies the load report of the pool, unless the link is closed because the pool has another
+    /// owner.
     fn update_load(&self, load: pool_load::Reader<'_>) -> capnp::Result<()> {
         let load = pool::read_load(load)?;
         if !self.is_closed.get() {
@@ -248,87 +257,91 @@
         Ok(())
     }
 
-    /// Keeps the link up, also when it is closed, until the guard is dropped.
-    pub fn keep_open(self: &Rc<Self>) -> Waiting {
-        Waiting::on(self.clone())
+    /// Keeps the connection open, even after the link is closed, until the guard is dropped.
+    pub fn keep_open(self: &Rc<Self>) -> WaiterGuard {
+        WaiterGuard::new(self.clone())
     }
 
-    /// Asks the owner to let go of the pool, as its next owner; gets which executors it still uses,
-    /// none if it does not answer or owns the pool no longer.
+    /// Requests the release of the pool as its next owner, with fencing token `next`. Returns the
+    /// executors that the previous owner still uses, or `None` if it does not answer or no longer
+    /// owns the pool.
     pub async fn release(&self, next: FencingToken) -> Option<BTreeSet<ExecutorId>> {
         let client = self
-            .open
+            .connection
             .borrow()
             .as_ref()
-            .map(|open| open.client.clone())?;
+            .map(|connection| connection.client.clone())?;
         let mut request = client.release_request();
         let mut params = request.get();
         params.set_pool(format_smolstr!("{}", self.pool).as_str());
         params.set_token(next.0);
-        let reply = within(SILENCE, request.send().promise).await?;
+        let reply = within(ANSWER_TIMEOUT, request.send().promise).await?;
         let reply = reply.ok()?;
         let reply = reply.get().ok()?;
-        let held = pool::read_executors(reply).ok()?;
-        reply.get_is_owner().then_some(held)
+        let executors = pool::read_executors(reply).ok()?;
+        reply.get_is_owner().then_some(executors)
     }
 
-    fn gave_up(&self, why: &'static str) {
-        if self.open.borrow_mut().take().is_some() {
+    /// Marks the link as down, if it was up, and logs the reason.
+    fn mark_down(&self, reason: &'static str) {
+        if self.connection.borrow_mut().take().is_some() {
             if !self.is_closed.get() {
-                self.links.chooser.borrow_mut().remove_pool(&self.pool);
-                self.links.changed.notify();
+                self.links.selector.borrow_mut().remove_pool(&self.pool);
+                self.links.owner_changed.notify();
             }
-            self.tell(EventKind::PoolLinkDown, why);
+            self.log_event(EventKind::PoolLinkDown, reason);
         }
     }
 
-    fn tell(&self, kind: EventKind, why: &str) {
+    fn log_event(&self, kind: EventKind, reason: &str) {
         let event = Event::new(kind).party(format_smolstr!("{}", self.address));
-        let detail = format_smolstr!("pool {} {why}", self.pool);
+        let detail = format_smolstr!("pool {} {reason}", self.pool);
         self.links.kernel.emit(event.detail(detail));
     }
 
-    /// Hands a job over and waits for its end. Dropping the future gives the job up.
+    /// Submits a job to the owner and waits for its end. Dropping the future cancels the job.
     pub async fn run(self: Rc<Self>, job: JobRequest) -> JobEnd {
         let not_owner = JobEnd::NotRun(NotRunReason::NotOwner, Millis(0));
-        let Some(known) = self.open.borrow().clone() else {
+        let Some(last_known) = self.connection.borrow().clone() else {
             return not_owner;
         };
-        self.used_at.set(boot_clock::now());
-        if !self.renew(&known).await {
+        self.last_used_at.set(boot_clock::now());
+        if !self.renew_session(&last_known).await {
             return not_owner;
         }
-        let Some(open) = self.open.borrow().clone() else {
+        let Some(connection) = self.connection.borrow().clone() else {
             return not_owner;
         };
-        let _waiting = Waiting::on(self.clone());
-        let guard = RemoteGuard {
+        let _waiter = WaiterGuard::new(self.clone());
+        let guard = RemoteCancelGuard {
             link: self.clone(),
-            client: open.client.clone(),
+            client: connection.client.clone(),
             job: Some((job.submission, job.job)),
         };
         let lost = async {
-            // Ends when the link is given up, which closes the channel.
-            let _ = open.lost.recv().await;
+            // Completes when the link goes down, which closes the channel.
+            let _ = connection.lost.recv().await;
             None
         };
-        let end = async { Some(self.call(&open, &job).await) }.or(lost).await;
+        let end = async { Some(self.call(&connection, &job).await) }
+            .or(lost)
+            .await;
         match end {
             Some(Ok(end)) => {
-                guard.settle();
+                guard.disarm();
                 end
             }
-            // The order may have reached the owner: the job may run.
+            // The request may have reached the owner, so the job may run.
             Some(Err(_)) | None => JobEnd::Unknown(UnknownReason::OwnerChanged),
         }
     }
 
-    async fn call(&self, open: &Open, job: &JobRequest) -> capnp::Result<JobEnd> {
-        let mut request = open.client.run_request();
+    async fn call(&self, connection: &OpenConnection, job: &JobRequest) -> capnp::Result<JobEnd> {
+        let mut request = connection.client.run_request();
         let mut params = request.get();
-        params.set_life(self.links.engine.own().0);
+        params.set_life(self.links.engine.incarnation().0);
         params.set_pool(format_smolstr!("{}", self.pool).as_str());
-        params.set_session(open.session.0);
+        params.set_session(connection.session.0);
         pool::write_job(job, params.init_job());
         let reply = request.send().promise.await?;
         let reply = reply.get()?;
@@ -346,7 +359,7 @@
     ) -> capnp::Result<()> {
         let mut request = client.cancel_request();
         let mut params = request.get();
-        params.set_life(self.links.engine.own().0);
+        params.set_life(self.links.engine.incarnation().0);
         params.set_pool(format_smolstr!("{}", self.pool).as_str());
         params.set_job(job.0);
         params.set_submission(submission.0);
@@ -355,48 +368,53 @@
     }
 }
 
-/// Counts a job, or a handover, that waits on a link: the link stays up for it even when the pool
-/// is another owner's.
-pub struct Waiting(Rc<RemoteLink>);
+/// Guard that counts a job or a handover that waits on a link. While one exists, the connection
+/// stays open even if the pool has another owner.
+pub struct WaiterGuard(Rc<RemoteLink>);
 
-impl Waiting {
-    fn on(link: Rc<RemoteLink>) -> Self {
-        link.waiting.set(link.waiting.get() + 1);
-        Waiting(link)
+impl WaiterGuard {
+    fn new(link: Rc<RemoteLink>) -> Self {
+        link.waiters.set(link.waiters.get() + 1);
+        WaiterGuard(link)
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaiterGuard {
     fn drop(&mut self) {
-        self.0.waiting.set(self.0.waiting.get() - 1);
+        self.0.waiters.set(self.0.waiters.get() - 1);
     }
 }
 
-/// Gives a job up at its owner if its caller leaves or its fate becomes unknown.
-struct RemoteGuard {
+/// Cancels a job at its owner when it is dropped before the job's end: when the caller disconnects
+/// or the outcome becomes unknown.
+struct RemoteCancelGuard {
     link: Rc<RemoteLink>,
     client: pool_port::Client,
     job: Option<(SubmissionNumber, JobId)>,
 }
 
-impl RemoteGuard {
-    fn settle(mut self) {
+impl RemoteCancelGuard {
+    fn disarm(mut self) {
         self.job = None;
     }
 }
 
-impl Drop for RemoteGuard {
+impl Drop for RemoteCancelGuard {
     fn drop(&mut self) {
         let Some((submission, job)) = self.job else {
             return;
         };
         let link = self.link.clone();
-        // A link that is open anew reaches the owner where the old connection may not.
-        let fresh = link.open.borrow().as_ref().map(|open| open.client.clone());
-        let client = fresh.unwrap_or_else(|| self.client.clone());
+        // A link that has reconnected reaches the owner even if the old connection does not.
+        let current = link
+            .connection
+            .borrow()
+            .as_ref()
+            .map(|connection| connection.client.clone());
+        let client = current.unwrap_or_else(|| self.client.clone());
         let cancel = async move {
-            // Where this fails the owner learns it from this host's silence.
-            let _ = within(SILENCE, link.cancel(&client, submission, job)).await;
+            // If this fails, the owner cancels the job when it considers this host unresponsive.
+            let _ = within(ANSWER_TIMEOUT, link.cancel(&client, submission, job)).await;
         };
         self.link.links.kernel.spawn(cancel).detach();
     }
--- a/crates/onyxshed-host/src/measures.rs
+++ b/crates/onyxshed-host/src/measures.rs
@@ -1,27 +1,27 @@
-//! Counters and latency histograms of a host.
+//! Latency histograms of a host.
 
 use metrics::Histogram;
 use onyxshed_core::Micros;
 use onyxshed_pool::JobEnd;
 use onyxshed_telemetry::metric::{labelled_seconds_histogram, seconds};
 
-/// Histogram of the time from a job's arrival to its answer.
+/// Name of the histogram of the time from a job's arrival to its reply.
 pub const JOB_SECONDS: &str = "onyxshed_pool_job_seconds";
 
-/// Histogram of the time an executor takes to answer an order.
+/// Name of the histogram of the time that an executor takes to answer an order.
 pub const ORDER_SECONDS: &str = "onyxshed_pool_order_seconds";
 
-/// Kinds of orders to executors.
+/// Kind of an order to an executor, for metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderKind {
-    /// To start a run.
+    /// An order to start a run.
     Start,
-    /// To stop one.
+    /// An order to stop a run.
     Stop,
 }
 
-/// Histograms, described once at start.
-pub struct Measures {
+/// Handles to the histograms of this host, one per label value.
+pub struct HostMetrics {
     completed: Histogram,
     failed: Histogram,
     not_run: Histogram,
@@ -30,8 +30,8 @@
     stop: Histogram,
 }
 
-impl Measures {
-    /// Registers every histogram.
+impl HostMetrics {
+    /// Registers and describes every histogram.
     pub fn new() -> Self {
         let job = |end: &str| {
             let text = "Time from a job's arrival to its answer, by how it ended.";
@@ -41,7 +41,7 @@
             let text = "Time that an executor takes to answer an order, by kind.";
             labelled_seconds_histogram(ORDER_SECONDS, text, "order", kind.to_owned())
         };
-        Measures {
+        HostMetrics {
             completed: job("completed"),
             failed: job("failed"),
             not_run: job("not_run"),
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Notes the answer to a job.
-    pub fn answered(&self, end: &JobEnd, took: Micros) {
+    /// Records the reply to a job and the time since the job's arrival.
+    pub fn record_reply(&self, end: &JobEnd, took: Micros) {
         let histogram = match end {
             JobEnd::Completed => &self.completed,
             JobEnd::Failed => &self.failed,
@@ -62,8 +62,8 @@
         histogram.record(seconds(took));
     }
 
-    /// Notes the answer to an order.
-    pub fn ordered(&self, kind: OrderKind, took: Micros) {
+    /// Records the answer to an order and the time that it took.
+    pub fn record_order(&self, kind: OrderKind, took: Micros) {
         let histogram = match kind {
             OrderKind::Start => &self.start,
             OrderKind::Stop => &self.stop,
@@ -72,8 +72,8 @@
     }
 }
 
-impl Default for Measures {
+impl Default for HostMetrics {
     fn default() -> Self {
-        Measures::new()
+        HostMetrics::new()
     }
 }
--- a/crates/onyxshed-host/src/ownership/successor.rs
+++ b/crates/onyxshed-host/src/ownership/successor.rs
@@ -1,62 +1,67 @@
-//! A pool that comes to this host by its last owner's word, without the store.
+//! Takeover of a pool by the successor that its last owner has selected, without the store.
 //!
-//! The successor serves at once; the store's books catch up when the store answers again: the memberships of
-//! the owners before it are ended, and it joins in its own name.
+//! The successor serves at once. When the store answers again, the successor removes the
+//! memberships of the previous owners and joins the pool's group itself.
 
 use std::time::Duration;
 
 use onyxshed_pool::{OwnershipTransfer, PoolId};
 use smol_str::SmolStr;
 
-use super::contender::{Contender, Next};
-use crate::executors::KnownExecutors;
+use super::contender::{Contender, OwnershipStep};
+use crate::executors::InitialExecutors;
 
-/// Time between two tries of a successor to be written into the store's books: soon after the store
-/// answers, others find the pool vacant there.
+/// Interval at which a successor tries to register in the store. It is short because other hosts
+/// find the pool vacant soon after the store answers again.
 pub(super) const REGISTER_PERIOD: Duration = Duration::from_millis(100);
 
 impl Contender {
-    /// Takes a pool over by its last owner's word, without the store.
-    pub(super) fn succeed(&mut self, pool: PoolId, transfer: OwnershipTransfer) -> Next {
+    /// Takes over a pool whose last owner has made this host its successor.
+    pub(super) fn succeed(&mut self, pool: PoolId, transfer: OwnershipTransfer) -> OwnershipStep {
         let token = transfer.token;
         let last_owner = self.links.link_to(&pool);
-        self.own(token, &pool, last_owner);
-        let division = self.divisions.of(&pool.zone);
-        let known = KnownExecutors::Predecessors(transfer.executors);
-        self.follow_executors(token, &pool, division, known);
+        self.acquire_pool(token, &pool, last_owner);
+        let layout = self.shard_layouts.layout_of(&pool.zone);
+        let initial = InitialExecutors::FromPredecessor(transfer.executors);
+        self.follow_executors(token, &pool, layout, initial);
         self.engine.set_past_members(transfer.past_members);
-        Next::Renew(pool)
+        OwnershipStep::Renew(pool)
     }
 
-    /// Joins the pool's group as the successor of owners that the store may still list.
-    pub(super) async fn register(&mut self, pool: PoolId, past_members: &[SmolStr]) -> Next {
-        // While the store is away the successor serves without it.
-        let Some(holder) = self.ask_holder(&pool).await else {
-            return Next::Renew(pool);
+    /// Joins the group of the pool, and removes the membership of a previous owner that the store
+    /// still lists.
+    pub(super) async fn register(
+        &mut self,
+        pool: PoolId,
+        past_members: &[SmolStr],
+    ) -> OwnershipStep {
+        // While the store is unavailable the successor serves unregistered.
+        let Some(holder) = self.read_holder(&pool).await else {
+            return OwnershipStep::Renew(pool);
         };
-        self.log_decision(&pool).await;
+        self.write_owner_record(&pool).await;
         if let Some(holder) = holder.filter(|holder| past_members.contains(holder)) {
             self.end_membership(&pool, &holder).await;
         }
         match self.send_join(&pool).await {
             Some(true) => {
                 self.engine.set_past_members(Vec::new());
-                Next::Renew(pool)
+                OwnershipStep::Renew(pool)
             }
             Some(false) => self.yield_to_holder(pool, past_members).await,
-            None => Next::Renew(pool),
+            None => OwnershipStep::Renew(pool),
         }
     }
 
-    /// Makes way for another owner that the store has made meanwhile, if there is one; else the pool
-    /// is about to be this successor's.
-    async fn yield_to_holder(&mut self, pool: PoolId, past_members: &[SmolStr]) -> Next {
-        match self.ask_holder(&pool).await {
+    /// Hands the pool over to another owner if the store has appointed one in the meantime.
+    /// Otherwise the store is about to assign the pool to this successor.
+    async fn yield_to_holder(&mut self, pool: PoolId, past_members: &[SmolStr]) -> OwnershipStep {
+        match self.read_holder(&pool).await {
             Some(Some(holder)) if holder != self.member && !past_members.contains(&holder) => {
                 self.engine.set_past_members(Vec::new());
-                self.retire(pool).await
+                self.hand_over(pool).await
             }
-            _ => Next::Renew(pool),
+            _ => OwnershipStep::Renew(pool),
         }
     }
 }
--- a/crates/onyxshed-host/src/topic.rs
+++ b/crates/onyxshed-host/src/topic.rs
@@ -1,4 +1,4 @@
-//! Follows a keyed topic of the platform's store with long reads.
+//! Follows a keyed topic of the platform's store with long polling.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -12,30 +12,31 @@
 
 use crate::store_watch::{ANSWER_TIMEOUT, StoreWatch};
 
-/// Status of a topic that nothing was ever written to.
+/// HTTP status of a topic that has never been written to.
 const NO_SUCH_TOPIC: u16 = 404;
 
-/// What is done with a topic's records.
+/// Consumer of the records of a topic.
 pub trait TopicReader {
-    /// Takes in the newest record of each key; called first, and again after a call has failed.
-    fn take_newest(&self, newest: Records);
+    /// Applies the newest record of each key. Called first, and again after a failed call.
+    fn apply_snapshot(&self, newest: Records);
 
-    /// Takes in a record that was written since.
-    fn take(&self, record: KeyedRecord);
+    /// Applies a record that was written after the snapshot.
+    fn apply_record(&self, record: KeyedRecord);
 }
 
-/// How a topic is followed.
+/// A topic and how it is followed.
 #[derive(Debug, Clone, Copy)]
 pub struct TopicOptions {
-    /// Its name.
+    /// Name of the topic in the store.
     pub name: &'static str,
-    /// How long a read waits at the store for a change.
+    /// How long a read waits in the store for a change.
     pub wait: Millis,
-    /// Time between two looks at a topic that does not exist; none if it has to exist.
-    pub absent_pause: Option<Duration>,
+    /// Interval between two reads of a topic that does not exist; `None` if the topic must exist,
+    /// so that its absence is an error.
+    pub absent_period: Option<Duration>,
 }
 
-/// Passes a topic's records to a reader for as long as the process lives.
+/// Passes a topic's records to a reader until the process ends.
 pub async fn follow(
     topic: TopicOptions,
     address: SocketAddr,
@@ -45,12 +46,13 @@
     let mut store = Store::new(address);
     loop {
         if let Err(error) = follow_once(topic, &mut store, &watch, &*reader).await {
-            watch.before_reading_anew(&error).await;
+            watch.pause_before_reread(&error).await;
         }
     }
 }
 
-/// Reads the newest state and every change from there on until a call fails, or pauses if there is no topic.
+/// Reads the newest state and then every change until a call fails. If the topic does not exist,
+/// pauses and returns.
 async fn follow_once(
     topic: TopicOptions,
     store: &mut Store,
@@ -59,22 +61,22 @@
 ) -> onyxshed_adapter::Result<()> {
     let Some(newest) = store.newest_if_any(topic.name, ANSWER_TIMEOUT).await? else {
         let status = NO_SUCH_TOPIC;
-        let pause = topic.absent_pause.ok_or(Error::Status { status })?;
-        watch.answered();
+        let pause = topic.absent_period.ok_or(Error::Status { status })?;
+        watch.record_answer();
         Timer::after(pause).await;
         return Ok(());
     };
     let mut next = newest.next;
-    reader.take_newest(newest);
+    reader.apply_snapshot(newest);
     let timeout = ANSWER_TIMEOUT + Duration::from(topic.wait);
     loop {
-        watch.answered();
+        watch.record_answer();
         let read = store
             .read_keyed(topic.name, next, topic.wait, timeout)
             .await?;
         next = read.next;
         read.records
             .into_iter()
-            .for_each(|record| reader.take(record));
+            .for_each(|record| reader.apply_record(record));
     }
 }
