--- a/crates/onyxshed-state/src/claim.rs
+++ b/crates/onyxshed-state/src/claim.rs
@@ -10,11 +10,11 @@
 //! later batch, and others may then claim the submission.
 
 mod batch;
-mod consult;
 mod fold;
 mod options;
 mod pace;
 mod queue;
+mod request;
 mod step;
 mod table;
 
--- a/crates/onyxshed-state/src/config.rs
+++ b/crates/onyxshed-state/src/config.rs
@@ -19,7 +19,7 @@
 pub mod proposal;
 pub mod republish;
 
-mod fate;
+mod outcome;
 mod parts;
 mod rules;
 mod snapshot;
@@ -31,9 +31,9 @@
 use onyxshed_wire::record::{ConfigChange, ConfigRecord};
 use serde::{Deserialize, Serialize};
 
-pub use self::fate::{ChangeOutcome, RECENT_CHANGES};
-use self::fate::{Fates, RecentChanges};
 pub use self::handover::Handover;
+pub use self::outcome::{ChangeOutcome, RECENT_CHANGES};
+use self::outcome::{Fates, RecentChanges};
 use self::parts::Parts;
 pub use self::proposal::{AppendStep, Proposal, ProposalStatus};
 pub use self::republish::RepublishStep;
--- a/crates/onyxshed-state/src/config/handover.rs
+++ b/crates/onyxshed-state/src/config/handover.rs
@@ -3,7 +3,7 @@
 use onyxshed_core::{ChangeId, Offset, Revision, UnixMs};
 use serde::{Deserialize, Serialize};
 
-use super::fate::RecentChanges;
+use super::outcome::RecentChanges;
 use super::{Config, ConfigFold, FoldOutcome};
 
 /// A configuration with its place in the log, as one process hands it to another.
--- a/crates/onyxshed-state/src/config/snapshot.rs
+++ b/crates/onyxshed-state/src/config/snapshot.rs
@@ -10,8 +10,8 @@
 
 use onyxshed_core::{Offset, UnixMs};
 
-use super::fate::RecentChanges;
 use super::handover::Handover;
+use super::outcome::RecentChanges;
 use super::parts::{Whole, fingerprint_of};
 use super::{ConfigFold, FoldOutcome, Partial};
 
--- a/crates/onyxshed-state/src/member.rs
+++ b/crates/onyxshed-state/src/member.rs
@@ -7,7 +7,7 @@
 //! Each host judges for itself, so hosts in different zones may judge differently.
 
 mod gossip;
-mod judge;
+mod liveness;
 mod options;
 
 use std::collections::BTreeMap;
