--- a/crates/onyxshed-state/examples/slopes.rs
+++ b/crates/onyxshed-state/examples/slopes.rs
@@ -1,7 +1,7 @@
-//! Measures what a claim, a configuration record and a member cost in memory, time and bytes.
+//! Measures the cost of a claim, a configuration record and a member in memory, time and bytes.
 //!
 //! `cargo run --release -p onyxshed-state --example slopes` prints the tables of docs/CAPACITY.md.
-//! Memory is the growth of the resident set over as many copies as make it large against a page.
+//! Memory is the growth of the resident set over enough copies that a page is small against it.
 
 use std::hint::black_box;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -21,13 +21,13 @@
 };
 use ulid::Ulid;
 
-/// Records over all copies, for the memory of one.
+/// Total number of records in all copies when the memory of one record is measured.
 const RECORDS: usize = 400_000;
 
-/// Claims in a batch, about what a busy host sends.
+/// Claims in a batch, about as many as a busy host sends.
 const BATCH: usize = 100;
 
-/// Rounds over which members are measured.
+/// Number of rounds over which members are measured.
 const ROUNDS: u64 = 200;
 
 const START_MS: u64 = 1_000_000;
@@ -57,14 +57,14 @@
     }
 }
 
-/// Gets the resident set in bytes.
+/// Returns the resident set size in bytes.
 fn resident() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").expect("Linux");
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse().ok());
     pages.unwrap_or(0_usize) * 4_096
 }
 
-/// Gets the resident bytes that one record takes, from copies with `count` records each.
+/// Returns the resident bytes per record, measured over copies with `count` records each.
 fn bytes_each<T>(count: usize, make: impl Fn() -> T) -> usize {
     drop(make());
     let before = resident();
@@ -135,8 +135,8 @@
             body: ChangeBody::Put(ClassTarget {
                 class: format!("team-{}.class-{number}", number % 500)
                     .parse()
-                    .expect("a name"),
-                upstream: "tablet-fleet-command".parse().expect("a name"),
+                    .expect("the name is valid"),
+                upstream: "tablet-fleet-command".parse().expect("the name is valid"),
                 finish_within_ms: Millis(2_000),
                 may_run_twice: false,
             }),
@@ -169,11 +169,15 @@
     println!("| {count} | {bytes} | {change} | {on_log} | {snapshot} | {parts} |");
 }
 
-fn beat(number: u16) -> Heartbeat {
+fn heartbeat(number: u16) -> Heartbeat {
     let address = |port: u16| SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port + number));
     Heartbeat {
-        host: format!("entry-{number}.north").parse().expect("a name"),
-        zone: format!("zone-{}", number % 3).parse().expect("a name"),
+        host: format!("entry-{number}.north")
+            .parse()
+            .expect("the name is valid"),
+        zone: format!("zone-{}", number % 3)
+            .parse()
+            .expect("the name is valid"),
         incarnation: Incarnation(u64::from(number) + 0x0123_4567_89ab_0000),
         started_at_ms: UnixMs(1_700_000_000_000),
         control_address: address(10_000),
@@ -189,11 +193,16 @@
 }
 
 fn table(number: u16) -> MemberTable {
-    let seeds = vec![beat(0).control_address];
-    MemberTable::new(beat(number), MemberOptions::default(), seeds, number.into())
+    let seeds = vec![heartbeat(0).control_address];
+    MemberTable::new(
+        heartbeat(number),
+        MemberOptions::default(),
+        seeds,
+        number.into(),
+    )
 }
 
-/// Runs all members for some rounds, and counts what they spend and send.
+/// Runs all members for [`ROUNDS`] rounds and returns the time spent and the bytes sent.
 fn run(tables: &mut [MemberTable], from: u64) -> (Duration, usize) {
     let (mut spent, mut bytes) = (Duration::ZERO, 0);
     for round in from..from + ROUNDS {
--- a/crates/onyxshed-state/src/append.rs
+++ b/crates/onyxshed-state/src/append.rs
@@ -1,10 +1,10 @@
-//! How an append to the platform's log can fail.
+//! The ways an append to the platform's log can fail, as far as the caller can know.
 
-/// Why an append brought no offset.
+/// Why an append returned no offset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendFailure {
-    /// Provably not appended.
+    /// The record was provably not appended, so the append may be retried.
     NotAppended,
-    /// Its answer was lost; it may stand in the log, or turn up there later.
+    /// The answer was lost: the record may be in the log, or may still reach it later.
     AnswerLost,
 }
--- a/crates/onyxshed-state/src/claim.rs
+++ b/crates/onyxshed-state/src/claim.rs
@@ -1,13 +1,16 @@
-//! Which host may start a submission: the first claim in log order.
+//! Decides which host may start a submission: the one whose claim is first in log order.
 //!
-//! A host that wants an unbound submission queues a claim; claims go out in batches, one append a
-//! batch, paced so that all hosts together stay under what the log takes. A claim counts only when
-//! it has been read back: then every earlier record has been read too, so the first claim is known.
-//! A bound submission needs no claim, because only the incarnation it names may start it.
+//! The dispatcher asks a [`ClaimBook`] before it starts a submission and passes it every record of
+//! the `claims` stream. A host that wants to start an unbound submission queues a claim. Claims are
+//! appended in batches, one append per batch, at a rate that keeps all hosts together below the
+//! log's limit. A claim counts only once it has been read back: every earlier record has been read
+//! by then, so the first claim is known. A bound submission needs no claim, because only the
+//! incarnation named in its id may start it.
 //!
-//! The book also remembers what it told this host to start, so a resubmission that arrives after
-//! the job's answer was dropped is not started again. A claim whose job gave up is released by a
-//! later batch, and others may then claim the submission.
+//! The book also remembers which submissions this host was allowed to start, so that a resubmission
+//! that arrives after the job's answer was dropped is not started again. The claim of a job that
+//! was abandoned before any task started is released in a later batch; other hosts may claim the
+//! submission after that.
 
 mod batch;
 mod fold;
@@ -24,21 +27,21 @@
 
 use self::batch::Outbox;
 pub use self::options::ClaimOptions;
-use self::pace::Pace;
+use self::pace::TokenBucket;
 use self::queue::ClaimQueue;
 pub use self::step::{BatchStep, ClaimCounts, ClaimOutcome, ClaimStep, SettledClaim};
-use self::table::{ClaimTable, Standing};
+use self::table::{ClaimState, ClaimTable};
 pub use crate::append::AppendFailure;
 
-/// One host's view of all claims.
+/// One host's view of all claims, and the queue of its own claims and releases.
 #[derive(Debug)]
 pub struct ClaimBook {
-    me: Incarnation,
+    incarnation: Incarnation,
     options: ClaimOptions,
     table: ClaimTable,
     queue: ClaimQueue,
     outbox: Outbox,
-    pace: Pace,
+    bucket: TokenBucket,
     next: Offset,
     is_caught_up: bool,
     latest_wall: UnixMs,
@@ -48,14 +51,14 @@
 }
 
 impl ClaimBook {
-    /// Makes an empty book for this incarnation.
-    pub fn new(me: Incarnation, options: ClaimOptions) -> Self {
+    /// Creates an empty book for this host's current incarnation.
+    pub fn new(incarnation: Incarnation, options: ClaimOptions) -> Self {
         ClaimBook {
-            me,
+            incarnation,
             table: ClaimTable::new(options.claims_max),
             queue: ClaimQueue::default(),
-            outbox: Outbox::new(me),
-            pace: Pace::new(&options),
+            outbox: Outbox::new(incarnation),
+            bucket: TokenBucket::new(&options),
             next: Offset::default(),
             is_caught_up: false,
             latest_wall: UnixMs::default(),
@@ -66,46 +69,49 @@
         }
     }
 
-    /// Gets the offset to read from next.
+    /// Returns the offset of the next record to read.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Tells whether the log was read to its end and has not been lost since.
+    /// Returns whether the log has been read to its end and has not become unreachable since.
     pub fn is_caught_up(&self) -> bool {
         self.is_caught_up
     }
 
-    /// Gets the holder of an unbound submission, as far as the log was read.
+    /// Returns the holder of a submission: the incarnation named in a bound id, otherwise the
+    /// holder of the claim, as far as the log has been read. `None` if no claim on an unbound id is
+    /// known.
     pub fn holder(&self, id: SubmissionId) -> Option<Incarnation> {
         match id.bound_to {
             Some(holder) => Some(holder),
-            None => self.table.get(id.ulid).map(|held| held.by),
+            None => self.table.get(id.ulid).map(|held| held.holder),
         }
     }
 
-    /// Gets the counts for metrics.
+    /// Returns counters and sizes for metrics.
     pub fn counts(&self) -> ClaimCounts {
         ClaimCounts {
             held: self.table.len(),
             pending: self.queue.len(),
-            claimants: self.table.claimants(),
+            claimants: self.table.claimant_count(),
             unreadable: self.unreadable,
             stale_batches: self.stale_batches,
-            evicted: self.table.evicted(),
+            evicted: self.table.evicted_count(),
             gaps: self.gaps,
         }
     }
 
-    /// Derives this host's share of the append budget from the number of live hosts, itself
-    /// included. Count suspects too: a host that is merely unheard still appends.
+    /// Sets this host's share of the append budget from the number of hosts that may append, itself
+    /// included. Suspected hosts count too: a host whose heartbeats do not arrive may still append.
     pub fn set_live_hosts(&mut self, live_hosts: usize) {
-        self.pace.set_share(&self.options, live_hosts);
+        self.bucket.set_share(&self.options, live_hosts);
     }
 
-    /// Decides about a submission that this host has no job for, and queues a claim if it needs one.
+    /// Decides whether this host may start a submission for which it has no job, and queues a claim
+    /// if one is needed.
     pub fn request_start(&mut self, now: Now, id: SubmissionId, content: ContentHash) -> ClaimStep {
-        self.consult_claim(
+        self.request_claim(
             now,
             Claim {
                 submission: id,
@@ -115,9 +121,11 @@
         )
     }
 
-    /// Decides like [`Self::consult`], and claims in place of `gone` if that incarnation holds the
-    /// submission. Only for classes whose tasks may run twice, and only when `gone` is held to be
-    /// gone; the log lets one host replace it.
+    /// Decides like [`Self::request_start`], and replaces the claim of `gone` if that incarnation
+    /// holds the submission.
+    ///
+    /// Only for classes whose tasks may run twice, and only when `gone` is considered permanently
+    /// gone. The log accepts only one replacement of `gone`.
     pub fn take_over(
         &mut self,
         now: Now,
@@ -125,7 +133,7 @@
         content: ContentHash,
         gone: Incarnation,
     ) -> ClaimStep {
-        self.consult_claim(
+        self.request_claim(
             now,
             Claim {
                 submission: id,
@@ -135,49 +143,56 @@
         )
     }
 
-    /// Gives up a submission of which no task was started: a claim under way, or one that holds.
+    /// Releases a submission of which no task was started, whether its claim is pending or won.
     ///
-    /// No [`Settled`] follows. A claim that holds, or turns up later, is released with the next
-    /// batch; until then a resubmission here may start it.
+    /// No [`SettledClaim`] follows. A claim that was won, or that is read back later, is released
+    /// with the next batch; until that batch is made, a resubmission to this host may start the
+    /// submission.
     pub fn release(&mut self, now: Now, id: SubmissionId) {
         match id.bound_to {
-            Some(holder) if holder == self.me => self.table.release_bound(id.ulid),
+            Some(holder) if holder == self.incarnation => self.table.remove_bound(id.ulid),
             Some(_) => {}
             None => {
                 self.queue.remove(id.ulid);
-                if self.standing(id) == Some(Standing::Started) {
+                if self.claim_state(id) == Some(ClaimState::Started) {
                     self.queue_release(now, id);
                 }
             }
         }
     }
 
-    /// Tells whether a task of a submission that this book said to start may still be started.
+    /// Returns whether a task of a submission that this book allowed to start may still be started.
     ///
-    /// False once the horizon has passed, for a holder that was frozen: others forget the claim two
-    /// skews later, and the platform's log forgets it too. False as well once the submission was
-    /// released, or another host took it over.
+    /// False once the id is older than the horizon, in case the holder was frozen: other hosts
+    /// forget the claim two skews after the horizon, and eventually the log discards it too. Also
+    /// false once the submission was released or another host took it over.
     pub fn may_start(&self, now: Now, id: SubmissionId) -> bool {
         let is_ours = match id.bound_to {
-            Some(holder) => holder == self.me && self.table.bound(id.ulid).is_some(),
-            None => self.standing(id) == Some(Standing::Started),
+            Some(holder) => {
+                holder == self.incarnation && self.table.bound_content(id.ulid).is_some()
+            }
+            None => self.claim_state(id) == Some(ClaimState::Started),
         };
-        is_ours && self.clock(now).since(id.time()) <= self.options.horizon_ms
+        is_ours && self.latest_time(now).since(id.time()) <= self.options.horizon_ms
     }
 
-    /// Decides whether to append a batch now.
+    /// Decides whether a batch is to be appended now.
     pub fn next_batch(&mut self, now: Now) -> BatchStep {
         let deadline = self.queue.next_deadline();
         let wait = |at: Option<_>| at.map_or(BatchStep::Idle, BatchStep::WaitUntil);
-        let Some(due) = self.outbox.due_at(&mut self.queue, &self.table) else {
+        let Some(due) = self.outbox.next_due_at(&mut self.queue, &self.table) else {
             return wait(deadline);
         };
-        let ready = due.max(self.pace.ready_at(now.mono));
-        if ready > now.mono || !self.is_caught_up {
-            let at = if self.is_caught_up { Some(ready) } else { None };
+        let earliest = due.max(self.bucket.next_append_at(now.mono));
+        if earliest > now.mono || !self.is_caught_up {
+            let at = if self.is_caught_up {
+                Some(earliest)
+            } else {
+                None
+            };
             return wait(at.into_iter().chain(deadline).min());
         }
-        self.pace.spend();
+        self.bucket.take_token();
         let batch_max = self.options.batch_max;
         BatchStep::Append(
             self.outbox
@@ -185,10 +200,10 @@
         )
     }
 
-    /// Takes in how an append went.
+    /// Applies the result of appending batch number `batch`.
     ///
-    /// A batch that was not appended goes out again while its jobs wait. One whose answer was lost
-    /// is awaited: it may be read back any time.
+    /// The claims of a batch that was not appended are sent again while their jobs wait. If the
+    /// answer was lost, the claims stay pending: the batch may be read back at any time.
     pub fn apply_append_result(
         &mut self,
         now: Now,
@@ -199,10 +214,10 @@
             return Vec::new();
         };
         if result == Err(AppendFailure::NotAppended) {
-            self.queue.unsend(&sent.claims);
-            self.outbox.hold_until(now.mono + self.options.retry_ms);
+            self.queue.requeue(&sent.claims);
+            self.outbox.delay_until(now.mono + self.options.retry_ms);
             for id in &sent.releases {
-                if self.standing(*id) == Some(Standing::ReleaseSent) {
+                if self.claim_state(*id) == Some(ClaimState::ReleaseSent) {
                     self.queue_release(now, *id);
                 }
             }
@@ -210,20 +225,20 @@
         self.tick(now)
     }
 
-    /// Settles as failed every claim that was not read back in time, and drops what the horizon
-    /// made needless.
+    /// Fails every claim that was not read back in time, and drops entries older than the horizon.
     pub fn tick(&mut self, now: Now) -> Vec<SettledClaim> {
         self.expire(now);
         let overdue = self.queue.take_overdue(now.mono);
-        overdue.into_iter().map(failed).collect()
+        overdue.into_iter().map(failed_claim).collect()
     }
 
-    /// Takes in a record of the `claims` stream.
+    /// Applies a record of the `claims` stream and returns the pending claims that it settles. A
+    /// record before [`Self::next`] was read already and is ignored.
     pub fn apply_record(&mut self, now: Now, offset: Offset, data: &str) -> Vec<SettledClaim> {
         if offset < self.next {
             return Vec::new();
         }
-        self.note_clock(now);
+        self.observe_clock(now);
         self.skip_to(now, offset);
         self.next = offset.next();
         let Ok(ClaimRecord::ClaimsV1(batch)) = ClaimRecord::decode(data) else {
@@ -237,56 +252,64 @@
             self.stale_batches += 1;
             return Vec::new();
         }
-        self.fold(now, &batch)
+        self.fold_batch(now, &batch)
     }
 
-    /// Notes that the log's oldest record is at `oldest`: records before it are lost.
+    /// Records that the log now starts at `oldest`: records before it are lost.
     ///
-    /// They were older than the retention, which exceeds twice the horizon, so their ids are
-    /// refused by age. Ids that could have stood in them are refused all the same, in case the
-    /// horizon was set too long for the log.
+    /// The lost records were older than the retention, which exceeds twice the horizon, so the ids
+    /// claimed in them are rejected by age. Ids old enough to have been claimed in the lost records
+    /// are also rejected explicitly, in case the horizon was configured too long for the log's
+    /// retention.
     pub fn skip_to(&mut self, now: Now, oldest: Offset) {
         if oldest <= self.next {
             return;
         }
-        self.note_clock(now);
+        self.observe_clock(now);
         self.gaps += 1;
         self.next = oldest;
-        let lost_ms = Millis(
+        let lost_age_ms = Millis(
             self.options
                 .retention_ms
                 .0
                 .saturating_sub(2 * self.options.skew_ms.0),
         );
-        self.table.forget_before(self.latest_wall - lost_ms);
+        self.table.forget_before(self.latest_wall - lost_age_ms);
     }
 
-    /// Notes that the stream was read up to `next`, the offset of the next append.
+    /// Records that `next` is the offset of the next append; the book is caught up if it has read
+    /// up to there.
     ///
-    /// Before that no claim goes out: it could not be read back before the whole backlog, and its
-    /// caller would wait for nothing.
+    /// No claim is sent before that: it could be read back only after the whole backlog, and its
+    /// caller would wait until the claim times out.
     pub fn mark_caught_up(&mut self, next: Offset) {
         if self.next >= next {
             self.is_caught_up = true;
         }
     }
 
-    /// Notes that the log can't be reached, and fails at once every claim that a job waits for.
+    /// Records that the log can't be reached, and fails every pending claim at once.
     pub fn mark_log_unreachable(&mut self) -> Vec<SettledClaim> {
         self.is_caught_up = false;
-        self.queue.take_all().into_iter().map(failed).collect()
+        self.queue
+            .take_all()
+            .into_iter()
+            .map(failed_claim)
+            .collect()
     }
 
-    /// Gets how far the wall clock lies behind the latest time seen. Beyond the skew, ids that are
-    /// young by the clock are refused as too old; a new incarnation reads its claims from the log
-    /// afresh and is free of it.
+    /// Returns how far the wall clock is behind the latest wall time seen.
+    ///
+    /// Once the difference exceeds the skew, ids that are young by the wall clock are rejected as
+    /// too old. A restart ends this state: the new incarnation reads the claims from the log again
+    /// and starts without the latest wall time.
     pub fn clock_behind_ms(&self, now: Now) -> Millis {
         self.latest_wall.since(now.wall)
     }
 
-    /// Forgets what the horizon has made needless; costs what it forgets.
+    /// Drops entries older than the horizon; the cost is proportional to the number dropped.
     pub fn expire(&mut self, now: Now) {
-        self.note_clock(now);
+        self.observe_clock(now);
         let keep_ms = self.options.keep_ms();
         self.table.expire(
             self.latest_wall - keep_ms,
@@ -295,30 +318,30 @@
     }
 
     fn queue_release(&mut self, now: Now, id: SubmissionId) {
-        self.table.set_standing(id.ulid, Standing::ReleaseQueued);
+        self.table.set_state(id.ulid, ClaimState::ReleaseQueued);
         self.outbox
             .queue_release(id, now.mono + self.options.release_delay_ms);
     }
 
-    fn standing(&self, id: SubmissionId) -> Option<Standing> {
+    fn claim_state(&self, id: SubmissionId) -> Option<ClaimState> {
         match id.bound_to {
             Some(_) => None,
-            None => self.table.get(id.ulid).map(|held| held.standing),
+            None => self.table.get(id.ulid).map(|held| held.state),
         }
     }
 
-    /// Gets the latest wall time seen. A wall clock that steps back must not make ids acceptable
-    /// again whose claims were forgotten.
-    fn clock(&self, now: Now) -> UnixMs {
+    /// Returns the latest wall time seen. If the wall clock is stepped back, ids whose claims were
+    /// forgotten must not become acceptable again.
+    fn latest_time(&self, now: Now) -> UnixMs {
         self.latest_wall.max(now.wall)
     }
 
-    fn note_clock(&mut self, now: Now) {
-        self.latest_wall = self.clock(now);
+    fn observe_clock(&mut self, now: Now) {
+        self.latest_wall = self.latest_time(now);
     }
 }
 
-fn failed(submission: SubmissionId) -> SettledClaim {
+fn failed_claim(submission: SubmissionId) -> SettledClaim {
     SettledClaim {
         submission,
         outcome: ClaimOutcome::Failed,
--- a/crates/onyxshed-state/src/claim/batch.rs
+++ b/crates/onyxshed-state/src/claim/batch.rs
@@ -1,4 +1,5 @@
-//! Makes batches that fit a record, and follows the one under way.
+//! Builds batches of claims and releases that fit a log record, and tracks the batch being
+//! appended.
 
 use std::collections::VecDeque;
 
@@ -7,12 +8,12 @@
 use onyxshed_wire::record::{CLAIM_MAX_BYTES, CLAIM_RECORD_BYTES, ClaimBatch, RELEASE_BYTES};
 
 use super::queue::ClaimQueue;
-use super::table::{ClaimTable, Standing};
+use super::table::{ClaimState, ClaimTable};
 
-/// Releases and the batch under way.
+/// The releases to send and the batch whose append has not finished.
 #[derive(Debug)]
 pub(crate) struct Outbox {
-    me: Incarnation,
+    incarnation: Incarnation,
     last_batch: u64,
     sent: Option<ClaimBatch>,
     releases: VecDeque<(Mono, SubmissionId)>,
@@ -20,10 +21,10 @@
 }
 
 impl Outbox {
-    /// Makes an empty outbox.
-    pub(crate) fn new(me: Incarnation) -> Self {
+    /// Creates an empty outbox.
+    pub(crate) fn new(incarnation: Incarnation) -> Self {
         Outbox {
-            me,
+            incarnation,
             last_batch: 0,
             sent: None,
             releases: VecDeque::new(),
@@ -31,22 +32,28 @@
         }
     }
 
-    /// Adds a release that goes out by itself at `due` if no claims go before.
+    /// Queues a release. It is sent with the next batch of claims, or in a batch of its own at
+    /// `due`.
     pub(crate) fn queue_release(&mut self, id: SubmissionId, due: Mono) {
         self.releases.push_back((due, id));
     }
 
-    /// Sends nothing before `at`.
-    pub(crate) fn hold_until(&mut self, at: Mono) {
+    /// Delays the next batch until `at`.
+    pub(crate) fn delay_until(&mut self, at: Mono) {
         self.not_before = at;
     }
 
-    /// Gets when the next batch is due, none if there is nothing to send or one is under way.
-    pub(crate) fn due_at(&mut self, queue: &mut ClaimQueue, table: &ClaimTable) -> Option<Mono> {
+    /// Returns when the next batch is due; `None` if there is nothing to send or an append is in
+    /// progress.
+    pub(crate) fn next_due_at(
+        &mut self,
+        queue: &mut ClaimQueue,
+        table: &ClaimTable,
+    ) -> Option<Mono> {
         if self.sent.is_some() {
             return None;
         }
-        self.drop_settled(queue, table);
+        self.drop_obsolete_releases(queue, table);
         let due = if queue.has_unsent() {
             Some(self.not_before)
         } else {
@@ -55,26 +62,27 @@
         due.map(|due| due.max(self.not_before))
     }
 
-    /// Makes the next batch of at most `batch_max` claims, with the releases that fit beside them.
+    /// Builds the next batch of at most `batch_max` claims, with the releases that fit into the
+    /// rest of the record.
     pub(crate) fn make_batch(
         &mut self,
         queue: &mut ClaimQueue,
         table: &mut ClaimTable,
         batch_max: usize,
     ) -> ClaimBatch {
-        let mut room = RECORD_MAX_BYTES - CLAIM_RECORD_BYTES;
+        let mut free_bytes = RECORD_MAX_BYTES - CLAIM_RECORD_BYTES;
         let mut claims = Vec::new();
-        while claims.len() < batch_max && room >= CLAIM_MAX_BYTES {
+        while claims.len() < batch_max && free_bytes >= CLAIM_MAX_BYTES {
             let Some(claim) = queue.pop_unsent() else {
                 break;
             };
             claims.push(claim);
-            room -= CLAIM_MAX_BYTES;
+            free_bytes -= CLAIM_MAX_BYTES;
         }
         self.last_batch += 1;
-        let releases = self.take_releases(queue, table, room);
+        let releases = self.take_releases(queue, table, free_bytes);
         let batch = ClaimBatch {
-            by: self.me,
+            by: self.incarnation,
             batch: self.last_batch,
             claims,
             releases,
@@ -83,7 +91,7 @@
         batch
     }
 
-    /// Takes out the batch under way, if it has that number.
+    /// Removes and returns the batch being appended if its number is `batch`.
     pub(crate) fn take_sent(&mut self, batch: u64) -> Option<ClaimBatch> {
         self.sent.take_if(|sent| sent.batch == batch)
     }
@@ -92,27 +100,28 @@
         &mut self,
         queue: &ClaimQueue,
         table: &mut ClaimTable,
-        mut room: usize,
+        mut free_bytes: usize,
     ) -> Vec<SubmissionId> {
         let mut releases = Vec::new();
-        while room >= RELEASE_BYTES {
-            self.drop_settled(queue, table);
+        while free_bytes >= RELEASE_BYTES {
+            self.drop_obsolete_releases(queue, table);
             let Some((_, id)) = self.releases.pop_front() else {
                 break;
             };
-            table.set_releasing(id.ulid, self.last_batch);
+            table.set_release_sent(id.ulid, self.last_batch);
             releases.push(id);
-            room -= RELEASE_BYTES;
+            free_bytes -= RELEASE_BYTES;
         }
         releases
     }
 
-    /// Drops releases of submissions that were started after all, or that a job claims again.
-    fn drop_settled(&mut self, queue: &ClaimQueue, table: &ClaimTable) {
+    /// Drops releases at the front of the queue that are obsolete: the submission was started, or a
+    /// job has queued a new claim on it.
+    fn drop_obsolete_releases(&mut self, queue: &ClaimQueue, table: &ClaimTable) {
         while let Some((_, id)) = self.releases.front() {
             let is_queued = table
                 .get(id.ulid)
-                .is_some_and(|held| held.standing == Standing::ReleaseQueued);
+                .is_some_and(|held| held.state == ClaimState::ReleaseQueued);
             if is_queued && queue.get(id.ulid).is_none() {
                 return;
             }
--- a/crates/onyxshed-state/src/claim/fold.rs
+++ b/crates/onyxshed-state/src/claim/fold.rs
@@ -1,70 +1,79 @@
-//! Folds a batch that was read back and settles the claims that jobs wait for.
+//! Applies a batch read from the log and settles the pending claims that it decides.
 
 use onyxshed_core::{Now, SubmissionId};
 use onyxshed_wire::record::{Claim, ClaimBatch};
 
 use super::ClaimBook;
 use super::step::{ClaimOutcome, SettledClaim};
-use super::table::{Found, Standing};
+use super::table::{ClaimEffect, ClaimState};
 
 impl ClaimBook {
-    pub(super) fn fold(&mut self, now: Now, batch: &ClaimBatch) -> Vec<SettledClaim> {
+    /// Applies the releases of a batch, then its claims, and returns the pending claims that are
+    /// decided now. Claims on ids that every host rejects by age are skipped.
+    pub(super) fn fold_batch(&mut self, now: Now, batch: &ClaimBatch) -> Vec<SettledClaim> {
         for id in &batch.releases {
-            self.table.release(batch.by, id);
+            self.table.apply_release(batch.by, id);
         }
         let keep_ms = self.options.keep_ms();
-        let is_fresh = |claim: &&Claim| self.latest_wall.since(claim.submission.time()) <= keep_ms;
-        let fresh: Vec<Claim> = batch.claims.iter().filter(is_fresh).copied().collect();
-        fresh
+        let is_recent = |claim: &&Claim| self.latest_wall.since(claim.submission.time()) <= keep_ms;
+        let recent: Vec<Claim> = batch.claims.iter().filter(is_recent).copied().collect();
+        recent
             .iter()
             .filter_map(|claim| self.fold_claim(now, batch, claim))
             .collect()
     }
 
+    /// Applies one claim of a batch. Returns the outcome of this host's pending claim on the same id
+    /// if it is decided now.
     fn fold_claim(&mut self, now: Now, batch: &ClaimBatch, claim: &Claim) -> Option<SettledClaim> {
         let id = claim.submission;
-        let is_own = batch.by == self.me;
-        let found = if is_own {
-            self.fold_own(now, batch.batch, claim)
+        let is_own = batch.by == self.incarnation;
+        let effect = if is_own {
+            self.fold_own_claim(now, batch.batch, claim)
         } else {
-            self.table.claim(batch.by, claim, Standing::Foreign)
+            self.table.apply_claim(batch.by, claim, ClaimState::Foreign)
         };
         let pending = self.queue.get(id.ulid)?.claim;
-        let holding = match found {
-            Found::Forgotten => None,
-            Found::Taken | Found::Earlier => self.table.get(id.ulid),
+        let current = match effect {
+            ClaimEffect::Forgotten => None,
+            ClaimEffect::Recorded | ClaimEffect::AlreadyHeld => self.table.get(id.ulid),
         };
-        let verdict = match holding {
+        let outcome = match current {
             None => ClaimOutcome::Failed,
             Some(held) if held.content != pending.content => ClaimOutcome::OtherContent,
-            Some(held) if held.by == self.me => self.judge_own(id)?,
-            Some(held) if !is_own && pending.replaces == Some(held.by) => return None,
-            Some(held) => ClaimOutcome::HeldBy(held.by),
+            Some(held) if held.holder == self.incarnation => self.own_outcome(id)?,
+            Some(held) if !is_own && pending.replaces == Some(held.holder) => return None,
+            Some(held) => ClaimOutcome::HeldBy(held.holder),
         };
         self.queue.remove(id.ulid);
-        if verdict == ClaimOutcome::Won {
-            self.table.set_standing(id.ulid, Standing::Started);
+        if outcome == ClaimOutcome::Won {
+            self.table.set_state(id.ulid, ClaimState::Started);
         }
         Some(SettledClaim {
             submission: id,
-            outcome: verdict,
+            outcome,
         })
     }
 
-    /// Folds in a claim of this host. One that no job waits for is ours but is not started on its
-    /// account: its job was told that it was not run. It is released.
-    fn fold_own(&mut self, now: Now, batch: u64, claim: &Claim) -> Found {
+    /// Applies a claim of this host.
+    ///
+    /// If no job waits for the claim any more, its job was already reported as not run, so the
+    /// claim must not start the submission; it is released.
+    fn fold_own_claim(&mut self, now: Now, batch: u64, claim: &Claim) -> ClaimEffect {
         let id = claim.submission;
-        let found = self.table.claim(self.me, claim, Standing::ReleaseSent);
-        let is_idle = self.standing(id) == Some(Standing::ReleaseSent);
-        if is_idle && self.table.is_firm(id.ulid, batch) {
+        let effect = self
+            .table
+            .apply_claim(self.incarnation, claim, ClaimState::ReleaseSent);
+        let is_release_sent = self.claim_state(id) == Some(ClaimState::ReleaseSent);
+        if is_release_sent && self.table.is_after_release(id.ulid, batch) {
             self.queue_release(now, id);
         }
-        found
+        effect
     }
 
-    /// Judges a claim of ours that holds: not decided while a release of it is still to be read.
-    fn judge_own(&self, id: SubmissionId) -> Option<ClaimOutcome> {
-        (self.standing(id) != Some(Standing::ReleaseSent)).then_some(ClaimOutcome::Won)
+    /// Returns the outcome of a claim that this host holds; `None` while a release of it has been
+    /// sent but not read back, because the claim may still be lost.
+    fn own_outcome(&self, id: SubmissionId) -> Option<ClaimOutcome> {
+        (self.claim_state(id) != Some(ClaimState::ReleaseSent)).then_some(ClaimOutcome::Won)
     }
 }
--- a/crates/onyxshed-state/src/claim/queue.rs
+++ b/crates/onyxshed-state/src/claim/queue.rs
@@ -1,4 +1,4 @@
-//! Claims that wait to be appended or read back.
+//! Pending claims: those that wait to be appended or read back.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,55 +6,56 @@
 use onyxshed_wire::record::Claim;
 use ulid::Ulid;
 
-/// A claim that a job waits for.
+/// A claim whose outcome a job is waiting for.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Pending {
-    /// The claim.
+pub(crate) struct PendingClaim {
+    /// The claim as it is written to the log.
     pub(crate) claim: Claim,
-    until: Mono,
+    deadline: Mono,
     is_sent: bool,
 }
 
-/// Claims that jobs wait for, in the order they came.
+/// Pending claims in the order in which they were queued.
 ///
-/// The two queues may hold ids that were settled since; they are skipped when they come up.
+/// `unsent` and `deadlines` may contain ids whose claims were settled in the meantime; such ids are
+/// skipped when they reach the front.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimQueue {
-    pending: BTreeMap<Ulid, Pending>,
+    pending: BTreeMap<Ulid, PendingClaim>,
     unsent: VecDeque<Ulid>,
     deadlines: VecDeque<(Mono, Ulid)>,
 }
 
 impl ClaimQueue {
-    /// Gets the number of claims that jobs wait for.
+    /// Returns the number of pending claims.
     pub(crate) fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Gets the claim that a job waits for.
-    pub(crate) fn get(&self, id: Ulid) -> Option<&Pending> {
+    /// Returns the pending claim on an id.
+    pub(crate) fn get(&self, id: Ulid) -> Option<&PendingClaim> {
         self.pending.get(&id)
     }
 
-    /// Adds a claim whose job waits until `until`.
-    pub(crate) fn push(&mut self, claim: Claim, until: Mono) {
+    /// Adds a claim that fails unless it is settled before `deadline`.
+    pub(crate) fn push(&mut self, claim: Claim, deadline: Mono) {
         let id = claim.submission.ulid;
-        let pending = Pending {
+        let pending = PendingClaim {
             claim,
-            until,
+            deadline,
             is_sent: false,
         };
         self.pending.insert(id, pending);
         self.unsent.push_back(id);
-        self.deadlines.push_back((until, id));
+        self.deadlines.push_back((deadline, id));
     }
 
-    /// Takes a claim out: it was settled or its job gave up.
-    pub(crate) fn remove(&mut self, id: Ulid) -> Option<Pending> {
+    /// Removes a claim that was settled or whose job was abandoned.
+    pub(crate) fn remove(&mut self, id: Ulid) -> Option<PendingClaim> {
         self.pending.remove(&id)
     }
 
-    /// Tells whether a claim waits to be sent.
+    /// Returns whether any pending claim has not been sent.
     pub(crate) fn has_unsent(&mut self) -> bool {
         while let Some(id) = self.unsent.front() {
             if self.pending.get(id).is_some_and(|pending| !pending.is_sent) {
@@ -65,7 +66,7 @@
         false
     }
 
-    /// Takes the next claim to send.
+    /// Marks the next unsent claim as sent and returns it.
     pub(crate) fn pop_unsent(&mut self) -> Option<Claim> {
         if !self.has_unsent() {
             return None;
@@ -76,8 +77,8 @@
         Some(pending.claim)
     }
 
-    /// Puts claims back that were provably not appended.
-    pub(crate) fn unsend(&mut self, claims: &[Claim]) {
+    /// Puts claims that were provably not appended back at the front of the unsent queue.
+    pub(crate) fn requeue(&mut self, claims: &[Claim]) {
         for claim in claims.iter().rev() {
             let id = claim.submission.ulid;
             let Some(pending) = self.pending.get_mut(&id) else {
@@ -88,10 +89,10 @@
         }
     }
 
-    /// Takes out every claim whose job has waited too long.
+    /// Removes every claim whose deadline has passed and returns their submissions.
     pub(crate) fn take_overdue(&mut self, now: Mono) -> Vec<SubmissionId> {
         let mut overdue = Vec::new();
-        while self.next_deadline().is_some_and(|until| until <= now) {
+        while self.next_deadline().is_some_and(|deadline| deadline <= now) {
             let pending = self
                 .deadlines
                 .pop_front()
@@ -101,18 +102,22 @@
         overdue
     }
 
-    /// Gets when the next job will have waited too long.
+    /// Returns the earliest deadline of a pending claim.
     pub(crate) fn next_deadline(&mut self) -> Option<Mono> {
-        while let Some((until, id)) = self.deadlines.front() {
-            if self.pending.get(id).is_some_and(|p| p.until == *until) {
-                return Some(*until);
+        while let Some((deadline, id)) = self.deadlines.front() {
+            if self
+                .pending
+                .get(id)
+                .is_some_and(|p| p.deadline == *deadline)
+            {
+                return Some(*deadline);
             }
             self.deadlines.pop_front();
         }
         None
     }
 
-    /// Takes out every claim.
+    /// Removes every claim and returns their submissions.
     pub(crate) fn take_all(&mut self) -> Vec<SubmissionId> {
         self.unsent.clear();
         self.deadlines.clear();
--- a/crates/onyxshed-state/src/claim/request.rs
+++ b/crates/onyxshed-state/src/claim/request.rs
@@ -1,4 +1,4 @@
-//! Decides about a submission that arrives.
+//! Decides whether this host may start a submission that arrives.
 
 use onyxshed_core::{Incarnation, Now, SubmissionId, UnixMs};
 use onyxshed_wire::ContentHash;
@@ -6,74 +6,78 @@
 
 use super::ClaimBook;
 use super::step::ClaimStep;
-use super::table::Standing;
+use super::table::ClaimState;
 
 impl ClaimBook {
-    /// Tells what [`ClaimBook::consult`] would decide, and neither queues a claim nor takes the
-    /// submission as started; without a content none is compared.
+    /// Returns what [`ClaimBook::request_start`] would decide, without queueing a claim or marking
+    /// the submission as started. Without `content`, contents are not compared.
     pub fn peek(&self, now: Now, id: SubmissionId, content: Option<ContentHash>) -> ClaimStep {
-        self.judge(now, id, content, None)
+        self.decide(now, id, content, None)
     }
 
-    /// Tells whether an id is young enough for its tasks to be started without a claim.
+    /// Returns whether an id is recent enough for its tasks to be started without a claim.
     pub fn is_within_horizon(&self, now: Now, id: SubmissionId) -> bool {
-        self.judge_time(now, id.time()).is_none()
+        self.check_time(now, id.time()).is_none()
     }
 
-    /// Decides, and acts on the decision: takes the submission as started or queues its claim.
-    pub(super) fn consult_claim(&mut self, now: Now, claim: Claim) -> ClaimStep {
-        self.note_clock(now);
+    /// Decides, and applies the decision: marks the submission as started or queues its claim.
+    pub(super) fn request_claim(&mut self, now: Now, claim: Claim) -> ClaimStep {
+        self.observe_clock(now);
         let id = claim.submission;
-        let step = self.judge(now, id, Some(claim.content), claim.replaces);
+        let step = self.decide(now, id, Some(claim.content), claim.replaces);
         match step {
             ClaimStep::Start if id.bound_to.is_some() => {
-                self.table.start_bound(id.ulid, claim.content);
+                self.table.record_bound_start(id.ulid, claim.content);
             }
-            ClaimStep::Start => self.table.set_standing(id.ulid, Standing::Started),
+            ClaimStep::Start => self.table.set_state(id.ulid, ClaimState::Started),
             ClaimStep::Wait if self.queue.get(id.ulid).is_none() => {
-                let until = now.mono + self.options.read_back_timeout_ms;
-                self.queue.push(claim, until);
+                let deadline = now.mono + self.options.read_back_timeout_ms;
+                self.queue.push(claim, deadline);
             }
             _ => {}
         }
         step
     }
 
-    fn judge(
+    /// Decides about a submission without side effects. `replaces` is the holder that a new claim
+    /// would replace.
+    fn decide(
         &self,
         now: Now,
         id: SubmissionId,
         content: Option<ContentHash>,
         replaces: Option<Incarnation>,
     ) -> ClaimStep {
-        if let Some(refusal) = self.judge_time(now, id.time()) {
-            return refusal;
+        if let Some(rejection) = self.check_time(now, id.time()) {
+            return rejection;
         }
         match id.bound_to {
-            Some(holder) if holder == self.me => self.judge_bound(id, content),
+            Some(holder) if holder == self.incarnation => self.decide_bound(id, content),
             Some(holder) => ClaimStep::HeldBy(holder),
-            None => self.judge_unbound(id, content, replaces),
+            None => self.decide_unbound(id, content, replaces),
         }
     }
 
-    /// Judges an id's age by the latest clock, which a process that was frozen has yet to note.
-    fn judge_time(&self, now: Now, time: UnixMs) -> Option<ClaimStep> {
-        let is_old = self.clock(now).since(time) > self.options.horizon_ms;
+    /// Checks the time of an id against the latest clock, which a process that was frozen may not
+    /// have observed yet. Returns the step with which the id is rejected, or `None` if its time is
+    /// acceptable.
+    fn check_time(&self, now: Now, time: UnixMs) -> Option<ClaimStep> {
+        let is_old = self.latest_time(now).since(time) > self.options.horizon_ms;
         if is_old || self.table.is_forgotten(time) {
             return Some(ClaimStep::TooOld);
         }
         (time.since(now.wall) > self.options.skew_ms).then_some(ClaimStep::FromFuture)
     }
 
-    fn judge_bound(&self, id: SubmissionId, content: Option<ContentHash>) -> ClaimStep {
-        match self.table.bound(id.ulid) {
-            Some(found) if differs(content, found) => ClaimStep::OtherContent,
+    fn decide_bound(&self, id: SubmissionId, content: Option<ContentHash>) -> ClaimStep {
+        match self.table.bound_content(id.ulid) {
+            Some(existing) if differs(content, existing) => ClaimStep::OtherContent,
             Some(_) => ClaimStep::AlreadyStarted,
             None => ClaimStep::Start,
         }
     }
 
-    fn judge_unbound(
+    fn decide_unbound(
         &self,
         id: SubmissionId,
         content: Option<ContentHash>,
@@ -81,16 +85,17 @@
     ) -> ClaimStep {
         match self.table.get(id.ulid) {
             Some(held) if differs(content, held.content) => ClaimStep::OtherContent,
-            Some(held) if held.by != self.me && replaces != Some(held.by) => {
-                ClaimStep::HeldBy(held.by)
+            Some(held) if held.holder != self.incarnation && replaces != Some(held.holder) => {
+                ClaimStep::HeldBy(held.holder)
             }
-            Some(held) if held.standing == Standing::Started => ClaimStep::AlreadyStarted,
-            Some(held) if held.standing == Standing::ReleaseQueued => ClaimStep::Start,
-            Some(_) | None => self.judge_wanted(id, content),
+            Some(held) if held.state == ClaimState::Started => ClaimStep::AlreadyStarted,
+            Some(held) if held.state == ClaimState::ReleaseQueued => ClaimStep::Start,
+            Some(_) | None => self.decide_claimable(id, content),
         }
     }
 
-    fn judge_wanted(&self, id: SubmissionId, content: Option<ContentHash>) -> ClaimStep {
+    /// Decides about a submission that this host could only start after a new claim.
+    fn decide_claimable(&self, id: SubmissionId, content: Option<ContentHash>) -> ClaimStep {
         if !self.is_caught_up {
             return ClaimStep::Unavailable;
         }
@@ -103,6 +108,6 @@
     }
 }
 
-fn differs(content: Option<ContentHash>, found: ContentHash) -> bool {
-    content.is_some_and(|content| content != found)
+fn differs(content: Option<ContentHash>, existing: ContentHash) -> bool {
+    content.is_some_and(|content| content != existing)
 }
--- a/crates/onyxshed-state/src/claim/step.rs
+++ b/crates/onyxshed-state/src/claim/step.rs
@@ -1,79 +1,82 @@
-//! What the claim book says and is told.
+//! Results and instructions that the claim book returns to the dispatcher.
 
 use onyxshed_core::{Incarnation, Mono, SubmissionId};
 use onyxshed_wire::record::ClaimBatch;
 
-/// What to do with a submission that this host has no job for.
+/// What to do with a submission for which this host has no job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// This host holds it and may start it. Said once, until it is released.
+    /// This host holds the submission and may start it. Returned once, until the submission is
+    /// released.
     Start,
-    /// A claim is queued or under way; [`Settled`] tells later.
+    /// A claim is queued or being appended; its outcome is returned later in a [`SettledClaim`].
     Wait,
-    /// Another incarnation holds it.
+    /// Another incarnation holds the submission.
     HeldBy(Incarnation),
-    /// It was claimed with other content.
+    /// The submission was claimed with other content.
     OtherContent,
-    /// Its id is past the horizon, or so old that its claim may have been forgotten.
+    /// The id is older than the horizon, or so old that a claim on it may have been forgotten.
     TooOld,
-    /// Its id's time lies ahead of the clock.
+    /// The id's time is ahead of the clock by more than the skew.
     FromFuture,
-    /// The log can't be reached or has not been read to its end yet.
+    /// No claim can be queued: the log can't be reached, has not been read to its end, or too many
+    /// claims are pending.
     Unavailable,
-    /// This host was told to start it before and has no job for it any more.
+    /// This host was allowed to start the submission before and has no job for it any more.
     AlreadyStarted,
 }
 
-/// How a claim ended.
+/// Outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// This host holds the submission and may start it.
     Won,
-    /// Another incarnation holds it.
+    /// Another incarnation holds the submission.
     HeldBy(Incarnation),
-    /// It was claimed earlier with other content.
+    /// The submission was claimed earlier with other content.
     OtherContent,
-    /// The append failed, or its answer was lost and it has not been read back in time. The claim
-    /// may still turn up; the submission is not started on its account.
+    /// The append failed, the log can't be reached, or the claim was not read back in time. The
+    /// claim may still be read later, but the submission is not started because of it.
     Failed,
 }
 
-/// A claim that was decided.
+/// A claim whose outcome is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SettledClaim {
-    /// The submission.
+    /// The claimed submission.
     pub submission: SubmissionId,
-    /// How the claim ended.
+    /// The outcome of the claim.
     pub outcome: ClaimOutcome,
 }
 
-/// What to do about the log now.
+/// What the caller has to do next to get pending claims and releases into the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BatchStep {
-    /// Append this record and tell [`ClaimBook::appended`](super::ClaimBook::appended) how it went,
-    /// whatever happens: no other batch goes out before.
+    /// Append this batch and pass the result to
+    /// [`ClaimBook::apply_append_result`](super::ClaimBook::apply_append_result) in any case: no
+    /// other batch is returned before that.
     Append(ClaimBatch),
-    /// Ask again at that time, after [`ClaimBook::tick`](super::ClaimBook::tick).
+    /// Call again at that time, after [`ClaimBook::tick`](super::ClaimBook::tick).
     WaitUntil(Mono),
-    /// Nothing to append or to wait for but what is under way.
+    /// There is nothing to append and no deadline; an append may be in progress.
     Idle,
 }
 
-/// Counts of the claim book, for metrics.
+/// Counters and sizes of the claim book, for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClaimCounts {
-    /// Claims remembered.
+    /// Claims remembered, bound ids included.
     pub held: usize,
-    /// Claims queued or under way.
+    /// Claims that are queued, being appended, or waiting to be read back.
     pub pending: usize,
-    /// Incarnations whose batches are remembered.
+    /// Incarnations whose batch numbers are remembered.
     pub claimants: usize,
-    /// Records that could not be read.
+    /// Records that could not be decoded.
     pub unreadable: u64,
-    /// Batches that turned up after a later one of the same claimant and were ignored.
+    /// Batches that were read after a later one of the same claimant and were ignored.
     pub stale_batches: u64,
-    /// Claims forgotten before their time, because the book was full.
+    /// Claims evicted before they expired, because the book was full.
     pub evicted: u64,
-    /// Times that records were lost before they were read.
+    /// Number of times that records were lost before they were read.
     pub gaps: u64,
 }
--- a/crates/onyxshed-state/src/claim/table.rs
+++ b/crates/onyxshed-state/src/claim/table.rs
@@ -1,8 +1,8 @@
-//! The claims that hold: a fold of the `claims` stream.
+//! Table of the claims in force: a fold of the `claims` stream.
 //!
-//! Entries are ordered by ULID and so by time, which makes forgetting cost only what is forgotten.
-//! What a reader does with a record depends on the records before it alone, so all readers agree
-//! about every id that they still accept.
+//! Entries are ordered by ULID and therefore by time, so expiry costs only what it removes. The
+//! effect of a record depends only on the records before it, so all readers agree about every id
+//! that they still accept.
 
 use std::collections::BTreeMap;
 
@@ -11,54 +11,56 @@
 use onyxshed_wire::record::Claim;
 use ulid::Ulid;
 
-/// What this host has done with a claim.
+/// State of a claim from this host's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// Another host holds it.
+pub(crate) enum ClaimState {
+    /// Another host holds the claim.
     Foreign,
-    /// Ours, and its job was told to start.
+    /// This host holds the claim and was allowed to start the job.
     Started,
-    /// Ours and not started; a release waits for a batch.
+    /// This host holds the claim and has not started the job; a release waits to be sent.
     ReleaseQueued,
-    /// Ours until a release that was sent is read back, or a later claim of ours is.
+    /// This host holds the claim until the release that it sent is read back, unless a later claim
+    /// of this host is read first.
     ReleaseSent,
 }
 
-/// A claim that holds.
+/// A claim in force.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Held {
-    /// Its holder.
-    pub(crate) by: Incarnation,
-    /// What was claimed.
+pub(crate) struct HeldClaim {
+    /// The incarnation that holds the claim.
+    pub(crate) holder: Incarnation,
+    /// Hash of the content that the submission was claimed with.
     pub(crate) content: ContentHash,
-    /// What this host has done with it.
-    pub(crate) standing: Standing,
+    /// State of the claim on this host.
+    pub(crate) state: ClaimState,
 }
 
+/// Batch number and time at which an incarnation was last seen as a claimant.
 #[derive(Debug, Clone, Copy)]
 struct Claimant {
     last_batch: u64,
     seen_at: UnixMs,
 }
 
-/// What a claim found.
+/// Effect of applying a claim to the table.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Found {
-    /// It is the first, or replaced the holder it named.
-    Taken,
-    /// An earlier claim holds.
-    Earlier,
-    /// Its id is so old that earlier claims may have been forgotten.
+pub(crate) enum ClaimEffect {
+    /// The claim is the first on its id, or replaced the holder that it named.
+    Recorded,
+    /// An earlier claim on the id is in force.
+    AlreadyHeld,
+    /// The id is so old that earlier claims on it may have been forgotten.
     Forgotten,
 }
 
-/// Every claim that this host remembers.
+/// Every claim that this host remembers, its own and those of other hosts.
 #[derive(Debug)]
 pub(crate) struct ClaimTable {
     claims_max: usize,
-    held: BTreeMap<Ulid, Held>,
-    /// The batch that carries the release, for claims whose release was sent.
-    releasing: BTreeMap<Ulid, u64>,
+    held: BTreeMap<Ulid, HeldClaim>,
+    /// Number of the batch that contains the release, for claims whose release was sent.
+    release_batches: BTreeMap<Ulid, u64>,
     bound: BTreeMap<Ulid, ContentHash>,
     claimants: BTreeMap<Incarnation, Claimant>,
     forgotten_before: UnixMs,
@@ -66,12 +68,12 @@
 }
 
 impl ClaimTable {
-    /// Makes an empty table.
+    /// Creates an empty table.
     pub(crate) fn new(claims_max: usize) -> Self {
         ClaimTable {
             claims_max,
             held: BTreeMap::new(),
-            releasing: BTreeMap::new(),
+            release_batches: BTreeMap::new(),
             bound: BTreeMap::new(),
             claimants: BTreeMap::new(),
             forgotten_before: UnixMs::default(),
@@ -79,59 +81,63 @@
         }
     }
 
-    /// Gets the number of claims remembered, bound ones included.
+    /// Returns the number of claims remembered, bound ids included.
     pub(crate) fn len(&self) -> usize {
         self.held.len() + self.bound.len()
     }
 
-    /// Gets the number of incarnations remembered.
-    pub(crate) fn claimants(&self) -> usize {
+    /// Returns the number of incarnations whose batch numbers are remembered.
+    pub(crate) fn claimant_count(&self) -> usize {
         self.claimants.len()
     }
 
-    /// Gets the number of claims forgotten for want of room.
-    pub(crate) fn evicted(&self) -> u64 {
+    /// Returns the number of claims evicted because the table was full.
+    pub(crate) fn evicted_count(&self) -> u64 {
         self.evicted
     }
 
-    /// Gets the claim on an unbound id.
-    pub(crate) fn get(&self, id: Ulid) -> Option<Held> {
+    /// Returns the claim in force on an unbound id.
+    pub(crate) fn get(&self, id: Ulid) -> Option<HeldClaim> {
         self.held.get(&id).copied()
     }
 
-    /// Notes what this host has done with its claim.
-    pub(crate) fn set_standing(&mut self, id: Ulid, standing: Standing) {
+    /// Sets the state of a claim. A release that was sent for the claim no longer applies to it.
+    pub(crate) fn set_state(&mut self, id: Ulid, state: ClaimState) {
         if let Some(held) = self.held.get_mut(&id) {
-            held.standing = standing;
-            self.releasing.remove(&id);
+            held.state = state;
+            self.release_batches.remove(&id);
         }
     }
 
-    /// Notes that `batch` carries the release of a claim.
-    pub(crate) fn set_releasing(&mut self, id: Ulid, batch: u64) {
-        self.set_standing(id, Standing::ReleaseSent);
-        self.releasing.insert(id, batch);
+    /// Records that `batch` contains the release of a claim.
+    pub(crate) fn set_release_sent(&mut self, id: Ulid, batch: u64) {
+        self.set_state(id, ClaimState::ReleaseSent);
+        self.release_batches.insert(id, batch);
     }
 
-    /// Tells whether a claim of ours in `batch` can no longer be undone by a release sent before.
+    /// Returns whether a claim of this host in `batch` can't be undone by a release that was sent
+    /// before the claim was read.
     ///
-    /// A release in an earlier batch was folded before, or counts for nothing when it comes late.
-    /// One in a later batch is still to be read: to start on this claim would let the host that
-    /// claims after the release start too.
-    pub(crate) fn is_firm(&self, id: Ulid, batch: u64) -> bool {
-        self.releasing.get(&id).is_none_or(|sent| batch > *sent)
+    /// A release in an earlier batch either was applied already or is ignored when it arrives late.
+    /// A release in a later batch is still to be read: if the job were started on this claim, a
+    /// host that claims the submission after that release could start it too.
+    pub(crate) fn is_after_release(&self, id: Ulid, batch: u64) -> bool {
+        self.release_batches
+            .get(&id)
+            .is_none_or(|sent| batch > *sent)
     }
 
-    /// Tells whether claims on ids of that time may have been forgotten.
+    /// Returns whether claims on ids of that time may have been forgotten.
     pub(crate) fn is_forgotten(&self, time: UnixMs) -> bool {
         time < self.forgotten_before
     }
 
-    /// Takes in the number of a claimant's batch; false if it came after a later one.
+    /// Records the number of a claimant's batch; returns false if a later batch was read before it.
     ///
-    /// A batch whose answer was lost can reach the log after its successor. Counted then, a release
-    /// that its sender has since replaced by a new claim would let two hosts start the submission.
-    /// All readers see the two in the same order and drop the same one.
+    /// A batch whose answer was lost can reach the log after a later batch of the same claimant. If
+    /// it still counted, it could release a submission that the claimant has claimed again since,
+    /// and two hosts could start the submission. All readers see both batches in the same order and
+    /// drop the same one.
     pub(crate) fn admit_batch(&mut self, by: Incarnation, batch: u64, now: UnixMs) -> bool {
         let claimant = self.claimants.entry(by).or_insert(Claimant {
             last_batch: 0,
@@ -147,97 +153,107 @@
         true
     }
 
-    /// Folds in a claim.
-    pub(crate) fn claim(&mut self, by: Incarnation, claim: &Claim, standing: Standing) -> Found {
+    /// Applies a claim of `by` and returns its effect. A claim that takes the id gets `state`.
+    pub(crate) fn apply_claim(
+        &mut self,
+        by: Incarnation,
+        claim: &Claim,
+        state: ClaimState,
+    ) -> ClaimEffect {
         if self.is_forgotten(claim.submission.time()) {
-            return Found::Forgotten;
+            return ClaimEffect::Forgotten;
         }
         let id = claim.submission.ulid;
-        let fresh = Held {
-            by,
+        let new_claim = HeldClaim {
+            holder: by,
             content: claim.content,
-            standing,
+            state,
         };
         match self.held.get_mut(&id) {
-            Some(held) if claim.replaces == Some(held.by) && claim.content == held.content => {
-                *held = fresh;
-                self.releasing.remove(&id);
-                Found::Taken
+            Some(held) if claim.replaces == Some(held.holder) && claim.content == held.content => {
+                *held = new_claim;
+                self.release_batches.remove(&id);
+                ClaimEffect::Recorded
             }
-            Some(_) => Found::Earlier,
+            Some(_) => ClaimEffect::AlreadyHeld,
             None => {
-                self.held.insert(id, fresh);
-                self.make_room();
-                Found::Taken
+                self.held.insert(id, new_claim);
+                self.evict_excess();
+                ClaimEffect::Recorded
             }
         }
     }
 
-    /// Folds in a release; only the holder's counts.
-    pub(crate) fn release(&mut self, by: Incarnation, submission: &SubmissionId) {
-        if self.get(submission.ulid).is_some_and(|held| held.by == by) {
+    /// Applies a release; it has no effect unless `by` is the holder.
+    pub(crate) fn apply_release(&mut self, by: Incarnation, submission: &SubmissionId) {
+        if self
+            .get(submission.ulid)
+            .is_some_and(|held| held.holder == by)
+        {
             self.held.remove(&submission.ulid);
-            self.releasing.remove(&submission.ulid);
+            self.release_batches.remove(&submission.ulid);
         }
     }
 
-    /// Gets what a bound id was started with.
-    pub(crate) fn bound(&self, id: Ulid) -> Option<ContentHash> {
+    /// Returns the hash of the content that a bound id was started with.
+    pub(crate) fn bound_content(&self, id: Ulid) -> Option<ContentHash> {
         self.bound.get(&id).copied()
     }
 
-    /// Notes that a bound id was started.
-    pub(crate) fn start_bound(&mut self, id: Ulid, content: ContentHash) {
+    /// Records that a bound id was started.
+    pub(crate) fn record_bound_start(&mut self, id: Ulid, content: ContentHash) {
         self.bound.insert(id, content);
-        self.make_room();
+        self.evict_excess();
     }
 
-    /// Notes that a bound id was given up unstarted.
-    pub(crate) fn release_bound(&mut self, id: Ulid) {
+    /// Removes a bound id that was released before any task started.
+    pub(crate) fn remove_bound(&mut self, id: Ulid) {
         self.bound.remove(&id);
     }
 
-    /// Refuses ids before `time` from now on.
+    /// Makes the table reject ids whose time is before `time`.
     pub(crate) fn forget_before(&mut self, time: UnixMs) {
         self.forgotten_before = self.forgotten_before.max(time);
     }
 
     /// Drops claims on ids before `cutoff`, and claimants not seen since `unseen_since`.
     pub(crate) fn expire(&mut self, cutoff: UnixMs, unseen_since: UnixMs) {
-        pop_before(&mut self.held, cutoff);
-        pop_before(&mut self.releasing, cutoff);
-        pop_before(&mut self.bound, cutoff);
+        remove_before(&mut self.held, cutoff);
+        remove_before(&mut self.release_batches, cutoff);
+        remove_before(&mut self.bound, cutoff);
         self.claimants
             .retain(|_, claimant| claimant.seen_at >= unseen_since);
     }
 
-    /// Forgets the oldest ids when there are too many.
+    /// Evicts the oldest ids while the table is over its limit.
     ///
-    /// A claim dropped in silence would look like a free id, and its resubmission would start
-    /// twice. So every id as old as a forgotten one is refused from then on.
-    fn make_room(&mut self) {
+    /// An evicted claim would make its id look unclaimed, and a resubmission would be started a
+    /// second time. So every id at least as old as an evicted one is rejected from then on.
+    fn evict_excess(&mut self) {
         while self.len() > self.claims_max {
-            let oldest = match (first_time(&self.held), first_time(&self.bound)) {
+            let oldest = match (oldest_time(&self.held), oldest_time(&self.bound)) {
                 (Some(held), Some(bound)) if bound < held => self.bound.pop_first().map(|e| e.0),
                 (None, Some(_)) => self.bound.pop_first().map(|e| e.0),
                 _ => self.held.pop_first().map(|e| e.0),
             };
             let Some(oldest) = oldest else { return };
             self.evicted += 1;
-            self.releasing.remove(&oldest);
+            self.release_batches.remove(&oldest);
             self.forget_before(UnixMs(oldest.timestamp_ms() + 1));
         }
     }
 }
 
-fn first_time<T>(entries: &BTreeMap<Ulid, T>) -> Option<UnixMs> {
+/// Returns the time of the oldest id.
+fn oldest_time<T>(entries: &BTreeMap<Ulid, T>) -> Option<UnixMs> {
     entries
         .first_key_value()
         .map(|(id, _)| UnixMs(id.timestamp_ms()))
 }
 
-fn pop_before<T>(entries: &mut BTreeMap<Ulid, T>, cutoff: UnixMs) {
-    while first_time(entries).is_some_and(|time| time < cutoff) {
+/// Removes the entries whose ids are older than `cutoff`.
+fn remove_before<T>(entries: &mut BTreeMap<Ulid, T>, cutoff: UnixMs) {
+    while oldest_time(entries).is_some_and(|time| time < cutoff) {
         entries.pop_first();
     }
 }
--- a/crates/onyxshed-state/src/config.rs
+++ b/crates/onyxshed-state/src/config.rs
@@ -1,19 +1,20 @@
-//! The configuration as a fold of the log.
+//! The configuration as a fold of the platform's log.
 //!
-//! Every process folds the records of the `config` stream in order, so all that have read the same
-//! records hold the same configuration. A process moves only to a higher revision, whether a
-//! record, a snapshot or a peer told it.
+//! Every process applies the records of the `config` stream in order, so all processes that have
+//! read the same records hold the same configuration. A process only ever moves to a higher
+//! revision, from a record, a snapshot or a peer.
 //!
-//! A fold is *complete* while it stands for every record before the offset it reads next. It is
-//! *partial* after records were lost before they were read: at a late start, or when an outage
-//! outlasts the log's retention. A partial fold keeps what it holds in force, judges no change,
-//! and becomes complete again from a snapshot or a peer whose fold ends within what it has read.
+//! A fold is *complete* if it accounts for every record before the offset that it reads next. It is
+//! *partial* if records were lost before they were read, because the process started late or
+//! because an outage outlasted the log's retention. A partial fold keeps its configuration in force
+//! and decides no change. A snapshot, or a peer's complete fold, makes it complete again if it ends
+//! within the records that this fold has read.
 //!
-//! If every process lost records, they go on from what the best of them remembers: such a fold is
-//! *tentative*, and gives way to one that is not.
+//! If every process lost records, they continue from the best configuration that any of them has in
+//! memory. Such a fold is *tentative* and is superseded by one that is not.
 //!
-//! What a peer tells may be ahead of the log as read here. It takes force beside the fold, which
-//! goes on by itself and takes over again once it has reached that revision.
+//! A configuration from a peer may be ahead of the records read here. It is in force beside the
+//! fold, which continues by itself and is in force again once it has reached that revision.
 
 pub mod handover;
 pub mod proposal;
@@ -33,47 +34,47 @@
 
 pub use self::handover::Handover;
 pub use self::outcome::{ChangeOutcome, RECENT_CHANGES};
-use self::outcome::{Fates, RecentChanges};
-use self::parts::Parts;
+use self::outcome::{RecentChanges, RejectedChanges};
+use self::parts::SnapshotParts;
 pub use self::proposal::{AppendStep, Proposal, ProposalStatus};
 pub use self::republish::RepublishStep;
 pub use self::rules::CLASSES_MAX;
 
-/// Most records that a partial fold keeps for later; the oldest go first.
+/// Maximum number of changes that a partial fold keeps for later; beyond it the oldest are dropped.
 const BACKLOG_MAX: usize = 4_096;
 
-/// The configuration that is in force after some revision.
+/// The configuration in force at some revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// How many changes were accepted to make it.
+    /// Number of changes accepted so far.
     pub revision: Revision,
-    /// Every class's target.
+    /// Target of every class.
     pub classes: BTreeMap<ClassName, ClassTarget>,
 }
 
-/// What one record did to the configuration.
+/// Effect of a record, or of a peer's configuration, on the configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FoldOutcome {
-    /// It was accepted and this revision is in force.
+    /// The configuration moved to this revision.
     Accepted(Revision),
-    /// It was based on another revision and lost.
+    /// The change was based on another revision than the one in force and was rejected.
     Raced {
-        /// The revision it was based on.
+        /// The revision that the change was based on.
         based_on: Revision,
-        /// The revision in force when it came.
+        /// The revision in force when the change was read.
         found: Revision,
     },
-    /// It broke the rules and was ignored.
+    /// The record was ignored: it can't be decoded, violates a rule, or contradicts the fold.
     Ignored,
-    /// It told nothing new, or can't be judged yet.
+    /// The record changed nothing, or can't be decided yet.
     Nothing,
 }
 
 /// Options of the fold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigOptions {
-    /// How long the log keeps a record. Default 30 min.
+    /// How long the log retains a record. Default 30 min.
     pub retention_ms: Millis,
 }
 
@@ -85,60 +86,63 @@
     }
 }
 
-/// Counts of the fold, for metrics.
+/// Counters of the fold, for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConfigCounts {
-    /// Records that could not be read.
+    /// Records that could not be decoded.
     pub unreadable: u64,
-    /// Changes that broke a rule.
+    /// Changes that violated a rule.
     pub invalid: u64,
-    /// Changes that lost a race.
+    /// Changes that were based on another revision than the one in force.
     pub raced: u64,
-    /// Snapshots that contradict what this fold has read completely.
+    /// Snapshots that contradict this fold's own records.
     pub contradictions: u64,
-    /// Times that records were lost before they were read.
+    /// Number of times that records were lost before they were read.
     pub gaps: u64,
 }
 
+/// A change that is decided once the fold is complete.
 #[derive(Debug, Clone)]
-struct Late {
+struct DeferredChange {
     offset: Offset,
-    at: UnixMs,
+    appended_at: UnixMs,
     change: ConfigChange,
 }
 
-/// What a partial fold has read since the records it lost.
+/// Changes that a partial fold has read since records were lost.
 #[derive(Debug, Clone)]
-struct Partial {
+struct PartialFold {
     from: Offset,
     since: UnixMs,
-    backlog: VecDeque<Late>,
+    backlog: VecDeque<DeferredChange>,
 }
 
-/// Folds records of the `config` stream, in order, into the configuration.
+/// The fold of the `config` stream into the configuration.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigFold {
     options: ConfigOptions,
     config: Config,
-    /// What a peer told, while it is ahead of `config`.
+    /// A configuration from a peer or a snapshot, while its revision is higher than that of
+    /// `config`.
     adopted: Option<Handover>,
     recent: RecentChanges,
-    fates: Fates,
-    parts: Parts,
-    partial: Option<Partial>,
-    /// Whether the fold goes back to what some process remembered after it had lost records.
+    rejected: RejectedChanges,
+    parts: SnapshotParts,
+    partial: Option<PartialFold>,
+    /// Whether the fold is based on a configuration that a process kept in memory after losing
+    /// records.
     is_tentative: bool,
     next: Offset,
-    /// The offset after the last change read, whatever became of it.
-    changed_to: Offset,
-    /// When the oldest record was appended that a late reader needs.
-    anchor: Option<UnixMs>,
+    /// The offset after the last change read, whether or not the change was accepted.
+    last_change_end: Offset,
+    /// Append time of the oldest record that a process starting late needs.
+    oldest_needed_at: Option<UnixMs>,
     counts: ConfigCounts,
     republished_at: Option<UnixMs>,
 }
 
 impl ConfigFold {
-    /// Makes an empty fold.
+    /// Creates an empty fold.
     pub fn new(options: ConfigOptions) -> Self {
         ConfigFold {
             options,
@@ -146,61 +150,61 @@
         }
     }
 
-    /// Gets the configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> &Config {
         self.adopted
             .as_ref()
-            .map_or(&self.config, |told| &told.config)
+            .map_or(&self.config, |adopted| &adopted.config)
     }
 
-    /// Gets the configuration as folded from the log alone.
+    /// Returns the configuration as folded from the log alone.
     pub fn folded_config(&self) -> &Config {
         &self.config
     }
 
-    /// Gets the offset to read from next.
+    /// Returns the offset of the next record to read.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Tells whether [`Self::folded`] is the fold of every record before [`Self::next`], or of what a
-    /// process remembered and every record since.
+    /// Returns whether [`Self::folded_config`] accounts for every record before [`Self::next`], or
+    /// for a configuration that a process kept in memory and every record since.
     pub fn is_complete(&self) -> bool {
         self.partial.is_none()
     }
 
-    /// Gets the counts for metrics.
+    /// Returns the counters for metrics.
     pub fn counts(&self) -> ConfigCounts {
         self.counts
     }
 
-    /// Looks up what became of a change, as far as the log was read.
+    /// Returns the outcome of a change, as far as the log has been read.
     pub fn find_change(&self, change_id: ChangeId) -> ChangeOutcome {
         match self.recent.revision_of(change_id, self.config.revision) {
             Some(revision) => ChangeOutcome::Accepted(revision),
-            None => self.fates.get(change_id),
+            None => self.rejected.outcome_of(change_id),
         }
     }
 
-    /// Tells whether the id of any change accepted on top of `based_on` is still remembered. If not,
-    /// a change that is not found may have been accepted long ago.
-    pub fn remembers(&self, based_on: Revision) -> bool {
+    /// Returns whether the ids of all changes accepted on top of `based_on` are still remembered.
+    /// If not, a change that is not found may have been accepted long ago.
+    pub fn has_change_ids_since(&self, based_on: Revision) -> bool {
         let forgotten = self.config.revision.0.saturating_sub(self.recent.len());
         based_on.0 >= forgotten
     }
 
-    /// Takes in the record at `offset`, appended at an unknown time. Prefer [`Self::apply_record`],
+    /// Applies the record at `offset` whose append time is unknown. Prefer [`Self::apply_record`],
     /// which knows when the record expires.
     pub fn apply(&mut self, offset: Offset, data: &str) -> FoldOutcome {
         self.apply_at(offset, UnixMs::default(), data)
     }
 
-    /// Takes in a record as it was read.
+    /// Applies a record with its append time.
     pub fn apply_record(&mut self, record: &Record) -> FoldOutcome {
         self.apply_at(record.offset, record.at_ms, &record.data)
     }
 
-    /// Notes that the log's oldest record is at `oldest`, read at `at`: records before it are lost.
+    /// Records that, as read at `at`, the log starts at `oldest`: records before it are lost.
     pub fn skip_to(&mut self, oldest: Offset, at: UnixMs) {
         if oldest <= self.next {
             return;
@@ -208,7 +212,7 @@
         self.next = oldest;
         self.counts.gaps += 1;
         self.parts.clear();
-        self.partial = Some(Partial::new(oldest, at));
+        self.partial = Some(PartialFold::new(oldest, at));
     }
 
     fn apply_at(&mut self, offset: Offset, at: UnixMs, data: &str) -> FoldOutcome {
@@ -219,11 +223,11 @@
         self.next = offset.next();
         match ConfigRecord::decode(data) {
             Ok(ConfigRecord::ChangeV1(change)) => {
-                self.changed_to = self.next;
-                self.take_change(offset, at, change)
+                self.last_change_end = self.next;
+                self.apply_change(offset, at, change)
             }
             Ok(ConfigRecord::SnapshotV1(part)) => match self.parts.add(at, part) {
-                Some(whole) => self.take_snapshot(offset, &whole),
+                Some(snapshot) => self.apply_snapshot(offset, &snapshot),
                 None => FoldOutcome::Nothing,
             },
             Err(_) => {
@@ -233,11 +237,16 @@
         }
     }
 
-    fn take_change(&mut self, offset: Offset, at: UnixMs, change: ConfigChange) -> FoldOutcome {
+    /// Applies a change, or keeps it in the backlog while the fold is partial.
+    fn apply_change(&mut self, offset: Offset, at: UnixMs, change: ConfigChange) -> FoldOutcome {
         let Some(partial) = &mut self.partial else {
             return self.fold_change(at, change);
         };
-        partial.backlog.push_back(Late { offset, at, change });
+        partial.backlog.push_back(DeferredChange {
+            offset,
+            appended_at: at,
+            change,
+        });
         if partial.backlog.len() > BACKLOG_MAX
             && let Some(dropped) = partial.backlog.pop_front()
         {
@@ -246,6 +255,8 @@
         FoldOutcome::Nothing
     }
 
+    /// Accepts a change that is based on the current revision and satisfies the rules, and records
+    /// the outcome of any other change.
     fn fold_change(&mut self, at: UnixMs, change: ConfigChange) -> FoldOutcome {
         let found = self.config.revision;
         let id = change.change_id;
@@ -255,28 +266,29 @@
         if change.based_on != found {
             self.counts.raced += 1;
             let based_on = change.based_on;
-            if self.remembers(based_on) {
-                self.fates.put(id, ChangeOutcome::Raced { based_on, found });
+            if self.has_change_ids_since(based_on) {
+                self.rejected
+                    .record(id, ChangeOutcome::Raced { based_on, found });
             }
             return FoldOutcome::Raced { based_on, found };
         }
         if rules::check(&self.config, &change.body).is_err() {
             self.counts.invalid += 1;
-            self.fates.put(id, ChangeOutcome::Invalid);
+            self.rejected.record(id, ChangeOutcome::Invalid);
             return FoldOutcome::Ignored;
         }
         rules::apply(&mut self.config.classes, change.body);
         self.config.revision = found.next();
         self.recent.push(id);
-        self.anchor.get_or_insert(at);
+        self.oldest_needed_at.get_or_insert(at);
         self.drop_adopted();
         FoldOutcome::Accepted(self.config.revision)
     }
 }
 
-impl Partial {
+impl PartialFold {
     fn new(from: Offset, since: UnixMs) -> Self {
-        Partial {
+        PartialFold {
             from,
             since,
             backlog: VecDeque::new(),
--- a/crates/onyxshed-state/src/config/handover.rs
+++ b/crates/onyxshed-state/src/config/handover.rs
@@ -1,4 +1,4 @@
-//! Configuration from a peer or a snapshot.
+//! Adopts a configuration from a peer or a snapshot, and continues a partial fold from it.
 
 use onyxshed_core::{ChangeId, Offset, Revision, UnixMs};
 use serde::{Deserialize, Serialize};
@@ -6,46 +6,47 @@
 use super::outcome::RecentChanges;
 use super::{Config, ConfigFold, FoldOutcome};
 
-/// A configuration with its place in the log, as one process hands it to another.
+/// A configuration with its position in the log, as one process hands it to another.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Handover {
     /// The configuration.
     pub config: Config,
-    /// It is the fold of every record before this offset, if it is complete.
+    /// Offset up to which the configuration accounts for every record, if it is complete.
     pub folded_to: Offset,
-    /// Ids of the changes accepted of late, oldest first.
+    /// Ids of the last accepted changes, oldest first.
     pub recent_changes: Vec<ChangeId>,
-    /// When the oldest record was appended that a late reader needs, if known.
+    /// Append time of the oldest record that a process starting late needs, if known.
     pub needed_since: Option<UnixMs>,
-    /// Whether it follows from all records, none lost on the way.
+    /// Whether the configuration is based on all records, with none lost.
     pub is_complete: bool,
 }
 
 impl ConfigFold {
-    /// Gets what a peer needs to go on from here.
+    /// Returns the configuration and position from which a peer can continue.
     pub fn handover(&self) -> Handover {
         let is_complete = self.is_complete() && !self.is_tentative;
         match &self.adopted {
-            Some(told) if !self.is_complete() => Handover {
-                folded_to: self.read_from(),
+            Some(adopted) if !self.is_complete() => Handover {
+                folded_to: self.contiguous_from(),
                 is_complete,
-                ..told.clone()
+                ..adopted.clone()
             },
             _ => Handover {
                 config: self.config.clone(),
-                folded_to: self.read_from(),
+                folded_to: self.contiguous_from(),
                 recent_changes: self.recent.to_list(),
-                needed_since: self.anchor,
+                needed_since: self.oldest_needed_at,
                 is_complete,
             },
         }
     }
 
-    /// Puts a configuration in force if its revision is higher, whoever told it.
+    /// Puts a configuration in force if its revision is higher than the current one, whatever its
+    /// source.
     ///
-    /// For processes that don't read the log, and for what is known of a peer's configuration but
-    /// its revision and classes.
+    /// For processes that don't read the log, and for peers of which only the revision and the
+    /// classes are known.
     pub fn adopt(&mut self, config: Config) -> FoldOutcome {
         self.adopt_handover(Handover {
             config,
@@ -53,75 +54,88 @@
         })
     }
 
-    /// Takes in what a peer handed over: puts it in force if its revision is higher, and heals a
-    /// partial fold if the peer's is complete and ends within what was read here.
+    /// Applies a peer's handover: puts it in force if its revision is higher, and repairs a partial
+    /// fold if the peer's fold is complete and ends within the records read here.
     ///
-    /// A complete fold goes on from the log alone, so a peer that is wrong can't lead it astray.
-    pub fn adopt_handover(&mut self, told: Handover) -> FoldOutcome {
+    /// A complete fold continues from the log alone, so a faulty peer can't change it.
+    pub fn adopt_handover(&mut self, handover: Handover) -> FoldOutcome {
         let before = self.config().revision;
-        if told.is_complete {
-            self.heal(&told);
+        if handover.is_complete {
+            self.repair(&handover);
         }
         let in_force = self.config().revision;
-        if told.config.revision > in_force {
-            self.adopted = Some(told);
+        if handover.config.revision > in_force {
+            self.adopted = Some(handover);
         }
-        self.step_since(before)
+        self.outcome_since(before)
     }
 
-    /// Goes on from a peer's complete fold if this one is partial or tentative.
-    fn heal(&mut self, told: &Handover) {
-        let order = told.config.revision.cmp(&self.config.revision);
+    /// Continues from a peer's complete fold if this fold is partial or tentative.
+    fn repair(&mut self, handover: &Handover) {
+        let order = handover.config.revision.cmp(&self.config.revision);
         if !self.is_complete() {
-            self.rebase(told, told.needed_since);
-        } else if self.yields_to(told, order) && self.changed_to <= told.folded_to {
-            self.switch_to(told, told.needed_since);
+            self.rebase(handover, handover.needed_since);
+        } else if self.is_superseded_by(handover, order)
+            && self.last_change_end <= handover.folded_to
+        {
+            self.switch_to(handover, handover.needed_since);
         }
     }
 
-    /// Starts a partial fold again from `told` and folds the changes read after it.
+    /// Rebuilds a partial fold on top of `handover` and applies the changes read after it.
     ///
-    /// If records between the two are lost, nothing is done: a change among them may have been
-    /// accepted, and one in the backlog that lost to it would look valid.
-    pub(super) fn rebase(&mut self, told: &Handover, at: Option<UnixMs>) -> FoldOutcome {
-        if told.folded_to < self.read_from() {
-            return self.adopt_unjoined(told);
+    /// If records between the two are lost, the fold stays partial: a lost change may have been
+    /// accepted, and a change in the backlog that lost to it would look valid.
+    pub(super) fn rebase(
+        &mut self,
+        handover: &Handover,
+        oldest_needed_at: Option<UnixMs>,
+    ) -> FoldOutcome {
+        if handover.folded_to < self.contiguous_from() {
+            return self.adopt_if_newer(handover);
         }
         let before = self.config().revision;
-        let mut fold = self.replay(told, at);
-        fold.is_tentative = !told.is_complete;
+        let mut fold = self.replay(handover, oldest_needed_at);
+        fold.is_tentative = !handover.is_complete;
         if fold.config.revision < self.config.revision {
-            return self.contradict();
+            return self.record_contradiction();
         }
         *self = fold;
         self.drop_adopted();
-        self.step_since(before)
+        self.outcome_since(before)
     }
 
-    pub(super) fn adopt_unjoined(&mut self, told: &Handover) -> FoldOutcome {
+    /// Puts `handover` in force beside the fold if its revision is higher than the one in force.
+    pub(super) fn adopt_if_newer(&mut self, handover: &Handover) -> FoldOutcome {
         let before = self.config().revision;
-        if told.config.revision > before {
-            self.adopted = Some(told.clone());
+        if handover.config.revision > before {
+            self.adopted = Some(handover.clone());
         }
-        self.step_since(before)
+        self.outcome_since(before)
     }
 
-    /// Makes the fold that follows from `told`. Changes of the backlog that `told` holds already
-    /// are judged again: accepted ones are known by their ids, the others have lost as before.
-    pub(super) fn replay(&self, told: &Handover, at: Option<UnixMs>) -> ConfigFold {
+    /// Returns the fold that results from `handover` and the backlog.
+    ///
+    /// Changes in the backlog that `handover` already accounts for are applied again: accepted ones
+    /// are recognized by their ids, and the others are rejected as before.
+    pub(super) fn replay(
+        &self,
+        handover: &Handover,
+        oldest_needed_at: Option<UnixMs>,
+    ) -> ConfigFold {
         let mut fold = self.clone();
-        fold.config = told.config.clone();
-        fold.recent = RecentChanges::from_list(&told.recent_changes);
-        fold.next = fold.next.max(told.folded_to);
-        fold.anchor = at;
+        fold.config = handover.config.clone();
+        fold.recent = RecentChanges::from_list(&handover.recent_changes);
+        fold.next = fold.next.max(handover.folded_to);
+        fold.oldest_needed_at = oldest_needed_at;
         let partial = fold.partial.take();
-        for late in partial.into_iter().flat_map(|partial| partial.backlog) {
-            fold.fold_change(late.at, late.change);
+        for deferred in partial.into_iter().flat_map(|partial| partial.backlog) {
+            fold.fold_change(deferred.appended_at, deferred.change);
         }
         fold
     }
 
-    pub(super) fn step_since(&self, before: Revision) -> FoldOutcome {
+    pub(super) fn outcome_since(&self, before: Revision) -> FoldOutcome {
         let revision = self.config().revision;
         if revision > before {
             FoldOutcome::Accepted(revision)
@@ -130,8 +144,9 @@
         }
     }
 
-    /// Gets the offset that the records read without a gap go back to, or end at if none is lost.
-    fn read_from(&self) -> Offset {
+    /// Returns the offset from which the records were read without a gap: the offset after the last
+    /// lost record, or the end of the fold if no record is lost.
+    fn contiguous_from(&self) -> Offset {
         self.partial
             .as_ref()
             .map_or(self.next, |partial| partial.from)
--- a/crates/onyxshed-state/src/config/outcome.rs
+++ b/crates/onyxshed-state/src/config/outcome.rs
@@ -1,63 +1,63 @@
-//! What became of changes, by their ids.
+//! Outcomes of recent changes by their ids.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use onyxshed_core::{ChangeId, Revision};
 
-/// How many accepted changes are remembered by id.
+/// Number of accepted changes that are remembered by id.
 ///
-/// Snapshots carry all of them, so a late reader and one that has read everything ignore the same
-/// repeated changes.
+/// Snapshots contain all of their ids, so a process that starts late and one that has read every
+/// record ignore the same repeated changes.
 pub const RECENT_CHANGES: usize = 256;
 
-/// How many refused changes are remembered by id.
-const REFUSED_MAX: usize = 1_024;
+/// Number of rejected changes that are remembered by id.
+const REJECTED_MAX: usize = 1_024;
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It made this revision.
+    /// The change was accepted and created this revision.
     Accepted(Revision),
-    /// It was based on another revision than the one it found.
+    /// The change was based on another revision than the one in force and was rejected.
     Raced {
-        /// The revision it was based on.
+        /// The revision that the change was based on.
         based_on: Revision,
-        /// The revision in force when it came.
+        /// The revision in force when the change was read.
         found: Revision,
     },
-    /// It broke a rule.
+    /// The change violated a rule and was rejected.
     Invalid,
-    /// It has not been read, or was too long ago.
+    /// The change has not been read, or was read too long ago to be remembered.
     NotSeen,
 }
 
-/// The ids of the last accepted changes, oldest first; the last one made the current revision.
+/// Ids of the last accepted changes, oldest first; the last one created the current revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct RecentChanges(VecDeque<ChangeId>);
 
 impl RecentChanges {
-    /// Takes over a list that a snapshot or a peer tells.
-    pub(super) fn from_list(list: &[ChangeId]) -> Self {
-        let surplus = list.len().saturating_sub(RECENT_CHANGES);
-        RecentChanges(list.iter().skip(surplus).copied().collect())
+    /// Creates the list from the ids in a snapshot or in a peer's message, keeping the newest.
+    pub(super) fn from_list(ids: &[ChangeId]) -> Self {
+        let surplus = ids.len().saturating_sub(RECENT_CHANGES);
+        RecentChanges(ids.iter().skip(surplus).copied().collect())
     }
 
-    /// Gets the list, oldest first.
+    /// Returns the ids, oldest first.
     pub(super) fn to_list(&self) -> Vec<ChangeId> {
         self.0.iter().copied().collect()
     }
 
-    /// Gets how many there are.
+    /// Returns the number of ids.
     pub(super) fn len(&self) -> u64 {
         self.0.len() as u64
     }
 
-    /// Tells whether a change is among them.
+    /// Returns whether the change is among the remembered ones.
     pub(super) fn contains(&self, id: ChangeId) -> bool {
         self.0.contains(&id)
     }
 
-    /// Adds the change that made the newest revision.
+    /// Adds the change that created the newest revision.
     pub(super) fn push(&mut self, id: ChangeId) {
         self.0.push_back(id);
         if self.0.len() > RECENT_CHANGES {
@@ -65,35 +65,37 @@
         }
     }
 
-    /// Gets the revision that a change made, given the newest revision.
+    /// Returns the revision that a change created, given the newest revision. `None` if the change
+    /// is not remembered.
     pub(super) fn revision_of(&self, id: ChangeId, newest: Revision) -> Option<Revision> {
-        let since = self.0.iter().rev().position(|recent| *recent == id)?;
-        Some(Revision(newest.0.saturating_sub(since as u64)))
+        let age = self.0.iter().rev().position(|recent| *recent == id)?;
+        Some(Revision(newest.0.saturating_sub(age as u64)))
     }
 }
 
-/// The fates of refused changes, the newest ones.
+/// Outcomes of the newest rejected changes.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Fates {
+pub(super) struct RejectedChanges {
     by_id: BTreeMap<ChangeId, ChangeOutcome>,
     order: VecDeque<ChangeId>,
 }
 
-impl Fates {
-    /// Gets the fate of a change.
-    pub(super) fn get(&self, id: ChangeId) -> ChangeOutcome {
+impl RejectedChanges {
+    /// Returns the outcome of a rejected change, or [`ChangeOutcome::NotSeen`] if it is not
+    /// remembered.
+    pub(super) fn outcome_of(&self, id: ChangeId) -> ChangeOutcome {
         self.by_id
             .get(&id)
             .copied()
             .unwrap_or(ChangeOutcome::NotSeen)
     }
 
-    /// Notes the fate of a change; the last one counts if it came more than once.
-    pub(super) fn put(&mut self, id: ChangeId, fate: ChangeOutcome) {
-        if self.by_id.insert(id, fate).is_none() {
+    /// Records the outcome of a rejected change, replacing an earlier outcome of the same change.
+    pub(super) fn record(&mut self, id: ChangeId, outcome: ChangeOutcome) {
+        if self.by_id.insert(id, outcome).is_none() {
             self.order.push_back(id);
         }
-        if self.order.len() > REFUSED_MAX
+        if self.order.len() > REJECTED_MAX
             && let Some(oldest) = self.order.pop_front()
         {
             self.by_id.remove(&oldest);
--- a/crates/onyxshed-state/src/config/parts.rs
+++ b/crates/onyxshed-state/src/config/parts.rs
@@ -1,8 +1,8 @@
-//! Snapshots that are too large for one record.
+//! Splits snapshots that are too large for one record into parts, and joins the parts again.
 //!
-//! The parts of a revision are cut by one rule, so parts that several processes published fit
-//! together; a fingerprint of the whole keeps apart those that don't. A part that was lost leaves
-//! the snapshot unfinished, and the next snapshot makes up for it.
+//! All processes split a revision by the same rule, so parts published by different processes fit
+//! together; a fingerprint of the whole snapshot tells apart parts that don't. If a part is lost,
+//! the snapshot stays incomplete until the next snapshot replaces it.
 
 use std::collections::BTreeMap;
 
@@ -15,58 +15,61 @@
 use super::Config;
 use super::handover::Handover;
 
-/// Bytes of classes and change ids that one part holds, well below the largest record.
+/// Bytes of classes and change ids in one part, well below the maximum record size.
 const PART_BYTES: usize = RECORD_MAX_BYTES - 4_096;
 
-/// Most bytes of a change id with its quotes and comma.
+/// Maximum bytes of an encoded change id with its quotes and comma.
 const CHANGE_ID_BYTES: usize = 29;
 
-/// A snapshot whose parts have all been read.
+/// A snapshot of which all parts have been read.
 #[derive(Debug)]
-pub(super) struct Whole {
-    /// What it tells.
+pub(super) struct CompleteSnapshot {
+    /// The configuration of the snapshot and its position in the log.
     pub(super) handover: Handover,
-    /// When its oldest part was appended.
-    pub(super) at: UnixMs,
+    /// Append time of the oldest part.
+    pub(super) published_at: UnixMs,
 }
 
-/// Parts of the snapshot that is being read.
+/// Parts read so far of the current snapshot.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Parts {
+pub(super) struct SnapshotParts {
     key: (Revision, u16, ContentHash),
-    found: BTreeMap<u16, (UnixMs, ConfigSnapshot)>,
+    received: BTreeMap<u16, (UnixMs, ConfigSnapshot)>,
 }
 
-impl Parts {
+impl SnapshotParts {
     /// Drops the parts read so far.
     pub(super) fn clear(&mut self) {
-        self.found.clear();
+        self.received.clear();
     }
 
-    /// Takes in a part; gives the snapshot once it is whole.
-    pub(super) fn add(&mut self, at: UnixMs, part: ConfigSnapshot) -> Option<Whole> {
+    /// Adds a part and returns the snapshot once all its parts have been read. A part of another
+    /// snapshot drops the parts read so far.
+    pub(super) fn add(&mut self, at: UnixMs, part: ConfigSnapshot) -> Option<CompleteSnapshot> {
         let key = (part.revision, part.parts, part.fingerprint);
         if key != self.key {
-            self.found.clear();
+            self.received.clear();
             self.key = key;
         }
         if part.part >= part.parts {
             return None;
         }
-        self.found.insert(part.part, (at, part));
-        if self.found.len() < usize::from(self.key.1) {
+        self.received.insert(part.part, (at, part));
+        if self.received.len() < usize::from(self.key.1) {
             return None;
         }
-        join(std::mem::take(&mut self.found))
+        assemble(std::mem::take(&mut self.received))
     }
 }
 
-/// Joins parts. The fold ends at the latest offset that any part's publisher had folded up to: the
-/// revision was the same at all of them, so no change was accepted in between.
-fn join(parts: BTreeMap<u16, (UnixMs, ConfigSnapshot)>) -> Option<Whole> {
+/// Joins the parts of a snapshot; `None` if the fingerprint does not match.
+///
+/// The fold ends at the latest offset up to which any part's publisher had folded: all of them were
+/// at the same revision, so no change was accepted in between.
+fn assemble(parts: BTreeMap<u16, (UnixMs, ConfigSnapshot)>) -> Option<CompleteSnapshot> {
     let fingerprint = parts.first_key_value()?.1.1.fingerprint;
     let is_salvage = parts.values().any(|(_, part)| part.is_salvage);
-    let at = parts.values().map(|(at, _)| *at).min()?;
+    let published_at = parts.values().map(|(at, _)| *at).min()?;
     let folded_to = parts.values().map(|(_, part)| part.folded_to).max()?;
     let revision = parts.values().map(|(_, part)| part.revision).max()?;
     let mut config = Config {
@@ -85,29 +88,33 @@
         config,
         folded_to,
         recent_changes,
-        needed_since: Some(at),
+        needed_since: Some(published_at),
         is_complete: !is_salvage,
     };
-    (fingerprint_of(&handover) == fingerprint).then_some(Whole { handover, at })
+    (fingerprint_of(&handover) == fingerprint).then_some(CompleteSnapshot {
+        handover,
+        published_at,
+    })
 }
 
-/// Cuts a configuration into the records of a snapshot.
-pub(super) fn cut(handover: &Handover) -> Vec<ConfigRecord> {
-    let mut cuts: Vec<Vec<ClassTarget>> = vec![Vec::new()];
+/// Splits a configuration into the records of a snapshot.
+pub(super) fn split(handover: &Handover) -> Vec<ConfigRecord> {
+    let mut chunks: Vec<Vec<ClassTarget>> = vec![Vec::new()];
     let change_bytes = CHANGE_ID_BYTES * handover.recent_changes.len();
-    let mut room = PART_BYTES.saturating_sub(change_bytes);
+    let mut free_bytes = PART_BYTES.saturating_sub(change_bytes);
     for target in handover.config.classes.values() {
-        let bytes = encoded(target).len() + 1;
-        if bytes > room {
-            cuts.push(Vec::new());
-            room = PART_BYTES;
+        let bytes = encode_target(target).len() + 1;
+        if bytes > free_bytes {
+            chunks.push(Vec::new());
+            free_bytes = PART_BYTES;
         }
-        room -= bytes;
-        cuts.last_mut()
-            .expect("there is always a cut")
+        free_bytes -= bytes;
+        chunks
+            .last_mut()
+            .expect("`chunks` starts with one chunk")
             .push(target.clone());
     }
-    let parts = u16::try_from(cuts.len()).expect("the number of classes is bounded");
+    let parts = u16::try_from(chunks.len()).expect("CLASSES_MAX bounds the number of parts");
     let fingerprint = fingerprint_of(handover);
     let mut recent_changes = handover.recent_changes.clone();
     let to_record = |(part, classes)| {
@@ -122,14 +129,14 @@
             recent_changes: std::mem::take(&mut recent_changes),
         })
     };
-    (0..parts).zip(cuts).map(to_record).collect()
+    (0..parts).zip(chunks).map(to_record).collect()
 }
 
-/// Computes a fingerprint over the classes and the recent changes.
+/// Computes a fingerprint of the classes and the recent changes.
 pub(super) fn fingerprint_of(handover: &Handover) -> ContentHash {
     let mut hash = Xxh3::new();
     for target in handover.config.classes.values() {
-        hash.update(encoded(target).as_bytes());
+        hash.update(encode_target(target).as_bytes());
     }
     for change in &handover.recent_changes {
         hash.update(&change.0.to_bytes());
@@ -137,6 +144,6 @@
     ContentHash(hash.digest())
 }
 
-fn encoded(target: &ClassTarget) -> String {
-    serde_json::to_string(target).expect("a target holds only what JSON can write")
+fn encode_target(target: &ClassTarget) -> String {
+    serde_json::to_string(target).expect("a class target serializes to JSON")
 }
--- a/crates/onyxshed-state/src/config/proposal.rs
+++ b/crates/onyxshed-state/src/config/proposal.rs
@@ -1,8 +1,8 @@
-//! The life of an operator's change, from the command to its answer.
+//! The states of an operator's change, from the command to its result.
 //!
-//! A change is accepted only when it has been read back. If an append's answer is lost, the change
-//! is looked up by its id before anything is said or repeated; a repeat carries the same id and
-//! revision, so at most one copy takes effect.
+//! A change is accepted only when it has been read back. If the answer to an append is lost, the
+//! change is looked up by its id before a result is reported or the append is retried. A retry
+//! carries the same id and base revision, so at most one copy takes effect.
 
 use onyxshed_core::{Offset, Revision};
 use onyxshed_wire::record::{ConfigChange, ConfigRecord};
@@ -11,45 +11,45 @@
 use crate::append::AppendFailure;
 use crate::error::{Error, Result};
 
-/// A change that was checked and may be appended.
+/// State of a change that was validated and may be appended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ready;
 
-/// A change that may stand in the log.
+/// State of a change that may be in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Sent {
     offset: Option<Offset>,
 }
 
-/// An operator's change in one state of its life: [`Ready`], then [`Sent`].
+/// An operator's change, in the state [`Ready`] or [`Sent`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal<S> {
     change: ConfigChange,
     state: S,
 }
 
-/// What is known of a change that was sent.
+/// What the fold shows about a change that was sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalStatus {
-    /// It made this revision.
+    /// The change was accepted and created this revision.
     Accepted(Revision),
-    /// Another change came first.
+    /// Another change was accepted first.
     Raced {
-        /// The revision it was based on.
+        /// The revision that the change was based on.
         based_on: Revision,
-        /// The revision that it found.
+        /// The revision in force when the change was read.
         found: Revision,
     },
-    /// It broke a rule by the time it was read.
+    /// The change violated a rule when it was read.
     Invalid,
-    /// It is not in the log as far as that went: it may be appended again.
+    /// The change is not in the log up to the given end and may be appended again.
     Repeat(Proposal<Ready>),
-    /// Not known yet: read on.
+    /// Not known yet; more of the log has to be read.
     Undecided(Proposal<Sent>),
 }
 
 impl Proposal<Ready> {
-    /// Tries to prepare a change: refuses what a fold would ignore, before anything is appended.
+    /// Validates a change. Returns an error if a fold would ignore it, before anything is appended.
     pub fn prepare(change: ConfigChange, fold: &ConfigFold) -> Result<Self> {
         if !fold.is_complete() {
             return Err(Error::Incomplete);
@@ -68,17 +68,17 @@
         })
     }
 
-    /// Gets the change.
+    /// Returns the change.
     pub fn change(&self) -> &ConfigChange {
         &self.change
     }
 
-    /// Gets the record to append.
+    /// Returns the encoded record to append.
     pub fn record(&self) -> String {
         ConfigRecord::ChangeV1(self.change.clone()).encode()
     }
 
-    /// Takes in how the append went. One that was not appended may be tried again.
+    /// Applies the result of the append. A change that was not appended may be retried.
     pub fn apply_append_result(
         self,
         result: std::result::Result<Offset, AppendFailure>,
@@ -95,23 +95,25 @@
     }
 }
 
-/// What an append made of a change.
+/// State of a change after an append was tried.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AppendStep {
-    /// It is provably not in the log.
+    /// The change is provably not in the log and may be appended again.
     Retry(Proposal<Ready>),
-    /// It may be in the log.
+    /// The change may be in the log.
     Sent(Proposal<Sent>),
 }
 
 impl Proposal<Sent> {
-    /// Gets the change.
+    /// Returns the change.
     pub fn change(&self) -> &ConfigChange {
         &self.change
     }
 
-    /// Judges the change. `end` is the log's next offset as told after the append failed or
-    /// succeeded; the fold must have read up to there before anything is said.
+    /// Looks up the status of the change in `fold`.
+    ///
+    /// `end` is the log's next offset, as read after the append finished. While the fold has not
+    /// read up to `end`, the change is never reported as missing.
     pub fn resolve(self, fold: &ConfigFold, end: Offset) -> ProposalStatus {
         if !fold.is_complete() {
             return ProposalStatus::Undecided(self);
@@ -130,8 +132,9 @@
         }
     }
 
+    /// Returns whether the change is certainly not in the log before `end`.
     fn is_missing(&self, fold: &ConfigFold, end: Offset) -> bool {
         let has_been_read = self.state.offset.is_none() && fold.next() >= end;
-        has_been_read && fold.remembers(self.change.based_on)
+        has_been_read && fold.has_change_ids_since(self.change.based_on)
     }
 }
--- a/crates/onyxshed-state/src/config/republish.rs
+++ b/crates/onyxshed-state/src/config/republish.rs
@@ -1,8 +1,9 @@
-//! When to publish the configuration again, before its records expire.
+//! Decides when to publish the configuration again, before its records expire.
 //!
-//! Every process decides for itself, at a moment of its own after half of the retention; whoever
-//! comes first makes the others wait for the next half. Two that publish at once do no harm: a
-//! snapshot tells nothing new to those who have read the log.
+//! Each process decides for itself, at a time of its own after half of the retention. The first
+//! snapshot postpones those of all other processes by another half of the retention. Two processes
+//! that publish at the same time do no harm, because a snapshot changes nothing for processes that
+//! have read the log.
 
 use onyxshed_core::{Millis, UnixMs};
 use onyxshed_wire::record::ConfigRecord;
@@ -10,36 +11,38 @@
 
 use super::{ConfigFold, parts};
 
-/// Eighths of the retention after which a complete fold publishes.
-const DUE_EIGHTHS: u64 = 4;
+/// Eighths of the retention after which a complete fold is published.
+const COMPLETE_DUE_EIGHTHS: u64 = 4;
 
-/// Eighths of the retention after which a partial fold publishes: later than any complete one.
-const SALVAGE_EIGHTHS: u64 = 6;
+/// Eighths of the retention after which a partial fold is published, which is later than any
+/// complete one.
+const PARTIAL_DUE_EIGHTHS: u64 = 6;
 
-/// Fraction of the retention over which processes spread their moments.
-const SPREAD_PART: u64 = 8;
+/// Processes spread their publications over this fraction of the retention.
+const SPREAD_DIVISOR: u64 = 8;
 
-/// Fraction of the retention after which a process publishes again what was not read back.
-const AGAIN_PART: u64 = 16;
+/// A snapshot that was not read back is published again after this fraction of the retention.
+const RETRY_DIVISOR: u64 = 16;
 
-/// What to do about the configuration's records.
+/// What to do next to keep the configuration in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RepublishStep {
     /// Append these records in order.
     Publish(Vec<ConfigRecord>),
-    /// Ask again at that time.
+    /// Call again at that time.
     WaitUntil(UnixMs),
     /// There is no configuration to keep.
     Nothing,
 }
 
 impl ConfigFold {
-    /// Decides whether to publish the configuration again; `seed` differs from process to process.
+    /// Decides whether to publish the configuration again. `seed` must differ from process to
+    /// process.
     ///
-    /// A partial fold publishes what it holds only after nobody has told a complete one for three
-    /// quarters of the retention: any process that had one and could reach the log would have
-    /// published it by then, so what memory holds is the best there is. Should one turn up later
-    /// nevertheless, the tentative fold gives way.
+    /// A partial fold is published only if no complete fold was published for three quarters of the
+    /// retention. By then any process that had a complete fold and could reach the log would have
+    /// published it, so the configurations in memory are the best that exist. If a complete fold is
+    /// published later nevertheless, it supersedes the tentative one.
     pub fn republish(&mut self, now: UnixMs, seed: u64) -> RepublishStep {
         let Some(since) = self.needed_since() else {
             return RepublishStep::Nothing;
@@ -50,32 +53,34 @@
         }
         self.republished_at = Some(now);
         if !self.is_complete() {
-            self.go_on_from_memory(now);
+            self.rebuild_from_memory(now);
         }
-        RepublishStep::Publish(parts::cut(&self.handover()))
+        RepublishStep::Publish(parts::split(&self.handover()))
     }
 
     fn needed_since(&self) -> Option<UnixMs> {
         match &self.partial {
-            // Even with nothing in memory: else, with every record lost, no process could ever
-            // judge a change again.
+            // Publishes even an empty configuration: if every record was lost, no process could
+            // decide a change again otherwise.
             Some(partial) => Some(partial.since),
-            None => self.anchor,
+            None => self.oldest_needed_at,
         }
     }
 
+    /// Returns when to publish records that are needed since `since`. The offset within the spread
+    /// depends on `seed`.
     fn due_at(&self, since: UnixMs, seed: u64) -> UnixMs {
         let retention = self.options.retention_ms.0;
-        let spread = (retention / SPREAD_PART).max(1);
+        let spread = (retention / SPREAD_DIVISOR).max(1);
         let offset = xxh3_64_with_seed(&since.0.to_le_bytes(), seed) % spread;
         let eighths = if self.is_complete() {
-            DUE_EIGHTHS
+            COMPLETE_DUE_EIGHTHS
         } else {
-            SALVAGE_EIGHTHS
+            PARTIAL_DUE_EIGHTHS
         };
         let due = since + Millis(retention / 8 * eighths + offset);
         match self.republished_at {
-            Some(last) => due.max(last + Millis(retention / AGAIN_PART)),
+            Some(last) => due.max(last + Millis(retention / RETRY_DIVISOR)),
             None => due,
         }
     }
--- a/crates/onyxshed-state/src/config/rules.rs
+++ b/crates/onyxshed-state/src/config/rules.rs
@@ -1,4 +1,5 @@
-//! The rules that every change must meet, the same for the operator's command and for every fold.
+//! Rules that every change must satisfy. The operator's command and every fold apply the same
+//! rules.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +9,7 @@
 use super::Config;
 use crate::error::{Error, Result};
 
-/// Most classes that a configuration holds.
+/// Maximum number of classes in a configuration.
 pub const CLASSES_MAX: usize = 10_000;
 
 /// Checks a change against the configuration that it is based on.
@@ -29,7 +30,7 @@
     }
 }
 
-/// Applies a change that met the rules.
+/// Applies a change that satisfies the rules.
 pub(super) fn apply(classes: &mut BTreeMap<ClassName, ClassTarget>, body: ChangeBody) {
     match body {
         ChangeBody::Put(target) => {
--- a/crates/onyxshed-state/src/config/snapshot.rs
+++ b/crates/onyxshed-state/src/config/snapshot.rs
@@ -1,10 +1,10 @@
-//! What a snapshot does to a fold.
+//! Applies snapshots to a fold.
 //!
-//! A fold that has read everything needs no snapshot: it only learns that earlier records are no
-//! longer needed, and counts a snapshot that is wrong. One that lost records goes on from a
-//! snapshot. Where processes had to go on from what they remember, several histories may stand side
-//! by side; then the higher revision wins, and at equal ones the history that nobody had to
-//! remember, so all come together at the next snapshot.
+//! A complete fold needs no snapshot: it only records that earlier records are no longer needed,
+//! and counts a snapshot that contradicts it. A partial fold continues from a snapshot. If
+//! processes had to continue from memory, several histories may coexist. The higher revision wins;
+//! of equal revisions the history that is not based on memory wins, so all processes agree again at
+//! the next snapshot.
 
 use std::cmp::Ordering;
 
@@ -12,82 +12,97 @@
 
 use super::handover::Handover;
 use super::outcome::RecentChanges;
-use super::parts::{Whole, fingerprint_of};
-use super::{ConfigFold, FoldOutcome, Partial};
+use super::parts::{CompleteSnapshot, fingerprint_of};
+use super::{ConfigFold, FoldOutcome, PartialFold};
 
 impl ConfigFold {
-    /// Takes in a snapshot whose last part stands at `offset`.
-    pub(super) fn take_snapshot(&mut self, offset: Offset, whole: &Whole) -> FoldOutcome {
-        let told = &whole.handover;
-        if told.folded_to > offset {
-            return self.contradict();
+    /// Applies a snapshot whose last part is at `offset`.
+    pub(super) fn apply_snapshot(
+        &mut self,
+        offset: Offset,
+        snapshot: &CompleteSnapshot,
+    ) -> FoldOutcome {
+        let handover = &snapshot.handover;
+        if handover.folded_to > offset {
+            return self.record_contradiction();
         }
         if !self.is_complete() {
-            return self.rebase(told, Some(whole.at));
+            return self.rebase(handover, Some(snapshot.published_at));
         }
-        let order = told.config.revision.cmp(&self.config.revision);
+        let order = handover.config.revision.cmp(&self.config.revision);
         if order == Ordering::Less {
             return FoldOutcome::Nothing;
         }
-        if told.config == self.config {
-            self.anchor = Some(whole.at);
-            self.is_tentative &= !told.is_complete;
+        if handover.config == self.config {
+            self.oldest_needed_at = Some(snapshot.published_at);
+            self.is_tentative &= !handover.is_complete;
             return FoldOutcome::Nothing;
         }
-        if self.yields_to(told, order) {
-            self.switch_to(told, Some(whole.at))
+        if self.is_superseded_by(handover, order) {
+            self.switch_to(handover, Some(snapshot.published_at))
         } else {
-            self.contradict()
+            self.record_contradiction()
         }
     }
 
-    /// Tells whether this fold gives way to another history of at least its revision.
-    pub(super) fn yields_to(&self, told: &Handover, order: Ordering) -> bool {
-        match (self.is_tentative, told.is_complete) {
+    /// Returns whether another history replaces this fold's. `order` compares the other history's
+    /// revision with this fold's.
+    pub(super) fn is_superseded_by(&self, handover: &Handover, order: Ordering) -> bool {
+        match (self.is_tentative, handover.is_complete) {
             (false, true) => false,
             (false, false) => order == Ordering::Greater,
             (true, true) => order != Ordering::Less,
             (true, false) => {
-                let is_tie_won = fingerprint_of(told).0 > fingerprint_of(&self.handover()).0;
+                let is_tie_won = fingerprint_of(handover).0 > fingerprint_of(&self.handover()).0;
                 order == Ordering::Greater || (order == Ordering::Equal && is_tie_won)
             }
         }
     }
 
-    /// Moves to another history. Changes read since its fold ended would have to be judged anew on
-    /// top of it and are not kept; then the fold is partial until the next snapshot.
-    pub(super) fn switch_to(&mut self, told: &Handover, at: Option<UnixMs>) -> FoldOutcome {
+    /// Replaces this fold's history by another one.
+    ///
+    /// Changes read after the end of the other fold would have to be decided again on top of it,
+    /// and they were not kept. In that case the fold becomes partial until the next snapshot.
+    pub(super) fn switch_to(
+        &mut self,
+        handover: &Handover,
+        oldest_needed_at: Option<UnixMs>,
+    ) -> FoldOutcome {
         let before = self.config().revision;
-        if self.changed_to <= told.folded_to {
-            self.next = self.next.max(told.folded_to);
-            self.config = told.config.clone();
-            self.recent = RecentChanges::from_list(&told.recent_changes);
-            self.anchor = at;
-            self.is_tentative = !told.is_complete;
+        if self.last_change_end <= handover.folded_to {
+            self.next = self.next.max(handover.folded_to);
+            self.config = handover.config.clone();
+            self.recent = RecentChanges::from_list(&handover.recent_changes);
+            self.oldest_needed_at = oldest_needed_at;
+            self.is_tentative = !handover.is_complete;
             self.drop_adopted();
-            return self.step_since(before);
+            return self.outcome_since(before);
         }
-        self.partial = Some(Partial::new(self.next, at.unwrap_or_default()));
-        self.adopt_unjoined(told)
+        self.partial = Some(PartialFold::new(
+            self.next,
+            oldest_needed_at.unwrap_or_default(),
+        ));
+        self.adopt_if_newer(handover)
     }
 
-    /// Goes on from what this process remembers, for want of anything better, and judges what it
-    /// has read since.
-    pub(super) fn go_on_from_memory(&mut self, now: UnixMs) {
-        let told = self.handover();
-        *self = self.replay(&told, Some(now));
+    /// Continues from the configuration in memory, because no better one exists, and applies the
+    /// changes read since records were lost.
+    pub(super) fn rebuild_from_memory(&mut self, now: UnixMs) {
+        let handover = self.handover();
+        *self = self.replay(&handover, Some(now));
         self.is_tentative = true;
         self.drop_adopted();
     }
 
-    pub(super) fn contradict(&mut self) -> FoldOutcome {
+    /// Counts a snapshot or handover that contradicts this fold and is ignored.
+    pub(super) fn record_contradiction(&mut self) -> FoldOutcome {
         self.counts.contradictions += 1;
         FoldOutcome::Ignored
     }
 
-    /// Drops what a peer told once the fold has got there.
+    /// Drops the adopted configuration once the fold has reached its revision.
     pub(super) fn drop_adopted(&mut self) {
         self.adopted
-            .take_if(|told| told.config.revision <= self.config.revision);
+            .take_if(|adopted| adopted.config.revision <= self.config.revision);
     }
 }
--- a/crates/onyxshed-state/src/error.rs
+++ b/crates/onyxshed-state/src/error.rs
@@ -1,53 +1,56 @@
-//! Errors of options and proposals.
+//! Errors in options and in proposed configuration changes.
 
 use onyxshed_core::{Millis, ResultCode, Revision};
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// What was wrong with options, or with a change before it was appended.
+/// Why options are invalid, or why a change was rejected before it was appended.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The log forgets claims before their ids are refused everywhere.
-    #[snafu(display("the log keeps records for {found}: more than {needed} is needed"))]
+    /// The log's retention is too short: claims would expire while some host still accepts their
+    /// ids.
+    #[snafu(display("the log's retention is {found}, but it must exceed {needed}"))]
     Retention {
-        /// The retention as given.
+        /// The configured retention.
         found: Millis,
-        /// What it has to exceed.
+        /// The value that the retention has to exceed.
         needed: Millis,
     },
-    /// A change breaks the rules for targets.
+    /// The change violates a rule for class targets or for the set of classes.
     #[snafu(display("the change is invalid: {reason}"))]
     Invalid {
-        /// The broken rule.
+        /// The violated rule.
         reason: SmolStr,
     },
-    /// A change is based on a revision that is no longer in force.
-    #[snafu(display("the change is based on revision {based_on}, in force is {found}"))]
+    /// The change is based on a revision other than the one in force.
+    #[snafu(display(
+        "the change is based on revision {based_on}, but revision {found} is in force"
+    ))]
     Stale {
-        /// The revision that the operator saw.
+        /// The revision on which the operator based the change.
         based_on: Revision,
         /// The revision in force.
         found: Revision,
     },
-    /// The fold lacks records and can't judge a change.
+    /// The fold is partial, so it can't decide whether the change is valid.
     #[snafu(display("the configuration has not been read completely"))]
     Incomplete,
 }
 
 impl Error {
-    /// Makes an error for a retention that is too short.
+    /// Creates an error for a retention that is too short.
     pub(crate) fn retention(found: Millis, needed: Millis) -> Self {
         Error::Retention { found, needed }
     }
 
-    /// Makes an error for a change that breaks a rule.
+    /// Creates an error for a change that violates a rule.
     pub(crate) fn invalid(reason: impl ToString) -> Self {
         Error::Invalid {
             reason: reason.to_string().into(),
         }
     }
 
-    /// Gets the numbered code that an operator is told.
+    /// Returns the numbered result code that is reported to the operator.
     pub fn code(&self) -> ResultCode {
         match self {
             Error::Retention { .. } => ResultCode::SettingsInvalid,
@@ -58,5 +61,5 @@
     }
 }
 
-/// Result of checking options or a proposal.
+/// Result of validating options or preparing a proposal.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-state/src/lib.rs
+++ b/crates/onyxshed-state/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions on what entry hosts agree about, without input or output.
+//! State on which all entry hosts agree, derived from the platform's log without any I/O.
 //!
-//! The platform's log is the only arbiter. [`config`] folds the `config` stream into the
+//! The log's order is the only arbiter between hosts. [`config`] folds the `config` stream into the
 //! configuration in force; [`claim`] decides from the `claims` stream which host may start a
-//! submission; [`member`] judges which peers are live. Each is a state machine: an event with its
-//! time goes in, a typed step comes out.
+//! submission; [`member`] tracks which peers are live. Each module is a state machine: the caller
+//! passes in an event with its time and gets back a typed step.
 
 pub mod append;
 pub mod claim;
--- a/crates/onyxshed-state/src/member.rs
+++ b/crates/onyxshed-state/src/member.rs
@@ -1,10 +1,11 @@
-//! Which peers are live.
+//! Membership: tracks which peers are live.
 //!
-//! Every entry host counts its own heartbeats and passes on those it has heard of, to a few peers a
-//! round. A peer is judged by how long its count has stood still here, on the monotonic clock, and
-//! by the platform's list of hosts. Neither alone is believed: a peer that is heard is live
-//! whatever the list says, and one that is not heard is only suspected while the list names it.
-//! Each host judges for itself, so hosts in different zones may judge differently.
+//! Every entry host counts its own heartbeats and forwards the heartbeats that it knows, to a few
+//! peers per round. The state of a peer depends on how long its counter has not advanced on this
+//! host, measured on the monotonic clock, and on the platform's list of hosts. Neither is
+//! sufficient alone: a peer whose counter advances is live even if the list omits it, and a peer
+//! whose counter does not advance is only suspected while the list contains it. Each host decides
+//! for itself, so hosts in different zones may reach different results.
 
 mod gossip;
 mod liveness;
@@ -20,164 +21,167 @@
 pub use self::gossip::{Gossip, GossipOutcome, OutgoingGossip};
 pub use self::options::MemberOptions;
 
-/// How a peer is judged.
+/// State of a peer from this host's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// Heard of late.
+    /// The counter of the peer advanced recently.
     Live,
-    /// Not heard for a while.
+    /// The counter of the peer has not advanced for a while.
     Suspect,
-    /// Held to be gone for good: this incarnation does not come back.
+    /// The incarnation is considered permanently gone and will not be admitted again.
     Gone,
 }
 
-/// One incarnation of one entry host.
+/// One incarnation of an entry host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// The host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Its current life.
+    /// The incarnation: one start of the entry process.
     pub incarnation: Incarnation,
-    /// Where its entry process takes requests passed on by peers.
+    /// Address on which the host's entry process accepts requests forwarded by peers.
     pub peer_address: SocketAddr,
-    /// How it is judged.
+    /// State of the incarnation.
     pub state: MemberState,
 }
 
-/// How busy an entry host is.
+/// Load of an entry host.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
-    /// Tasks that run on upstreams.
+    /// Number of tasks that are running on upstreams.
     pub running_tasks: u32,
-    /// Tasks that wait.
+    /// Number of tasks that are queued.
     pub queued_tasks: u32,
 }
 
-/// What an entry host tells about itself; peers pass it on unchanged.
+/// Status of an entry host as sent by the host itself; peers forward it unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The host.
+    /// Name of the host.
     pub host: HostName,
-    /// Its zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Its current life.
+    /// The incarnation: one start of the entry process.
     pub incarnation: Incarnation,
-    /// When this life began, on its own wall clock.
+    /// Start time of the incarnation on the host's own wall clock.
     pub started_at_ms: UnixMs,
-    /// Where its control process takes gossip.
+    /// Address on which the host's control process accepts gossip.
     pub control_address: SocketAddr,
-    /// Where its entry process takes requests passed on by peers.
+    /// Address on which the host's entry process accepts requests forwarded by peers.
     pub peer_address: SocketAddr,
-    /// Counts its heartbeats.
+    /// Number of the heartbeat; higher numbers are newer.
     pub counter: u64,
-    /// How busy it is.
+    /// Load of the host.
     pub load: LoadDigest,
-    /// The configuration revision in force there.
+    /// Configuration revision in force on the host.
     pub config_revision: Revision,
-    /// Whether it takes no new work.
+    /// Whether the host is draining and accepts no new work.
     pub is_draining: bool,
 }
 
-/// Something that changed, for the log and the time line.
+/// A membership change, reported for the event log and the timeline.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEvent {
     /// An incarnation became known.
     Joined(Incarnation),
-    /// An incarnation has not been heard for a while.
+    /// An incarnation is suspected: its counter has not advanced for a while.
     Suspected(Incarnation),
-    /// A suspected incarnation was heard again.
+    /// The counter of a suspected incarnation advanced.
     Refuted(Incarnation),
-    /// An incarnation is held to be gone.
+    /// An incarnation is considered permanently gone.
     Gone(Incarnation),
-    /// This process was frozen or starved for that long.
+    /// This process did not run for that long, because it was frozen or starved.
     Paused(Millis),
-    /// A peer holds this incarnation to be gone: take no more work, and start anew.
+    /// A peer considers this incarnation permanently gone: it must accept no more work and restart.
     DeclaredGone,
 }
 
+/// State of an incarnation of another host.
 #[derive(Debug, Clone)]
 struct Peer {
-    beat: Heartbeat,
-    heard_at: Mono,
+    heartbeat: Heartbeat,
+    advanced_at: Mono,
     state: MemberState,
-    /// Times passed on since it last changed.
-    sent: u32,
+    /// Number of times that the heartbeat was forwarded since its counter last advanced.
+    times_sent: u32,
 }
 
+/// The platform's list of hosts.
 #[derive(Debug, Clone)]
-struct Listed {
+struct ListedHosts {
     hosts: BTreeMap<HostName, EntryHost>,
-    /// The time that the list tells about.
+    /// Time at which the list was current.
     as_of: Mono,
 }
 
-/// One entry host's view of all others.
+/// One entry host's view of all other entry hosts.
 #[derive(Debug, Clone)]
 pub struct MemberTable {
-    me: Heartbeat,
+    own: Heartbeat,
     options: MemberOptions,
     seed: u64,
     seeds: Vec<SocketAddr>,
     peers: BTreeMap<Incarnation, Peer>,
-    /// Incarnations held to be gone, and since when.
+    /// Incarnations considered permanently gone, with the time since when.
     gone: BTreeMap<Incarnation, Mono>,
-    listed: Option<Listed>,
+    host_list: Option<ListedHosts>,
     round: u64,
-    last: Option<Now>,
-    notes: Vec<MembershipEvent>,
+    last_run: Option<Now>,
+    events: Vec<MembershipEvent>,
 }
 
 impl MemberTable {
-    /// Makes a table that knows no peer but the addresses in `seeds`, from the settings.
+    /// Creates a table that knows no peers, only the configured addresses in `seeds`.
     ///
-    /// `seed` differs from host to host and decides whom to tell in which round.
-    pub fn new(me: Heartbeat, options: MemberOptions, seeds: Vec<SocketAddr>, seed: u64) -> Self {
+    /// `seed` must differ from host to host; it determines which peers get a message in which
+    /// round.
+    pub fn new(own: Heartbeat, options: MemberOptions, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         MemberTable {
-            me,
+            own,
             options,
             seed,
             seeds,
             peers: BTreeMap::new(),
             gone: BTreeMap::new(),
-            listed: None,
+            host_list: None,
             round: 0,
-            last: None,
-            notes: Vec::new(),
+            last_run: None,
+            events: Vec::new(),
         }
     }
 
-    /// Gets what this host tells about itself.
+    /// Returns this host's own heartbeat.
     pub fn own_heartbeat(&self) -> &Heartbeat {
-        &self.me
+        &self.own
     }
 
-    /// Sets what the next heartbeat tells.
+    /// Sets the status that the next heartbeat reports.
     pub fn set_own_status(
         &mut self,
         load: LoadDigest,
         config_revision: Revision,
         is_draining: bool,
     ) {
-        self.me.load = load;
-        self.me.config_revision = config_revision;
-        self.me.is_draining = is_draining;
+        self.own.load = load;
+        self.own.config_revision = config_revision;
+        self.own.is_draining = is_draining;
     }
 
-    /// Gets every peer that is not gone, in order of incarnation.
+    /// Returns every peer that is not gone, in order of incarnation.
     pub fn members(&self) -> Vec<Member> {
         self.peers.values().map(Peer::member).collect()
     }
 
-    /// Gets the last heartbeat of a peer that is not gone.
+    /// Returns the last heartbeat of a peer that is not gone.
     pub fn heartbeat(&self, incarnation: Incarnation) -> Option<&Heartbeat> {
-        self.peers.get(&incarnation).map(|peer| &peer.beat)
+        self.peers.get(&incarnation).map(|peer| &peer.heartbeat)
     }
 
-    /// Gets how an incarnation is judged, none if it was never heard of.
+    /// Returns the state of an incarnation, `None` if it is unknown.
     pub fn state(&self, incarnation: Incarnation) -> Option<MemberState> {
-        if incarnation == self.me.incarnation {
+        if incarnation == self.own.incarnation {
             return Some(MemberState::Live);
         }
         if self.is_gone(incarnation) {
@@ -186,39 +190,43 @@
         self.peers.get(&incarnation).map(|peer| peer.state)
     }
 
-    /// Tells whether an incarnation is held to be gone for good.
+    /// Returns whether an incarnation is considered permanently gone.
     pub fn is_gone(&self, incarnation: Incarnation) -> bool {
         self.gone.contains_key(&incarnation)
     }
 
-    /// Gets every incarnation that is held to be gone for good.
+    /// Returns every incarnation that is considered permanently gone.
     pub fn gone(&self) -> Vec<Incarnation> {
         self.gone.keys().copied().collect()
     }
 
-    /// Gets where an incarnation takes requests that peers pass on.
+    /// Returns the address on which an incarnation accepts requests forwarded by peers, `None` if
+    /// it is unknown or gone.
     pub fn peer_address(&self, incarnation: Incarnation) -> Option<SocketAddr> {
-        self.heartbeat(incarnation).map(|beat| beat.peer_address)
+        self.heartbeat(incarnation)
+            .map(|heartbeat| heartbeat.peer_address)
     }
 
-    /// Gets the number of hosts of this zone that take work, this one included, for sharing slots.
+    /// Returns the number of live hosts in this zone that accept work, this host included. Slots
+    /// are shared between them.
     pub fn live_hosts_in_zone(&self) -> usize {
-        let shares = |peer: &&Peer| {
+        let is_sharing = |peer: &&Peer| {
             let is_live = peer.state == MemberState::Live;
-            is_live && peer.beat.zone == self.me.zone && !peer.beat.is_draining
+            is_live && peer.heartbeat.zone == self.own.zone && !peer.heartbeat.is_draining
         };
-        1 + self.peers.values().filter(shares).count()
+        1 + self.peers.values().filter(is_sharing).count()
     }
 
-    /// Gets the number of hosts that may append to the log, this one included, for pacing. Suspects
-    /// count: they may be live in their own eyes.
+    /// Returns the number of hosts that may append to the log, this host included. The append
+    /// budget is shared between them. Suspected hosts count, because they may consider themselves
+    /// live.
     pub fn known_hosts(&self) -> usize {
-        let heard = self.peers.len();
-        let unheard = self.listed_unheard().count();
-        1 + heard + unheard
+        let known = self.peers.len();
+        let listed_only = self.listed_without_heartbeat().count();
+        1 + known + listed_only
     }
 
-    /// Takes in the platform's list of hosts.
+    /// Applies the platform's list of hosts.
     pub fn apply_host_list(&mut self, now: Now, list: &HostList) {
         let as_of = Mono(
             now.mono
@@ -226,29 +234,33 @@
                 .saturating_sub(list.age_ms.0.saturating_mul(1_000)),
         );
         let hosts = list.entries.iter();
-        self.listed = Some(Listed {
+        self.host_list = Some(ListedHosts {
             hosts: hosts.map(|h| (h.name.clone(), h.clone())).collect(),
             as_of,
         });
     }
 
-    /// Gets the hosts that the platform lists and that nobody has told of.
-    fn listed_unheard(&self) -> impl Iterator<Item = &EntryHost> {
-        let is_unheard = |host: &&EntryHost| {
-            host.name != self.me.host && !self.peers.values().any(|p| p.beat.host == host.name)
+    /// Returns the hosts on the platform's list of which no heartbeat has arrived.
+    fn listed_without_heartbeat(&self) -> impl Iterator<Item = &EntryHost> {
+        let has_no_heartbeat = |host: &&EntryHost| {
+            host.name != self.own.host
+                && !self.peers.values().any(|p| p.heartbeat.host == host.name)
         };
-        let hosts = self.listed.iter().flat_map(|listed| listed.hosts.values());
-        hosts.filter(is_unheard)
+        let hosts = self
+            .host_list
+            .iter()
+            .flat_map(|host_list| host_list.hosts.values());
+        hosts.filter(has_no_heartbeat)
     }
 }
 
 impl Peer {
     fn member(&self) -> Member {
         Member {
-            host: self.beat.host.clone(),
-            zone: self.beat.zone.clone(),
-            incarnation: self.beat.incarnation,
-            peer_address: self.beat.peer_address,
+            host: self.heartbeat.host.clone(),
+            zone: self.heartbeat.zone.clone(),
+            incarnation: self.heartbeat.incarnation,
+            peer_address: self.heartbeat.peer_address,
             state: self.state,
         }
     }
--- a/crates/onyxshed-state/src/member/gossip.rs
+++ b/crates/onyxshed-state/src/member/gossip.rs
@@ -1,4 +1,4 @@
-//! Whom to tell what, and what to make of what is told.
+//! Gossip between control processes: selects receivers, builds messages and applies received ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,189 +10,205 @@
 
 use super::{Heartbeat, MemberState, MemberTable, MembershipEvent, Peer};
 
-/// A message between control processes; the answer has the same shape.
+/// A message between control processes; the answer has the same form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// The sender.
+    /// Heartbeat of the sender.
     pub from: Heartbeat,
-    /// Heartbeats that the sender has heard of, those passed on least first.
+    /// Heartbeats of other hosts that the sender knows, the least forwarded ones first.
     pub others: Vec<Heartbeat>,
-    /// Set if the sender holds the receiver's incarnation to be gone.
+    /// The receiver's incarnation, if the sender considers it permanently gone.
     pub gone: Option<Incarnation>,
 }
 
 /// A message to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingGossip {
-    /// The receiver's control address.
+    /// Address of the receiver's control process.
     pub to: SocketAddr,
-    /// What to tell.
+    /// The message.
     pub gossip: Gossip,
 }
 
-/// What a message brought.
+/// Effect of a received message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GossipOutcome {
-    /// What changed.
+    /// Membership changes since the last call that returned events.
     pub events: Vec<MembershipEvent>,
-    /// The answer, if the message was a request.
+    /// The answer to send if the message was a request.
     pub answer: Gossip,
 }
 
 impl MemberTable {
-    /// Counts a heartbeat and picks whom to tell it: peers of the own zone and of others in turn,
-    /// and now and then an address from the settings, so that a split heals by itself.
+    /// Counts a heartbeat and returns the messages of a round.
+    ///
+    /// Receivers are peers in this zone and in other zones, in turn, and every few rounds one of
+    /// the configured addresses, so that a partition heals without intervention.
     pub fn start_round(&mut self, now: Now) -> Vec<OutgoingGossip> {
-        self.notice_pause(now);
-        self.me.counter += 1;
+        self.detect_pause(now);
+        self.own.counter += 1;
         self.round += 1;
         let fanout = self.options.zone_fanout as u64;
         let mut targets = self.pick(self.contacts(true), self.round * fanout, fanout);
-        let foreign_every = self.options.foreign_every.max(1);
-        if self.round.is_multiple_of(foreign_every) {
-            targets.extend(self.pick(self.contacts(false), self.round / foreign_every, 1));
+        let other_zone_every = self.options.other_zone_every.max(1);
+        if self.round.is_multiple_of(other_zone_every) {
+            targets.extend(self.pick(self.contacts(false), self.round / other_zone_every, 1));
         }
-        let is_alone = targets.is_empty();
-        if is_alone || self.round.is_multiple_of(self.options.seed_every.max(1)) {
-            targets.extend(self.pick(self.unmet_seeds(), self.round, 1));
+        let has_no_targets = targets.is_empty();
+        if has_no_targets || self.round.is_multiple_of(self.options.seed_every.max(1)) {
+            targets.extend(self.pick(self.unreached_seeds(), self.round, 1));
         }
-        let tell = |to| OutgoingGossip {
+        let to_message = |to| OutgoingGossip {
             to,
-            gossip: self.digest(to, &[]),
+            gossip: self.build_gossip(to, &[]),
         };
-        targets.into_iter().map(tell).collect()
+        targets.into_iter().map(to_message).collect()
     }
 
-    /// Takes in a message, or the answer to one.
+    /// Applies a message, or the answer to one.
     pub fn apply_gossip(&mut self, now: Now, gossip: &Gossip) -> GossipOutcome {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let sender = gossip.from.incarnation;
-        self.hear_beat(now, &gossip.from, true);
-        for beat in &gossip.others {
-            self.hear_beat(now, beat, false);
+        self.apply_heartbeat(now, &gossip.from, true);
+        for heartbeat in &gossip.others {
+            self.apply_heartbeat(now, heartbeat, false);
         }
-        if gossip.gone == Some(self.me.incarnation) {
-            self.notes.push(MembershipEvent::DeclaredGone);
+        if gossip.gone == Some(self.own.incarnation) {
+            self.events.push(MembershipEvent::DeclaredGone);
         }
-        let mut answer = self.digest(gossip.from.control_address, &gossip.others);
+        let mut answer = self.build_gossip(gossip.from.control_address, &gossip.others);
         answer.gone = self.is_gone(sender).then_some(sender);
         GossipOutcome {
-            events: std::mem::take(&mut self.notes),
+            events: std::mem::take(&mut self.events),
             answer,
         }
     }
 
-    fn hear_beat(&mut self, now: Now, beat: &Heartbeat, is_direct: bool) {
-        let incarnation = beat.incarnation;
-        if incarnation == self.me.incarnation || self.is_gone(incarnation) {
+    /// Applies a heartbeat, which `is_direct` if its own host sent it.
+    fn apply_heartbeat(&mut self, now: Now, heartbeat: &Heartbeat, is_direct: bool) {
+        let incarnation = heartbeat.incarnation;
+        if incarnation == self.own.incarnation || self.is_gone(incarnation) {
             return;
         }
-        if beat.host == self.me.host {
-            return self.hear_other_life(now, beat, is_direct);
+        if heartbeat.host == self.own.host {
+            return self.apply_own_host_heartbeat(now, heartbeat, is_direct);
         }
         if let Some(peer) = self.peers.get_mut(&incarnation) {
-            if beat.counter > peer.beat.counter {
-                peer.beat = beat.clone();
-                peer.heard_at = now.mono;
-                peer.sent = 0;
+            if heartbeat.counter > peer.heartbeat.counter {
+                peer.heartbeat = heartbeat.clone();
+                peer.advanced_at = now.mono;
+                peer.times_sent = 0;
                 if peer.state == MemberState::Suspect {
                     peer.state = MemberState::Live;
-                    self.notes.push(MembershipEvent::Refuted(incarnation));
+                    self.events.push(MembershipEvent::Refuted(incarnation));
                 }
             }
             return;
         }
-        self.admit(now, beat, is_direct);
+        self.admit(now, heartbeat, is_direct);
     }
 
-    /// Hears of another life of this host: a former one, which peers have not forgotten yet, or a
-    /// newer one that runs beside this process and takes its place.
-    fn hear_other_life(&mut self, now: Now, beat: &Heartbeat, is_direct: bool) {
-        if beat.started_at_ms < self.me.started_at_ms {
-            self.gone.insert(beat.incarnation, now.mono);
-            self.notes.push(MembershipEvent::Gone(beat.incarnation));
+    /// Applies a heartbeat of another incarnation of this host.
+    ///
+    /// It is either a former incarnation that peers still remember, or a newer one that runs beside
+    /// this process and replaces it.
+    fn apply_own_host_heartbeat(&mut self, now: Now, heartbeat: &Heartbeat, is_direct: bool) {
+        if heartbeat.started_at_ms < self.own.started_at_ms {
+            self.gone.insert(heartbeat.incarnation, now.mono);
+            self.events
+                .push(MembershipEvent::Gone(heartbeat.incarnation));
         } else if is_direct {
-            self.notes.push(MembershipEvent::DeclaredGone);
+            self.events.push(MembershipEvent::DeclaredGone);
         }
     }
 
-    /// Admits an incarnation heard for the first time, in place of an older one of its host.
+    /// Admits a new incarnation in place of an older one of the same host.
     ///
-    /// The wall clock of a host may have stepped back over its restart. Then its new life looks
-    /// older, and is admitted once the former one has fallen silent.
-    fn admit(&mut self, now: Now, beat: &Heartbeat, is_direct: bool) {
-        let same_host = |peer: &&Peer| peer.beat.host == beat.host;
-        if let Some(former) = self.peers.values().find(same_host) {
-            let is_newer = beat.started_at_ms > former.beat.started_at_ms;
-            let is_silent = is_direct && former.state == MemberState::Suspect;
-            if !is_newer && !is_silent {
+    /// If the wall clock of the host stepped back across its restart, the new incarnation looks
+    /// older. It is then admitted once the former one is suspected and the new one has sent a
+    /// message itself.
+    fn admit(&mut self, now: Now, heartbeat: &Heartbeat, is_direct: bool) {
+        let is_same_host = |peer: &&Peer| peer.heartbeat.host == heartbeat.host;
+        if let Some(former) = self.peers.values().find(is_same_host) {
+            let is_newer = heartbeat.started_at_ms > former.heartbeat.started_at_ms;
+            let is_replaceable = is_direct && former.state == MemberState::Suspect;
+            if !is_newer && !is_replaceable {
                 return;
             }
-            self.bury(now, former.beat.incarnation);
+            self.remove_gone(now, former.heartbeat.incarnation);
         }
         if self.peers.len() >= self.options.members_max {
             return;
         }
         let peer = Peer {
-            beat: beat.clone(),
-            heard_at: now.mono,
+            heartbeat: heartbeat.clone(),
+            advanced_at: now.mono,
             state: MemberState::Live,
-            sent: 0,
+            times_sent: 0,
         };
-        self.peers.insert(beat.incarnation, peer);
-        self.notes.push(MembershipEvent::Joined(beat.incarnation));
+        self.peers.insert(heartbeat.incarnation, peer);
+        self.events
+            .push(MembershipEvent::Joined(heartbeat.incarnation));
     }
 
-    /// Makes the message for `to`: the live peers' heartbeats passed on least since they changed,
-    /// drawn by lot among those alike, lest the last ones in order never have their turn. What `to`
-    /// has just told itself is left out.
-    fn digest(&mut self, to: SocketAddr, told: &[Heartbeat]) -> Gossip {
+    /// Builds the message for `to`: the heartbeats of live peers that were forwarded least since
+    /// they changed.
+    ///
+    /// Ties are broken at random, so that no peer is left out because of its position. Heartbeats
+    /// in `known`, which `to` has just sent itself, are left out.
+    fn build_gossip(&mut self, to: SocketAddr, known: &[Heartbeat]) -> Gossip {
         let max = self.options.digest_max;
-        let told: BTreeMap<_, _> = told.iter().map(|b| (b.incarnation, b.counter)).collect();
-        let is_news = |beat: &Heartbeat| {
-            let known = told.get(&beat.incarnation);
-            beat.control_address != to && known.is_none_or(|counter| beat.counter > *counter)
+        let known: BTreeMap<_, _> = known.iter().map(|b| (b.incarnation, b.counter)).collect();
+        let is_news = |heartbeat: &Heartbeat| {
+            let previous = known.get(&heartbeat.incarnation);
+            heartbeat.control_address != to
+                && previous.is_none_or(|counter| heartbeat.counter > *counter)
         };
-        let tellable = |peer: &&mut Peer| peer.state == MemberState::Live && is_news(&peer.beat);
-        let mut peers: Vec<&mut Peer> = self.peers.values_mut().filter(tellable).collect();
+        let is_included =
+            |peer: &&mut Peer| peer.state == MemberState::Live && is_news(&peer.heartbeat);
+        let mut peers: Vec<&mut Peer> = self.peers.values_mut().filter(is_included).collect();
         let shuffle = self.seed ^ self.round.rotate_left(16);
-        let lot = |peer: &Peer| xxh3_64_with_seed(&peer.beat.incarnation.0.to_le_bytes(), shuffle);
-        peers.sort_by_cached_key(|peer| (peer.sent, lot(peer)));
-        let pass_on = |peer: &mut &mut Peer| {
-            peer.sent += 1;
-            peer.beat.clone()
+        let tie_break =
+            |peer: &Peer| xxh3_64_with_seed(&peer.heartbeat.incarnation.0.to_le_bytes(), shuffle);
+        peers.sort_by_cached_key(|peer| (peer.times_sent, tie_break(peer)));
+        let forward = |peer: &mut &mut Peer| {
+            peer.times_sent += 1;
+            peer.heartbeat.clone()
         };
         Gossip {
-            from: self.me.clone(),
-            others: peers.iter_mut().take(max).map(pass_on).collect(),
+            from: self.own.clone(),
+            others: peers.iter_mut().take(max).map(forward).collect(),
             gone: None,
         }
     }
 
-    /// Gets the addresses of the own zone, or of all others: peers heard of and hosts listed.
+    /// Returns the addresses of known peers and listed hosts, either those in this host's zone or
+    /// those in all other zones.
     fn contacts(&self, is_own_zone: bool) -> Vec<SocketAddr> {
-        let fits = |zone: &ZoneName| (*zone == self.me.zone) == is_own_zone;
-        let heard = self.peers.values().map(|peer| &peer.beat);
-        let heard = heard.filter(|beat| fits(&beat.zone));
-        let listed = self.listed_unheard();
-        let listed = listed.filter(|host| host.state == HostState::Live && fits(&host.zone));
-        let addresses = heard.map(|beat| beat.control_address);
+        let is_wanted = |zone: &ZoneName| (*zone == self.own.zone) == is_own_zone;
+        let from_peers = self.peers.values().map(|peer| &peer.heartbeat);
+        let from_peers = from_peers.filter(|heartbeat| is_wanted(&heartbeat.zone));
+        let from_list = self.listed_without_heartbeat();
+        let from_list =
+            from_list.filter(|host| host.state == HostState::Live && is_wanted(&host.zone));
+        let addresses = from_peers.map(|heartbeat| heartbeat.control_address);
         addresses
-            .chain(listed.map(|host| host.peer_address))
+            .chain(from_list.map(|host| host.peer_address))
             .collect()
     }
 
-    fn unmet_seeds(&self) -> Vec<SocketAddr> {
-        let is_met = |seed: &SocketAddr| {
+    /// Returns the configured addresses at which no live peer is known.
+    fn unreached_seeds(&self) -> Vec<SocketAddr> {
+        let is_reached = |seed: &SocketAddr| {
             let mut live = self.peers.values().filter(|p| p.state == MemberState::Live);
-            *seed == self.me.control_address || live.any(|p| p.beat.control_address == *seed)
+            *seed == self.own.control_address || live.any(|p| p.heartbeat.control_address == *seed)
         };
         let seeds = self.seeds.iter().copied();
-        seeds.filter(|seed| !is_met(seed)).collect()
+        seeds.filter(|seed| !is_reached(seed)).collect()
     }
 
-    /// Picks `count` addresses from the one whose turn it is. Everyone comes up once before anyone
-    /// comes up again, in an order that the seed shuffles anew for each pass.
+    /// Returns `count` addresses, starting with the one whose turn it is. Every address is returned
+    /// once before any is repeated, in an order that is shuffled again for each pass.
     fn pick(&self, mut addresses: Vec<SocketAddr>, turn: u64, count: u64) -> Vec<SocketAddr> {
         addresses.sort_unstable();
         addresses.dedup();
@@ -207,8 +223,8 @@
             pass
         };
         let at_turn = |turn: u64| {
-            let place = usize::try_from(turn % length).unwrap_or_default();
-            shuffled(turn / length)[place]
+            let index = usize::try_from(turn % length).unwrap_or_default();
+            shuffled(turn / length)[index]
         };
         (turn..turn + count.min(length)).map(at_turn).collect()
     }
--- a/crates/onyxshed-state/src/member/liveness.rs
+++ b/crates/onyxshed-state/src/member/liveness.rs
@@ -1,114 +1,123 @@
-//! Judges peers by their silence and the platform's list, and this process by its own clocks.
+//! Detects unresponsive peers from their heartbeats and the platform's list, and pauses of this
+//! process from its own clocks.
 
 use onyxshed_core::{HostName, Incarnation, Micros, Millis, Mono, Now};
 use onyxshed_wire::platform::HostState;
 
 use super::{Heartbeat, MemberState, MemberTable, MembershipEvent};
 
-/// What to do about a silent peer.
-enum Judgement {
-    Stay,
+/// State transition of a peer.
+enum Transition {
+    Keep,
     Suspect,
-    Bury,
+    Remove,
 }
 
 impl MemberTable {
-    /// Judges every peer; called at least once a round.
+    /// Updates the state of every peer and returns the membership changes. Must be called at least
+    /// once per round.
     pub fn tick(&mut self, now: Now) -> Vec<MembershipEvent> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let incarnations: Vec<Incarnation> = self.peers.keys().copied().collect();
         for incarnation in incarnations {
-            match self.judge(now, incarnation) {
-                Judgement::Stay => {}
-                Judgement::Suspect => self.suspect(incarnation),
-                Judgement::Bury => self.bury(now, incarnation),
+            match self.next_transition(now, incarnation) {
+                Transition::Keep => {}
+                Transition::Suspect => self.mark_suspect(incarnation),
+                Transition::Remove => self.remove_gone(now, incarnation),
             }
         }
         let keep = Micros::from(self.options.keep_gone_ms);
         self.gone.retain(|_, since| now.mono.since(*since) <= keep);
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.events)
     }
 
-    /// Goes on for a new life of this host, whose former one is gone. What is known of peers stays;
-    /// in a table made afresh the former life, which still holds claims, would be unknown.
-    pub fn restart(&mut self, now: Now, me: Heartbeat) -> Vec<MembershipEvent> {
-        let former = std::mem::replace(&mut self.me, me);
-        if former.incarnation != self.me.incarnation {
+    /// Continues with a new incarnation of this host, whose former one is gone.
+    ///
+    /// The known peers are kept. In a new table the former incarnation, which still holds claims,
+    /// would be unknown.
+    pub fn restart(&mut self, now: Now, own: Heartbeat) -> Vec<MembershipEvent> {
+        let former = std::mem::replace(&mut self.own, own);
+        if former.incarnation != self.own.incarnation {
             self.gone.insert(former.incarnation, now.mono);
-            self.notes.push(MembershipEvent::Gone(former.incarnation));
+            self.events.push(MembershipEvent::Gone(former.incarnation));
         }
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.events)
     }
 
-    /// Notices that this process has not run for a while.
+    /// Detects that this process has not run for a while.
     ///
-    /// Without it a process that thaws would hold all its peers to be silent, though it was itself
-    /// that did not listen. So what was heard before counts as heard that much later. The wall
-    /// clock is watched too: some systems stop the monotonic clock while they are suspended.
-    pub(super) fn notice_pause(&mut self, now: Now) {
-        let Some(last) = self.last.replace(now) else {
+    /// Otherwise a process that thaws would consider all its peers unresponsive, although it was
+    /// the process itself that received nothing. So the time of the last heartbeat of each peer is
+    /// moved by the length of the pause. The wall clock is checked too, because some systems stop
+    /// the monotonic clock while they are suspended.
+    pub(super) fn detect_pause(&mut self, now: Now) {
+        let Some(last_run) = self.last_run.replace(now) else {
             return;
         };
-        let ran_on = now.mono.since(last.mono);
-        let span = ran_on.as_millis().max(now.wall.since(last.wall));
+        let mono_elapsed = now.mono.since(last_run.mono);
+        let span = mono_elapsed.as_millis().max(now.wall.since(last_run.wall));
         if span <= self.options.pause_ms {
             return;
         }
         for peer in self.peers.values_mut() {
-            peer.heard_at = peer.heard_at + ran_on;
+            peer.advanced_at = peer.advanced_at + mono_elapsed;
         }
-        self.notes.push(MembershipEvent::Paused(span));
+        self.events.push(MembershipEvent::Paused(span));
     }
 
-    /// Holds an incarnation to be gone for good.
-    pub(super) fn bury(&mut self, now: Now, incarnation: Incarnation) {
+    /// Removes a peer and records its incarnation as permanently gone.
+    pub(super) fn remove_gone(&mut self, now: Now, incarnation: Incarnation) {
         if self.peers.remove(&incarnation).is_some() {
             self.gone.insert(incarnation, now.mono);
-            self.notes.push(MembershipEvent::Gone(incarnation));
+            self.events.push(MembershipEvent::Gone(incarnation));
         }
     }
 
-    fn judge(&self, now: Now, incarnation: Incarnation) -> Judgement {
+    /// Determines the state transition of a peer from the time since its counter last advanced and
+    /// the platform's list.
+    fn next_transition(&self, now: Now, incarnation: Incarnation) -> Transition {
         let Some(peer) = self.peers.get(&incarnation) else {
-            return Judgement::Stay;
+            return Transition::Keep;
         };
-        let silent = now.mono.since(peer.heard_at);
-        let allowed = |span| Micros::from(self.options.stretched(span, self.peers.len()));
-        if silent <= allowed(self.options.suspect_ms) {
-            return Judgement::Stay;
+        let heartbeat_age = now.mono.since(peer.advanced_at);
+        let allowed = |span| Micros::from(self.options.scaled(span, self.peers.len()));
+        if heartbeat_age <= allowed(self.options.suspect_ms) {
+            return Transition::Keep;
         }
-        let is_long = silent > allowed(self.options.gone_ms);
-        if is_long && self.is_unlisted(&peer.beat.host, peer.heard_at) {
-            return Judgement::Bury;
+        let has_expired = heartbeat_age > allowed(self.options.gone_ms);
+        if has_expired && self.is_out_of_service(&peer.heartbeat.host, peer.advanced_at) {
+            return Transition::Remove;
         }
         match peer.state {
-            MemberState::Live => Judgement::Suspect,
-            MemberState::Suspect | MemberState::Gone => Judgement::Stay,
+            MemberState::Live => Transition::Suspect,
+            MemberState::Suspect | MemberState::Gone => Transition::Keep,
         }
     }
 
-    fn suspect(&mut self, incarnation: Incarnation) {
+    fn mark_suspect(&mut self, incarnation: Incarnation) {
         if let Some(peer) = self.peers.get_mut(&incarnation) {
             peer.state = MemberState::Suspect;
-            self.notes.push(MembershipEvent::Suspected(incarnation));
+            self.events.push(MembershipEvent::Suspected(incarnation));
         }
     }
 
-    /// Tells whether a list that is newer than what was heard of a host holds it out of service.
-    fn is_unlisted(&self, host: &HostName, heard_at: Mono) -> bool {
-        let Some(listed) = &self.listed else {
+    /// Returns whether the platform's list shows a host as out of service, and is newer than the
+    /// last heartbeat of the host.
+    fn is_out_of_service(&self, host: &HostName, advanced_at: Mono) -> bool {
+        let Some(host_list) = &self.host_list else {
             return false;
         };
-        let is_in_service = listed
+        let is_in_service = host_list
             .hosts
             .get(host)
             .is_some_and(|host| host.state == HostState::Live);
-        listed.as_of > heard_at && !is_in_service
+        host_list.as_of > advanced_at && !is_in_service
     }
 
-    /// Gets how long this host has not heard of an incarnation.
-    pub fn silence_ms(&self, now: Now, incarnation: Incarnation) -> Option<Millis> {
+    /// Returns the time since the counter of an incarnation last advanced; `None` if it is not a
+    /// known peer.
+    pub fn heartbeat_age_ms(&self, now: Now, incarnation: Incarnation) -> Option<Millis> {
         let peer = self.peers.get(&incarnation)?;
-        Some(now.mono.since(peer.heard_at).as_millis())
+        Some(now.mono.since(peer.advanced_at).as_millis())
     }
 }
--- a/crates/onyxshed-state/tests/claim_pace.rs
+++ b/crates/onyxshed-state/tests/claim_pace.rs
@@ -1,4 +1,5 @@
-//! What claims cost the log: appends a second, bytes a record, work to forget.
+//! Tests of the load that claims put on the log: appends per second, bytes per record, and claims
+//! waiting.
 
 #[path = "support/claims.rs"]
 mod claims;
@@ -14,7 +15,7 @@
 use rstest::rstest;
 use ulid::Ulid;
 
-/// What one second of load came to.
+/// Measurements of one second of load.
 #[derive(Debug)]
 struct Second {
     appends: u32,
@@ -22,7 +23,8 @@
     longest_wait_ms: u64,
 }
 
-/// Runs `hosts` hosts for two seconds, each with `per_s` submissions a second, and counts the last.
+/// Runs `hosts` hosts for two seconds, each with `per_s` submissions per second, and measures the
+/// second one.
 fn run(hosts: usize, per_s: u64) -> Second {
     let options = ClaimOptions::default();
     let mut books: Vec<ClaimBook> = (1..=hosts as u64)
@@ -37,9 +39,9 @@
         book.set_live_hosts(hosts);
     }
     for ms in 0..2_000 {
-        for (place, book) in (0..).zip(&mut books) {
+        for (index, book) in (0..).zip(&mut books) {
             for n in (ms * per_s / 1_000)..((ms + 1) * per_s / 1_000) {
-                let ulid = Ulid::from_parts(at(ms).wall.0, u128::from(n << 8 | place));
+                let ulid = Ulid::from_parts(at(ms).wall.0, u128::from(n << 8 | index));
                 book.request_start(at(ms), SubmissionId::unbound(ulid), CONTENT);
             }
             let Some(batch) = send(book, at(ms)) else {
@@ -65,15 +67,15 @@
     Some(batch)
 }
 
-/// Load grows fourfold and sixteenfold. All hosts together stay under the log's budget; claims wait
-/// for a share of it and share a record instead.
+/// Load grows by factors of 4 and 16. All hosts together stay within the log's budget; claims wait
+/// for a host's share of it and are batched into one record instead.
 #[rstest]
 #[case::light(8, 20)]
 #[case::load_1x(8, 100)]
 #[case::load_4x(8, 400)]
 #[case::load_16x(8, 1_600)]
 #[case::more_hosts(32, 400)]
-fn appends_stay_under_the_total(#[case] hosts: usize, #[case] per_s: u64) {
+fn appends_stay_within_log_budget(#[case] hosts: usize, #[case] per_s: u64) {
     let RatePerS(total) = ClaimOptions::default().log_appends_per_s;
     let second = run(hosts, per_s);
     println!("{hosts} hosts, {per_s} submissions/s each: {second:?}");
@@ -81,15 +83,15 @@
     assert!(second.longest_wait_ms <= 200, "{second:?}");
 }
 
-/// With the budget free, a claim goes out in the same moment.
+/// While tokens are available, a claim is sent without a wait.
 #[test]
-fn free_budget_means_no_wait() {
+fn claim_within_budget_is_sent_at_once() {
     assert_eq!(run(8, 20).longest_wait_ms, 0);
 }
 
-/// A partition makes each host count only itself. The cap a host keeps bounds the total.
+/// A partition makes each host count only itself. The limit per host then bounds the total.
 #[test]
-fn lonely_hosts_keep_their_cap() {
+fn host_that_counts_only_itself_stays_within_cap() {
     let mut book = host(1, ClaimOptions::default());
     book.set_live_hosts(1);
     let sent = (0..1_000).filter(|ms| {
@@ -99,8 +101,8 @@
     assert!(sent.count() <= 30);
 }
 
-/// Thousands of claims wait and the number allowed in a batch is set too high. The batch still fits
-/// the log's largest record, and the rest goes out next.
+/// Thousands of claims wait and `batch_max` is too high. The batch still fits the log's maximum
+/// record size.
 #[test]
 fn batches_fit_a_record() {
     let options = ClaimOptions {
@@ -125,9 +127,9 @@
         ..ProptestConfig::with_cases(256)
     })]
 
-    /// The sizes that batches are made by are upper bounds of what is written.
+    /// The size constants that batches are built with are upper bounds of the encoded size.
     #[test]
-    fn sizes_are_bounds(
+    fn encoded_size_is_within_size_constants(
         by: u64, batch: u64, claims in prop::collection::vec(any::<(u128, u64, bool)>(), 0..20),
     ) {
         let unbound = |n: u128| SubmissionId::unbound(Ulid(n));
@@ -145,6 +147,6 @@
         });
         let bound = CLAIM_RECORD_BYTES + claims.len() * (CLAIM_MAX_BYTES + RELEASE_BYTES);
         prop_assert!(record.encode().len() <= bound);
-        prop_assert_eq!(ClaimRecord::decode(&record.encode()).expect("it was written"), record);
+        prop_assert_eq!(ClaimRecord::decode(&record.encode()).expect("an encoded record decodes"), record);
     }
 }
--- a/crates/onyxshed-state/tests/claim_search.rs
+++ b/crates/onyxshed-state/tests/claim_search.rs
@@ -1,7 +1,7 @@
-//! Random search: hosts that share one log under every fault the platform allows.
+//! Randomized test of hosts that share one log under every fault that the platform allows.
 //!
-//! A fixed seed makes every run the same. More cases, or another seed:
-//! `PROPTEST_CASES=100000 PROPTEST_RNG_SEED=7 cargo test -p onyxshed-state --test claim_search`.
+//! A fixed seed makes every run the same. More cases, or another seed: `PROPTEST_CASES=100000
+//! PROPTEST_RNG_SEED=7 cargo test -p onyxshed-state --test claim_search`.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,14 +24,14 @@
 const CASES: u32 = 12_000;
 const SEED: u64 = 4;
 
-/// How many hosts and submissions there are; few submissions bring the hosts into conflict sooner.
+/// Number of hosts and submissions. With few submissions, hosts come into conflict sooner.
 #[derive(Debug, Clone, Copy)]
 struct Shape {
     hosts: usize,
     ids: usize,
 }
 
-/// One step of a run; numbers are taken modulo what there is.
+/// One step of a run. Host and submission indexes are already reduced to the number there is.
 #[derive(Debug, Clone)]
 enum Op {
     Submit {
@@ -45,10 +45,10 @@
     },
     Send {
         host: usize,
-        fate: Fate,
+        result: AppendResult,
     },
-    Land {
-        place: usize,
+    Arrive {
+        index: usize,
     },
     Read {
         host: usize,
@@ -59,14 +59,14 @@
         host: usize,
         id: usize,
     },
-    GiveUp {
+    Abandon {
         host: usize,
         id: usize,
     },
     Crash {
         host: usize,
     },
-    LoseLog {
+    LogUnreachable {
         host: usize,
     },
     StepClock {
@@ -78,22 +78,22 @@
     },
 }
 
-/// What becomes of an append.
+/// Result of an append.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum AppendResult {
     Answered,
-    Refused,
+    Rejected,
     AnswerLost,
-    /// The answer is lost, and the record reaches the log later, if at all.
+    /// The answer is lost, and the record reaches the log later or never.
     Late,
 }
 
 impl Op {
-    /// Reads a step from a random number; a plain number is quicker to draw than a nested choice.
+    /// Decodes a step from a random number, which is faster to generate than a nested strategy.
     fn decode(code: u32, shape: Shape) -> Op {
         let [kind, a, b, c] = code.to_le_bytes();
         let (host, id) = (usize::from(a) % shape.hosts, usize::from(b) % shape.ids);
-        let place = usize::from(b);
+        let index = usize::from(b);
         match kind % 64 {
             0..=9 => Op::Submit {
                 host,
@@ -103,9 +103,9 @@
             10..=14 => Op::TakeOver { host, id },
             15..=25 => Op::Send {
                 host,
-                fate: Fate::decode(c),
+                result: AppendResult::decode(c),
             },
-            26..=30 => Op::Land { place: place % 4 },
+            26..=30 => Op::Arrive { index: index % 4 },
             31..=38 => Op::Read {
                 host,
                 back: u64::from(b % 3),
@@ -117,9 +117,9 @@
                 count: u64::MAX,
             },
             46..=51 => Op::StartTask { host, id },
-            52..=56 => Op::GiveUp { host, id },
+            52..=56 => Op::Abandon { host, id },
             57 => Op::Crash { host },
-            58 => Op::LoseLog { host },
+            58 => Op::LogUnreachable { host },
             59 => Op::StepClock {
                 host,
                 skew_ms: u64::from(c) % (SKEW_MS + 1),
@@ -134,13 +134,13 @@
     }
 }
 
-impl Fate {
-    fn decode(code: u8) -> Fate {
+impl AppendResult {
+    fn decode(code: u8) -> AppendResult {
         match code % 9 {
-            0..=3 => Fate::Answered,
-            4 => Fate::Refused,
-            5..=6 => Fate::AnswerLost,
-            _ => Fate::Late,
+            0..=3 => AppendResult::Answered,
+            4 => AppendResult::Rejected,
+            5..=6 => AppendResult::AnswerLost,
+            _ => AppendResult::Late,
         }
     }
 }
@@ -169,7 +169,7 @@
     }
 }
 
-/// A job, as the dispatcher keeps it: gone once given up.
+/// State of a job in the dispatcher. Abandoned jobs are removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Job {
     Waiting,
@@ -178,27 +178,27 @@
 
 struct Host {
     book: ClaimBook,
-    me: Incarnation,
+    incarnation: Incarnation,
     jobs: BTreeMap<SubmissionId, Job>,
     skew_ms: u64,
 }
 
-struct World {
+struct Simulation {
     ms: u64,
     log: Vec<(u64, String)>,
     late: Vec<ClaimBatch>,
     hosts: Vec<Host>,
-    dead: BTreeSet<Incarnation>,
+    failed: BTreeSet<Incarnation>,
     ids: Vec<Ulid>,
     next_number: u64,
-    /// Jobs that started a task, and where, by submission.
+    /// Jobs that started a task, and the incarnation that each ran on, by submission.
     starts: BTreeMap<SubmissionId, BTreeMap<u64, Incarnation>>,
-    /// Dead holders that were to be replaced, by submission.
+    /// Dead holders that a take-over was to replace, by submission.
     replaced: BTreeMap<SubmissionId, BTreeSet<Incarnation>>,
     tally: Tally,
 }
 
-/// How often something happened, to show that the search gets there.
+/// Counters that show whether the search reaches the interesting cases.
 #[derive(Debug, Clone, Copy, Default)]
 struct Tally {
     starts: u64,
@@ -208,14 +208,14 @@
     gaps: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(shape: Shape) -> Self {
-        let mut world = World {
+        let mut simulation = Simulation {
             ms: START_MS,
             log: Vec::new(),
             late: Vec::new(),
             hosts: Vec::new(),
-            dead: BTreeSet::new(),
+            failed: BTreeSet::new(),
             ids: (0..shape.ids as u128)
                 .map(|n| Ulid::from_parts(START_MS, n))
                 .collect(),
@@ -225,10 +225,10 @@
             tally: Tally::default(),
         };
         for _ in 0..shape.hosts {
-            let host = world.new_host(0);
-            world.hosts.push(host);
+            let host = simulation.new_host(0);
+            simulation.hosts.push(host);
         }
-        world
+        simulation
     }
 
     fn number(&mut self) -> u64 {
@@ -237,10 +237,10 @@
     }
 
     fn new_host(&mut self, skew_ms: u64) -> Host {
-        let me = Incarnation(self.number());
+        let incarnation = Incarnation(self.number());
         Host {
-            book: ClaimBook::new(me, options()),
-            me,
+            book: ClaimBook::new(incarnation, options()),
+            incarnation,
             jobs: BTreeMap::new(),
             skew_ms,
         }
@@ -253,7 +253,8 @@
         }
     }
 
-    /// Tasks of ids with an even place may run twice, for a stated reason.
+    /// Returns whether the tasks of `id` may run twice, which is the case for ids with an even
+    /// number.
     fn may_run_twice(&self, id: &SubmissionId) -> bool {
         id.ulid.random().is_multiple_of(2)
     }
@@ -262,20 +263,20 @@
         match *op {
             Op::Submit { host, id, is_bound } => self.submit(host, id, is_bound),
             Op::TakeOver { host, id } => self.take_over(host, id),
-            Op::Send { host, fate } => self.send(host, fate),
-            Op::Land { place } if place < self.late.len() => {
-                let batch = self.late.remove(place);
+            Op::Send { host, result } => self.send(host, result),
+            Op::Arrive { index } if index < self.late.len() => {
+                let batch = self.late.remove(index);
                 self.append(&batch);
             }
-            Op::Land { .. } => {}
+            Op::Arrive { .. } => {}
             Op::Read { host, back, count } => self.read(host, back, count),
             Op::StartTask { host, id } => self.start_task(host, id),
-            Op::GiveUp { host, id } => self.give_up(host, id),
+            Op::Abandon { host, id } => self.abandon(host, id),
             Op::Crash { host } => {
-                self.dead.insert(self.hosts[host].me);
+                self.failed.insert(self.hosts[host].incarnation);
                 self.hosts[host] = self.new_host(self.hosts[host].skew_ms);
             }
-            Op::LoseLog { host } => {
+            Op::LogUnreachable { host } => {
                 let settled = self.hosts[host].book.mark_log_unreachable();
                 self.settle(host, &settled);
             }
@@ -284,84 +285,84 @@
         }
     }
 
-    /// Lets time pass; ids that have been refused for long give way to new ones.
+    /// Advances the time and replaces ids that have been rejected for long by new ones.
     fn advance(&mut self, ms: u64) {
         self.ms += ms;
         let mut number = u128::from(self.number());
-        for (place, ulid) in (0..).zip(&mut self.ids) {
+        for (index, ulid) in (0..).zip(&mut self.ids) {
             if ulid.timestamp_ms() + 1_500 < self.ms {
                 number += 1;
-                *ulid = Ulid::from_parts(self.ms, number * 16 + place);
+                *ulid = Ulid::from_parts(self.ms, number * 16 + index);
             }
         }
     }
 
     fn submit(&mut self, host: usize, id: usize, is_bound: bool) {
-        let bound_to = is_bound.then(|| self.hosts[host].me);
+        let bound_to = is_bound.then(|| self.hosts[host].incarnation);
         let id = SubmissionId {
             ulid: self.ids[id],
             bound_to,
         };
         let now = self.now(host);
-        self.consult(host, id, |book| book.request_start(now, id, ContentHash(1)));
+        self.request_claim(host, id, |book| book.request_start(now, id, ContentHash(1)));
     }
 
     fn take_over(&mut self, host: usize, id: usize) {
         let id = SubmissionId::unbound(self.ids[id]);
         let holder = self.hosts[host].book.holder(id);
-        let Some(gone) = holder.filter(|holder| self.dead.contains(holder)) else {
+        let Some(gone) = holder.filter(|holder| self.failed.contains(holder)) else {
             return;
         };
         if self.may_run_twice(&id) {
             let now = self.now(host);
             self.tally.take_overs += 1;
             self.replaced.entry(id).or_default().insert(gone);
-            self.consult(host, id, |book| {
+            self.request_claim(host, id, |book| {
                 book.take_over(now, id, ContentHash(1), gone)
             });
         }
     }
 
-    fn consult(
+    fn request_claim(
         &mut self,
         host: usize,
         id: SubmissionId,
-        ask: impl Fn(&mut ClaimBook) -> ClaimStep,
+        request: impl Fn(&mut ClaimBook) -> ClaimStep,
     ) {
         if self.hosts[host].jobs.contains_key(&id) {
             return;
         }
         let number = self.number();
         let host = &mut self.hosts[host];
-        match ask(&mut host.book) {
+        match request(&mut host.book) {
             ClaimStep::Start => host.jobs.insert(id, Job::Ready(number)),
             ClaimStep::Wait => host.jobs.insert(id, Job::Waiting),
             _ => None,
         };
     }
 
-    fn send(&mut self, host: usize, fate: Fate) {
+    fn send(&mut self, host: usize, result: AppendResult) {
         let now = self.now(host);
         let overdue = self.hosts[host].book.tick(now);
         self.settle(host, &overdue);
         let BatchStep::Append(batch) = self.hosts[host].book.next_batch(now) else {
             return;
         };
-        let result = match fate {
-            Fate::Answered => Ok(self.append(&batch)),
-            Fate::Refused => Err(AppendFailure::NotAppended),
-            Fate::AnswerLost => {
+        let append_result = match result {
+            AppendResult::Answered => Ok(self.append(&batch)),
+            AppendResult::Rejected => Err(AppendFailure::NotAppended),
+            AppendResult::AnswerLost => {
                 self.append(&batch);
                 Err(AppendFailure::AnswerLost)
             }
-            Fate::Late => {
+            AppendResult::Late => {
                 self.late.push(batch.clone());
                 Err(AppendFailure::AnswerLost)
             }
         };
         let settled = self.hosts[host]
             .book
-            .apply_append_result(now, batch.batch, result);
+            .apply_append_result(now, batch.batch, append_result);
         self.settle(host, &settled);
     }
 
@@ -371,7 +372,7 @@
         Offset(self.log.len() as u64 - 1)
     }
 
-    /// Reads some records, a few of them again, and none that has expired.
+    /// Reads some records, the last `back` of them again, and none that has expired.
     fn read(&mut self, host: usize, back: u64, count: u64) {
         let now = self.now(host);
         let oldest_ms = self.ms - options().retention_ms.0.min(self.ms);
@@ -399,7 +400,7 @@
     fn settle(&mut self, host: usize, settled: &[SettledClaim]) {
         for SettledClaim {
             submission,
-            outcome: verdict,
+            outcome,
         } in settled
         {
             let number = self.number();
@@ -407,9 +408,9 @@
             assert_eq!(
                 jobs.get(submission),
                 Some(&Job::Waiting),
-                "a verdict nobody waits for"
+                "settled a claim that no job waits for"
             );
-            match verdict {
+            match outcome {
                 ClaimOutcome::Won => jobs.insert(*submission, Job::Ready(number)),
                 _ => jobs.remove(submission),
             };
@@ -420,19 +421,27 @@
         let now = self.now(host);
         let ulid = self.ids[id];
         let is_this = |entry: &(&SubmissionId, &Job)| entry.0.ulid == ulid;
-        let Host { book, jobs, me, .. } = &self.hosts[host];
+        let Host {
+            book,
+            jobs,
+            incarnation,
+            ..
+        } = &self.hosts[host];
         for (id, job) in jobs.iter().filter(is_this) {
             if let Job::Ready(number) = job
                 && book.may_start(now, *id)
             {
-                self.starts.entry(*id).or_default().insert(*number, *me);
+                self.starts
+                    .entry(*id)
+                    .or_default()
+                    .insert(*number, *incarnation);
                 self.tally.starts += 1;
             }
         }
     }
 
-    /// Gives up a job of which nothing was started.
-    fn give_up(&mut self, host: usize, id: usize) {
+    /// Abandons a job of which no task was started.
+    fn abandon(&mut self, host: usize, id: usize) {
         let id = SubmissionId::unbound(self.ids[id]);
         let now = self.now(host);
         let is_started =
@@ -450,24 +459,28 @@
 
     fn check(&self) -> Result<(), TestCaseError> {
         for (id, jobs) in &self.starts {
-            let was_replaced = |me: &&Incarnation| {
+            let was_replaced = |incarnation: &&Incarnation| {
                 let replaced = self.replaced.get(id);
-                replaced.is_some_and(|replaced| replaced.contains(*me))
+                replaced.is_some_and(|replaced| replaced.contains(*incarnation))
             };
             let hosts: BTreeSet<&Incarnation> = jobs.values().collect();
-            let lasting = jobs.values().filter(|me| !was_replaced(me)).count();
-            let is_allowed = lasting <= 1 && hosts.len() == jobs.len();
+            let unreplaced = jobs
+                .values()
+                .filter(|incarnation| !was_replaced(incarnation))
+                .count();
+            let is_allowed = unreplaced <= 1 && hosts.len() == jobs.len();
             prop_assert!(is_allowed, "{id} was started by jobs {jobs:?}");
         }
         Ok(())
     }
 }
 
-/// Callers send the same submissions to all hosts, again and again, while appends are refused, lose
-/// their answers or land late and out of order, records are read twice or expire unread, hosts stop
-/// for any time (they are not picked) or die, and clocks step within the skew. After every step at
-/// most one job of a submission has started a task, leaving out dead holders that were replaced
-/// because its class may run twice.
+/// Callers repeatedly send the same submissions to all hosts while appends are rejected, lose their
+/// answers or arrive late and out of order, records are read twice or expire unread, hosts are
+/// frozen for any time or fail, and clocks step within the skew.
+///
+/// After every step at most one job of a submission has started a task, not counting dead holders
+/// that were replaced because the class may run twice.
 #[rstest]
 #[case::three_hosts(Shape { hosts: 3, ids: 2 })]
 #[case::two_hosts(Shape { hosts: 2, ids: 1 })]
@@ -487,18 +500,18 @@
         ..Config::default()
     };
     let run = |ops: Vec<Op>| {
-        let mut world = World::new(shape);
+        let mut simulation = Simulation::new(shape);
         for op in &ops {
-            world.step(op);
-            world.check()?;
+            simulation.step(op);
+            simulation.check()?;
         }
-        let counts = world.hosts.iter().map(|host| host.book.counts());
+        let counts = simulation.hosts.iter().map(|host| host.book.counts());
         let (stale, gaps) = counts.fold((0, 0), |sum, c| (sum.0 + c.stale_batches, sum.1 + c.gaps));
         let sum = total.get();
         total.set(Tally {
-            starts: sum.starts + world.tally.starts,
-            take_overs: sum.take_overs + world.tally.take_overs,
-            reclaims: sum.reclaims + world.tally.reclaims,
+            starts: sum.starts + simulation.tally.starts,
+            take_overs: sum.take_overs + simulation.tally.take_overs,
+            reclaims: sum.reclaims + simulation.tally.reclaims,
             stale: sum.stale + stale,
             gaps: sum.gaps + gaps,
         });
