--- a/crates/onyxshed-state/tests/claim_traps.rs
+++ b/crates/onyxshed-state/tests/claim_traps.rs
@@ -1,4 +1,4 @@
-//! The ways in which a submission could start twice, one test each.
+//! Failures that could start a submission twice, one test each.
 
 #[path = "support/claims.rs"]
 mod claims;
@@ -12,7 +12,7 @@
 use onyxshed_wire::record::{ClaimBatch, ClaimRecord};
 use rstest::rstest;
 
-/// A log that takes appends in order.
+/// A log that appends records in order.
 #[derive(Default)]
 struct Log(Vec<String>);
 
@@ -22,7 +22,7 @@
         Offset(self.0.len() as u64 - 1)
     }
 
-    /// Reads everything that the host has not read.
+    /// Applies every record that the host has not read, and marks it as caught up.
     fn read(&self, book: &mut ClaimBook, now: Now) -> Vec<SettledClaim> {
         let mut settled = Vec::new();
         for (offset, data) in (0..).zip(&self.0) {
@@ -32,7 +32,7 @@
         settled
     }
 
-    /// Sends the host's next batch and tells it that it was appended.
+    /// Appends the host's next batch and reports success to the host.
     fn send(&mut self, book: &mut ClaimBook, now: Now) {
         let batch = take_batch(book, now);
         let number = batch.batch;
@@ -51,20 +51,20 @@
     (Log::default(), host(1, options.clone()), host(2, options))
 }
 
-/// Has `book` claim `id` and win it.
+/// Makes `book` claim `id` and win it.
 fn win(log: &mut Log, book: &mut ClaimBook, now: Now, id: SubmissionId) {
     assert_eq!(book.request_start(now, id, CONTENT), ClaimStep::Wait);
     log.send(book, now);
-    assert_eq!(verdicts(&log.read(book, now)), [ClaimOutcome::Won]);
+    assert_eq!(outcomes(&log.read(book, now)), [ClaimOutcome::Won]);
 }
 
-fn verdicts(settled: &[SettledClaim]) -> Vec<ClaimOutcome> {
+fn outcomes(settled: &[SettledClaim]) -> Vec<ClaimOutcome> {
     settled.iter().map(|settled| settled.outcome).collect()
 }
 
-/// The caller sends to both hosts at once, which both append before either has read. Both records
-/// stand in the log; each host decides only when it reads its own back, and by then has read the
-/// other's if that came first.
+/// The caller sends to both hosts at once, and both append a claim before either has read the log.
+/// Each host decides only when it reads its own claim back, and by then has read the other's if
+/// that one was first.
 #[test]
 fn two_claims_in_one_interval_have_one_winner() {
     let (mut log, mut a, mut b) = hosts();
@@ -72,19 +72,22 @@
         assert_eq!(book.request_start(at(0), id(0), CONTENT), ClaimStep::Wait);
         log.send(book, at(0));
     }
-    assert!(!a.may_start(at(0), id(0)), "appended is not yet claimed");
+    assert!(
+        !a.may_start(at(0), id(0)),
+        "an appended claim counts only once read back"
+    );
     assert_eq!(
-        verdicts(&log.read(&mut b, at(1))),
+        outcomes(&log.read(&mut b, at(1))),
         [ClaimOutcome::HeldBy(A)]
     );
-    assert_eq!(verdicts(&log.read(&mut a, at(1))), [ClaimOutcome::Won]);
+    assert_eq!(outcomes(&log.read(&mut a, at(1))), [ClaimOutcome::Won]);
     assert!(a.may_start(at(1), id(0)) && !b.may_start(at(1), id(0)));
 }
 
-/// Two copies reach one host before its batch goes out. The batch holds one claim; both copies wait
-/// for the same verdict, and a copy with other content is turned away.
+/// Two copies of a submission reach one host before its batch is sent. The batch contains one
+/// claim; both copies wait for its outcome, and a copy with other content is rejected.
 #[test]
-fn two_consults_make_one_claim() {
+fn two_requests_make_one_claim() {
     let (_, mut a, _) = hosts();
     assert_eq!(a.request_start(at(0), id(0), CONTENT), ClaimStep::Wait);
     assert_eq!(a.request_start(at(0), id(0), CONTENT), ClaimStep::Wait);
@@ -93,10 +96,10 @@
     assert_eq!(take_batch(&mut a, at(0)).claims.len(), 1);
 }
 
-/// The append takes effect and its answer is lost. The job waits for the read-back and wins if that
-/// comes within its patience.
+/// The append takes effect and its answer is lost. The claim is won if it is read back before it
+/// times out.
 #[test]
-fn lost_answer_is_read_back() {
+fn claim_with_lost_answer_is_won_when_read_back() {
     let (mut log, mut a, _) = hosts();
     a.request_start(at(0), id(0), CONTENT);
     let batch = take_batch(&mut a, at(0));
@@ -105,21 +108,21 @@
         a.apply_append_result(at(10), 1, Err(AppendFailure::AnswerLost))
             .is_empty()
     );
-    assert_eq!(verdicts(&log.read(&mut a, at(20))), [ClaimOutcome::Won]);
+    assert_eq!(outcomes(&log.read(&mut a, at(20))), [ClaimOutcome::Won]);
 }
 
-/// The answer is lost and the claim turns up after the job was told "not run". The claim is this
-/// host's in the table, but must not start the job; a resubmission may start it, once. If none
-/// comes, the claim is released and another host may have it.
+/// The answer is lost and the claim is read back after the job was reported as not run. This host
+/// then holds the claim, but the claim must not start the job; a resubmission may start it, once.
+/// Without a resubmission the claim is released and another host may claim the submission.
 #[rstest]
 #[case::resubmitted_here(true)]
 #[case::resubmitted_elsewhere(false)]
-fn late_claim_starts_no_job_that_was_given_up(#[case] is_here: bool) {
+fn late_claim_does_not_start_abandoned_job(#[case] is_here: bool) {
     let (mut log, mut a, mut b) = hosts();
     a.request_start(at(0), id(0), CONTENT);
     let batch = take_batch(&mut a, at(0));
     a.apply_append_result(at(10), 1, Err(AppendFailure::AnswerLost));
-    assert_eq!(verdicts(&a.tick(at(2_000))), [ClaimOutcome::Failed]);
+    assert_eq!(outcomes(&a.tick(at(2_000))), [ClaimOutcome::Failed]);
     log.append(batch);
     assert!(log.read(&mut a, at(2_100)).is_empty());
     assert!(!a.may_start(at(2_100), id(0)));
@@ -143,10 +146,10 @@
     }
 }
 
-/// The log refuses the append. The claim goes out again while the job waits; when the log can't be
-/// reached at all, every waiting job is told at once, and no new one is made to wait.
+/// The log rejects the append. The claim is sent again while the job waits. When the log becomes
+/// unreachable, every pending claim fails at once and no new one is queued.
 #[test]
-fn refused_append_is_retried_until_the_log_is_lost() {
+fn rejected_append_is_retried_until_log_is_unreachable() {
     let (log, mut a, _) = hosts();
     a.request_start(at(0), id(0), CONTENT);
     take_batch(&mut a, at(0));
@@ -161,7 +164,7 @@
         a.apply_append_result(at(60), 2, Err(AppendFailure::NotAppended))
             .is_empty()
     );
-    assert_eq!(verdicts(&a.mark_log_unreachable()), [ClaimOutcome::Failed]);
+    assert_eq!(outcomes(&a.mark_log_unreachable()), [ClaimOutcome::Failed]);
     assert_eq!(
         a.request_start(at(70), id(1), CONTENT),
         ClaimStep::Unavailable
@@ -170,21 +173,21 @@
     assert_eq!(a.request_start(at(80), id(1), CONTENT), ClaimStep::Wait);
 }
 
-/// The holder is frozen between its claim and its first start and thaws past the horizon. Others
-/// have forgotten the claim or soon will, so the thawed holder must not start on it.
+/// The holder is frozen between its claim and its first start, and thaws past the horizon. Other
+/// hosts have forgotten the claim or soon will, so the holder must not start on it.
 #[rstest]
 #[case::at_the_horizon(HORIZON_MS, true)]
 #[case::past_it(HORIZON_MS + 1, false)]
-fn frozen_holder_does_not_start_past_the_horizon(#[case] thawed_ms: u64, #[case] may: bool) {
+fn frozen_holder_does_not_start_past_horizon(#[case] age_ms: u64, #[case] may_start: bool) {
     let (mut log, mut a, _) = hosts();
     win(&mut log, &mut a, at(0), id(0));
-    assert_eq!(a.may_start(at(thawed_ms), id(0)), may);
+    assert_eq!(a.may_start(at(age_ms), id(0)), may_start);
 }
 
-/// A process thaws past the horizon and looks at ids before any event has brought it the new time.
-/// It must judge them by the time it is handed, not by the time it remembers.
+/// A process thaws past the horizon and checks ids before any event has brought the new time. It
+/// must use the time passed in, not the latest time that it has stored.
 #[test]
-fn thawed_process_judges_by_the_new_time() {
+fn thawed_process_checks_ids_by_new_time() {
     let (_, a, _) = hosts();
     let (before, after) = (at(HORIZON_MS), at(HORIZON_MS + 1));
     assert_eq!(a.peek(before, id(0), None), ClaimStep::Wait);
@@ -193,10 +196,10 @@
     assert!(!a.is_within_horizon(after, id(0)));
 }
 
-/// So many claims wait that there is no room for one more. It is refused at once, and a look ahead
-/// says the same as the consult would: else its caller would wait for a verdict that never comes.
+/// The queue of pending claims is full. A further claim is rejected at once, and `peek` agrees with
+/// `request_start`; otherwise the caller would wait for an outcome that never comes.
 #[test]
-fn full_queue_refuses_at_once() {
+fn full_queue_rejects_at_once() {
     let options = ClaimOptions {
         claims_max: 1,
         ..ClaimOptions::default()
@@ -211,10 +214,10 @@
     assert_eq!(a.peek(at(0), id(0), Some(CONTENT)), ClaimStep::Wait);
 }
 
-/// Clocks differ by up to a skew. When the first host forgets a claim, every other host's clock has
-/// passed the horizon, so nobody still accepts the id.
+/// Clocks differ by up to a skew. When the first host forgets a claim, the clock of every other
+/// host has passed the horizon, so no host accepts the id any more.
 #[test]
-fn no_clock_accepts_what_another_has_forgotten() {
+fn forgotten_claim_is_too_old_on_every_clock() {
     let (mut log, mut a, mut b) = hosts();
     win(&mut log, &mut a, at(0), id(0));
     log.read(&mut b, at(0));
@@ -227,10 +230,10 @@
     assert_eq!(a.request_start(slowest, id(0), CONTENT), ClaimStep::TooOld);
 }
 
-/// The wall clock steps back after a claim was forgotten. Judged by the stepped clock the id would
-/// be young again, and free.
+/// The wall clock steps back after a claim was forgotten. By that clock the id would be young again
+/// and look unclaimed.
 #[test]
-fn clock_that_steps_back_reopens_nothing() {
+fn stepped_back_clock_does_not_reopen_forgotten_id() {
     let (mut log, mut a, _) = hosts();
     win(&mut log, &mut a, at(0), id(0));
     a.tick(at(HORIZON_MS + 2 * SKEW_MS + 1));
@@ -246,22 +249,26 @@
     );
 }
 
-/// Ids beyond the horizon, and ids whose time lies further ahead than clocks differ, are refused.
+/// Ids older than the horizon, and ids whose time is further ahead than the skew, are rejected.
 #[rstest]
 #[case::oldest(0, HORIZON_MS, ClaimStep::Wait)]
 #[case::too_old(0, HORIZON_MS + 1, ClaimStep::TooOld)]
 #[case::ahead_by_a_skew(SKEW_MS, 0, ClaimStep::Wait)]
 #[case::from_the_future(SKEW_MS + 1, 0, ClaimStep::FromFuture)]
-fn age_of_ids(#[case] id_ms: u64, #[case] now_ms: u64, #[case] step: ClaimStep) {
+fn ids_outside_accepted_age_are_rejected(
+    #[case] id_ms: u64,
+    #[case] now_ms: u64,
+    #[case] step: ClaimStep,
+) {
     let (_, mut a, _) = hosts();
     assert_eq!(a.request_start(at(now_ms), id(id_ms), CONTENT), step);
 }
 
-/// A host wins, refuses the job for want of room ("not run"), and says so in the log. The caller's
+/// A host wins a claim, rejects the job for lack of capacity and releases the claim. The
 /// resubmission reaches another host, which must be able to claim it rather than wait for a job
 /// that does not exist. The first host does not start it again without a new claim.
 #[test]
-fn refused_job_is_released() {
+fn rejected_job_releases_claim() {
     let (mut log, mut a, mut b) = hosts();
     win(&mut log, &mut a, at(0), id(0));
     a.release(at(10), id(0));
@@ -272,14 +279,15 @@
     win(&mut log, &mut b, at(302), id(0));
     log.send(&mut a, at(303));
     assert_eq!(
-        verdicts(&log.read(&mut a, at(304))),
+        outcomes(&log.read(&mut a, at(304))),
         [ClaimOutcome::HeldBy(B)]
     );
 }
 
-/// A release is under way when the submission comes back, and is claimed again in a later batch.
-/// The release's answer was lost and it reaches the log after the new claim, on which the job has
-/// started. Every reader ignores it; else another host could start the job too.
+/// A release is being appended when the submission arrives again and is claimed again in a later
+/// batch. The release's answer was lost, and the release reaches the log after the new claim, on
+/// which the job has started. Every reader ignores the late release; otherwise another host could
+/// start the job too.
 #[test]
 fn late_release_does_not_undo_a_new_claim() {
     let (mut log, mut a, mut b) = hosts();
@@ -299,11 +307,12 @@
     assert_eq!(b.counts().stale_batches, 1);
 }
 
-/// Two claims of one host stand in the log, because the first one's answer was lost. It wins by the
-/// first, gives the job up and sends a release before it has read the second. Reading that must not
-/// make it the holder again: the release comes after it, and another host claims then.
+/// The log holds two claims of one host, because the first one's answer was lost. The host wins by
+/// the first, abandons the job and sends a release before it has read the second. Reading the
+/// second must not make the host the holder again: the release follows it, and another host claims
+/// after that.
 #[test]
-fn claim_read_after_its_release_was_sent_is_no_new_claim() {
+fn claim_read_after_release_was_sent_does_not_count() {
     let (mut log, mut a, mut b) = hosts();
     a.request_start(at(0), id(0), CONTENT);
     let first = take_batch(&mut a, at(0));
@@ -329,22 +338,22 @@
     );
 }
 
-/// The append of a release is refused. It goes out again with a later batch, and the submission can
-/// be claimed by others after that.
+/// The append of a release is rejected. The release is sent again in a later batch, after which
+/// other hosts can claim the submission.
 #[test]
-fn refused_release_goes_out_again() {
+fn rejected_release_is_sent_again() {
     let (mut log, mut a, mut b) = hosts();
     win(&mut log, &mut a, at(0), id(0));
     a.release(at(10), id(0));
-    let refused = take_batch(&mut a, at(300));
-    a.apply_append_result(at(310), refused.batch, Err(AppendFailure::NotAppended));
+    let rejected = take_batch(&mut a, at(300));
+    a.apply_append_result(at(310), rejected.batch, Err(AppendFailure::NotAppended));
     log.send(&mut a, at(900));
     log.read(&mut b, at(910));
     win(&mut log, &mut b, at(910), id(0));
 }
 
-/// A reader gets old records again, as after an answer that was out of date. They change nothing,
-/// and reading goes on where it was.
+/// A reader gets old records again, as from an answer that was out of date. They change nothing,
+/// and reading continues at the same offset.
 #[test]
 fn record_read_twice_changes_nothing() {
     let (mut log, mut a, _) = hosts();
@@ -354,9 +363,9 @@
     assert_eq!((a.next(), a.counts().stale_batches), (Offset(2), 0));
 }
 
-/// Only the holder's release counts: a host that lost the race has nothing to give up.
+/// Only the holder's release has an effect; a host that lost the race has no claim to release.
 #[test]
-fn release_of_another_host_counts_for_nothing() {
+fn release_by_non_holder_is_ignored() {
     let (mut log, mut a, mut b) = hosts();
     win(&mut log, &mut a, at(0), id(0));
     log.0.push(format!(
@@ -370,10 +379,10 @@
     );
 }
 
-/// The holder's host dies and its class may run twice. Two hosts take the submission over; the log
-/// lets the first one, and the dead host's claim no longer counts even if it was merely frozen.
+/// The holder's host fails and its class may run twice. Two hosts take the submission over; the
+/// first one in the log wins. The former holder may no longer start it, even if it was only frozen.
 #[test]
-fn one_host_takes_over() {
+fn only_first_take_over_succeeds() {
     let (mut log, mut a, mut b) = hosts();
     let mut c = host(3, ClaimOptions::default());
     win(&mut log, &mut a, at(0), id(0));
@@ -387,9 +396,9 @@
     }
     log.send(&mut b, at(20));
     log.send(&mut c, at(20));
-    assert_eq!(verdicts(&log.read(&mut b, at(30))), [ClaimOutcome::Won]);
+    assert_eq!(outcomes(&log.read(&mut b, at(30))), [ClaimOutcome::Won]);
     assert_eq!(
-        verdicts(&log.read(&mut c, at(30))),
+        outcomes(&log.read(&mut c, at(30))),
         [ClaimOutcome::HeldBy(B)]
     );
     log.read(&mut a, at(40));
@@ -400,23 +409,24 @@
     assert_eq!(c.take_over(at(40), id(0), CONTENT, A), ClaimStep::HeldBy(B));
 }
 
-/// The holder dies after the first of several tasks. Its claim stays in the log, so no other host
-/// starts the rest: the outcome is unknown, not doubled. Its next life is another holder.
+/// The holder fails after the first of several tasks. Its claim stays in the log, so no other host
+/// starts the rest: the result is unknown, but no task runs twice. The host's next incarnation is a
+/// different holder.
 #[test]
-fn claim_outlives_its_dead_holder() {
+fn claim_outlives_failed_holder() {
     let (mut log, mut a, _) = hosts();
     win(&mut log, &mut a, at(0), id(0));
     drop(a);
-    let mut reborn = host(9, ClaimOptions::default());
-    log.read(&mut reborn, at(100));
+    let mut restarted = host(9, ClaimOptions::default());
+    log.read(&mut restarted, at(100));
     assert_eq!(
-        reborn.request_start(at(100), id(0), CONTENT),
+        restarted.request_start(at(100), id(0), CONTENT),
         ClaimStep::HeldBy(A)
     );
 }
 
-/// A resubmission comes after the job's answer was dropped. It must not start a second time, with a
-/// claim or bound to this host; given up unstarted, it may.
+/// A resubmission arrives after the job's answer was dropped. It must not be started a second time,
+/// whether it was claimed or is bound to this host. After a release it may be started.
 #[rstest]
 #[case::claimed(id(0))]
 #[case::bound(SubmissionId { bound_to: Some(A), ..id(0) })]
@@ -429,7 +439,7 @@
         assert_eq!(
             a.request_start(at(0), id, CONTENT),
             ClaimStep::Start,
-            "needs no log"
+            "a bound id needs no log"
         );
     }
     assert_eq!(
@@ -446,22 +456,22 @@
     assert_eq!(a.request_start(at(70), id, CONTENT), ClaimStep::Start);
 }
 
-/// The same id comes with other content to another host: refused there from the log alone.
+/// The same id arrives with other content at another host, which rejects it from the log alone.
 #[test]
-fn other_content_is_refused_everywhere() {
+fn other_content_is_rejected_everywhere() {
     let (mut log, mut a, mut b) = hosts();
     b.request_start(at(0), id(0), ContentHash(8));
     win(&mut log, &mut a, at(0), id(0));
     assert_eq!(
-        verdicts(&log.read(&mut b, at(1))),
+        outcomes(&log.read(&mut b, at(1))),
         [ClaimOutcome::OtherContent]
     );
 }
 
-/// A host starts, or comes back from an outage. Until it has read the log to its end it claims
-/// nothing, so no caller waits behind the backlog.
+/// A host starts, or recovers from an outage. It queues no claims until it has read the log to its
+/// end, so no caller waits for the backlog.
 #[test]
-fn nothing_is_claimed_before_the_log_was_read() {
+fn no_claim_before_log_is_read_to_end() {
     let (mut log, mut a, _) = hosts();
     win(&mut log, &mut a, at(0), id(0));
     let mut late = ClaimBook::new(B, ClaimOptions::default());
@@ -482,9 +492,9 @@
 }
 
 /// Records expire before a host has read them. The claims in them are older than the retention, so
-/// their ids are refused by age, even if someone set the horizon longer than the log keeps.
+/// their ids are rejected by age, even if the horizon is configured longer than the retention.
 #[test]
-fn ids_of_lost_records_are_refused() {
+fn ids_of_lost_records_are_rejected() {
     let options = ClaimOptions {
         horizon_ms: Millis(5_000_000),
         ..ClaimOptions::default()
@@ -501,10 +511,10 @@
     );
 }
 
-/// More claims come than the book has room for. It forgets the oldest and from then on refuses ids
-/// as old as those, rather than hold a forgotten submission to be free.
+/// More claims are read than the book can hold. It forgets the oldest and from then on rejects ids
+/// as old as those, instead of treating a forgotten submission as unclaimed.
 #[test]
-fn full_book_refuses_what_it_forgot() {
+fn full_book_rejects_forgotten_ids() {
     let options = ClaimOptions {
         claims_max: 3,
         ..ClaimOptions::default()
--- a/crates/onyxshed-state/tests/config_fold.rs
+++ b/crates/onyxshed-state/tests/config_fold.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: races, lost records, peers, and the operator's command.
+//! Tests of the configuration fold: races, lost records, peers, and the operator's command.
 
 #[path = "support/configs.rs"]
 mod configs;
@@ -19,7 +19,7 @@
     ConfigRecord::ChangeV1(change)
 }
 
-/// Makes a log with `count` accepted changes, a second apart.
+/// Returns a log with `count` accepted changes, a second apart.
 fn log_of(count: u64) -> Log {
     let mut log = Log::default();
     for n in 0..count {
@@ -28,8 +28,8 @@
     log
 }
 
-/// Has `fold` read what it has not read and what is still kept.
-fn read(log: &Log, fold: &mut ConfigFold, now_ms: u64) {
+/// Applies to `fold` every record that the log still has and that the fold has not read.
+fn apply_log(log: &Log, fold: &mut ConfigFold, now_ms: u64) {
     fold.skip_to(Offset(log.oldest), UnixMs(now_ms));
     for record in &log.records[usize::try_from(log.oldest).expect("small")..] {
         fold.apply_record(record);
@@ -38,11 +38,11 @@
 
 fn reader(log: &Log) -> ConfigFold {
     let mut fold = ConfigFold::default();
-    read(log, &mut fold, 0);
+    apply_log(log, &mut fold, 0);
     fold
 }
 
-/// Publishes what `fold` holds, as of `now_ms`.
+/// Publishes the configuration of `fold` at `now_ms` and returns the number of records.
 fn publish(log: &mut Log, fold: &mut ConfigFold, now_ms: u64) -> usize {
     match fold.republish(UnixMs(now_ms), 1) {
         RepublishStep::Publish(records) => {
@@ -60,12 +60,12 @@
     fold.config().revision.0
 }
 
-/// Operators race, repeat themselves and break rules. Log order decides, and every reader comes to
-/// the same verdict about each record.
+/// Changes race, are repeated and violate rules. The order of the log decides, so every reader
+/// reaches the same result for each record.
 #[test]
-fn log_order_decides() {
+fn log_order_decides_races() {
     let remove = |number, class: &str| ConfigChange {
-        body: ChangeBody::Remove(class.parse().expect("a name")),
+        body: ChangeBody::Remove(class.parse().expect("the name is valid")),
         ..put(number, 1, class, 0)
     };
     let records = [
@@ -79,11 +79,11 @@
         ("removed", change(remove(5, "locks")).encode()),
     ];
     let mut fold = ConfigFold::default();
-    let mut told = String::new();
+    let mut effects = String::new();
     for (offset, (name, data)) in (0..).zip(&records) {
-        told += &format!("{name}: {:?}\n", fold.apply(Offset(offset), data));
+        effects += &format!("{name}: {:?}\n", fold.apply(Offset(offset), data));
     }
-    insta::assert_snapshot!(told, @r"
+    insta::assert_snapshot!(effects, @r"
     first: Accepted(Revision(1))
     raced: Raced { based_on: Revision(0), found: Revision(1) }
     first again: Nothing
@@ -93,21 +93,22 @@
     unreadable: Ignored
     removed: Accepted(Revision(2))
     ");
-    let fates: Vec<ChangeOutcome> = (1..=6)
+    let outcomes: Vec<ChangeOutcome> = (1..=6)
         .map(|n| fold.find_change(ChangeId(Ulid(n))))
         .collect();
-    insta::assert_snapshot!(format!("{fates:?}"), @"[Accepted(Revision(1)), Raced { based_on: Revision(0), found: Revision(1) }, Invalid, Invalid, Accepted(Revision(2)), NotSeen]");
+    insta::assert_snapshot!(format!("{outcomes:?}"), @"[Accepted(Revision(1)), Raced { based_on: Revision(0), found: Revision(1) }, Invalid, Invalid, Accepted(Revision(2)), NotSeen]");
     assert_eq!(
         fold.apply(Offset(0), &records[0].1),
         FoldOutcome::Nothing,
-        "read twice"
+        "a record read twice"
     );
 }
 
-/// A change lands between the moment a snapshot was made and its append. A host that starts after
-/// the first records expired finds the change before the snapshot, and must not lose it.
+/// A change is appended after a snapshot was built and before it is appended. A host that starts
+/// after the first records expired reads the change before the snapshot, and must apply it all the
+/// same.
 #[test]
-fn late_start_from_a_snapshot_that_was_overtaken() {
+fn late_start_applies_change_before_older_snapshot() {
     let mut log = log_of(2);
     let mut publisher = reader(&log);
     log.append(5_000, &change(put(10, 2, "between", 100)));
@@ -121,10 +122,11 @@
     assert_eq!(revision(&late), 4);
 }
 
-/// As before, but the accepted change expired too and only the one that lost to it is left. Judged
-/// alone the loser looks valid. The snapshot takes force, but no change is judged on it.
+/// As above, but the accepted change has expired too and only the one that lost to it is left.
+/// Taken alone the remaining change looks valid. The snapshot comes into force, but no change is
+/// decided on top of it.
 #[test]
-fn loser_is_not_accepted_when_the_winner_was_lost() {
+fn raced_change_is_not_accepted_when_accepted_one_expired() {
     let mut log = log_of(2);
     let mut publisher = reader(&log);
     log.append(5_000, &change(put(10, 2, "winner", 100)));
@@ -133,30 +135,37 @@
     log.oldest = 3;
     let mut late = reader(&log);
     assert_eq!((late.is_complete(), revision(&late)), (false, 2));
-    let loser: ClassName = "loser".parse().expect("a name");
+    let loser: ClassName = "loser".parse().expect("the name is valid");
     assert!(!late.config().classes.contains_key(&loser));
     log.oldest = 0;
     late.adopt_handover(reader(&log).handover());
     assert_eq!((late.is_complete(), revision(&late)), (true, 3));
-    let fate = late.find_change(ChangeId(Ulid(11)));
-    assert!(matches!(fate, ChangeOutcome::Raced { .. }), "{fate:?}");
+    let outcome = late.find_change(ChangeId(Ulid(11)));
+    assert!(
+        matches!(outcome, ChangeOutcome::Raced { .. }),
+        "{outcome:?}"
+    );
 }
 
-/// Someone appends a snapshot that is wrong, or old. Whoever has read the log knows better, counts
-/// it and goes on; nobody moves to another configuration of the same revision, or to a lower one.
+/// A wrong or an old snapshot is appended. A host that has read the log counts it and continues; it
+/// moves neither to another configuration of the same revision nor to a lower revision.
 #[rstest]
 #[case::other_content(2, 200, 1)]
 #[case::ahead_of_the_log(7, 100, 1)]
 #[case::old(1, 100, 0)]
 #[case::right(2, 100, 0)]
 fn wrong_snapshot_is_ignored(#[case] count: u64, #[case] span_ms: u64, #[case] wrong: u64) {
-    let mut told = Log::default();
+    let mut other_log = Log::default();
     for n in 0..count {
-        told.append(0, &change(put(n, n, &format!("class-{n}"), span_ms)));
+        other_log.append(0, &change(put(n, n, &format!("class-{n}"), span_ms)));
     }
-    let mut teller = reader(&told);
-    publish(&mut told, &mut teller, RETENTION_MS);
-    let snapshot = &told.records.last().expect("it was published").data;
+    let mut publisher = reader(&other_log);
+    publish(&mut other_log, &mut publisher, RETENTION_MS);
+    let snapshot = &other_log
+        .records
+        .last()
+        .expect("a snapshot was published")
+        .data;
     let mut fold = reader(&log_of(2));
     let before = fold.config().clone();
     fold.apply(Offset(2), snapshot);
@@ -165,19 +174,20 @@
     assert_eq!(fold.counts().contradictions, wrong);
 }
 
-/// An outage outlasts the retention: records expired before this host read them. What it holds
-/// stays in force, it judges no change, and a peer or a snapshot brings it back.
+/// An outage outlasts the retention, so records expire before this host reads them. Its
+/// configuration stays in force, it decides no change, and a peer or a snapshot makes its fold
+/// complete again.
 #[rstest]
 #[case::by_a_peer(true)]
 #[case::by_a_snapshot(false)]
-fn gap_keeps_what_is_in_force(#[case] is_by_peer: bool) {
+fn gap_keeps_configuration_in_force(#[case] is_by_peer: bool) {
     let mut log = log_of(3);
     let mut cut_off = reader(&log);
     let mut other = cut_off.clone();
     log.append(4_000, &change(put(10, 3, "unread", 100)));
     log.append(4_001, &change(put(11, 4, "kept", 100)));
     log.oldest = 4;
-    read(&log, &mut cut_off, 5_000);
+    apply_log(&log, &mut cut_off, 5_000);
     assert_eq!((cut_off.is_complete(), revision(&cut_off)), (false, 3));
     let draft = put(12, 3, "more", 100);
     assert_eq!(Proposal::prepare(draft, &cut_off), Err(Error::Incomplete));
@@ -191,68 +201,69 @@
         );
     } else {
         publish(&mut log, &mut other, RETENTION_MS);
-        read(&log, &mut cut_off, 6_000);
+        apply_log(&log, &mut cut_off, 6_000);
     }
     assert_eq!((cut_off.is_complete(), revision(&cut_off)), (true, 5));
     assert_eq!(cut_off.config(), other.config());
 }
 
-/// A host that lost records reads a snapshot that ends after the gap and yet knows less than the
-/// host had in force before it. It can't be right; the host keeps what it has.
+/// A host that lost records reads a snapshot that ends after the gap but has a lower revision than
+/// the one in force on the host. Such a snapshot must be wrong; the host keeps its configuration.
 #[test]
-fn snapshot_after_a_gap_does_not_go_back() {
+fn snapshot_after_gap_does_not_lower_revision() {
     let mut log = log_of(3);
     let mut cut_off = reader(&log);
-    let mut liar = reader(&log_of(1));
+    let mut wrong_publisher = reader(&log_of(1));
     for offset in 1..5 {
-        liar.apply(Offset(offset), "unreadable");
+        wrong_publisher.apply(Offset(offset), "unreadable");
     }
     log.append(0, &change(put(10, 3, "unread", 100)));
     log.append(0, &change(put(11, 4, "unread", 100)));
     log.oldest = 5;
-    publish(&mut log, &mut liar, RETENTION_MS);
-    read(&log, &mut cut_off, 5_000);
+    publish(&mut log, &mut wrong_publisher, RETENTION_MS);
+    apply_log(&log, &mut cut_off, 5_000);
     assert_eq!((cut_off.is_complete(), revision(&cut_off)), (false, 3));
     assert_eq!(cut_off.counts().contradictions, 1);
 }
 
-/// The command's change was appended, its answer lost, and the records expired before they were
-/// read. Nothing is said and nothing repeated until a complete fold tells; long after, when the ids
-/// of that time are forgotten, nothing is said for good.
+/// A change was appended, the answer was lost, and the records expired before they were read. The
+/// change stays undecided, and is not appended again, until a complete fold decides it. Once the
+/// change ids of that time are forgotten, it stays undecided for good.
 #[test]
-fn nothing_is_said_about_lost_records() {
+fn change_in_lost_records_stays_undecided() {
     let mut log = log_of(2);
     let mut fold = reader(&log);
-    let ready = Proposal::prepare(put(900, 2, "locks", 100), &fold).expect("it is valid");
+    let ready = Proposal::prepare(put(900, 2, "locks", 100), &fold).expect("the change is valid");
     log.append(0, &change(ready.change().clone()));
     let AppendStep::Sent(sent) = ready.apply_append_result(Err(AppendFailure::AnswerLost)) else {
-        panic!("it may be in the log");
+        panic!("a change with a lost answer may be in the log");
     };
     let mut other = fold.clone();
-    read(&log, &mut other, 0);
+    apply_log(&log, &mut other, 0);
     fold.skip_to(log.next(), UnixMs(0));
     let ProposalStatus::Undecided(sent) = sent.resolve(&fold, log.next()) else {
-        panic!("judged on a partial fold");
+        panic!("decided on a partial fold");
     };
-    let told = sent.clone().resolve(&other, log.next());
-    assert_eq!(told, ProposalStatus::Accepted(Revision(3)));
+    let status = sent.clone().resolve(&other, log.next());
+    assert_eq!(status, ProposalStatus::Accepted(Revision(3)));
     for n in 3..300 {
         log.append(0, &change(put(n, n, "prices", 100)));
     }
     log.append(0, &change(sent.change().clone()));
-    read(&log, &mut other, 0);
+    apply_log(&log, &mut other, 0);
     assert!(matches!(
         sent.resolve(&other, log.next()),
         ProposalStatus::Undecided(_)
     ));
 }
 
-/// A host without a basis reads more changes than it keeps, and drops the oldest. A peer's fold that
-/// ends among the dropped ones no longer joins up: what was dropped would be missing for ever.
+/// A partial fold reads more changes than its backlog holds and drops the oldest. The fold of a
+/// peer that ends among the dropped changes can't be continued, because the dropped ones would be
+/// missing.
 #[rstest]
 #[case::ends_among_the_dropped(50, false)]
 #[case::ends_among_the_kept(200, true)]
-fn dropped_changes_count_as_lost(#[case] read_by_peer: u64, #[case] is_joined: bool) {
+fn dropped_backlog_changes_count_as_lost(#[case] read_by_peer: u64, #[case] is_contiguous: bool) {
     let log = log_of(4_200);
     let peer = reader(&log_of(read_by_peer));
     let mut late = ConfigFold::default();
@@ -261,39 +272,42 @@
         late.apply_record(record);
     }
     late.adopt_handover(peer.handover());
-    let expected = if is_joined { 4_200 } else { 50 };
-    assert_eq!((late.is_complete(), revision(&late)), (is_joined, expected));
+    let expected = if is_contiguous { 4_200 } else { 50 };
+    assert_eq!(
+        (late.is_complete(), revision(&late)),
+        (is_contiguous, expected)
+    );
 }
 
-/// A host is born while the platform's log is down. It learns the configuration from peers, moves
-/// only to higher revisions, and goes on from the log when that is back.
+/// A host starts while the platform's log is down. It gets the configuration from peers, moves only
+/// to higher revisions, and continues from the log when the log is available again.
 #[test]
-fn host_born_in_an_outage_learns_from_peers() {
+fn host_started_in_outage_adopts_from_peers() {
     let log = log_of(3);
     let peer = reader(&log);
-    let mut born = ConfigFold::default();
+    let mut started = ConfigFold::default();
     assert_eq!(
-        born.adopt(peer.config().clone()),
+        started.adopt(peer.config().clone()),
         FoldOutcome::Accepted(Revision(3))
     );
     let older = reader(&log_of(2)).config().clone();
-    assert_eq!(born.adopt(older), FoldOutcome::Nothing);
-    assert_eq!(born.adopt(Config::default()), FoldOutcome::Nothing);
-    assert_eq!(born.config(), peer.config());
-    for (read, record) in (1..).zip(&log.records) {
-        born.apply_record(record);
-        assert_eq!(revision(&born), 3, "after {read} records");
+    assert_eq!(started.adopt(older), FoldOutcome::Nothing);
+    assert_eq!(started.adopt(Config::default()), FoldOutcome::Nothing);
+    assert_eq!(started.config(), peer.config());
+    for (count, record) in (1..).zip(&log.records) {
+        started.apply_record(record);
+        assert_eq!(revision(&started), 3, "after {count} records");
     }
-    assert_eq!(born.folded_config(), peer.config());
-    let json = serde_json::to_string(&peer.handover()).expect("it can be written");
-    let told: Handover = serde_json::from_str(&json).expect("it was written");
-    assert_eq!(told, peer.handover());
+    assert_eq!(started.folded_config(), peer.config());
+    let json = serde_json::to_string(&peer.handover()).expect("a handover serializes to JSON");
+    let decoded: Handover = serde_json::from_str(&json).expect("an encoded value decodes");
+    assert_eq!(decoded, peer.handover());
 }
 
-/// Two processes find the configuration due. The first one's snapshot makes the other wait for the
-/// next time, well before the records it needs expire.
+/// Two processes are due to publish. The first one's snapshot postpones the other's, and the next
+/// publication is due well before the required records expire.
 #[test]
-fn republished_once_before_it_expires() {
+fn configuration_is_republished_once_before_expiry() {
     let mut log = log_of(2);
     let (mut a, mut b) = (reader(&log), reader(&log));
     let due = |fold: &mut ConfigFold, now: u64, seed| match fold.republish(UnixMs(now), seed) {
@@ -305,7 +319,7 @@
     assert!(window.contains(&first) && window.contains(&second) && first != second);
     assert_eq!(publish(&mut log, &mut a, first.max(second)), 1);
     for fold in [&mut a, &mut b] {
-        read(&log, fold, first);
+        apply_log(&log, fold, first);
         assert!(due(fold, first.max(second), 2) >= first.max(second) + RETENTION_MS / 2);
     }
     let mut unread = reader(&log_of(2));
@@ -323,22 +337,22 @@
 }
 
 /// Every host lost records in an outage longer than the retention; they hold revisions 2 and 3 of
-/// one history. Nobody has a complete fold, so after a long wait both publish what they hold. All,
-/// whichever they read first, end at the higher one and accept changes again.
+/// one history. No fold is complete, so after a long wait both publish. All hosts, whichever
+/// snapshot they read first, reach the higher revision and accept changes again.
 #[rstest]
 #[case::lower_first([2, 3])]
 #[case::higher_first([3, 2])]
-fn memory_is_published_when_nobody_has_more(#[case] revisions: [u64; 2]) {
+fn partial_folds_are_published_when_none_is_complete(#[case] revisions: [u64; 2]) {
     let mut log = log_of(4);
     let mut folds = revisions.map(|count| reader(&log_of(count)));
     log.oldest = 4;
     for fold in &mut folds {
-        read(&log, fold, 10_000);
+        apply_log(&log, fold, 10_000);
         let complete_due = 10_000 + RETENTION_MS * 5 / 8;
         let step = fold.republish(UnixMs(complete_due), 1);
         assert!(
             matches!(step, RepublishStep::WaitUntil(_)),
-            "a complete fold comes first"
+            "a complete fold is published first"
         );
     }
     for fold in &mut folds {
@@ -347,30 +361,30 @@
     log.append(0, &change(put(20, 3, "on-top", 100)));
     let [mut a, mut b] = folds;
     for fold in [&mut a, &mut b] {
-        read(&log, fold, 20_000);
+        apply_log(&log, fold, 20_000);
     }
     let late = reader(&log);
     for fold in [&a, &b, &late] {
         assert_eq!((fold.is_complete(), revision(fold)), (true, 4));
         assert_eq!(fold.config(), late.config());
-        assert!(!fold.handover().is_complete, "it goes back to memory");
+        assert!(!fold.handover().is_complete, "the fold is based on memory");
     }
 }
 
-/// One process has read everything, holds more than the others, and stops for so long that the others
-/// go on from what they remember. When it runs again its history counts for more: the others give
-/// theirs up, even one that has as many changes, and all agree again.
+/// One process has read every record, has a higher revision than the others, and is frozen for so
+/// long that the others continue from memory. When it runs again, its history supersedes theirs,
+/// even one with as many changes, and all agree again.
 #[rstest]
 #[case::others_are_behind(0)]
 #[case::others_caught_up(2)]
-fn memory_gives_way_to_what_was_never_lost(#[case] changes_since: u64) {
+fn tentative_fold_is_superseded_by_complete_history(#[case] changes_since: u64) {
     let mut log = log_of(4);
-    let mut sleeper = reader(&log);
+    let mut frozen = reader(&log);
     let mut other = reader(&log_of(2));
     log.oldest = 4;
-    read(&log, &mut other, 10_000);
+    apply_log(&log, &mut other, 10_000);
     publish(&mut log, &mut other, 10_000 + RETENTION_MS);
-    read(&log, &mut other, 0);
+    apply_log(&log, &mut other, 0);
     assert_eq!(
         (other.is_complete(), other.handover().is_complete),
         (true, false)
@@ -378,35 +392,33 @@
     for n in 0..changes_since {
         log.append(0, &change(put(50 + n, 2 + n, "tentative", 100)));
     }
-    read(&log, &mut other, 0);
+    apply_log(&log, &mut other, 0);
     assert_eq!(revision(&other), 2 + changes_since);
-    read(&log, &mut sleeper, 0);
+    apply_log(&log, &mut frozen, 0);
     let mut by_peer = other.clone();
-    by_peer.adopt_handover(sleeper.handover());
-    publish(&mut log, &mut sleeper, RETENTION_MS * 3);
-    read(&log, &mut other, 0);
+    by_peer.adopt_handover(frozen.handover());
+    publish(&mut log, &mut frozen, RETENTION_MS * 3);
+    apply_log(&log, &mut other, 0);
     for fold in [&other, &by_peer] {
-        assert_eq!(
-            (fold.config(), fold.is_complete()),
-            (sleeper.config(), true)
-        );
+        assert_eq!((fold.config(), fold.is_complete()), (frozen.config(), true));
     }
 }
 
-/// As before, but the others' history went further than that of the process that stopped, by a
-/// change that is valid in theirs alone. Then it gives way, so that no revision goes down.
+/// As above, but the others' history has a higher revision than that of the frozen process, through
+/// a change that is only valid in their history. Then the frozen process adopts theirs, so that no
+/// revision is lowered.
 #[test]
-fn what_was_never_lost_gives_way_to_a_higher_revision() {
+fn complete_history_is_superseded_by_higher_revision() {
     let mut log = log_of(4);
-    let mut sleeper = reader(&log);
+    let mut frozen = reader(&log);
     let mut other = reader(&log_of(2));
     log.oldest = 4;
-    read(&log, &mut other, 10_000);
+    apply_log(&log, &mut other, 10_000);
     publish(&mut log, &mut other, 10_000 + RETENTION_MS);
     for n in 2..4 {
         log.append(0, &change(put(50 + n, n, "tentative", 100)));
     }
-    let body = ChangeBody::Remove("tentative".parse().expect("a name"));
+    let body = ChangeBody::Remove("tentative".parse().expect("the name is valid"));
     log.append(
         0,
         &change(ConfigChange {
@@ -414,16 +426,16 @@
             ..put(60, 4, "tentative", 100)
         }),
     );
-    read(&log, &mut other, 0);
+    apply_log(&log, &mut other, 0);
     publish(&mut log, &mut other, RETENTION_MS * 4);
-    read(&log, &mut sleeper, 0);
-    assert_eq!((revision(&sleeper), sleeper.config()), (5, other.config()));
+    apply_log(&log, &mut frozen, 0);
+    assert_eq!((revision(&frozen), frozen.config()), (5, other.config()));
 }
 
-/// Two processes remember different configurations of one revision, after two losses in a row. Both
-/// publish, and all come to hold the same one, whichever they remembered or read first.
+/// Two processes hold different configurations of one revision in memory, after two losses in a
+/// row. Both publish, and all processes reach the same one, whichever they held or read first.
 #[test]
-fn memories_of_one_revision_come_together() {
+fn tentative_folds_of_one_revision_converge() {
     let mut log = log_of(4);
     let mut folds = [100, 200].map(|span_ms| {
         let mut own = Log::default();
@@ -431,31 +443,32 @@
         reader(&own)
     });
     log.oldest = 4;
-    folds.iter_mut().for_each(|fold| read(&log, fold, 0));
+    folds.iter_mut().for_each(|fold| apply_log(&log, fold, 0));
     for fold in &mut folds {
         publish(&mut log, fold, RETENTION_MS);
     }
-    folds.iter_mut().for_each(|fold| read(&log, fold, 0));
+    folds.iter_mut().for_each(|fold| apply_log(&log, fold, 0));
     assert_eq!(folds[0].config(), folds[1].config());
     assert_eq!(reader(&log).config(), folds[0].config());
 }
 
-/// A history that gives way has judged a change that came before the winner's snapshot and after
-/// the winner's fold. What the winner made of it is not known here: the fold is partial until told.
+/// A superseded history has decided a change that comes before the other history's snapshot and
+/// after the end of its fold. How the other history decided it is unknown here, so the fold is
+/// partial until a peer's handover.
 #[test]
-fn change_between_two_histories_is_not_judged() {
+fn change_between_histories_makes_fold_partial() {
     let mut log = log_of(3);
     let mut winner = reader(&log);
     let mut other = reader(&log_of(1));
     log.oldest = 3;
-    read(&log, &mut other, 0);
+    apply_log(&log, &mut other, 0);
     publish(&mut log, &mut other, RETENTION_MS);
-    read(&log, &mut winner, 0);
+    apply_log(&log, &mut winner, 0);
     log.append(0, &change(put(50, 3, "between", 100)));
     publish(&mut log, &mut winner, RETENTION_MS * 3);
-    read(&log, &mut other, 0);
+    apply_log(&log, &mut other, 0);
     assert_eq!((other.is_complete(), revision(&other)), (false, 3));
-    read(&log, &mut winner, 0);
+    apply_log(&log, &mut winner, 0);
     other.adopt_handover(winner.handover());
     assert_eq!(
         (other.is_complete(), other.config()),
@@ -463,13 +476,14 @@
     );
 }
 
-/// A snapshot claims to hold records that come after it. A fold that believed it would skip them.
+/// A snapshot claims to account for records that come after it. A fold that accepted it would skip
+/// those records.
 #[test]
-fn snapshot_of_the_future_is_ignored() {
-    let mut told = log_of(2);
-    let mut teller = reader(&told);
-    publish(&mut told, &mut teller, RETENTION_MS);
-    let data = told.records[2]
+fn snapshot_ahead_of_its_offset_is_ignored() {
+    let mut other_log = log_of(2);
+    let mut publisher = reader(&other_log);
+    publish(&mut other_log, &mut publisher, RETENTION_MS);
+    let data = other_log.records[2]
         .data
         .replace(r#""folded_to":2"#, r#""folded_to":9"#);
     let mut late = ConfigFold::default();
@@ -478,27 +492,28 @@
     assert_eq!((late.is_complete(), late.next()), (false, Offset(3)));
 }
 
-/// Every process was replaced while the log had lost every record: nobody remembers anything. After
-/// a long wait the fleet starts anew, rather than refuse changes for ever.
+/// Every process was replaced while the log had lost every record, so no process holds a
+/// configuration. After a long wait the fleet starts from an empty one instead of rejecting changes
+/// for ever.
 #[test]
-fn fleet_that_lost_everything_starts_anew() {
+fn fleet_without_records_accepts_changes_again() {
     let mut log = log_of(4);
     log.oldest = 4;
-    let mut born = reader(&log);
+    let mut started = reader(&log);
     assert_eq!(
-        Proposal::prepare(put(9, 0, "locks", 100), &born),
+        Proposal::prepare(put(9, 0, "locks", 100), &started),
         Err(Error::Incomplete)
     );
-    publish(&mut log, &mut born, RETENTION_MS);
+    publish(&mut log, &mut started, RETENTION_MS);
     log.append(0, &change(put(9, 0, "locks", 100)));
-    read(&log, &mut born, 0);
-    assert_eq!((revision(&born), revision(&reader(&log))), (1, 1));
+    apply_log(&log, &mut started, 0);
+    assert_eq!((revision(&started), revision(&reader(&log))), (1, 1));
 }
 
-/// The configuration is larger than a record. It goes out in parts, which two publishers interleave
-/// and a late reader joins; a part from another revision does not fit.
+/// The configuration is larger than a record. It is published in parts, which two publishers
+/// interleave and a late reader joins. Without the first part the snapshot stays incomplete.
 #[test]
-fn large_configuration_goes_out_in_parts() {
+fn large_configuration_is_split_into_parts() {
     let mut log = log_of(2_000);
     let mut publishers = [reader(&log), reader(&log)];
     let mut parts = Log::default();
@@ -507,7 +522,8 @@
     let start = log.next().0;
     for record in &parts.records {
         for _ in &publishers {
-            let record: ConfigRecord = ConfigRecord::decode(&record.data).expect("it was written");
+            let record: ConfigRecord =
+                ConfigRecord::decode(&record.data).expect("an encoded value decodes");
             log.append(RETENTION_MS, &record);
         }
     }
@@ -519,28 +535,29 @@
     assert!(!reader(&log).is_complete(), "the first part expired");
 }
 
-/// The operator's command refuses what every fold would ignore, before anything is appended.
+/// A change that every fold would ignore is rejected before anything is appended.
 #[rstest]
 #[case::invalid(put(9, 2, "locks", 0))]
 #[case::stale(put(9, 1, "locks", 100))]
-fn command_refuses_before_the_append(#[case] draft: ConfigChange) {
-    let refusal = Proposal::prepare(draft, &reader(&log_of(2))).expect_err("it is refused");
-    let code = refusal.code().number();
-    assert!([5008, 5009].contains(&code), "{refusal}");
+fn invalid_change_is_rejected_before_append(#[case] draft: ConfigChange) {
+    let rejection =
+        Proposal::prepare(draft, &reader(&log_of(2))).expect_err("the change is rejected");
+    let code = rejection.code().number();
+    assert!([5008, 5009].contains(&code), "{rejection}");
 }
 
-/// The append's answer is lost. The command says nothing before it has read the log up to its end;
-/// then it says what it found, or appends the same change again. Both copies may land, and make one
-/// revision.
+/// The answer to an append is lost. The change stays undecided until the log has been read to its
+/// end; then it is reported as accepted, or the same change is appended again. Both copies may
+/// reach the log, and together create one revision.
 #[rstest]
 #[case::took_effect(true)]
 #[case::lost_for_good(false)]
-fn lost_answer_is_looked_up(#[case] has_landed: bool) {
+fn change_with_lost_answer_is_looked_up(#[case] was_appended: bool) {
     let mut log = log_of(2);
     let mut fold = reader(&log);
-    let ready = Proposal::prepare(put(9, 2, "locks", 100), &fold).expect("it is valid");
-    let record = ConfigRecord::decode(&ready.record()).expect("it was written");
-    if has_landed {
+    let ready = Proposal::prepare(put(9, 2, "locks", 100), &fold).expect("the change is valid");
+    let record = ConfigRecord::decode(&ready.record()).expect("an encoded value decodes");
+    if was_appended {
         log.append(0, &record);
     }
     log.append(0, &change(put(10, 3, "other", 100)));
@@ -549,29 +566,29 @@
         other => panic!("{other:?}"),
     };
     let ProposalStatus::Undecided(sent) = sent.resolve(&fold, log.next()) else {
-        panic!("judged before the log was read");
+        panic!("decided before the log was read");
     };
-    read(&log, &mut fold, 0);
+    apply_log(&log, &mut fold, 0);
     match sent.resolve(&fold, log.next()) {
         ProposalStatus::Accepted(revision) => {
-            assert_eq!((has_landed, revision), (true, Revision(3)))
+            assert_eq!((was_appended, revision), (true, Revision(3)))
         }
         ProposalStatus::Repeat(ready) => {
-            assert!(!has_landed && ready.record() == record.encode());
+            assert!(!was_appended && ready.record() == record.encode());
             for _ in 0..2 {
                 log.append(0, &record);
             }
-            read(&log, &mut fold, 0);
+            apply_log(&log, &mut fold, 0);
             assert_eq!(revision(&fold), 3);
         }
         other => panic!("{other:?}"),
     }
 }
 
-/// Two operators change the same revision. Both appends are answered; the second is told that it
-/// lost, and only when its record was read back.
+/// Two operators change the same revision and both appends are answered. The second is reported as
+/// raced, and only once its record was read back.
 #[test]
-fn loser_is_told() {
+fn second_of_two_changes_is_reported_raced() {
     let mut log = log_of(1);
     let mut fold = reader(&log);
     let sent = [20, 21].map(|number| {
@@ -582,7 +599,7 @@
             other => panic!("{other:?}"),
         }
     });
-    read(&log, &mut fold, 0);
-    let verdicts = sent.map(|sent| sent.resolve(&fold, log.next()));
-    insta::assert_snapshot!(format!("{verdicts:?}"), @"[Accepted(Revision(2)), Raced { based_on: Revision(1), found: Revision(2) }]");
+    apply_log(&log, &mut fold, 0);
+    let statuses = sent.map(|sent| sent.resolve(&fold, log.next()));
+    insta::assert_snapshot!(format!("{statuses:?}"), @"[Accepted(Revision(2)), Raced { based_on: Revision(1), found: Revision(2) }]");
 }
--- a/crates/onyxshed-state/tests/config_search.rs
+++ b/crates/onyxshed-state/tests/config_search.rs
@@ -1,7 +1,8 @@
-//! Random search: processes that fold one log of changes while records expire and answers are lost.
+//! Randomized test of processes that fold one log of changes while records expire and answers are
+//! lost.
 //!
-//! A fixed seed makes every run the same. More cases, or another seed:
-//! `PROPTEST_CASES=100000 PROPTEST_RNG_SEED=7 cargo test -p onyxshed-state --test config_search`.
+//! A fixed seed makes every run the same. More cases, or another seed: `PROPTEST_CASES=100000
+//! PROPTEST_RNG_SEED=7 cargo test -p onyxshed-state --test config_search`.
 
 #[path = "support/configs.rs"]
 mod configs;
@@ -27,22 +28,22 @@
 enum Op {
     Propose {
         host: usize,
-        fate: u8,
+        code: u8,
     },
     ProposeStale {
         host: usize,
     },
-    Land {
-        place: usize,
+    Arrive {
+        index: usize,
     },
     Read {
         host: usize,
         count: usize,
     },
-    Judge {
+    Resolve {
         host: usize,
     },
-    Tell {
+    HandOver {
         from: usize,
         to: usize,
         is_whole: bool,
@@ -61,19 +62,19 @@
 impl Op {
     fn decode(code: u32) -> Op {
         let [kind, a, b, c] = code.to_le_bytes();
-        let (host, place) = (usize::from(a) % HOSTS, usize::from(b));
+        let (host, index) = (usize::from(a) % HOSTS, usize::from(b));
         match kind % 32 {
-            0..=4 => Op::Propose { host, fate: c },
+            0..=4 => Op::Propose { host, code: c },
             5 => Op::ProposeStale { host },
-            6..=7 => Op::Land { place },
+            6..=7 => Op::Arrive { index },
             8..=16 => Op::Read {
                 host,
-                count: 1 + place % 6,
+                count: 1 + index % 6,
             },
-            17..=20 => Op::Judge { host },
-            21..=23 => Op::Tell {
+            17..=20 => Op::Resolve { host },
+            21..=23 => Op::HandOver {
                 from: host,
-                to: place % HOSTS,
+                to: index % HOSTS,
                 is_whole: c % 3 > 0,
             },
             24..=25 => Op::Republish { host },
@@ -86,50 +87,52 @@
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     has_keeper: bool,
     ms: u64,
     log: Log,
     late: Vec<ConfigChange>,
     folds: [ConfigFold; HOSTS],
-    /// The highest revision that was in force in each process's life.
+    /// Highest revision that was in force in the current run of each process.
     highest: [u64; HOSTS],
     sent: [Vec<(Proposal<Sent>, Offset)>; HOSTS],
     number: u64,
-    /// Reads every record at once.
-    truth: ConfigFold,
-    truth_by_revision: BTreeMap<u64, Config>,
-    /// The revision before each offset.
-    truth_at: Vec<u64>,
-    told_lost: BTreeSet<ChangeId>,
+    /// Reference fold that reads every record when it is appended.
+    reference: ConfigFold,
+    reference_by_revision: BTreeMap<u64, Config>,
+    /// The reference's revision before each offset.
+    reference_revisions: Vec<u64>,
+    reported_rejected: BTreeSet<ChangeId>,
     tally: Tally,
 }
 
-/// How often something happened, to show that the search gets there.
+/// Counters that show whether the search reaches the interesting cases.
 #[derive(Debug, Clone, Copy, Default)]
 struct Tally {
     accepted: u64,
     raced: u64,
     repeats: u64,
     gaps: u64,
-    heals: u64,
+    repairs: u64,
     published: u64,
 }
 
-impl World {
+impl Simulation {
     fn new(has_keeper: bool) -> Self {
-        let mut world = World {
+        let mut simulation = Simulation {
             has_keeper,
-            ..World::default()
+            ..Simulation::default()
         };
-        world.truth_at.push(0);
-        world.truth_by_revision.insert(0, Config::default());
-        world
+        simulation.reference_revisions.push(0);
+        simulation
+            .reference_by_revision
+            .insert(0, Config::default());
+        simulation
     }
 
     fn step(&mut self, op: &Op) {
         match *op {
-            Op::Propose { host, fate } => self.propose(host, fate),
+            Op::Propose { host, code } => self.propose(host, code),
             Op::ProposeStale { host } => {
                 self.number += 1;
                 let change = put(
@@ -140,14 +143,14 @@
                 );
                 self.append(&ConfigRecord::ChangeV1(change));
             }
-            Op::Land { place } if !self.late.is_empty() => {
-                let change = self.late.remove(place % self.late.len());
+            Op::Arrive { index } if !self.late.is_empty() => {
+                let change = self.late.remove(index % self.late.len());
                 self.append(&ConfigRecord::ChangeV1(change));
             }
-            Op::Land { .. } => {}
+            Op::Arrive { .. } => {}
             Op::Read { host, count } => self.read(host, count),
-            Op::Judge { host } => self.judge(host),
-            Op::Tell { from, to, is_whole } => self.tell(from, to, is_whole),
+            Op::Resolve { host } => self.resolve_proposals(host),
+            Op::HandOver { from, to, is_whole } => self.hand_over(from, to, is_whole),
             Op::Republish { host } => self.republish(host),
             Op::Crash { host } if host == 0 && self.has_keeper => {}
             Op::Crash { host } => {
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Lets time pass. The keeper reads and publishes throughout, as some process of the fleet that
-    /// reaches the log does.
+    /// Advances the time. Before records expire, the keeper reads and publishes, like a process
+    /// that reaches the log throughout.
     fn advance(&mut self, ms: u64) {
         self.ms += ms;
         let oldest_ms = self.ms.saturating_sub(RETENTION_MS);
@@ -179,21 +182,21 @@
 
     fn append(&mut self, record: &ConfigRecord) -> Offset {
         let offset = self.log.append(self.ms, record);
-        self.truth.apply(offset, &record.encode());
-        let config = self.truth.config();
-        self.truth_at.push(config.revision.0);
-        self.truth_by_revision
+        self.reference.apply(offset, &record.encode());
+        let config = self.reference.config();
+        self.reference_revisions.push(config.revision.0);
+        self.reference_by_revision
             .insert(config.revision.0, config.clone());
         offset
     }
 
-    fn propose(&mut self, host: usize, fate: u8) {
+    fn propose(&mut self, host: usize, code: u8) {
         self.number += 1;
-        let class = format!("class-{}", fate % 5);
+        let class = format!("class-{}", code % 5);
         let based_on = self.folds[host].folded_config().revision.0;
         let change = put(self.number, based_on, &class, self.number);
         if let Ok(ready) = Proposal::prepare(change, &self.folds[host]) {
-            self.send(host, ready, fate);
+            self.send(host, ready, code);
         }
     }
 
@@ -201,11 +204,11 @@
         &mut self,
         host: usize,
         ready: Proposal<onyxshed_state::config::proposal::Ready>,
-        fate: u8,
+        code: u8,
     ) {
         let change = ready.change().clone();
         let record = ConfigRecord::ChangeV1(change.clone());
-        let result = match fate % 6 {
+        let result = match code % 6 {
             0..=2 => Ok(self.append(&record)),
             3 => {
                 self.append(&record);
@@ -222,21 +225,21 @@
         }
     }
 
-    fn judge(&mut self, host: usize) {
+    fn resolve_proposals(&mut self, host: usize) {
         for (sent, end) in std::mem::take(&mut self.sent[host]) {
             let id = sent.change().change_id;
             match sent.resolve(&self.folds[host], end) {
                 ProposalStatus::Accepted(revision) => {
                     self.tally.accepted += 1;
-                    let truth = self.truth.find_change(id);
+                    let reference = self.reference.find_change(id);
                     assert!(
-                        !self.has_keeper || truth == ChangeOutcome::Accepted(revision),
+                        !self.has_keeper || reference == ChangeOutcome::Accepted(revision),
                         "{id}"
                     );
                 }
                 ProposalStatus::Raced { .. } | ProposalStatus::Invalid => {
                     self.tally.raced += 1;
-                    self.told_lost.insert(id);
+                    self.reported_rejected.insert(id);
                 }
                 ProposalStatus::Repeat(ready) => {
                     self.tally.repeats += 1;
@@ -256,14 +259,14 @@
         for record in self.log.records.iter().skip(from).take(count) {
             let was_complete = fold.is_complete();
             fold.apply_record(record);
-            self.tally.heals += u64::from(!was_complete && fold.is_complete());
+            self.tally.repairs += u64::from(!was_complete && fold.is_complete());
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize, is_whole: bool) {
-        let told = self.folds[from].handover();
+    fn hand_over(&mut self, from: usize, to: usize, is_whole: bool) {
+        let handover = self.folds[from].handover();
         if is_whole {
-            self.folds[to].adopt_handover(told);
+            self.folds[to].adopt_handover(handover);
         } else {
             let config = self.folds[from].config().clone();
             self.folds[to].adopt(config);
@@ -285,60 +288,67 @@
             let revision = fold.config().revision.0;
             prop_assert!(
                 revision >= *highest,
-                "went back from {highest} to {revision}"
+                "revision went from {highest} back to {revision}"
             );
             *highest = revision;
             if self.has_keeper {
-                prop_assert_eq!(Some(fold.config()), self.truth_by_revision.get(&revision));
-                let place = usize::try_from(fold.next().0).expect("small");
-                let is_exact = fold.folded_config().revision.0 == self.truth_at[place];
-                prop_assert!(is_exact || !fold.is_complete(), "folded wrongly at {place}");
+                prop_assert_eq!(
+                    Some(fold.config()),
+                    self.reference_by_revision.get(&revision)
+                );
+                let index = usize::try_from(fold.next().0).expect("small");
+                let is_exact = fold.folded_config().revision.0 == self.reference_revisions[index];
+                prop_assert!(
+                    is_exact || !fold.is_complete(),
+                    "wrong fold at offset {index}"
+                );
             }
         }
         for pair in [(0, 1), (0, 2), (1, 2)] {
             let (a, b) = (&self.folds[pair.0], &self.folds[pair.1]);
             let are_certain = a.handover().is_complete && b.handover().is_complete;
-            let are_level = are_certain && a.next() == b.next();
+            let have_read_equally = are_certain && a.next() == b.next();
             prop_assert!(
-                !are_level || a.folded_config() == b.folded_config(),
+                !have_read_equally || a.folded_config() == b.folded_config(),
                 "hosts {:?} differ",
                 pair
             );
         }
         let is_accepted =
-            |id: &&ChangeId| matches!(self.truth.find_change(**id), ChangeOutcome::Accepted(_));
-        let wronged = self.told_lost.iter().find(is_accepted);
+            |id: &&ChangeId| matches!(self.reference.find_change(**id), ChangeOutcome::Accepted(_));
+        let wrongly_reported = self.reported_rejected.iter().find(is_accepted);
         prop_assert!(
-            !self.has_keeper || wronged.is_none(),
+            !self.has_keeper || wrongly_reported.is_none(),
             "{:?} was accepted",
-            wronged
+            wrongly_reported
         );
         Ok(())
     }
 }
 
-impl World {
-    /// Ends all faults for a few retentions: all read, publish what is due and tell each other.
-    fn come_together(&mut self) -> Result<(), TestCaseError> {
+impl Simulation {
+    /// Stops all faults for a few retentions: all processes read, publish what is due and exchange
+    /// handovers. Checks that they agree afterwards.
+    fn converge(&mut self) -> Result<(), TestCaseError> {
         for _ in 0..20 {
             self.advance(RETENTION_MS / 8);
             for host in 0..HOSTS {
                 self.read(host, usize::MAX);
                 self.republish(host);
-                (0..HOSTS).for_each(|to| self.tell(host, to, true));
+                (0..HOSTS).for_each(|to| self.hand_over(host, to, true));
             }
             self.check()?;
         }
         let [a, b, c] = self.folds.each_ref().map(ConfigFold::config);
         prop_assert!(
             a == b && b == c,
-            "still apart: {} {} {}",
+            "configurations still differ: {} {} {}",
             a.revision,
             b.revision,
             c.revision
         );
         let are_complete = self.folds.iter().all(ConfigFold::is_complete);
-        prop_assert!(are_complete, "still partial");
+        prop_assert!(are_complete, "a fold is still partial");
         Ok(())
     }
 }
@@ -349,16 +359,18 @@
         raced: a.raced + b.raced,
         repeats: a.repeats + b.repeats,
         gaps: a.gaps + b.gaps,
-        heals: a.heals + b.heals,
+        repairs: a.repairs + b.repairs,
         published: a.published + b.published,
     }
 }
 
-/// Operators race on three processes; answers are lost, changes land late, records expire unread,
-/// processes start anew and tell each other what they hold. After every step no process has moved
-/// to a lower revision, processes that lost no record and have read as far agree, and, while one of
-/// them keeps reading and publishing, each holds exactly what the whole log gives: no accepted
-/// change is lost, and no operator is told the wrong thing. Once the faults end, all agree.
+/// Changes race on three processes while answers are lost, appends arrive late, records expire
+/// unread, and processes restart and exchange configurations.
+///
+/// After every step no process has moved to a lower revision, and processes that lost no record and
+/// have read equally far agree. While one of them keeps reading and publishing, each holds exactly
+/// what the whole log yields: no accepted change is lost, and no operator gets a wrong result. Once
+/// the faults end, all agree.
 #[rstest]
 #[case::one_process_keeps_up(true)]
 #[case::all_may_fall_behind(false)]
@@ -377,13 +389,13 @@
     let codes = prop::collection::vec(any::<u32>(), 30..140);
     let ops = codes.prop_map(|codes| codes.into_iter().map(Op::decode).collect());
     let run = |ops: Vec<Op>| {
-        let mut world = World::new(has_keeper);
+        let mut simulation = Simulation::new(has_keeper);
         for op in &ops {
-            world.step(op);
-            world.check()?;
+            simulation.step(op);
+            simulation.check()?;
         }
-        world.come_together()?;
-        total.set(sum(total.get(), world.tally));
+        simulation.converge()?;
+        total.set(sum(total.get(), simulation.tally));
         Ok(())
     };
     let result = TestRunner::new(config).run(&ops, run);
@@ -395,14 +407,14 @@
         raced,
         repeats,
         gaps,
-        heals,
+        repairs,
         published,
     } = total.get();
     println!("{:?}", total.get());
-    let counts = [accepted, raced, repeats, gaps, heals, published];
+    let counts = [accepted, raced, repeats, gaps, repairs, published];
     assert!(
         counts.iter().all(|count| *count > 100),
-        "too shallow: {:?}",
+        "the search is too shallow: {:?}",
         total.get()
     );
 }
--- a/crates/onyxshed-state/tests/member.rs
+++ b/crates/onyxshed-state/tests/member.rs
@@ -1,9 +1,10 @@
-//! Which peers are live: silence, the platform's list, restarts, cuts between zones and pauses.
+//! Tests of membership: heartbeats, the platform's list, restarts, partitions between zones, and
+//! pauses.
 
 #[path = "support/members.rs"]
 mod members;
 
-use members::{Network, at, beat, list};
+use members::{Network, at, heartbeat, list};
 use onyxshed_core::{Incarnation, Millis, Now, UnixMs};
 use onyxshed_state::{
     Gossip, Heartbeat, LoadDigest, MemberOptions, MemberState, MemberTable, MembershipEvent,
@@ -14,18 +15,18 @@
 const PEER: Incarnation = Incarnation(3);
 
 fn table() -> MemberTable {
-    MemberTable::new(beat(ME), MemberOptions::default(), Vec::new(), 1)
+    MemberTable::new(heartbeat(ME), MemberOptions::default(), Vec::new(), 1)
 }
 
-fn from(beat: Heartbeat) -> Gossip {
+fn from(heartbeat: Heartbeat) -> Gossip {
     Gossip {
-        from: beat,
+        from: heartbeat,
         others: Vec::new(),
         gone: None,
     }
 }
 
-/// Has `table` run, and hear nobody, until `ms`.
+/// Runs `table` until `ms` without any received message and returns the events.
 fn idle(table: &mut MemberTable, from_ms: u64, ms: u64) -> Vec<MembershipEvent> {
     (from_ms..=ms)
         .step_by(1_000)
@@ -33,28 +34,28 @@
         .collect()
 }
 
-/// What the platform's list says, joined with what is heard. Neither alone decides: a peer that is
-/// heard lives though the list left it out, and a silent one is only suspected while it is listed,
-/// or while the list is older than the last that was heard, or there is none.
+/// Combines the platform's list with received heartbeats. A peer whose counter advances is live
+/// even if the list omits it. A peer whose counter does not advance is only suspected while it is
+/// listed, while the list is older than its last heartbeat, or while there is no list.
 #[rstest]
-#[case::heard_and_unlisted(1_000, Some((vec![], 0)), MemberState::Live)]
-#[case::silent_and_listed(30_000, Some((vec![3], 0)), MemberState::Suspect)]
-#[case::silent_and_unlisted(30_000, Some((vec![], 0)), MemberState::Gone)]
-#[case::silent_for_a_moment(8_000, Some((vec![], 0)), MemberState::Suspect)]
+#[case::heartbeat_and_unlisted(1_000, Some((vec![], 0)), MemberState::Live)]
+#[case::unresponsive_and_listed(30_000, Some((vec![3], 0)), MemberState::Suspect)]
+#[case::unresponsive_and_unlisted(30_000, Some((vec![], 0)), MemberState::Gone)]
+#[case::briefly_unresponsive(8_000, Some((vec![], 0)), MemberState::Suspect)]
 #[case::old_list(30_000, Some((vec![], 30_001)), MemberState::Suspect)]
 #[case::no_list(30_000, None, MemberState::Suspect)]
-fn silence_and_list_together(
-    #[case] silent_ms: u64,
+fn heartbeats_and_list_determine_state(
+    #[case] unheard_ms: u64,
     #[case] listed: Option<(Vec<u16>, u64)>,
     #[case] state: MemberState,
 ) {
     let mut table = table();
-    table.apply_gossip(at(0), &from(beat(3)));
-    idle(&mut table, 0, silent_ms);
+    table.apply_gossip(at(0), &from(heartbeat(3)));
+    idle(&mut table, 0, unheard_ms);
     if let Some((hosts, age_ms)) = listed {
-        table.apply_host_list(at(silent_ms), &list(&hosts, age_ms));
+        table.apply_host_list(at(unheard_ms), &list(&hosts, age_ms));
     }
-    table.tick(at(silent_ms));
+    table.tick(at(unheard_ms));
     assert_eq!(table.state(PEER), Some(state));
     assert_eq!(table.is_gone(PEER), state == MemberState::Gone);
     assert_eq!(
@@ -63,15 +64,15 @@
     );
 }
 
-/// There are more peers than three messages tell of. Each takes longer to come round, so silence is
+/// With more peers than one message holds, each heartbeat is forwarded less often, so peers are
 /// suspected later.
 #[rstest]
 #[case::one_message(12, 6_001)]
 #[case::three_messages(36, 18_001)]
-fn suspicion_allows_for_many_peers(#[case] peers: u16, #[case] suspect_ms: u64) {
+fn suspicion_time_grows_with_peer_count(#[case] peers: u16, #[case] suspect_ms: u64) {
     let mut table = table();
     for n in 1..=peers {
-        table.apply_gossip(at(0), &from(beat(n)));
+        table.apply_gossip(at(0), &from(heartbeat(n)));
     }
     assert_eq!(idle(&mut table, 0, suspect_ms - 1), []);
     assert_eq!(
@@ -80,90 +81,98 @@
     );
 }
 
-/// A suspected peer is heard again, through another one: its count went on. An old heartbeat that
-/// is passed on late proves nothing.
+/// A suspected peer's heartbeat with a higher counter arrives through another peer. An old
+/// heartbeat that is forwarded late does not clear the suspicion.
 #[test]
-fn only_a_higher_count_refutes() {
+fn only_higher_counter_clears_suspicion() {
     let mut table = table();
-    table.apply_gossip(at(0), &from(beat(3)));
+    table.apply_gossip(at(0), &from(heartbeat(3)));
     assert_eq!(
         idle(&mut table, 0, 7_000),
         [MembershipEvent::Suspected(PEER)]
     );
-    let relay = |counter| Gossip {
-        others: vec![Heartbeat { counter, ..beat(3) }],
-        ..from(beat(1))
+    let forwarded_by = |counter| Gossip {
+        others: vec![Heartbeat {
+            counter,
+            ..heartbeat(3)
+        }],
+        ..from(heartbeat(1))
     };
     assert_eq!(
-        table.apply_gossip(at(7_100), &relay(1)).events,
+        table.apply_gossip(at(7_100), &forwarded_by(1)).events,
         [MembershipEvent::Joined(Incarnation(1))]
     );
-    let heard = table.apply_gossip(at(7_200), &relay(2));
-    assert_eq!(heard.events, [MembershipEvent::Refuted(PEER)]);
-    assert_eq!(heard.answer.others, [], "the asker has just told it");
-    let asked = table.apply_gossip(at(7_300), &relay(1)).answer.others;
-    assert_eq!(asked[0].counter, 2, "the asker is behind");
+    let outcome = table.apply_gossip(at(7_200), &forwarded_by(2));
+    assert_eq!(outcome.events, [MembershipEvent::Refuted(PEER)]);
+    assert_eq!(outcome.answer.others, [], "the receiver has just sent it");
+    let answered = table
+        .apply_gossip(at(7_300), &forwarded_by(1))
+        .answer
+        .others;
+    assert_eq!(answered[0].counter, 2, "the receiver has an older counter");
 }
 
-/// A host restarts. Its former life is gone for good: heartbeats of it that peers still pass on
-/// count for nothing, and its claims can be judged by that.
+/// A host restarts. Its former incarnation is permanently gone: heartbeats of it that peers still
+/// forward are ignored.
 #[test]
-fn new_life_buries_the_former() {
+fn new_incarnation_replaces_former() {
     let mut table = table();
-    table.apply_gossip(at(0), &from(beat(3)));
-    let reborn = Heartbeat {
+    table.apply_gossip(at(0), &from(heartbeat(3)));
+    let restarted = Heartbeat {
         incarnation: Incarnation(9),
         started_at_ms: UnixMs(2_000),
-        ..beat(3)
+        ..heartbeat(3)
     };
-    let notes = table.apply_gossip(at(1_000), &from(reborn)).events;
+    let events = table.apply_gossip(at(1_000), &from(restarted)).events;
     assert_eq!(
-        notes,
+        events,
         [
             MembershipEvent::Gone(PEER),
             MembershipEvent::Joined(Incarnation(9))
         ]
     );
-    let heard = table.apply_gossip(
+    let outcome = table.apply_gossip(
         at(1_100),
         &from(Heartbeat {
             counter: 5,
-            ..beat(3)
+            ..heartbeat(3)
         }),
     );
-    assert_eq!((heard.events, heard.answer.gone), (vec![], Some(PEER)));
+    assert_eq!((outcome.events, outcome.answer.gone), (vec![], Some(PEER)));
     assert!(table.is_gone(PEER) && table.members().len() == 1);
 }
 
-/// The host's wall clock stepped back over its restart, so its new life looks older. It is admitted
-/// once the former one has fallen silent, not shut out for ever.
+/// The host's wall clock stepped back across its restart, so its new incarnation looks older. It is
+/// admitted once the former one is suspected, rather than never.
 #[test]
-fn restart_under_a_clock_that_stepped_back() {
+fn restart_with_stepped_back_clock_is_admitted() {
     let mut table = table();
-    table.apply_gossip(at(0), &from(beat(3)));
-    let reborn = Heartbeat {
+    table.apply_gossip(at(0), &from(heartbeat(3)));
+    let restarted = Heartbeat {
         incarnation: Incarnation(9),
         started_at_ms: UnixMs(500),
-        ..beat(3)
+        ..heartbeat(3)
     };
     assert_eq!(
-        table.apply_gossip(at(1_000), &from(reborn.clone())).events,
+        table
+            .apply_gossip(at(1_000), &from(restarted.clone()))
+            .events,
         []
     );
     idle(&mut table, 1_000, 7_000);
-    table.apply_gossip(at(7_000), &from(reborn));
+    table.apply_gossip(at(7_000), &from(restarted));
     assert!(table.is_gone(PEER));
     assert_eq!(table.state(Incarnation(9)), Some(MemberState::Live));
 }
 
-/// This process is frozen, or its machine suspended with the monotonic clock. It notices before it
-/// judges anyone: it was itself that did not listen, so nobody is suspected for that time.
+/// This process is frozen, or its machine is suspended along with the monotonic clock. The process
+/// detects the pause before it updates any peer's state, so no peer is suspected because of it.
 #[rstest]
 #[case::frozen(30_000, 30_000)]
 #[case::suspended(10, 30_000)]
-fn own_pause_is_noticed(#[case] mono_ms: u64, #[case] wall_ms: u64) {
+fn own_pause_is_reported_and_suspects_no_peer(#[case] mono_ms: u64, #[case] wall_ms: u64) {
     let mut table = table();
-    table.apply_gossip(at(0), &from(beat(3)));
+    table.apply_gossip(at(0), &from(heartbeat(3)));
     table.apply_host_list(at(0), &list(&[], 0));
     table.tick(at(1_000));
     let thawed = Now {
@@ -177,37 +186,40 @@
     assert_eq!(table.state(PEER), Some(MemberState::Live));
 }
 
-/// A process thaws after its peers have buried it. The first answer tells it, before it has done
-/// any work for them.
+/// A process thaws after its peers have declared it gone. The first answer that it gets reports
+/// this, before the process has done any work for them.
 #[test]
-fn thawed_process_learns_that_it_was_buried() {
+fn thawed_process_is_informed_that_it_is_gone() {
     let mut table = table();
-    table.apply_gossip(at(0), &from(beat(3)));
+    table.apply_gossip(at(0), &from(heartbeat(3)));
     table.apply_host_list(at(20_000), &list(&[], 0));
     idle(&mut table, 0, 20_000);
-    let mut thawed = MemberTable::new(beat(3), MemberOptions::default(), Vec::new(), 3);
-    let answer = table.apply_gossip(at(20_100), &from(beat(3))).answer;
-    let notes = thawed.apply_gossip(at(20_100), &answer).events;
-    assert!(notes.contains(&MembershipEvent::DeclaredGone), "{notes:?}");
+    let mut thawed = MemberTable::new(heartbeat(3), MemberOptions::default(), Vec::new(), 3);
+    let answer = table.apply_gossip(at(20_100), &from(heartbeat(3))).answer;
+    let events = thawed.apply_gossip(at(20_100), &answer).events;
+    assert!(
+        events.contains(&MembershipEvent::DeclaredGone),
+        "{events:?}"
+    );
 }
 
-/// Peers still pass on heartbeats of this host's former life. They are not taken for a second host,
-/// nor for a newer life of this one.
+/// Peers still forward heartbeats of this host's former incarnation. They are treated neither as
+/// another host nor as a newer incarnation of this one.
 #[test]
-fn former_life_of_this_host_is_gone() {
+fn former_incarnation_of_this_host_is_gone() {
     let mut table = table();
     let former = Heartbeat {
         incarnation: PEER,
         started_at_ms: UnixMs(1),
-        ..beat(ME)
+        ..heartbeat(ME)
     };
-    let relayed = Gossip {
+    let forwarded = Gossip {
         others: vec![former],
-        ..from(beat(1))
+        ..from(heartbeat(1))
     };
-    let notes = table.apply_gossip(at(0), &relayed).events;
+    let events = table.apply_gossip(at(0), &forwarded).events;
     assert_eq!(
-        notes,
+        events,
         [
             MembershipEvent::Joined(Incarnation(1)),
             MembershipEvent::Gone(PEER)
@@ -216,22 +228,22 @@
     let newer = Heartbeat {
         incarnation: PEER,
         started_at_ms: UnixMs(9_000),
-        ..beat(ME)
+        ..heartbeat(ME)
     };
     assert_eq!(table.apply_gossip(at(0), &from(newer)).events, []);
     let newer = Heartbeat {
         incarnation: Incarnation(8),
         started_at_ms: UnixMs(9_000),
-        ..beat(ME)
+        ..heartbeat(ME)
     };
-    let relayed = Gossip {
+    let forwarded = Gossip {
         others: vec![newer.clone()],
-        ..from(beat(1))
+        ..from(heartbeat(1))
     };
     assert_eq!(
-        table.apply_gossip(at(0), &relayed).events,
+        table.apply_gossip(at(0), &forwarded).events,
         [],
-        "hearsay is not enough"
+        "a forwarded heartbeat is not enough"
     );
     assert_eq!(
         table.apply_gossip(at(0), &from(newer)).events,
@@ -239,41 +251,42 @@
     );
 }
 
-/// The entry process of this host restarts beside its control process. The table goes on: its peers
-/// stay known, and the former life is gone for good.
+/// The entry process of this host restarts beside its control process. The table keeps its peers,
+/// and the former incarnation is permanently gone.
 #[test]
-fn own_restart_keeps_what_is_known() {
+fn own_restart_keeps_peers() {
     let mut table = table();
-    table.apply_gossip(at(0), &from(beat(3)));
-    let former = beat(ME).incarnation;
+    table.apply_gossip(at(0), &from(heartbeat(3)));
+    let former = heartbeat(ME).incarnation;
     let me = Heartbeat {
         incarnation: Incarnation(99),
-        ..beat(ME)
+        ..heartbeat(ME)
     };
     assert_eq!(table.restart(at(10), me), [MembershipEvent::Gone(former)]);
     assert!(table.is_gone(former) && table.state(PEER) == Some(MemberState::Live));
     assert_eq!(table.state(Incarnation(99)), Some(MemberState::Live));
 }
 
-/// Someone tells of ever new hosts. The table keeps to its bound, and to those it knows.
+/// A peer keeps reporting new hosts. The table stays within its limit and keeps the peers that it
+/// has.
 #[test]
-fn table_is_bounded() {
+fn table_stays_within_limit() {
     let options = MemberOptions {
         members_max: 3,
         ..MemberOptions::default()
     };
-    let mut table = MemberTable::new(beat(ME), options, Vec::new(), 1);
+    let mut table = MemberTable::new(heartbeat(ME), options, Vec::new(), 1);
     for n in 1..10 {
-        table.apply_gossip(at(0), &from(beat(n)));
+        table.apply_gossip(at(0), &from(heartbeat(n)));
     }
     let known: Vec<u64> = table.members().iter().map(|m| m.incarnation.0).collect();
     assert_eq!(known, [1, 2, 3]);
 }
 
-/// Shares of slots count the zone's live hosts that take work; shares of the log count everyone who
-/// may append, suspects and hosts that are only listed included.
+/// Slots are shared between the zone's live hosts that accept work. The log's budget is shared
+/// between all hosts that may append, including suspected hosts and hosts that are only listed.
 #[test]
-fn counts_for_shares() {
+fn host_counts_for_slots_and_log_budget() {
     let mut table = table();
     for n in [1, 3, 6, 9] {
         let is_draining = n == 6;
@@ -281,7 +294,7 @@
             at(0),
             &from(Heartbeat {
                 is_draining,
-                ..beat(n)
+                ..heartbeat(n)
             }),
         );
     }
@@ -291,44 +304,44 @@
     assert_eq!((table.live_hosts_in_zone(), table.known_hosts()), (1, 6));
 }
 
-/// Hosts know of one address only. All come to know all, nobody is suspected while nothing is
-/// wrong, and what it costs stays within bounds.
+/// Hosts know only one address at the start. All of them find each other, no host is suspected
+/// while nothing fails, and the traffic stays within its limit.
 #[rstest]
 #[case::today(8)]
-#[case::more_than_a_message_tells(24)]
+#[case::more_than_a_message_holds(24)]
 fn hosts_find_each_other(#[case] count: u16) {
     let mut network = Network::new(count);
     network.run(0, 60);
     network.bytes = 0;
-    network.longest_silence_ms = 0;
+    network.longest_heartbeat_age_ms = 0;
     network.run(60, 180);
     for table in network.tables.values() {
         assert_eq!(table.members().len(), usize::from(count) - 1);
     }
-    let doubted = network
-        .notes
+    let unexpected = network
+        .events
         .iter()
         .find(|(_, note)| !matches!(note, MembershipEvent::Joined(_)));
-    assert_eq!(doubted, None);
+    assert_eq!(unexpected, None);
     let bytes_per_s = network.bytes / 120 / usize::from(count);
     println!(
-        "{count} hosts: {bytes_per_s} bytes/s sent by each, answers included; longest silence {} ms",
-        network.longest_silence_ms
+        "{count} hosts: {bytes_per_s} bytes/s sent by each, answers included; oldest heartbeat {} ms",
+        network.longest_heartbeat_age_ms
     );
     assert!(bytes_per_s < 17_000);
 }
 
-/// Two zones lose each other but both reach the third: nobody is suspected, since heartbeats are
-/// passed on. A zone that is cut off from all suspects the rest and is suspected by it, keeps its
-/// own, and is taken back without a restart.
+/// Two zones can't reach each other but both reach the third: no host is suspected, because
+/// heartbeats are forwarded. A zone that is cut off from all others suspects their hosts and is
+/// suspected by them, keeps its own hosts live, and is live for the others again without a restart.
 #[test]
-fn zones_lose_each_other() {
+fn partitioned_zones_recover_without_restart() {
     let mut network = Network::new(8);
     network.run(0, 30);
-    network.notes.clear();
+    network.events.clear();
     network.set_cut(|a, b| a % 3 + b % 3 == 1 && a % 3 != b % 3);
     network.run(30, 130);
-    assert_eq!(network.notes, []);
+    assert_eq!(network.events, []);
     network.set_cut(|a, b| (a % 3 == 2) != (b % 3 == 2));
     network.run(130, 200);
     let live = |network: &Network, n: u16| {
@@ -344,16 +357,16 @@
     network.run(200, 230);
     assert_eq!((live(&network, 0), live(&network, 2)), (7, 7));
     let gone = network
-        .notes
+        .events
         .iter()
         .find(|(_, note)| matches!(note, MembershipEvent::Gone(_)));
     assert_eq!(gone, None);
 }
 
-/// A host dies and the platform leaves it out some time later. Everyone buries that life within
-/// seconds of the list; the others go on as before.
+/// A host fails and the platform removes it from its list some time later. Every other host
+/// declares the incarnation gone within seconds of the list; the others stay live.
 #[test]
-fn dead_host_is_buried_by_all() {
+fn unlisted_host_is_gone_everywhere() {
     let mut network = Network::new(8);
     network.run(0, 30);
     network.frozen.insert(5);
@@ -368,22 +381,26 @@
     }
 }
 
-/// What a host tells about itself reaches those that do not talk to it directly.
+/// A host's load, revision and draining state reach hosts with which it does not exchange messages.
 #[test]
-fn load_and_revision_are_passed_on() {
+fn load_and_revision_are_forwarded() {
     let mut network = Network::new(8);
     let load = LoadDigest {
         running_tasks: 12,
         queued_tasks: 34,
     };
-    let teller = network.tables.get_mut(&7).expect("it is there");
-    teller.set_own_status(load, onyxshed_core::Revision(5), true);
+    let sender = network.tables.get_mut(&7).expect("the host has a table");
+    sender.set_own_status(load, onyxshed_core::Revision(5), true);
     network.run(0, 30);
-    let told = network.tables[&2]
+    let received = network.tables[&2]
         .heartbeat(Incarnation(7))
-        .expect("it was heard");
+        .expect("a heartbeat of the host has arrived");
     assert_eq!(
-        (told.load, told.config_revision.0, told.is_draining),
+        (
+            received.load,
+            received.config_revision.0,
+            received.is_draining
+        ),
         (load, 5, true)
     );
 }
--- a/crates/onyxshed-state/tests/support/claims.rs
+++ b/crates/onyxshed-state/tests/support/claims.rs
@@ -1,4 +1,4 @@
-//! Hosts, ids and times for tests of claims.
+//! Hosts, ids and times for the claim tests.
 
 use onyxshed_core::{Incarnation, Micros, Mono, Now, Offset, SubmissionId, UnixMs};
 use onyxshed_state::{BatchStep, ClaimBook, ClaimOptions};
@@ -8,7 +8,7 @@
 
 pub const CONTENT: ContentHash = ContentHash(7);
 
-/// Gets both clocks `ms` after an arbitrary start.
+/// Returns the readings of both clocks `ms` after an arbitrary start.
 pub fn at(ms: u64) -> Now {
     Now {
         mono: Mono::default() + Micros(ms * 1_000),
@@ -16,12 +16,12 @@
     }
 }
 
-/// Makes an unbound id whose time is `ms` after the start.
+/// Returns an unbound id whose time is `ms` after the start.
 pub fn id(ms: u64) -> SubmissionId {
     SubmissionId::unbound(Ulid::from_parts(10_000_000 + ms, 1))
 }
 
-/// Makes a host that has read an empty log.
+/// Returns the book of a host that has read an empty log.
 pub fn host(number: u64, options: ClaimOptions) -> ClaimBook {
     let mut book = ClaimBook::new(Incarnation(number), options);
     book.mark_caught_up(Offset(0));
--- a/crates/onyxshed-state/tests/support/configs.rs
+++ b/crates/onyxshed-state/tests/support/configs.rs
@@ -1,4 +1,4 @@
-//! Changes and a log for tests of the configuration.
+//! Changes and a log for the configuration tests.
 
 use onyxshed_core::{ChangeId, ClassTarget, Millis, Offset, Revision, UnixMs};
 use onyxshed_wire::platform::Record;
@@ -7,21 +7,21 @@
 
 pub const RETENTION_MS: u64 = 1_800_000;
 
-/// Makes a change that sets a class's target.
+/// Returns a change that sets a class's target.
 pub fn put(number: u64, based_on: u64, class: &str, finish_within_ms: u64) -> ConfigChange {
     ConfigChange {
         change_id: ChangeId(Ulid(number.into())),
         based_on: Revision(based_on),
         body: ChangeBody::Put(ClassTarget {
-            class: class.parse().expect("a name"),
-            upstream: "orders".parse().expect("a name"),
+            class: class.parse().expect("the name is valid"),
+            upstream: "orders".parse().expect("the name is valid"),
             finish_within_ms: Millis(finish_within_ms),
             may_run_twice: false,
         }),
     }
 }
 
-/// A log that forgets its oldest records.
+/// A log whose oldest records can expire.
 #[derive(Default)]
 pub struct Log {
     pub records: Vec<Record>,
