--- a/crates/onyxshed-state/examples/slopes.rs
+++ b/crates/onyxshed-state/examples/slopes.rs
@@ -36,17 +36,17 @@
     println!("| claims | bytes each | read ns | consult ns | expire ns | on the log, bytes |");
     println!("|---|---|---|---|---|---|");
     for count in [100, 500, 1_000, 5_000, 10_000, 50_000] {
-        claims(count);
+        measure_claims(count);
     }
     println!("\n| classes | bytes each | change ns | change, bytes | snapshot, bytes | records |");
     println!("|---|---|---|---|---|---|");
     for count in [10, 100, 1_000, 10_000] {
-        configs(count);
+        measure_configs(count);
     }
     println!("\n| members | bytes each | round us | sent, bytes/s | us of processor a second |");
     println!("|---|---|---|---|---|");
     for count in [2, 4, 8, 16, 32, 64] {
-        members(count);
+        measure_members(count);
     }
 }
 
@@ -108,7 +108,7 @@
     book
 }
 
-fn claims(count: usize) {
+fn measure_claims(count: usize) {
     let records = batches(count);
     let on_log = records.iter().map(String::len).sum::<usize>() / count;
     let started = Instant::now();
@@ -154,7 +154,7 @@
     fold
 }
 
-fn configs(count: usize) {
+fn measure_configs(count: usize) {
     let records = changes(count);
     let on_log = records.iter().map(String::len).sum::<usize>() / count;
     let started = Instant::now();
@@ -203,7 +203,7 @@
 }
 
 /// Runs all members for [`ROUNDS`] rounds and returns the time spent and the bytes sent.
-fn run(tables: &mut [MemberTable], from: u64) -> (Duration, usize) {
+fn run_rounds(tables: &mut [MemberTable], from: u64) -> (Duration, usize) {
     let (mut spent, mut bytes) = (Duration::ZERO, 0);
     for round in from..from + ROUNDS {
         for sender in 0..tables.len() {
@@ -226,10 +226,10 @@
     (spent, bytes)
 }
 
-fn members(count: u16) {
+fn measure_members(count: u16) {
     let mut tables: Vec<MemberTable> = (0..count).map(table).collect();
-    run(&mut tables, 0);
-    let (spent, bytes) = run(&mut tables, ROUNDS);
+    run_rounds(&mut tables, 0);
+    let (spent, bytes) = run_rounds(&mut tables, ROUNDS);
     let member_rounds = usize::from(count) * usize::try_from(ROUNDS).expect("small");
     let round_us = nanos_each(spent, member_rounds) / 1_000;
     let bytes_per_s = bytes / member_rounds;
--- a/crates/onyxshed-state/src/claim/fold.rs
+++ b/crates/onyxshed-state/src/claim/fold.rs
@@ -23,8 +23,8 @@
             .collect()
     }
 
-    /// Applies one claim of a batch. Returns the outcome of this host's pending claim on the same id
-    /// if it is decided now.
+    /// Applies one claim of a batch. Returns the outcome of this host's pending claim on the same
+    /// id if it is decided now.
     fn fold_claim(&mut self, now: Now, batch: &ClaimBatch, claim: &Claim) -> Option<SettledClaim> {
         let id = claim.submission;
         let is_own = batch.by == self.incarnation;
--- a/crates/onyxshed-state/tests/claim_pace.rs
+++ b/crates/onyxshed-state/tests/claim_pace.rs
@@ -25,7 +25,7 @@
 
 /// Runs `hosts` hosts for two seconds, each with `per_s` submissions per second, and measures the
 /// second one.
-fn run(hosts: usize, per_s: u64) -> Second {
+fn run_two_seconds(hosts: usize, per_s: u64) -> Second {
     let options = ClaimOptions::default();
     let mut books: Vec<ClaimBook> = (1..=hosts as u64)
         .map(|n| host(n, options.clone()))
@@ -77,7 +77,7 @@
 #[case::more_hosts(32, 400)]
 fn appends_stay_within_log_budget(#[case] hosts: usize, #[case] per_s: u64) {
     let RatePerS(total) = ClaimOptions::default().log_appends_per_s;
-    let second = run(hosts, per_s);
+    let second = run_two_seconds(hosts, per_s);
     println!("{hosts} hosts, {per_s} submissions/s each: {second:?}");
     assert!(second.appends <= total, "{second:?}");
     assert!(second.longest_wait_ms <= 200, "{second:?}");
@@ -86,7 +86,7 @@
 /// While tokens are available, a claim is sent without a wait.
 #[test]
 fn claim_within_budget_is_sent_at_once() {
-    assert_eq!(run(8, 20).longest_wait_ms, 0);
+    assert_eq!(run_two_seconds(8, 20).longest_wait_ms, 0);
 }
 
 /// A partition makes each host count only itself. The limit per host then bounds the total.
@@ -147,6 +147,6 @@
         });
         let bound = CLAIM_RECORD_BYTES + claims.len() * (CLAIM_MAX_BYTES + RELEASE_BYTES);
         prop_assert!(record.encode().len() <= bound);
-        prop_assert_eq!(ClaimRecord::decode(&record.encode()).expect("an encoded record decodes"), record);
+        prop_assert_eq!(ClaimRecord::decode(&record.encode()).expect("it decodes"), record);
     }
 }
--- a/crates/onyxshed-state/tests/claim_search.rs
+++ b/crates/onyxshed-state/tests/claim_search.rs
@@ -1,7 +1,7 @@
 //! Randomized test of hosts that share one log under every fault that the platform allows.
 //!
-//! A fixed seed makes every run the same. More cases, or another seed: `PROPTEST_CASES=100000
-//! PROPTEST_RNG_SEED=7 cargo test -p onyxshed-state --test claim_search`.
+//! A fixed seed makes every run the same. More cases, or another seed:
+//! `PROPTEST_CASES=100000 PROPTEST_RNG_SEED=7 cargo test -p onyxshed-state --test claim_search`.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -193,7 +193,7 @@
     next_number: u64,
     /// Jobs that started a task, and the incarnation that each ran on, by submission.
     starts: BTreeMap<SubmissionId, BTreeMap<u64, Incarnation>>,
-    /// Dead holders that a take-over was to replace, by submission.
+    /// Failed holders that a take-over was to replace, by submission.
     replaced: BTreeMap<SubmissionId, BTreeSet<Incarnation>>,
     tally: Tally,
 }
@@ -479,8 +479,8 @@
 /// answers or arrive late and out of order, records are read twice or expire unread, hosts are
 /// frozen for any time or fail, and clocks step within the skew.
 ///
-/// After every step at most one job of a submission has started a task, not counting dead holders
-/// that were replaced because the class may run twice.
+/// After every step at most one job of a submission has started a task, not counting failed
+/// holders that were replaced because the class may run twice.
 #[rstest]
 #[case::three_hosts(Shape { hosts: 3, ids: 2 })]
 #[case::two_hosts(Shape { hosts: 2, ids: 1 })]
--- a/crates/onyxshed-state/tests/config_fold.rs
+++ b/crates/onyxshed-state/tests/config_fold.rs
@@ -105,8 +105,7 @@
 }
 
 /// A change is appended after a snapshot was built and before it is appended. A host that starts
-/// after the first records expired reads the change before the snapshot, and must apply it all the
-/// same.
+/// after the first records expired reads the change before the snapshot, and must still apply it.
 #[test]
 fn late_start_applies_change_before_older_snapshot() {
     let mut log = log_of(2);
@@ -147,8 +146,9 @@
     );
 }
 
-/// A wrong or an old snapshot is appended. A host that has read the log counts it and continues; it
-/// moves neither to another configuration of the same revision nor to a lower revision.
+/// A wrong or an old snapshot is appended. A host that has read the log ignores it, and counts it if
+/// it is wrong. The host moves neither to another configuration of the same revision nor to a lower
+/// revision.
 #[rstest]
 #[case::other_content(2, 200, 1)]
 #[case::ahead_of_the_log(7, 100, 1)]
--- a/crates/onyxshed-state/tests/config_search.rs
+++ b/crates/onyxshed-state/tests/config_search.rs
@@ -1,8 +1,8 @@
 //! Randomized test of processes that fold one log of changes while records expire and answers are
 //! lost.
 //!
-//! A fixed seed makes every run the same. More cases, or another seed: `PROPTEST_CASES=100000
-//! PROPTEST_RNG_SEED=7 cargo test -p onyxshed-state --test config_search`.
+//! A fixed seed makes every run the same. More cases, or another seed:
+//! `PROPTEST_CASES=100000 PROPTEST_RNG_SEED=7 cargo test -p onyxshed-state --test config_search`.
 
 #[path = "support/configs.rs"]
 mod configs;
