--- a/crates/onyxshed-state/src/member/options.rs
+++ b/crates/onyxshed-state/src/member/options.rs
@@ -17,9 +17,9 @@
     pub keep_gone_ms: Millis,
     /// Number of peers in the same zone that get a message in each round. Default 1.
     pub zone_fanout: usize,
-    /// Every how many rounds a peer in another zone gets a message. Default 1.
+    /// Interval, in rounds, at which a peer in another zone gets a message. Default 1.
     pub other_zone_every: u64,
-    /// Every how many rounds a configured address gets a message. Default 8.
+    /// Interval, in rounds, at which a configured address gets a message. Default 8.
     pub seed_every: u64,
     /// Maximum number of heartbeats forwarded in a message. Default 12.
     pub digest_max: usize,
--- a/crates/onyxshed-state/tests/support/members.rs
+++ b/crates/onyxshed-state/tests/support/members.rs
@@ -129,7 +129,7 @@
 
     fn record_events(&mut self, n: u16, events: Vec<MembershipEvent>) {
         self.events
-            .extend(events.into_iter().map(|record_events| (n, record_events)));
+            .extend(events.into_iter().map(|event| (n, event)));
     }
 
     /// Cuts exactly the pairs of hosts for which `is_cut` returns true.
