--- a/crates/onyxshed-state/examples/slopes.rs
+++ b/crates/onyxshed-state/examples/slopes.rs
@@ -1,7 +1,7 @@
-//! Measures what a claim, a configuration record and a member cost in memory, time and bytes.
+//! Measures the cost of a claim, a configuration record and a member in memory, time and bytes.
 //!
 //! `cargo run --release -p onyxshed-state --example slopes` prints the tables of docs/CAPACITY.md.
-//! Memory is the growth of the resident set over as many copies as make it large against a page.
+//! Memory is the growth of the resident set over enough copies that a page is small against it.
 
 use std::hint::black_box;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -21,13 +21,13 @@
 };
 use ulid::Ulid;
 
-/// Records over all copies, for the memory of one.
+/// Total number of records in all copies when the memory of one record is measured.
 const RECORDS: usize = 400_000;
 
-/// Claims in a batch, about what a busy host sends.
+/// Claims in a batch, about as many as a busy host sends.
 const BATCH: usize = 100;
 
-/// Rounds over which members are measured.
+/// Number of rounds over which members are measured.
 const ROUNDS: u64 = 200;
 
 const START_MS: u64 = 1_000_000;
@@ -36,17 +36,17 @@
     println!("| claims | bytes each | read ns | consult ns | expire ns | on the log, bytes |");
     println!("|---|---|---|---|---|---|");
     for count in [100, 500, 1_000, 5_000, 10_000, 50_000] {
-        claims(count);
+        measure_claims(count);
     }
     println!("\n| classes | bytes each | change ns | change, bytes | snapshot, bytes | records |");
     println!("|---|---|---|---|---|---|");
     for count in [10, 100, 1_000, 10_000] {
-        configs(count);
+        measure_configs(count);
     }
     println!("\n| members | bytes each | round us | sent, bytes/s | us of processor a second |");
     println!("|---|---|---|---|---|");
     for count in [2, 4, 8, 16, 32, 64] {
-        members(count);
+        measure_members(count);
     }
 }
 
@@ -57,14 +57,14 @@
     }
 }
 
-/// Gets the resident set in bytes.
+/// Returns the resident set size in bytes.
 fn resident() -> usize {
     let statm = std::fs::read_to_string("/proc/self/statm").expect("Linux");
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse().ok());
     pages.unwrap_or(0_usize) * 4_096
 }
 
-/// Gets the resident bytes that one record takes, from copies with `count` records each.
+/// Returns the resident bytes per record, measured over copies with `count` records each.
 fn bytes_each<T>(count: usize, make: impl Fn() -> T) -> usize {
     drop(make());
     let before = resident();
@@ -108,7 +108,7 @@
     book
 }
 
-fn claims(count: usize) {
+fn measure_claims(count: usize) {
     let records = batches(count);
     let on_log = records.iter().map(String::len).sum::<usize>() / count;
     let started = Instant::now();
@@ -135,8 +135,8 @@
             body: ChangeBody::Put(ClassTarget {
                 class: format!("team-{}.class-{number}", number % 500)
                     .parse()
-                    .expect("a name"),
-                upstream: "tablet-fleet-command".parse().expect("a name"),
+                    .expect("the name is valid"),
+                upstream: "tablet-fleet-command".parse().expect("the name is valid"),
                 finish_within_ms: Millis(2_000),
                 may_run_twice: false,
             }),
@@ -154,7 +154,7 @@
     fold
 }
 
-fn configs(count: usize) {
+fn measure_configs(count: usize) {
     let records = changes(count);
     let on_log = records.iter().map(String::len).sum::<usize>() / count;
     let started = Instant::now();
@@ -169,11 +169,15 @@
     println!("| {count} | {bytes} | {change} | {on_log} | {snapshot} | {parts} |");
 }
 
-fn beat(number: u16) -> Heartbeat {
+fn heartbeat(number: u16) -> Heartbeat {
     let address = |port: u16| SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port + number));
     Heartbeat {
-        host: format!("entry-{number}.north").parse().expect("a name"),
-        zone: format!("zone-{}", number % 3).parse().expect("a name"),
+        host: format!("entry-{number}.north")
+            .parse()
+            .expect("the name is valid"),
+        zone: format!("zone-{}", number % 3)
+            .parse()
+            .expect("the name is valid"),
         incarnation: Incarnation(u64::from(number) + 0x0123_4567_89ab_0000),
         started_at_ms: UnixMs(1_700_000_000_000),
         control_address: address(10_000),
@@ -189,12 +193,17 @@
 }
 
 fn table(number: u16) -> MemberTable {
-    let seeds = vec![beat(0).control_address];
-    MemberTable::new(beat(number), MemberOptions::default(), seeds, number.into())
+    let seeds = vec![heartbeat(0).control_address];
+    MemberTable::new(
+        heartbeat(number),
+        MemberOptions::default(),
+        seeds,
+        number.into(),
+    )
 }
 
-/// Runs all members for some rounds, and counts what they spend and send.
-fn run(tables: &mut [MemberTable], from: u64) -> (Duration, usize) {
+/// Runs all members for [`ROUNDS`] rounds and returns the time spent and the bytes sent.
+fn run_rounds(tables: &mut [MemberTable], from: u64) -> (Duration, usize) {
     let (mut spent, mut bytes) = (Duration::ZERO, 0);
     for round in from..from + ROUNDS {
         for sender in 0..tables.len() {
@@ -217,10 +226,10 @@
     (spent, bytes)
 }
 
-fn members(count: u16) {
+fn measure_members(count: u16) {
     let mut tables: Vec<MemberTable> = (0..count).map(table).collect();
-    run(&mut tables, 0);
-    let (spent, bytes) = run(&mut tables, ROUNDS);
+    run_rounds(&mut tables, 0);
+    let (spent, bytes) = run_rounds(&mut tables, ROUNDS);
     let member_rounds = usize::from(count) * usize::try_from(ROUNDS).expect("small");
     let round_us = nanos_each(spent, member_rounds) / 1_000;
     let bytes_per_s = bytes / member_rounds;
