--- a/crates/onyxshed-core/src/error.rs
+++ b/crates/onyxshed-core/src/error.rs
@@ -1,63 +1,63 @@
-//! Errors of parsing the shared types.
+//! Errors from parsing and validating the shared types.
 
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// What was wrong with a text that should have been one of the shared types.
+/// Error returned when a text or value is not valid for one of the shared types.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// A name broke the rules for names.
+    /// The text violates the rules for names.
     #[snafu(display(
         "{found:?} is no {kind}: allowed are 1 to 64 of a-z, 0-9, '.', '_' and '-', starting with a letter or digit"
     ))]
     Name {
-        /// Which kind of name was expected.
+        /// Kind of name that was expected.
         kind: &'static str,
-        /// The text as given, cut to 80 characters.
+        /// Text that was found, truncated to 80 characters.
         found: SmolStr,
     },
-    /// An identifier could not be read.
+    /// The text could not be parsed as an identifier.
     #[snafu(display("{found:?} is no {kind}: allowed is {allowed}"))]
     Id {
-        /// Which kind of identifier was expected.
+        /// Kind of identifier that was expected.
         kind: &'static str,
-        /// The text as given, cut to 80 characters.
+        /// Text that was found, truncated to 80 characters.
         found: SmolStr,
-        /// What a valid one looks like.
+        /// Description of the expected format.
         allowed: &'static str,
     },
-    /// A quantity could not be read.
+    /// The text could not be parsed as a quantity.
     #[snafu(display("{found:?} is no {kind}: allowed is a whole number followed by {unit:?}"))]
     Quantity {
-        /// Which kind of quantity was expected.
+        /// Kind of quantity that was expected.
         kind: &'static str,
-        /// The text as given, cut to 80 characters.
+        /// Text that was found, truncated to 80 characters.
         found: SmolStr,
-        /// The unit's suffix.
+        /// Suffix of the expected unit.
         unit: &'static str,
     },
-    /// A value lies outside its range.
+    /// A value is out of range.
     #[snafu(display("{field} is {found}: allowed is {allowed}"))]
     Range {
-        /// The field's name with its unit.
+        /// Name of the field, including its unit.
         field: &'static str,
-        /// The value as given.
+        /// Value that was found, truncated to 80 characters.
         found: SmolStr,
-        /// The range in words.
+        /// Description of the allowed range.
         allowed: &'static str,
     },
 }
 
-/// Longest excerpt of a caller's text repeated in an error, in characters.
+/// Maximum length of a caller's text that an error repeats, in characters.
 const EXCERPT_CHARS: usize = 80;
 
-/// Cuts `text` to what an error may repeat.
+/// Returns `text` truncated to the length that an error may repeat.
 fn excerpt(text: &str) -> SmolStr {
     text.chars().take(EXCERPT_CHARS).collect()
 }
 
 impl Error {
-    /// Makes an error for a text that is no valid name.
+    /// Creates an error for a text that is not a valid name of the given kind.
     pub fn name(kind: &'static str, found: &str) -> Self {
         Error::Name {
             kind,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Makes an error for a text that is no valid identifier.
+    /// Creates an error for a text that is not a valid identifier of the given kind.
     pub fn id(kind: &'static str, found: &str, allowed: &'static str) -> Self {
         Error::Id {
             kind,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Makes an error for a text that is no valid quantity.
+    /// Creates an error for a text that is not a valid quantity with the given unit.
     pub fn quantity(kind: &'static str, found: &str, unit: &'static str) -> Self {
         Error::Quantity {
             kind,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Makes an error for a value outside its range.
+    /// Creates an error for a field whose value is out of range.
     pub fn range(field: &'static str, found: impl ToString, allowed: &'static str) -> Self {
         Error::Range {
             field,
@@ -93,5 +93,5 @@
     }
 }
 
-/// Result of parsing a shared type.
+/// Result of parsing or validating a shared type.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-core/src/hlc.rs
+++ b/crates/onyxshed-core/src/hlc.rs
@@ -1,7 +1,8 @@
-//! Hybrid logical clock: orders events over processes whose clocks differ a little.
+//! Hybrid logical clock, which orders events across processes with slightly different wall clocks.
 //!
-//! A stamp is the highest wall time seen so far plus a counter. A process that hears from another
-//! moves its own clock past the stamp it was sent, so an effect never sorts before its cause.
+//! A timestamp is the highest wall time seen so far plus a counter. A process that receives a
+//! message advances its clock past the message's timestamp, so an effect never sorts before its
+//! cause.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,7 +12,7 @@
 use crate::error::{Error, Result};
 use crate::time::UnixMs;
 
-/// One stamp of a hybrid logical clock, written `wall_ms.counter`.
+/// Timestamp of a hybrid logical clock, displayed as `wall_ms.counter`.
 #[derive(
     Debug,
     Clone,
@@ -26,9 +27,9 @@
     DeserializeFromStr,
 )]
 pub struct Hlc {
-    /// Highest wall time seen.
+    /// Highest wall time seen when the timestamp was taken.
     pub wall: UnixMs,
-    /// Counts stamps of the same wall time.
+    /// Sequence number among timestamps with the same wall time.
     pub counter: u32,
 }
 
@@ -42,28 +43,30 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::id("clock stamp", text, "milliseconds, '.' and a counter");
-        let (wall, counter) = text.split_once('.').ok_or_else(bad)?;
+        let invalid = || Error::id("clock stamp", text, "milliseconds, '.' and a counter");
+        let (wall, counter) = text.split_once('.').ok_or_else(invalid)?;
         Ok(Self {
-            wall: UnixMs(wall.parse().map_err(|_| bad())?),
-            counter: counter.parse().map_err(|_| bad())?,
+            wall: UnixMs(wall.parse().map_err(|_| invalid())?),
+            counter: counter.parse().map_err(|_| invalid())?,
         })
     }
 }
 
-/// How far ahead of our wall clock another's stamp may pull us, in milliseconds.
+/// Maximum distance by which a received timestamp may be ahead of the local wall clock, in
+/// milliseconds.
 ///
-/// Without a bound one host with a clock years ahead would pull every stamp with it for good.
+/// Without a limit, a single host whose clock is years ahead would permanently advance the
+/// timestamps of all other hosts.
 const MAX_AHEAD_MS: u64 = 60_000;
 
-/// A process's hybrid logical clock.
+/// Hybrid logical clock of a process.
 #[derive(Debug, Clone, Default)]
 pub struct HlcClock {
     last: Hlc,
 }
 
 impl HlcClock {
-    /// Gets the stamp for an event that happens at `wall`.
+    /// Returns the timestamp of a new event at wall time `wall`; each one is greater than the last.
     pub fn stamp(&mut self, wall: UnixMs) -> Hlc {
         self.last = if wall > self.last.wall {
             Hlc { wall, counter: 0 }
@@ -76,10 +79,12 @@
         self.last
     }
 
-    /// Takes in a stamp that came with a message, unless it lies absurdly far ahead.
-    pub fn observe(&mut self, theirs: Hlc, wall: UnixMs) {
-        if theirs.wall.0 <= wall.0.saturating_add(MAX_AHEAD_MS) {
-            self.last = self.last.max(theirs);
+    /// Advances the clock to the timestamp of a received message.
+    ///
+    /// A timestamp more than `MAX_AHEAD_MS` ahead of `wall` is ignored.
+    pub fn observe(&mut self, received: Hlc, wall: UnixMs) {
+        if received.wall.0 <= wall.0.saturating_add(MAX_AHEAD_MS) {
+            self.last = self.last.max(received);
         }
     }
 }
--- a/crates/onyxshed-core/src/id.rs
+++ b/crates/onyxshed-core/src/id.rs
@@ -1,8 +1,8 @@
-//! Identifiers, each a type of its own.
+//! Identifiers, each with its own type.
 //!
-//! Names are short lower-case texts that operators choose. A [`SubmissionId`] is chosen by the
-//! caller; it carries its time, and may carry the [`Incarnation`] of the entry host that alone may
-//! start its tasks.
+//! Names are short lower-case strings that operators choose. A [`SubmissionId`] is chosen by the
+//! caller. It contains its creation time and may contain the [`Incarnation`] of the only entry host
+//! that may start its tasks.
 
 mod incarnation;
 mod name;
--- a/crates/onyxshed-core/src/id/incarnation.rs
+++ b/crates/onyxshed-core/src/id/incarnation.rs
@@ -1,4 +1,4 @@
-//! One life of one entry host.
+//! Identifier of one start of an entry process.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,16 +7,16 @@
 
 use crate::error::{Error, Result};
 
-/// One run of an entry process, from start to end; a restart is another incarnation.
+/// Identifier of one start of an entry process; every restart gets a new incarnation.
 ///
-/// Drawn at random at start, 64 bits, written as 16 hexadecimal digits.
+/// A random 64-bit number drawn at startup, displayed as 16 lower-case hexadecimal digits.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct Incarnation(pub u64);
 
-/// Digits of a written incarnation.
-const DIGITS: usize = 16;
+/// Number of hexadecimal digits in the text form of an incarnation.
+const HEX_DIGITS: usize = 16;
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -34,14 +34,16 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::id("incarnation", text, "16 lower-case hexadecimal digits");
-        let is_plain = text.len() == DIGITS
+        let invalid = || Error::id("incarnation", text, "16 lower-case hexadecimal digits");
+        let is_well_formed = text.len() == HEX_DIGITS
             && text
                 .bytes()
                 .all(|b| b.is_ascii_digit() || matches!(b, b'a'..=b'f'));
-        if !is_plain {
-            return Err(bad());
+        if !is_well_formed {
+            return Err(invalid());
         }
-        u64::from_str_radix(text, 16).map(Self).map_err(|_| bad())
+        u64::from_str_radix(text, 16)
+            .map(Self)
+            .map_err(|_| invalid())
     }
 }
--- a/crates/onyxshed-core/src/id/name.rs
+++ b/crates/onyxshed-core/src/id/name.rs
@@ -1,4 +1,5 @@
-//! Names that operators and the platform give: classes, hosts, zones, upstreams, executors.
+//! Names of classes, hosts, zones, upstreams and executors, as assigned by operators and the
+//! platform.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,19 +9,19 @@
 
 use crate::error::{Error, Result};
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 const NAME_MAX_BYTES: usize = 64;
 
-/// Checks the rules that hold for every name.
-fn is_name(text: &str) -> bool {
-    let first_is_plain = text
+/// Returns whether `text` satisfies the rules that apply to every name.
+fn is_valid_name(text: &str) -> bool {
+    let is_first_allowed = text
         .bytes()
         .next()
         .is_some_and(|b| b.is_ascii_lowercase() || b.is_ascii_digit());
-    let all_allowed = text
+    let are_all_allowed = text
         .bytes()
         .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || matches!(b, b'.' | b'_' | b'-'));
-    first_is_plain && all_allowed && text.len() <= NAME_MAX_BYTES
+    is_first_allowed && are_all_allowed && text.len() <= NAME_MAX_BYTES
 }
 
 macro_rules! name_type {
@@ -32,7 +33,7 @@
         pub struct $name(SmolStr);
 
         impl $name {
-            /// Gets the name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -42,7 +43,7 @@
             type Err = Error;
 
             fn from_str(text: &str) -> Result<Self> {
-                if is_name(text) { Ok(Self(text.into())) } else { Err(Error::name($kind, text)) }
+                if is_valid_name(text) { Ok(Self(text.into())) } else { Err(Error::name($kind, text)) }
             }
         }
 
@@ -61,7 +62,7 @@
 }
 
 name_type!(
-    /// Name of a class of work.
+    /// Name of a class of jobs.
     ClassName,
     "class name"
 );
@@ -76,7 +77,7 @@
     "zone name"
 );
 name_type!(
-    /// Name of an upstream service, which many executors serve.
+    /// Name of an upstream, a service that many executors provide.
     UpstreamName,
     "upstream name"
 );
--- a/crates/onyxshed-core/src/id/number.rs
+++ b/crates/onyxshed-core/src/id/number.rs
@@ -1,4 +1,4 @@
-//! Positions in the platform's log and in the history of the configuration.
+//! Log offsets and configuration revisions.
 
 use std::fmt;
 use std::str::FromStr;
@@ -17,7 +17,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Gets the position after this one.
+            /// Returns the number that follows this one, saturating at the maximum.
             pub fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
             }
@@ -45,7 +45,7 @@
     "offset"
 );
 number_type!(
-    /// Count of configuration changes accepted so far; it only grows.
+    /// Number of configuration changes accepted so far; it never decreases.
     Revision,
     "revision"
 );
--- a/crates/onyxshed-core/src/id/submission.rs
+++ b/crates/onyxshed-core/src/id/submission.rs
@@ -1,4 +1,4 @@
-//! Identifiers of submissions, of their tasks, and of configuration changes.
+//! Identifiers of submissions, tasks and configuration changes.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,26 +10,26 @@
 use crate::error::{Error, Result};
 use crate::time::UnixMs;
 
-/// What a submission id looks like, for error messages.
-const SUBMISSION_FORM: &str = "a ULID, or a ULID, '-' and an incarnation";
+/// Format of a submission id, for error messages.
+const SUBMISSION_ID_FORMAT: &str = "a ULID, or a ULID, '-' and an incarnation";
 
-/// A caller's name for one submission: a ULID, optionally bound to an entry host.
+/// Identifier that a caller assigns to a submission: a ULID, optionally bound to an entry host.
 ///
-/// An unbound id (`01J…`) may be claimed by any entry host through the platform's log. A bound id
-/// (`01J…-00c0ffee00c0ffee`) may be started by that incarnation alone, which needs no log: every
-/// answer tells the caller the incarnation to bind to.
+/// An unbound id (`01J…`) may be claimed by any entry host through the platform's log. The tasks of
+/// a bound id (`01J…-00c0ffee00c0ffee`) may be started only by that incarnation, which needs no
+/// claim in the log. Every answer contains the incarnation that the caller can bind new ids to.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct SubmissionId {
-    /// The caller's ULID.
+    /// ULID chosen by the caller.
     pub ulid: Ulid,
-    /// The only incarnation that may start its tasks, if the id is bound.
+    /// The only incarnation that may start the submission's tasks; `None` for an unbound id.
     pub bound_to: Option<Incarnation>,
 }
 
 impl SubmissionId {
-    /// Makes an unbound id.
+    /// Creates an unbound id.
     pub fn unbound(ulid: Ulid) -> Self {
         Self {
             ulid,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Gets the time that the id carries.
+    /// Returns the creation time encoded in the ULID.
     pub fn time(&self) -> UnixMs {
         UnixMs(self.ulid.timestamp_ms())
     }
@@ -62,26 +62,26 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::id("submission id", text, SUBMISSION_FORM);
+        let invalid = || Error::id("submission id", text, SUBMISSION_ID_FORMAT);
         let (ulid, bound_to) = match text.split_once('-') {
             None => (text, None),
-            Some((ulid, tag)) => (ulid, Some(tag.parse().map_err(|_| bad())?)),
+            Some((ulid, incarnation)) => (ulid, Some(incarnation.parse().map_err(|_| invalid())?)),
         };
         Ok(Self {
-            ulid: parse_ulid(ulid).ok_or_else(bad)?,
+            ulid: parse_ulid(ulid).ok_or_else(invalid)?,
             bound_to,
         })
     }
 }
 
-/// One task of a submission: the submission's id and the task's place in it.
+/// Identifier of one task: the id of its submission and its index in the submission.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct TaskId {
-    /// The submission.
+    /// Id of the submission that contains the task.
     pub submission: SubmissionId,
-    /// The task's place in the submission, from 0.
+    /// Index of the task in the submission, starting at 0.
     pub index: u16,
 }
 
@@ -101,16 +101,18 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        let bad = || Error::id("task id", text, "a submission id, '.' and a number");
-        let (submission, index) = text.rsplit_once('.').ok_or_else(bad)?;
+        let invalid = || Error::id("task id", text, "a submission id, '.' and a number");
+        let (submission, index) = text.rsplit_once('.').ok_or_else(invalid)?;
         Ok(Self {
-            submission: submission.parse().map_err(|_| bad())?,
-            index: index.parse().map_err(|_| bad())?,
+            submission: submission.parse().map_err(|_| invalid())?,
+            index: index.parse().map_err(|_| invalid())?,
         })
     }
 }
 
-/// An operator's name for one configuration change; it finds the change when an answer was lost.
+/// Identifier that an operator assigns to a configuration change.
+///
+/// It identifies the change in the log when the reply to the publishing call was lost.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
@@ -138,9 +140,14 @@
     }
 }
 
-/// Reads a ULID. The library drops bits beyond 128, by which two texts would name one submission.
+/// Parses a ULID; returns `None` if `text` is malformed or exceeds 128 bits.
+///
+/// The `ulid` crate silently drops bits beyond 128, so two texts would denote the same submission.
 fn parse_ulid(text: &str) -> Option<Ulid> {
-    const FIRST_MAX: u8 = b'7';
-    let is_in_range = text.bytes().next().is_some_and(|first| first <= FIRST_MAX);
+    const FIRST_CHAR_MAX: u8 = b'7';
+    let is_in_range = text
+        .bytes()
+        .next()
+        .is_some_and(|first| first <= FIRST_CHAR_MAX);
     text.parse().ok().filter(|_| is_in_range)
 }
--- a/crates/onyxshed-core/src/lib.rs
+++ b/crates/onyxshed-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The words every onyxshed crate shares.
+//! Types shared by every onyxshed crate.
 //!
-//! This crate holds identifiers, units, the target of a class, outcomes and result codes, the
-//! catalogue of events, and the clocks. It makes no decision and does no input or output: time is
-//! always handed in as a [`Now`], so whatever is built on these types replays exactly.
+//! This crate defines identifiers, units, the target of a class, outcomes and result codes, the
+//! catalogue of events, and the clocks. It makes no decisions and performs no I/O: time is always
+//! passed in as a [`Now`], so code built on these types can be replayed exactly.
 
 pub mod code;
 pub mod error;
--- a/crates/onyxshed-core/src/outcome.rs
+++ b/crates/onyxshed-core/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request ends.
+//! Outcome of a request, as reported to the caller.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,16 +7,18 @@
 
 use crate::error::{Error, Result};
 
-/// The one end of a request.
+/// Final outcome of a request; every answered request has exactly one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, SerializeDisplay, DeserializeFromStr)]
 pub enum Outcome {
-    /// Every task ran and the answer holds every result.
+    /// Every task ran and the answer contains every result.
     Complete,
-    /// Some task ran and failed, or the job was stopped after a task had started.
+    /// A task ran and failed, or the job was stopped after a task had started.
     Failed,
-    /// Proved: no task of this submission was started. Only this outcome invites a repeat.
+    /// It is proven that no task of this submission was started.
+    ///
+    /// This is the only outcome after which the caller can safely submit the work again.
     NotRun,
-    /// It can't be told whether some task ran.
+    /// It is not known whether a task ran.
     Unknown,
 }
 
--- a/crates/onyxshed-core/src/target.rs
+++ b/crates/onyxshed-core/src/target.rs
@@ -1,4 +1,4 @@
-//! The target that operators give to a class of work.
+//! Target that operators configure for a class of jobs.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,26 +6,30 @@
 use crate::id::{ClassName, UpstreamName};
 use crate::units::Millis;
 
-/// Longest span a target may allow, in milliseconds.
+/// Maximum of [`ClassTarget::finish_within_ms`].
 pub const FINISH_WITHIN_MAX: Millis = Millis(600_000);
 
-/// What operators ask of one class: how soon, and whether tasks may run twice.
+/// Configured requirements of a class: the completion time and whether tasks may run twice.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassTarget {
-    /// The class.
+    /// Name of the class.
     pub class: ClassName,
-    /// The upstream that runs its tasks.
+    /// Upstream that runs the tasks of the class.
     pub upstream: UpstreamName,
-    /// How soon after its arrival a job must be finished, in milliseconds.
+    /// Time from a job's arrival by which it must be finished, in milliseconds, 1 to 600,000.
     pub finish_within_ms: Millis,
-    /// Whether its tasks may run more than once; absent means they may not.
+    /// Whether tasks of the class may run more than once; defaults to `false` if absent.
     #[serde(default)]
     pub may_run_twice: bool,
 }
 
 impl ClassTarget {
-    /// Checks the ranges.
+    /// Checks that `finish_within_ms` is in its range.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Range`] if it is not.
     pub fn check(&self) -> Result<()> {
         let is_in_range = (Millis(1)..=FINISH_WITHIN_MAX).contains(&self.finish_within_ms);
         if is_in_range {
--- a/crates/onyxshed-core/src/time.rs
+++ b/crates/onyxshed-core/src/time.rs
@@ -1,8 +1,8 @@
-//! Time as it is handed to decisions.
+//! Points in time, as passed to the state machines.
 //!
-//! Decisions never read a clock. A shell reads both clocks once, makes a [`Now`] and passes it in
-//! with the event. Spans are measured on the monotonic clock; only the age of an id and records on
-//! the platform's log use the wall clock.
+//! State machines never read a clock. The surrounding process reads both clocks once per event and
+//! passes them in as a [`Now`]. Durations are measured on the monotonic clock; only the age of an
+//! id and records in the platform's log use the wall clock.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -11,7 +11,7 @@
 
 use crate::units::{Micros, Millis};
 
-/// Point on a process's monotonic clock, in microseconds since an arbitrary start.
+/// Reading of a process's monotonic clock, in microseconds since an arbitrary origin.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -19,7 +19,7 @@
 pub struct Mono(pub u64);
 
 impl Mono {
-    /// Gets the span since `earlier`, zero if `earlier` lies ahead.
+    /// Returns the duration since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Mono) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
@@ -41,7 +41,7 @@
     }
 }
 
-/// Point on the wall clock, in milliseconds since the Unix epoch.
+/// Reading of the wall clock, in milliseconds since the Unix epoch.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -49,7 +49,7 @@
 pub struct UnixMs(pub u64);
 
 impl UnixMs {
-    /// Gets the span since `earlier`, zero if `earlier` lies ahead.
+    /// Returns the duration since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: UnixMs) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
@@ -77,17 +77,17 @@
     }
 }
 
-/// Both clocks, read together.
+/// Readings of both clocks, taken at the same time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Now {
-    /// The monotonic clock.
+    /// Monotonic clock; used to measure durations.
     pub mono: Mono,
-    /// The wall clock.
+    /// Wall clock; used for the age of ids and for log records.
     pub wall: UnixMs,
 }
 
 impl Now {
-    /// Makes a point that lies `span` later on both clocks.
+    /// Returns the point in time that is `span` later on both clocks.
     pub fn later(self, span: Millis) -> Now {
         Now {
             mono: self.mono + span,
--- a/crates/onyxshed-core/src/units.rs
+++ b/crates/onyxshed-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Quantities with their units.
+//! Quantities with their units, each a newtype with the unit's suffix in its text form.
 
 use std::fmt;
 use std::str::FromStr;
@@ -36,11 +36,11 @@
 }
 
 unit_type!(
-    /// Span in microseconds.
+    /// Duration in microseconds.
     Micros(u64), "span in microseconds", "us"
 );
 unit_type!(
-    /// Span in milliseconds.
+    /// Duration in milliseconds.
     Millis(u64), "span in milliseconds", "ms"
 );
 unit_type!(
@@ -48,16 +48,16 @@
     Bytes(u64), "size in bytes", "B"
 );
 unit_type!(
-    /// Events a second.
+    /// Rate in events per second.
     RatePerS(u32), "rate a second", "/s"
 );
 unit_type!(
-    /// Places for tasks that run at the same time.
+    /// Number of tasks that can run concurrently.
     Slots(u32), "number of slots", "slots"
 );
 
 impl Micros {
-    /// Gets the span in milliseconds, rounded down.
+    /// Returns the duration in milliseconds, rounded down.
     pub fn as_millis(self) -> Millis {
         Millis(self.0 / 1_000)
     }
