--- a/crates/onyxshed-dispatch/src/dispatch.rs
+++ b/crates/onyxshed-dispatch/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! The machine as a whole: takes an input, lets the parts decide, gives the outputs.
+//! The state machine [`Dispatch`]: applies an input, advances jobs and claims, and returns the
+//! outputs.
 
 mod admit;
 mod ask;
@@ -26,20 +27,20 @@
 use crate::output::{AttemptId, Output, RequestId};
 use crate::table::JobTable;
 
-/// One start that has not ended.
+/// Attempt that has not ended.
 #[derive(Debug, Clone)]
 struct Attempt {
     task: TaskId,
     class: ClassName,
     executor: ExecutorName,
-    /// Its connection was lost and a stop was sent to learn what became of it.
+    /// Whether its connection was lost and a stop was sent to determine the task's state.
     is_resolving: bool,
-    /// When to ask about it, and how long to wait after that.
+    /// Time of the next query for the task's status, and the interval before that query.
     ask_at: Mono,
     ask_again_us: Micros,
 }
 
-/// One entry host's state machine.
+/// State machine of one entry host.
 #[derive(Debug)]
 pub struct Dispatch {
     me: Incarnation,
@@ -62,7 +63,7 @@
 }
 
 impl Dispatch {
-    /// Makes the machine for one incarnation; `seed` feeds every draw it makes.
+    /// Creates the state machine of one incarnation; `seed` seeds all of its random choices.
     pub fn new(me: Incarnation, options: DispatchOptions, seed: u64) -> Self {
         Dispatch {
             me,
@@ -85,10 +86,10 @@
         }
     }
 
-    /// Takes in one event and gives what to do about it, in order.
+    /// Applies an input and returns the outputs to execute, in order.
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
-        // What time has made due comes first: a process that was frozen must find out that a job is
-        // over before it starts another task of it.
+        // Due jobs are processed first: a process that was frozen must detect that a job is over
+        // before it starts another task of that job.
         self.settle_due(now);
         self.take_in(now, input);
         self.pump(now);
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Tells what the policy decided about executors and classes.
+    /// Emits an event for each decision of the policy on executors, jobs and classes.
     fn note_policy(&mut self) {
         for note in self.policy.drain_decisions() {
             let event = match note {
@@ -213,7 +214,8 @@
         self.outputs.push(Output::Answer { request, answer });
     }
 
-    /// Puts an event out, with its job's class where the job is here and the event names none.
+    /// Emits an event; its class is set from the job if the event has none and the job is in the
+    /// table.
     fn note(&mut self, mut event: Event) {
         let job = event.submission.and_then(|id| self.jobs.get(id));
         event.class = event.class.or_else(|| Some(job?.class().clone()));
--- a/crates/onyxshed-dispatch/src/dispatch/admit.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a submission that was looked up is taken in, and what a refusal may say.
+//! Admission of submissions, and the result code of a refusal.
 
 use std::rc::Rc;
 
@@ -11,32 +11,33 @@
 use crate::job::{Claiming, Job, JobHead};
 use crate::output::RequestId;
 
-/// How many times its target a job that has begun may last before it is given up.
+/// Factor on the class's target after which a job that has begun is aborted.
 ///
-/// A target is when a job should be finished. Giving up a job that has begun wastes what ran, so it
-/// gets as long again; a deadline that the caller named is kept to.
+/// The target is the time by which a job should be finished. Aborting a job that has begun wastes
+/// the work already done, so it may take twice the target. A deadline set by the caller is not
+/// extended.
 const TARGET_STRETCH: u64 = 2;
 
-/// What to do with a submission, once looked up.
+/// Next step for a submission, depending on its claim and on the job table.
 pub(super) enum Entry {
-    /// Join the job that is here.
+    /// Join the job with the same id in the table.
     Join,
-    /// Take it in under a claim that is ours already.
+    /// Accept the job under a claim that this host already holds.
     Start,
-    /// Take it in and claim it.
+    /// Accept the job and claim the submission.
     Claim,
-    /// Take it in though the log can't be read, as it may run twice.
+    /// Accept the job without a claim: the log can't be read, and the class's tasks may run twice.
     StartUnclaimed,
-    /// Take it in and claim it in place of a holder that is gone, as it may run twice.
+    /// Accept the job and take over the claim of a holder that is gone: its tasks may run twice.
     TakeOver(Incarnation),
-    /// Pass it on to its holder.
+    /// Forward the submission to its holder.
     Forward(Incarnation),
-    /// Refuse it.
+    /// Refuse the submission.
     Refuse(ResultCode),
 }
 
 impl Dispatch {
-    /// Takes the job in or refuses it.
+    /// Accepts or refuses a job that was looked up.
     pub(super) fn admit(
         &mut self,
         now: Now,
@@ -72,7 +73,9 @@
         }
     }
 
-    /// Tells why nothing new is taken in, if so.
+    /// Returns the reason for which this host accepts no new jobs or has no room for this one.
+    ///
+    /// Returns `None` if the host can accept the submission.
     pub(super) fn closed_for(&self, submission: &Submission) -> Option<ResultCode> {
         let bytes: u64 = submission
             .tasks
@@ -151,11 +154,12 @@
     }
 }
 
-/// Gets the truth for a submission that is refused before the log has given it to this host.
+/// Returns the code with which to refuse a submission for which this host has not won the claim.
 ///
-/// Failure guarded against: an earlier copy runs on another host, unseen from here, and the caller is
-/// told "not run". Symptom: it submits the work under another id and it is done twice. So "not run"
-/// needs the caller's word that there is no earlier copy, or a readable log without a claim.
+/// An earlier copy may be running on another host without this host knowing. If the caller then got
+/// "not run", it would submit the work under another id, and the work would be done twice. "Not
+/// run" therefore requires either the caller's statement that there is no earlier copy, or a
+/// readable log that contains no claim.
 pub(super) fn unproved(code: ResultCode, copy: CopyMark, is_log_readable: bool) -> ResultCode {
     match copy {
         CopyMark::First => code,
--- a/crates/onyxshed-dispatch/src/dispatch/ask.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/ask.rs
@@ -1,10 +1,10 @@
-//! Attempts that have had no answer for longer than their class usually takes.
+//! Status queries for attempts that have been unanswered for longer than usual for their class.
 //!
-//! Failure guarded against: something between the two ends has forgotten the connection. The start
-//! was swallowed, or the answer was, and nothing comes back. Symptom: the job waits out its whole
-//! time and its outcome is unknown. The executor is asked over another connection, which changes
-//! nothing there: a task that runs is waited for, one that it has not heard of is fenced off and may
-//! start again, one that has ended hands over its result.
+//! A network element between the two ends may drop the state of a connection, so that the start or
+//! the answer is lost without an error. Without a query, the job would wait until its final
+//! deadline and its outcome would be unknown. The executor is queried over another connection,
+//! which has no side effects: the attempt keeps waiting for a running task; a task that the
+//! executor has not seen is fenced and may start again; a task that has ended returns its result.
 
 use onyxshed_core::{ClassName, Micros, Now};
 use onyxshed_wire::upstream::TaskSighting;
@@ -13,17 +13,17 @@
 use crate::input::AttemptReport;
 use crate::output::{AttemptId, Output};
 
-/// Silence before the first question, in times of what all but few tasks of the class stay within.
+/// Delay before the first query, as a multiple of the class's 99th percentile of service time.
 const SILENCE_FACTOR: u64 = 2;
 
-/// Shortest silence before the first question.
+/// Minimum delay before the first query.
 const SILENCE_MIN: Micros = Micros(100_000);
 
-/// Silence before the first question while nothing is known of the class.
+/// Delay before the first query while the class has no service time estimate.
 const SILENCE_UNKNOWN: Micros = Micros(1_000_000);
 
 impl Dispatch {
-    /// Gets how long to wait before asking about a task of a class.
+    /// Returns the delay before the first query for a task of a class.
     pub(super) fn silence_of(&self, class: &ClassName) -> Micros {
         match self.policy.service_time_p99(class) {
             Some(usual) => Micros(usual.0.saturating_mul(SILENCE_FACTOR)).max(SILENCE_MIN),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Asks about every attempt that has been silent for too long; each wait is twice the last.
+    /// Queries every attempt whose query is due; each interval is twice the previous one.
     pub(super) fn ask_overdue(&mut self, now: Now) {
         while let Some(&(at, id)) = self.asks.first() {
             if at > now.mono {
@@ -60,7 +60,7 @@
         });
     }
 
-    /// Takes in what an executor told of a silent task.
+    /// Applies an executor's reply to a status query.
     pub(super) fn sighted(&mut self, _now: Now, id: AttemptId, sighting: Option<TaskSighting>) {
         match sighting {
             None | Some(TaskSighting::Running) => {}
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Settles an attempt over another connection than the one that has gone silent.
+    /// Treats an attempt as lost and determines the task's state over another connection.
     fn give_up_connection(&mut self, id: AttemptId, detail: &'static str) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
--- a/crates/onyxshed-dispatch/src/dispatch/attempt.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/attempt.rs
@@ -1,4 +1,4 @@
-//! What becomes of starts: results, failures, losses, and stops.
+//! Ends of attempts: results, failures, lost connections and stops.
 
 use onyxshed_core::{Event, EventKind, Now, ResultCode, TaskId};
 use onyxshed_policy::{AttemptEnd, AttemptOutcome, RetryStep};
@@ -15,7 +15,7 @@
             return;
         };
         if report.outcome == AttemptOutcome::Lost {
-            // Once a stop is under way, its answer decides.
+            // Once a stop is under way, its reply decides the attempt's outcome.
             if !std::mem::replace(&mut attempt.is_resolving, true) {
                 let attempt = attempt.clone();
                 self.resolve(id, &attempt, &report);
@@ -25,10 +25,11 @@
         self.conclude(now, id, report);
     }
 
-    /// Asks the executor, over another connection, what became of a task whose connection was lost.
+    /// Sends a stop over another connection to determine the state of a task whose attempt was
+    /// lost.
     ///
-    /// The stop is also a fence: an executor that answers "refused" promises that a start still on
-    /// its way will not run, which proves the task unstarted.
+    /// The stop is also a fence: an executor that replies "refused" guarantees that a start still
+    /// in transit will not run, which proves that the task has not started.
     pub(super) fn resolve(&mut self, id: AttemptId, attempt: &Attempt, report: &AttemptReport) {
         self.note(task_event(EventKind::TaskLost, attempt).detail(report.detail.clone()));
         self.outputs.push(Output::Stop {
@@ -60,7 +61,7 @@
         self.conclude(now, id, report);
     }
 
-    /// Books an attempt's end and decides what becomes of its task and job.
+    /// Records the end of an attempt and determines the next step of its task and job.
     fn conclude(&mut self, now: Now, id: AttemptId, report: AttemptReport) {
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
@@ -114,7 +115,7 @@
         self.stop_copies(task);
     }
 
-    /// Stops what still runs of a task that has its result.
+    /// Stops the remaining attempts of a task that has its result.
     fn stop_copies(&mut self, task: TaskId) {
         let Some(job) = self.running_mut(task.submission) else {
             return;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Drops what came for a job that is over.
+    /// Drops the end of an attempt whose job has already ended.
     fn drop_late(&mut self, attempt: &Attempt, step: RetryStep) {
         if step == RetryStep::Queued {
             self.policy.withdraw(attempt.task);
@@ -175,7 +176,7 @@
     }
 }
 
-/// Makes an event about one start.
+/// Creates an event that concerns an attempt.
 pub(super) fn task_event(kind: EventKind, attempt: &Attempt) -> Event {
     Event::new(kind)
         .submission(attempt.task.submission)
@@ -184,7 +185,7 @@
         .party(attempt.executor.as_str())
 }
 
-/// Gets what an executor's answer to a stop proves.
+/// Returns the outcome of an attempt that follows from an executor's reply to a stop.
 fn verdict_of(state: TaskState) -> AttemptOutcome {
     match state {
         TaskState::Finished => AttemptOutcome::Finished,
--- a/crates/onyxshed-dispatch/src/dispatch/caller.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/caller.rs
@@ -1,4 +1,4 @@
-//! What callers ask: submit, fetch, cancel, and the same passed on by peers.
+//! Requests of callers: submit, fetch and cancel, received directly or forwarded by peers.
 
 use onyxshed_core::{ClassName, Event, EventKind, Incarnation, Now, ResultCode, SubmissionId};
 use onyxshed_state::ClaimStep;
@@ -79,7 +79,7 @@
         target.is_some_and(|target| target.may_run_twice)
     }
 
-    /// Adds a request to the job that is here, or answers it from the job that ended.
+    /// Adds a request to the waiters of the job in the table, or answers it if the job has ended.
     fn join(&mut self, request: RequestId, id: SubmissionId, content: ContentHash, copy: CopyMark) {
         let waiters_max = self.options.waiters_max;
         let is_same = self
@@ -92,8 +92,8 @@
         self.note(Event::new(EventKind::JobJoined).submission(id));
         let waiters = match self.jobs.get_mut(id) {
             Some(Job::Claiming(job)) => {
-                // The first copy's word no longer holds once another has come: that one may have
-                // been to other hosts on its way here.
+                // The first copy's mark is void once another copy has arrived, because that copy
+                // may have been submitted to other hosts before.
                 job.head.copy = job.head.copy.max(copy);
                 &mut job.waiters
             }
@@ -156,10 +156,11 @@
         }
     }
 
-    /// Gives up a job whose claim is under way.
+    /// Cancels a job whose claim is under way.
     ///
-    /// Whoever sent the only copy is answered at once. Everyone else asks about every copy, and one
-    /// may run on another host: that answer waits until the log tells who holds the submission.
+    /// If only one copy was ever sent, its waiters are answered at once. Otherwise, and for the
+    /// cancel request itself, the answer concerns every copy, and one may be running on another
+    /// host: these requests wait until the log decides which host holds the submission.
     fn cancel_claiming(&mut self, request: RequestId, id: SubmissionId) {
         self.note(Event::new(EventKind::JobCancelled).submission(id));
         let Some(job) = self.claiming_mut(id) else {
@@ -177,7 +178,7 @@
         }
     }
 
-    /// Passes a question about a job that is not here on to its holder, if there is one.
+    /// Forwards a fetch or cancel of a job that is not in the table to its holder, if there is one.
     fn ask_holder(
         &mut self,
         now: Now,
@@ -221,7 +222,7 @@
         self.answer(request, answer);
     }
 
-    /// Refuses a submission, whose class is known.
+    /// Refuses a submission; the event includes the class.
     pub(super) fn refuse_of(
         &mut self,
         request: RequestId,
--- a/crates/onyxshed-dispatch/src/dispatch/claim.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/claim.rs
@@ -1,4 +1,4 @@
-//! What the log says: claims won, lost or undecided.
+//! Claims read back from the log: won, lost or failed.
 
 use onyxshed_core::{Event, EventKind, Incarnation, Now, Offset, ResultCode, SubmissionId};
 use onyxshed_policy::QueuedTask;
@@ -70,11 +70,11 @@
         }
     }
 
-    /// Starts the tasks of a job that this host holds.
+    /// Queues the tasks of a job that this host may run.
     pub(super) fn grant(&mut self, now: Now, id: SubmissionId, is_claimed: bool) {
         let Some(job) = self.take_claiming(id) else {
-            // Given up while its claim was under way: another host may have it. A job that runs
-            // without a claim keeps the one that turned up late.
+            // The job ended while its claim was under way: the claim is released so that another
+            // host can get it. A job that runs without a claim keeps one that is won late.
             if self.jobs.get(id).is_none() {
                 self.book.release(now, id);
             }
@@ -97,7 +97,7 @@
         self.jobs.put_live(id, Job::Running(job), due);
     }
 
-    /// Starts a job whose tasks may run twice without a claim.
+    /// Starts a job without a claim; its tasks may run twice.
     pub(super) fn start_unclaimed(&mut self, now: Now, id: SubmissionId, reason: &'static str) {
         self.note(
             Event::new(EventKind::ClaimSkipped)
@@ -107,8 +107,10 @@
         self.grant(now, id, false);
     }
 
-    /// Claims a job that may run twice in place of a holder that is gone; where the log can't say
-    /// who replaces it, the job starts on the word of its class.
+    /// Takes over the claim of a job that may run twice from a holder that is gone.
+    ///
+    /// If the log can't decide which host replaces the holder, the job starts without a claim,
+    /// which its class permits.
     pub(super) fn take_over(
         &mut self,
         now: Now,
@@ -127,7 +129,10 @@
         }
     }
 
-    /// Tells whether a job that this host now holds was cancelled and nobody has asked for it since.
+    /// Answers the cancel requests of a job that this host now holds, and returns whether it is
+    /// cancelled.
+    ///
+    /// The job is cancelled unless another request has joined it since.
     fn is_called_off(&mut self, now: Now, id: SubmissionId, job: &Claiming) -> bool {
         let is_called_off = !job.cancels.is_empty() && job.waiters.is_empty();
         if is_called_off {
@@ -153,7 +158,7 @@
         }
     }
 
-    /// Passes every request of a job on to the host that won its claim.
+    /// Forwards every request of a job to the host that won the claim.
     fn hand_over(&mut self, id: SubmissionId, holder: Incarnation) {
         let Some(job) = self.take_claiming(id) else {
             return;
--- a/crates/onyxshed-dispatch/src/dispatch/ending.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/ending.rs
@@ -1,4 +1,4 @@
-//! How jobs end: for a reason, with the code that tells the truth, at once.
+//! Ends of jobs: by deadline, cancellation, failure or completion.
 
 use onyxshed_core::{Event, EventKind, Now, Outcome, ResultCode, SubmissionId};
 use onyxshed_wire::caller::Answer;
@@ -9,7 +9,7 @@
 use crate::output::{AttemptId, Output, RequestId};
 
 impl Dispatch {
-    /// Ends what time has made due.
+    /// Processes the claims, tasks and jobs that are due.
     pub(super) fn settle_due(&mut self, now: Now) {
         self.settle_overdue_claims(now);
         self.settle_expired_tasks(now);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Ends a running job for a reason, with the code that tells the truth.
+    /// Aborts a running job with the code that matches the evidence on whether its tasks started.
     pub(super) fn give_up(&mut self, now: Now, id: SubmissionId, reason: GiveUp, detail: &str) {
         let Some(Job::Running(job)) = self.jobs.get(id) else {
             return;
@@ -41,7 +41,7 @@
         self.end(now, id, code, detail.into());
     }
 
-    /// Ends a running job: waiting tasks are withdrawn, running ones stopped, the caller answered.
+    /// Ends a running job: withdraws queued tasks, stops running ones and answers the waiters.
     pub(super) fn end(&mut self, now: Now, id: SubmissionId, code: ResultCode, detail: SmolStr) {
         let Some(Job::Running(job)) = self.jobs.take(id) else {
             return;
@@ -59,8 +59,8 @@
                 .class(&class)
                 .detail(smol_str::format_smolstr!("{code}")),
         );
-        // A job of which nothing has started is forgotten and its claim released, so that a copy that
-        // comes again may start it, here or on another host.
+        // A job of which no task has started is removed and its claim released, so that another
+        // copy of the submission can start it, on this or another host.
         if is_unstarted {
             self.book.release(now, id);
         } else {
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Ends a job whose claim was not decided in time: the log may hold another host's.
+    /// Ends a job whose claim was not decided in time or failed; the log may contain another host's
+    /// claim.
     pub(super) fn end_unclaimed(&mut self, now: Now, id: SubmissionId, code: ResultCode) {
         let Some(Job::Claiming(job)) = self.jobs.take(id) else {
             return;
@@ -77,7 +78,7 @@
         self.book.release(now, id);
         self.release_bytes(&job.payloads);
         let code = match code {
-            // The content that was claimed is another: this one has not run anywhere.
+            // The id was claimed with different content, so this content has not run anywhere.
             ResultCode::OtherContent => code,
             code => admit::unproved(code, job.head.copy, false),
         };
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Makes an answer that invites a repeat where that can help.
+    /// Creates a refusal, with a retry delay if submitting again can succeed.
     pub(super) fn refusal(
         &self,
         id: Option<SubmissionId>,
--- a/crates/onyxshed-dispatch/src/dispatch/forward.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/forward.rs
@@ -1,4 +1,4 @@
-//! Requests passed on to the entry host that holds their submission.
+//! Requests that are forwarded to the entry host that holds their submission.
 
 use onyxshed_core::{Incarnation, ResultCode, SubmissionId};
 use onyxshed_state::MemberState;
@@ -7,7 +7,7 @@
 use super::Dispatch;
 use crate::output::{ForwardedCall, Output, RequestId};
 
-/// A request that waits for its holder's answer.
+/// Forwarded request that waits for the holder's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct PassedOn {
     to: Incarnation,
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Answers the requests whose holder is no longer heard.
+    /// Refuses the forwarded requests whose holder is not live.
     ///
-    /// Failure guarded against: the holder is frozen or cut off after it took the request.
-    /// Symptom: the caller of this host waits half a minute for a connection on which nothing
-    /// comes. That the membership holds the peer to be live is enough to go on waiting; it finds
-    /// out within seconds when it is not. A late answer of the holder is dropped.
+    /// If the holder freezes or is cut off after it received the request, the caller would
+    /// otherwise wait half a minute on a connection without data. Requests keep waiting while the
+    /// membership considers the peer live; it detects within seconds that it is not. A late answer
+    /// of the holder is dropped.
     pub(super) fn give_up_on_silent_holders(&mut self) {
         let is_heard = |passed: &PassedOn| {
             let member = self.members.get(&passed.to);
--- a/crates/onyxshed-dispatch/src/dispatch/pump.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/pump.rs
@@ -1,4 +1,5 @@
-//! What the machine does of itself after every event: starts, appends, forgetting, the next alarm.
+//! Work done after every input: starting tasks, appending claims, expiring entries, setting the
+//! next timer.
 
 use onyxshed_core::{
     Event, EventKind, ExecutorName, Micros, Millis, Mono, Now, SubmissionId, TaskId, UnixMs,
@@ -23,7 +24,7 @@
             .min();
     }
 
-    /// Starts what the policy says, and gets when to ask it again.
+    /// Starts the tasks that the policy selects; returns the time at which to ask the policy again.
     fn start_tasks(&mut self, now: Now) -> Option<Mono> {
         loop {
             match self.policy.next(now) {
@@ -49,10 +50,10 @@
         }
     }
 
-    /// Gives back the place of a start that was not sent.
+    /// Releases the slot of a start that was not sent.
     ///
-    /// The policy has booked it. Left booked, the executor would be short of a slot for good, and
-    /// look silent.
+    /// The policy has already reserved the slot. If it stayed reserved, the executor would lose the
+    /// slot permanently and appear unresponsive.
     fn never_sent(&mut self, now: Now, task: TaskId, executor: ExecutorName) {
         let end = AttemptEnd {
             task,
@@ -64,10 +65,10 @@
         self.policy.apply_attempt_end(now, &end);
     }
 
-    /// Sends a start; false if it must not be sent any more.
+    /// Sends a start; returns `false` if it must not be sent.
     fn start(&mut self, now: Now, task: TaskId, executor: ExecutorName, is_hedge: bool) -> bool {
-        // A host that was frozen past the horizon must not start: other hosts have forgotten its
-        // claim by now. The id's own age tells, whatever happened in between.
+        // A host that was frozen past the horizon must not start the task, because other hosts have
+        // forgotten its claim by now. The age of the id shows this regardless of the cause.
         if !self.may_start(now, task.submission) {
             self.give_up(
                 now,
@@ -127,7 +128,7 @@
         true
     }
 
-    /// Appends the claims that are due, and gets when to ask again.
+    /// Appends the claims that are due; returns the time at which the next batch is due.
     fn append_claims(&mut self, now: Now) -> Option<Mono> {
         match self.book.next_batch(now) {
             BatchStep::Append(batch) => {
@@ -146,12 +147,12 @@
         }
     }
 
-    /// Deals with waiting tasks whose deadline has passed: a job that has begun goes on until it is
-    /// given up, one that has not is over.
+    /// Handles queued tasks whose deadline has passed: a job that has begun continues until its
+    /// final deadline, and a job that has not begun is aborted.
     pub(super) fn settle_expired_tasks(&mut self, now: Now) {
         for ExpiredTask { task, deadline, .. } in self.policy.take_expired(now) {
             match self.jobs.get(task.submission) {
-                // Given up by its last deadline too, it would only come back until that has passed.
+                // Past the final deadline, requeueing would only make the task expire again.
                 Some(Job::Running(job)) if !job.is_unstarted() && deadline < job.head.end_by => {
                     let work = QueuedTask {
                         task,
--- a/crates/onyxshed-dispatch/src/dispatch/status.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/status.rs
@@ -1,4 +1,4 @@
-//! What the machine tells about itself.
+//! Read access to the state, for status reports, metrics and timers.
 
 use onyxshed_core::{Incarnation, Mono, Offset};
 use onyxshed_policy::decision::WastedMessages;
@@ -7,63 +7,64 @@
 use super::Dispatch;
 
 impl Dispatch {
-    /// Gets when the machine wants a [`Input::Tick`] at the latest.
+    /// Returns the time by which an [`Input::Tick`] is needed; `None` if no timer is pending.
     pub fn wake_at(&self) -> Option<Mono> {
         self.wake_at
     }
 
-    /// Gets the configuration in force.
+    /// Returns the configuration in force; `None` before the first one.
     pub fn config(&self) -> Option<&Config> {
         self.config.as_ref()
     }
 
-    /// Gets how many peers are held to be live.
+    /// Returns the number of peers that are considered live.
     pub fn live_peers(&self) -> usize {
         let is_live = |member: &&Member| member.state == onyxshed_state::MemberState::Live;
         self.members.values().filter(is_live).count()
     }
 
-    /// Tells whether the claims stream has been read to its end.
+    /// Returns whether the claims stream has been read to its end.
     pub fn is_log_read(&self) -> bool {
         self.book.is_caught_up()
     }
 
-    /// Gets the offset of the claims stream to read from next.
+    /// Returns the offset from which to read the claims stream next.
     pub fn next_log_offset(&self) -> Offset {
         self.book.next()
     }
 
-    /// Gets how many jobs have not ended.
+    /// Returns the number of jobs that have not ended.
     pub fn live_jobs(&self) -> usize {
         self.jobs.live_count()
     }
 
-    /// Gets how many submissions are remembered.
+    /// Returns the number of submissions that are remembered, running and ended.
     pub fn remembered_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Gets how many attempts have not ended.
+    /// Returns the number of attempts that have not ended.
     pub fn live_attempts(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Gets how many tasks wait for an executor.
+    /// Returns the number of tasks that wait for an executor.
     pub fn queued_tasks(&self) -> usize {
         self.policy.queued_tasks()
     }
 
-    /// Gets the messages that served no answer, by kind.
+    /// Returns counts of messages that contributed to no answer, by kind.
     pub fn waste(&self) -> WastedMessages {
         self.policy.wasted_messages()
     }
 
-    /// Gets how many records of the claims stream could not be read and were ignored.
+    /// Returns the number of records of the claims stream that could not be decoded and were
+    /// ignored.
     pub fn unreadable_records(&self) -> u64 {
         self.book.counts().unreadable
     }
 
-    /// Gets the member of an incarnation.
+    /// Returns the member with the given incarnation; `None` if it is not known.
     pub fn member(&self, incarnation: Incarnation) -> Option<&Member> {
         self.members.get(&incarnation)
     }
--- a/crates/onyxshed-dispatch/src/input.rs
+++ b/crates/onyxshed-dispatch/src/input.rs
@@ -1,4 +1,5 @@
-//! What happens to an entry host.
+//! Inputs of the state machine: requests, replies and state changes, as reported by the entry
+//! process.
 
 use onyxshed_core::{Incarnation, Micros, Offset, SubmissionId};
 use onyxshed_policy::{AttemptOutcome, ExecutorInfo};
@@ -11,23 +12,23 @@
 
 use crate::output::{AttemptId, RequestId};
 
-/// How an attempt ended, as the shell saw it.
+/// Result of an attempt, as observed by the entry process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptReport {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// The result or the reason, as the executor sent it.
+    /// Result of the task or reason of its failure, as sent by the executor.
     pub body: Vec<u8>,
-    /// How long it ran, as the executor tells, in microseconds.
+    /// Run time of the task as reported by the executor, in microseconds; `None` if not reported.
     pub service_us: Option<Micros>,
-    /// The executor's load, if it answered.
+    /// Load report of the executor; `None` if it did not answer.
     pub load: Option<LoadReport>,
-    /// Particulars for the time line.
+    /// Further details for the timeline.
     pub detail: SmolStr,
 }
 
 impl AttemptReport {
-    /// Makes the report of an attempt whose connection is given up.
+    /// Creates the report of an attempt whose connection is considered lost.
     pub fn lost(detail: &'static str) -> Self {
         AttemptReport {
             outcome: AttemptOutcome::Lost,
@@ -39,110 +40,110 @@
     }
 }
 
-/// What an executor answered to a stop.
+/// Reply of an executor to a stop.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StopReport {
-    /// What became of the task.
+    /// State of the task after the stop.
     pub state: TaskState,
-    /// Its result, if it had finished.
+    /// Result of the task if it had finished; otherwise empty.
     pub body: Vec<u8>,
 }
 
-/// One event with what came with it.
+/// Event that the state machine processes, with its data.
 #[derive(Debug, Clone)]
 pub enum Input {
     /// A caller, or a peer on a caller's behalf, submits a job.
     Submit {
-        /// The request to answer.
+        /// Request to answer.
         request: RequestId,
-        /// The job.
+        /// Submitted job.
         submission: Submission,
-        /// Whether a peer passed it on.
+        /// Whether a peer forwarded the request.
         is_forwarded: bool,
     },
-    /// A caller asks for a job's answer.
+    /// A caller requests the answer of a job.
     Fetch {
-        /// The request to answer.
+        /// Request to answer.
         request: RequestId,
-        /// The job.
+        /// Submission that the request concerns.
         id: SubmissionId,
-        /// Whether a peer passed it on.
+        /// Whether a peer forwarded the request.
         is_forwarded: bool,
     },
     /// A caller cancels a job.
     Cancel {
-        /// The request to answer.
+        /// Request to answer.
         request: RequestId,
-        /// The job.
+        /// Submission that the request concerns.
         id: SubmissionId,
-        /// Whether a peer passed it on.
+        /// Whether a peer forwarded the request.
         is_forwarded: bool,
     },
-    /// A peer answered a request passed on to it, or could not be reached.
+    /// Forwarding a request to a peer ended, with or without an answer.
     ForwardEnded {
-        /// The request to answer.
+        /// Request to answer.
         request: RequestId,
-        /// The submission it was about.
+        /// Submission that the request concerns.
         id: SubmissionId,
-        /// The peer's answer.
+        /// Answer of the peer; `None` if the peer could not be reached.
         answer: Option<Answer>,
     },
-    /// A configuration came from the control process.
+    /// The control process sent a configuration.
     Configured(Config),
-    /// The executors known changed.
+    /// The list of known executors changed.
     Executors(Vec<ExecutorInfo>),
-    /// The members known changed, and how many of them share this zone's executors.
+    /// The list of members changed, or the number of hosts that share this zone's executors.
     Members {
-        /// Every member, this host left out.
+        /// All members except this host.
         members: Vec<Member>,
-        /// Incarnations held to be gone for good.
+        /// Incarnations that are considered permanently gone.
         gone: Vec<Incarnation>,
-        /// Live entry hosts of this zone, this one included.
+        /// Number of live entry hosts in this zone, including this one.
         zone_hosts: u32,
-        /// Live entry hosts of all zones, this one included.
+        /// Number of live entry hosts in all zones, including this one.
         live_hosts: u32,
     },
-    /// Records of the claims stream were read.
+    /// Records were read from the claims stream.
     LogRead {
-        /// The oldest offset the log keeps.
+        /// Oldest offset that the log retains.
         oldest: Offset,
-        /// The offset of the next append.
+        /// Offset that the next appended record will get.
         next: Offset,
-        /// The records.
+        /// Records that were read, in order of their offsets.
         records: Vec<Record>,
     },
-    /// The claims stream can't be read.
+    /// The claims stream could not be read.
     LogLost,
-    /// An append of claims ended.
+    /// Appending a batch of claims ended.
     AppendEnded {
-        /// The batch's number.
+        /// Number of the batch.
         batch: u64,
-        /// Where it stands, or why it may not.
+        /// Offset of the appended batch, or the failure, after which it may still be in the log.
         result: Result<Offset, AppendFailure>,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// The attempt.
+        /// Attempt that ended.
         attempt: AttemptId,
-        /// How.
+        /// Result of the attempt.
         report: AttemptReport,
     },
-    /// A stop ended; none if the executor did not answer it.
+    /// A stop sent to an executor ended.
     StopEnded {
-        /// The attempt that was stopped.
+        /// Attempt that was to be stopped.
         attempt: AttemptId,
-        /// What the executor answered.
+        /// Reply of the executor; `None` if it did not answer.
         report: Option<StopReport>,
     },
-    /// An executor told what has become of a task; none if it did not answer.
+    /// A query for the status of a task ended.
     QueryEnded {
-        /// The attempt asked about.
+        /// Attempt whose task was queried.
         attempt: AttemptId,
-        /// What the executor answered.
+        /// Status of the task; `None` if the executor did not answer.
         status: Option<TaskSighting>,
     },
-    /// The process begins to drain: no new work.
+    /// The process started to drain: new submissions are refused.
     Drain,
-    /// Time has passed.
+    /// Time has passed without another input.
     Tick,
 }
--- a/crates/onyxshed-dispatch/src/job.rs
+++ b/crates/onyxshed-dispatch/src/job.rs
@@ -1,7 +1,7 @@
-//! A submission's life on the host that holds it: claiming, running, ended.
+//! Jobs of an entry host and their stages: claiming, running and ended.
 //!
-//! Each stage is a type of its own, and a stage is left only by giving it up for the next, so a job
-//! that ended can't start a task and one that is being claimed has no results.
+//! Each stage has its own type, and moving to the next stage consumes the current one. An ended job
+//! therefore can't start a task, and a job that is being claimed has no results.
 
 mod claiming;
 mod ended;
@@ -15,38 +15,38 @@
 use onyxshed_wire::ContentHash;
 use onyxshed_wire::caller::CopyMark;
 
-/// What stays the same from arrival to end.
+/// Properties of a job that are fixed when it is accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobHead {
-    /// The submission.
+    /// Id of the submission.
     pub id: SubmissionId,
-    /// Its content.
+    /// Hash of the submission's content.
     pub content: ContentHash,
-    /// Its class.
+    /// Class of the job.
     pub class: ClassName,
-    /// Whether its tasks may run more than once.
+    /// Whether the job's tasks may run more than once.
     pub may_run_twice: bool,
-    /// What the caller says of other copies.
+    /// Caller's statement on whether earlier copies of the submission exist.
     pub copy: CopyMark,
-    /// When it has to be finished; it does not begin after this.
+    /// Time by which the job should be finished; no job is begun after it.
     pub deadline: Mono,
-    /// When it is given up even if it has begun.
+    /// Time at which the job is aborted even if it has begun.
     pub end_by: Mono,
 }
 
-/// A job at whatever stage.
+/// Job in any of its stages.
 #[derive(Debug)]
 pub enum Job {
-    /// Its claim is not decided yet.
+    /// The claim of the job is not decided yet.
     Claiming(Claiming),
-    /// This host may start its tasks.
+    /// This host may start the job's tasks.
     Running(Running),
-    /// It has its final answer.
+    /// The job has its final answer.
     Ended(Ended),
 }
 
 impl Job {
-    /// Gets the class.
+    /// Returns the class of the job.
     pub fn class(&self) -> &ClassName {
         match self {
             Job::Claiming(job) => &job.head.class,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Gets the content that the id stands for.
+    /// Returns the hash of the content that was submitted under the job's id.
     pub fn content(&self) -> ContentHash {
         match self {
             Job::Claiming(job) => job.head.content,
--- a/crates/onyxshed-dispatch/src/job/claiming.rs
+++ b/crates/onyxshed-dispatch/src/job/claiming.rs
@@ -1,4 +1,4 @@
-//! A job whose claim is not decided yet; none of its tasks may start.
+//! First stage of a job: its claim is not decided yet, and none of its tasks may start.
 
 use std::rc::Rc;
 
@@ -6,21 +6,21 @@
 use super::running::Running;
 use crate::output::RequestId;
 
-/// A job that waits for the log to say who holds it.
+/// Job that waits until the log decides which host holds the submission.
 #[derive(Debug)]
 pub struct Claiming {
-    /// What stays the same.
+    /// Properties of the job that do not change.
     pub head: JobHead,
-    /// One payload a task.
+    /// Payload of each task, in order of their indexes.
     pub payloads: Vec<Rc<Vec<u8>>>,
-    /// Requests that wait for the answer.
+    /// Requests that wait for the job's answer.
     pub waiters: Vec<RequestId>,
-    /// Requests to cancel, which are answered once the log tells who holds the submission.
+    /// Requests to cancel the job; answered once the log decides which host holds the submission.
     pub cancels: Vec<RequestId>,
 }
 
 impl Claiming {
-    /// Turns the job into one whose tasks may start, on a claim or without one.
+    /// Converts the job into one whose tasks may start, with or without a claim.
     pub fn granted(self, is_claimed: bool) -> Running {
         Running::new(self.head, self.payloads, self.waiters, is_claimed)
     }
--- a/crates/onyxshed-dispatch/src/job/ended.rs
+++ b/crates/onyxshed-dispatch/src/job/ended.rs
@@ -1,27 +1,30 @@
-//! A job that has its final answer, remembered until the horizon so that no copy starts it again.
+//! Last stage of a job: it has its final answer.
+//!
+//! An ended job is remembered until its id is older than the horizon, so that no late copy of the
+//! submission starts it again.
 
 use onyxshed_core::{ClassName, ResultCode, SubmissionId};
 use onyxshed_wire::ContentHash;
 use onyxshed_wire::caller::Answer;
 use smol_str::SmolStr;
 
-/// A job that is over.
+/// Job that has ended, with its final answer.
 #[derive(Debug)]
 pub struct Ended {
-    /// The content that the id stands for.
+    /// Hash of the content that was submitted under the job's id.
     pub content: ContentHash,
-    /// Its class.
+    /// Class of the job.
     pub class: ClassName,
-    /// How it ended.
+    /// Result code of the job.
     pub code: ResultCode,
-    /// Particulars.
+    /// Further details of the result.
     pub detail: SmolStr,
-    /// The results, while they are kept; only of a complete job.
+    /// Results of all tasks; `None` if the job is not complete or its results were dropped.
     pub results: Option<Vec<Vec<u8>>>,
 }
 
 impl Ended {
-    /// Gets the answer for a caller who asks again.
+    /// Returns the answer to a repeated request.
     pub fn answer(&self, id: SubmissionId) -> Answer {
         match (&self.results, self.code) {
             (Some(results), _) => Answer::complete(id, results.clone()),
@@ -30,7 +33,7 @@
         }
     }
 
-    /// Gets how many bytes of results it keeps.
+    /// Returns the total size of the stored results, in bytes.
     pub fn kept_bytes(&self) -> u64 {
         let results = self.results.iter().flatten();
         results.map(|result| result.len() as u64).sum()
--- a/crates/onyxshed-dispatch/src/job/running.rs
+++ b/crates/onyxshed-dispatch/src/job/running.rs
@@ -1,4 +1,4 @@
-//! A job whose tasks may start, run and end on this host.
+//! Second stage of a job: this host may start its tasks.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -10,31 +10,32 @@
 use super::ended::Ended;
 use crate::output::{AttemptId, RequestId};
 
-/// What is known of whether any task has started.
+/// Evidence on whether any task of a job has started.
 ///
-/// "Not run" may be said only while this holds nothing against it.
+/// A job may be reported as "not run" only while both fields are `false`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// Some executor told that it ran a task.
+    /// An executor reported that it ran a task.
     pub has_run: bool,
-    /// Some attempt was lost, so a task may have run.
+    /// An attempt was lost, so a task may have run.
     pub is_in_doubt: bool,
 }
 
-/// A job under way.
+/// Job whose tasks may start, run and end on this host.
 #[derive(Debug)]
 pub struct Running {
-    /// What stays the same.
+    /// Properties of the job that do not change.
     pub head: JobHead,
-    /// One payload a task.
+    /// Payload of each task, in order of their indexes.
     pub payloads: Vec<Rc<Vec<u8>>>,
-    /// Requests that wait for the answer.
+    /// Requests that wait for the job's answer.
     pub waiters: Vec<RequestId>,
     /// Attempts that have not ended.
     pub attempts: BTreeSet<AttemptId>,
-    /// What is known of starts.
+    /// Evidence on whether any task has started.
     pub evidence: Evidence,
-    /// Whether it rests on a claim; one that may run twice can do without.
+    /// Whether this host holds a claim to the submission; a job that may run twice can run without
+    /// one.
     pub is_claimed: bool,
     results: Vec<Option<Vec<u8>>>,
     missing: usize,
@@ -60,21 +61,21 @@
         }
     }
 
-    /// Gets the ids of its tasks.
+    /// Returns the ids of the job's tasks.
     pub fn tasks(&self) -> impl Iterator<Item = TaskId> + use<> {
         let submission = self.head.id;
         let count = u16::try_from(self.payloads.len()).unwrap_or(u16::MAX);
         (0..count).map(move |index| TaskId { submission, index })
     }
 
-    /// Tells whether the task has its result.
+    /// Returns whether the result of a task is stored.
     pub fn has_result(&self, index: u16) -> bool {
         self.results
             .get(usize::from(index))
             .is_some_and(Option::is_some)
     }
 
-    /// Takes in a task's result; the first one counts.
+    /// Stores the result of a task; later results of the same task are ignored.
     pub fn keep_result(&mut self, index: u16, result: Vec<u8>) {
         let Some(place) = self.results.get_mut(usize::from(index)) else {
             return;
@@ -85,20 +86,20 @@
         }
     }
 
-    /// Tells whether every task has its result.
+    /// Returns whether the results of all tasks are stored.
     pub fn is_complete(&self) -> bool {
         self.missing == 0
     }
 
-    /// Tells whether it is proved that no task has started.
+    /// Returns whether it is proven that no task has started.
     pub fn is_unstarted(&self) -> bool {
         !self.evidence.has_run && !self.evidence.is_in_doubt && self.attempts.is_empty()
     }
 
-    /// Gets the code that tells the truth when the job is given up for `reason`.
+    /// Returns the code that correctly describes the job if it is aborted now.
     ///
-    /// A reason that says "not run" holds only while that is proved; one that says "failed" only if
-    /// some task is known to have run.
+    /// A "not run" code is returned only while it is proven that no task has started, and a
+    /// "failed" code of the started case only if a task is known to have run.
     pub fn truthful(&self, reason: GiveUp) -> ResultCode {
         let is_doubtful = self.evidence.is_in_doubt || !self.attempts.is_empty();
         match (self.evidence.has_run, is_doubtful) {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Ends the job and hands back the requests that wait for its answer.
+    /// Converts the job into an ended one and returns the requests that wait for its answer.
     pub fn end(self, code: ResultCode, detail: SmolStr) -> (Ended, Vec<RequestId>) {
         let is_complete = code.outcome() == Some(Outcome::Complete);
         let results = is_complete.then(|| self.results.into_iter().flatten().collect());
@@ -123,33 +124,33 @@
     }
 }
 
-/// The three truths about one reason to give a job up.
+/// Result codes for one reason to abort a job, depending on whether a task has started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GiveUp {
-    /// When it is proved that nothing started.
+    /// Code if it is proven that no task has started.
     pub unstarted: ResultCode,
-    /// When some task is known to have run.
+    /// Code if a task is known to have run.
     pub started: ResultCode,
-    /// When some task may have run.
+    /// Code if a task may have run.
     pub in_doubt: ResultCode,
 }
 
 impl GiveUp {
-    /// The caller cancelled.
+    /// Codes for a job that the caller cancelled.
     pub const CANCELLED: GiveUp = GiveUp {
         unstarted: ResultCode::CancelledUnstarted,
         started: ResultCode::Cancelled,
         in_doubt: ResultCode::CancelledInDoubt,
     };
 
-    /// Its time ran out.
+    /// Codes for a job whose time ran out.
     pub const OUT_OF_TIME: GiveUp = GiveUp {
         unstarted: ResultCode::ExpiredInQueue,
         started: ResultCode::DeadlinePassed,
         in_doubt: ResultCode::UpstreamSilent,
     };
 
-    /// A task is over with this code.
+    /// Returns the codes for a job of which a task ended for good with `code`.
     pub fn task(code: ResultCode) -> GiveUp {
         let is_not_run = code.outcome() == Some(Outcome::NotRun);
         GiveUp {
--- a/crates/onyxshed-dispatch/src/lib.rs
+++ b/crates/onyxshed-dispatch/src/lib.rs
@@ -1,9 +1,10 @@
-//! The entry host's state machine: from a caller's request to its one answer.
+//! State machine of an entry host, from a caller's request to its single answer.
 //!
-//! [`Dispatch`] takes an [`Input`] with its time and gives [`Output`]s to carry out. It joins the
-//! claim book and the policy: a submission is looked up, admitted, claimed, its tasks started, their
-//! ends gathered, and the caller told exactly one of complete, failed, not run, unknown. It does no
-//! input or output, so the same machine runs in the process and in searches over orders of events.
+//! [`Dispatch`] processes one [`Input`] at a given time and returns the [`Output`]s to execute. It
+//! combines the claim book with the dispatch policy: a submission is looked up, admitted and
+//! claimed, its tasks are started and their results collected, and the caller gets exactly one
+//! outcome: complete, failed, not run or unknown. The crate performs no I/O, so the same state
+//! machine runs in the entry process and in randomized tests that search over orders of events.
 
 pub mod dispatch;
 pub mod input;
--- a/crates/onyxshed-dispatch/src/options.rs
+++ b/crates/onyxshed-dispatch/src/options.rs
@@ -1,30 +1,33 @@
-//! Limits of the dispatch machine.
+//! Options of the state machine.
 
 use onyxshed_core::{Bytes, Millis};
 use onyxshed_policy::PolicyOptions;
 use onyxshed_state::ClaimOptions;
 
-/// Limits of one entry host's dispatch.
+/// Limits and time spans of one entry host's [`Dispatch`](crate::Dispatch).
 #[derive(Debug, Clone)]
 pub struct DispatchOptions {
-    /// Most submissions remembered until the horizon, running or ended. Default 200,000.
+    /// Maximum number of submissions that are remembered, running or ended. Default 200,000.
+    ///
+    /// Ended submissions are remembered until their id is older than the horizon.
     pub jobs_max: usize,
-    /// Most bytes of payloads and results held for running jobs. Default 256 MiB.
+    /// Maximum total size of the payloads of jobs that have not ended. Default 256 MiB.
     pub running_max_bytes: Bytes,
-    /// Most bytes of results kept for callers who ask again. Default 64 MiB.
+    /// Maximum total size of the results kept for repeated requests. Default 64 MiB.
     pub answers_max_bytes: Bytes,
-    /// Largest result of one task. Default 1 MiB.
+    /// Maximum size of the result of one task. Default 1 MiB.
     pub result_max_bytes: Bytes,
-    /// Most requests that wait for one job. Default 64.
+    /// Maximum number of requests that wait for one job. Default 64.
     pub waiters_max: usize,
-    /// What a lease lasts beyond the job's end, so that clocks and transit don't cut a task short.
-    /// Default 50 ms.
+    /// Time by which a lease outlasts the job's final deadline. Default 50 ms.
+    ///
+    /// The slack keeps clock differences and transit time from cutting a task short.
     pub lease_slack_ms: Millis,
-    /// How soon a caller may come back when nothing better is known. Default 1 s.
+    /// Retry delay given to refused callers when no better estimate is known. Default 1 s.
     pub retry_after_ms: Millis,
-    /// Limits of the claim book.
+    /// Options of the claim book.
     pub claims: ClaimOptions,
-    /// Limits of the policy.
+    /// Options of the dispatch policy.
     pub policy: PolicyOptions,
 }
 
--- a/crates/onyxshed-dispatch/src/output.rs
+++ b/crates/onyxshed-dispatch/src/output.rs
@@ -1,4 +1,4 @@
-//! What the shell has to carry out.
+//! Outputs of the state machine: the actions that the entry process executes.
 
 use std::fmt;
 use std::rc::Rc;
@@ -7,11 +7,11 @@
 use onyxshed_wire::caller::{Answer, Submission};
 use onyxshed_wire::record::ClaimBatch;
 
-/// One request that waits for an answer, numbered by the shell.
+/// Number of a request that waits for an answer, assigned by the entry process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// One start of one task, numbered by the dispatch.
+/// Number of one start of a task, assigned by [`Dispatch`](crate::Dispatch).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
@@ -21,19 +21,19 @@
     }
 }
 
-/// What a request passed on to a peer asks.
+/// Request that is forwarded to a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ForwardedCall {
-    /// The caller's submission.
+    /// Submits a caller's job.
     Submit(Box<Submission>),
-    /// The caller asks for an answer.
+    /// Requests the answer of a job.
     Fetch(SubmissionId),
-    /// The caller cancels.
+    /// Cancels a job.
     Cancel(SubmissionId),
 }
 
 impl ForwardedCall {
-    /// Gets the class, if it is known.
+    /// Returns the class of the job; `None` for calls that carry only a submission id.
     pub fn class(&self) -> Option<&ClassName> {
         match self {
             ForwardedCall::Submit(submission) => Some(&submission.class),
@@ -42,62 +42,62 @@
     }
 }
 
-/// One thing to do.
+/// Action that the entry process executes.
 #[derive(Debug, Clone)]
 pub enum Output {
-    /// Answer a request; each request gets exactly one.
+    /// Answer a request; each request gets exactly one answer.
     Answer {
-        /// The request.
+        /// Request to answer.
         request: RequestId,
-        /// The answer.
+        /// Answer to send.
         answer: Answer,
     },
-    /// Pass a request on to the peer that holds its submission.
+    /// Forward a request to the peer that holds its submission.
     Forward {
-        /// The request.
+        /// Request to forward.
         request: RequestId,
-        /// The holder.
+        /// Incarnation of the holder.
         to: Incarnation,
-        /// What to ask.
+        /// Request to send to the holder.
         call: ForwardedCall,
     },
-    /// Append a batch to the claims stream.
+    /// Append a batch of claims to the claims stream.
     Append(ClaimBatch),
-    /// Start a task.
+    /// Start a task on an executor.
     Start {
-        /// The attempt to report.
+        /// Attempt to name in the report.
         attempt: AttemptId,
-        /// The task.
+        /// Task to start.
         task: TaskId,
-        /// Where to.
+        /// Executor that runs the task.
         executor: ExecutorName,
-        /// Its class.
+        /// Class of the task's job.
         class: ClassName,
-        /// The payload.
+        /// Payload of the task.
         payload: Rc<Vec<u8>>,
-        /// How long the executor may work on it.
+        /// Time after which the executor stops the task.
         lease_ms: Millis,
-        /// Whether it may only go onto a connection that proved of late that it works.
+        /// Whether the start may be sent only over a connection that recently proved to work.
         needs_proven_connection: bool,
     },
-    /// Tell an executor to stop a task, on another connection than the one that started it.
+    /// Stop a task, over a different connection than the one that started it.
     Stop {
-        /// The attempt to report.
+        /// Attempt to name in the report.
         attempt: AttemptId,
-        /// The task.
+        /// Task to stop.
         task: TaskId,
-        /// Where it went.
+        /// Executor that the task was sent to.
         executor: ExecutorName,
     },
-    /// Ask an executor, on another connection, what has become of a task.
+    /// Query the status of a task, over a different connection than the one that started it.
     Query {
-        /// The attempt to report.
+        /// Attempt to name in the report.
         attempt: AttemptId,
-        /// The task.
+        /// Task to query.
         task: TaskId,
-        /// Where it went.
+        /// Executor that the task was sent to.
         executor: ExecutorName,
     },
-    /// Tell log, metrics and time line.
+    /// Emit an event to the log, the metrics and the timeline.
     Emit(Event),
 }
--- a/crates/onyxshed-dispatch/src/table.rs
+++ b/crates/onyxshed-dispatch/src/table.rs
@@ -1,8 +1,9 @@
-//! All jobs of an entry host, within bounds of count and bytes.
+//! Table of all jobs of an entry host, limited in count and in bytes of results.
 //!
-//! An ended job is remembered until its id is past the horizon: forgetting it earlier would let a
-//! late copy start again on this very host, which holds the claim. When the table is full, new jobs
-//! are refused instead. Results are kept only as long as their bytes fit; the code stays.
+//! An ended job is remembered until its id is older than the horizon. Forgetting it earlier would
+//! let a late copy of the submission start again on this host, which holds the claim. When the
+//! table is full, new jobs are refused instead. Results are dropped, oldest first, when they exceed
+//! their limit; the result code is kept.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -10,7 +11,7 @@
 
 use crate::job::{Ended, Job};
 
-/// The jobs of one entry host.
+/// Jobs of one entry host, indexed by submission id and by the time at which they are due.
 #[derive(Debug, Default)]
 pub struct JobTable {
     jobs: HashMap<SubmissionId, Job>,
@@ -22,38 +23,38 @@
 }
 
 impl JobTable {
-    /// Gets how many jobs are remembered.
+    /// Returns the number of jobs, running and ended.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Tells whether no job is remembered.
+    /// Returns whether the table contains no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Gets how many jobs have not ended.
+    /// Returns the number of jobs that have not ended.
     pub fn live_count(&self) -> usize {
         self.due_of.len()
     }
 
-    /// Gets a job.
+    /// Returns a job, or `None` if it is not in the table.
     pub fn get(&self, id: SubmissionId) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// Gets a job to change it in its stage.
+    /// Returns a job for changes that keep it in its stage.
     pub fn get_mut(&mut self, id: SubmissionId) -> Option<&mut Job> {
         self.jobs.get_mut(&id)
     }
 
-    /// Puts a job that has not ended, to be looked at when `due` has come.
+    /// Inserts a job that has not ended and becomes due at `due`.
     pub fn put_live(&mut self, id: SubmissionId, job: Job, due: Mono) {
         self.set_due(id, Some(due));
         self.jobs.insert(id, job);
     }
 
-    /// Puts a job that has ended and drops the oldest results over `keep`.
+    /// Inserts a job that has ended and drops the oldest results that exceed `keep` in total.
     pub fn put_ended(&mut self, id: SubmissionId, ended: Ended, keep: Bytes) {
         self.set_due(id, None);
         self.ended_by_time.insert((id.time(), id));
@@ -66,18 +67,18 @@
         self.drop_results_over(keep);
     }
 
-    /// Takes a job out.
+    /// Removes and returns a job.
     pub fn take(&mut self, id: SubmissionId) -> Option<Job> {
         self.set_due(id, None);
         self.jobs.remove(&id)
     }
 
-    /// Gets the earliest time at which a job wants to be looked at.
+    /// Returns the earliest time at which a job becomes due.
     pub fn next_due(&self) -> Option<Mono> {
         self.due.first().map(|(due, _)| *due)
     }
 
-    /// Gets a job whose time has come.
+    /// Returns the job that has been due longest at `now`, if any.
     pub fn due(&self, now: Mono) -> Option<SubmissionId> {
         self.due
             .first()
@@ -85,7 +86,7 @@
             .map(|(_, id)| *id)
     }
 
-    /// Sets when a job wants to be looked at, if at all.
+    /// Sets the time at which a job becomes due; `None` if it never does.
     pub fn set_due(&mut self, id: SubmissionId, due: Option<Mono>) {
         if let Some(before) = self.due_of.remove(&id) {
             self.due.remove(&(before, id));
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Forgets ended jobs whose id is older than `horizon`.
+    /// Removes ended jobs whose id is older than `horizon`.
     pub fn forget_older(&mut self, horizon: UnixMs) {
         while let Some(&(time, id)) = self.ended_by_time.first() {
             if time >= horizon {
