--- a/crates/onyxshed-dispatch/src/dispatch.rs
+++ b/crates/onyxshed-dispatch/src/dispatch.rs
@@ -36,14 +36,14 @@
     /// Whether its connection was lost and a stop was sent to determine the task's state.
     is_resolving: bool,
     /// Time of the next query for the task's status, and the interval before that query.
-    ask_at: Mono,
-    ask_again_us: Micros,
+    query_at: Mono,
+    query_interval_us: Micros,
 }
 
 /// State machine of one entry host.
 #[derive(Debug)]
 pub struct Dispatch {
-    me: Incarnation,
+    own_incarnation: Incarnation,
     options: DispatchOptions,
     config: Option<Config>,
     has_executors: bool,
@@ -51,11 +51,11 @@
     policy: Policy,
     jobs: JobTable,
     attempts: HashMap<AttemptId, Attempt>,
-    asks: BTreeSet<(Mono, AttemptId)>,
+    queries: BTreeSet<(Mono, AttemptId)>,
     last_attempt: u64,
     members: BTreeMap<Incarnation, Member>,
     gone: BTreeSet<Incarnation>,
-    passed_on: BTreeMap<RequestId, forward::PassedOn>,
+    forwarded_requests: BTreeMap<RequestId, forward::ForwardedRequest>,
     running_bytes: u64,
     is_draining: bool,
     wake_at: Option<Mono>,
@@ -66,18 +66,18 @@
     /// Creates the state machine of one incarnation; `seed` seeds all of its random choices.
     pub fn new(me: Incarnation, options: DispatchOptions, seed: u64) -> Self {
         Dispatch {
-            me,
+            own_incarnation: me,
             config: None,
             has_executors: false,
             book: ClaimBook::new(me, options.claims.clone()),
             policy: Policy::new(options.policy.clone(), seed),
             jobs: JobTable::default(),
             attempts: HashMap::new(),
-            asks: BTreeSet::new(),
+            queries: BTreeSet::new(),
             last_attempt: 0,
             members: BTreeMap::new(),
             gone: BTreeSet::new(),
-            passed_on: BTreeMap::new(),
+            forwarded_requests: BTreeMap::new(),
             running_bytes: 0,
             is_draining: false,
             wake_at: None,
@@ -90,14 +90,14 @@
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
         // Due jobs are processed first: a process that was frozen must detect that a job is over
         // before it starts another task of that job.
-        self.settle_due(now);
-        self.take_in(now, input);
+        self.process_due(now);
+        self.apply_input(now, input);
         self.pump(now);
-        self.note_policy();
+        self.emit_policy_decisions();
         std::mem::take(&mut self.outputs)
     }
 
-    fn take_in(&mut self, now: Now, input: Input) {
+    fn apply_input(&mut self, now: Now, input: Input) {
         match input {
             Input::Submit {
                 request,
@@ -124,8 +124,8 @@
                 request,
                 id,
                 answer,
-            } => self.forwarded(request, id, answer),
-            Input::Configured(config) => self.configure(now, config),
+            } => self.apply_forward_answer(request, id, answer),
+            Input::Configured(config) => self.apply_config(now, config),
             Input::Executors(executors) => {
                 self.has_executors = true;
                 self.policy.set_executors(now, &executors);
@@ -144,23 +144,23 @@
                 next,
                 records,
             } => {
-                self.log_read(now, oldest, next, &records);
+                self.apply_log_records(now, oldest, next, &records);
             }
-            Input::LogLost => self.log_lost(now),
-            Input::AppendEnded { batch, result } => self.appended(now, batch, result),
-            Input::AttemptEnded { attempt, report } => self.attempt_ended(now, attempt, report),
-            Input::StopEnded { attempt, report } => self.stop_ended(now, attempt, report),
+            Input::LogLost => self.apply_log_loss(now),
+            Input::AppendEnded { batch, result } => self.apply_append_result(now, batch, result),
+            Input::AttemptEnded { attempt, report } => self.apply_attempt_end(now, attempt, report),
+            Input::StopEnded { attempt, report } => self.apply_stop_end(now, attempt, report),
             Input::QueryEnded {
                 attempt,
                 status: sighting,
-            } => self.sighted(now, attempt, sighting),
+            } => self.apply_task_status(now, attempt, sighting),
             Input::Drain => self.is_draining = true,
             Input::Tick => {}
         }
     }
 
     /// Emits an event for each decision of the policy on executors, jobs and classes.
-    fn note_policy(&mut self) {
+    fn emit_policy_decisions(&mut self) {
         for note in self.policy.drain_decisions() {
             let event = match note {
                 PolicyNote::BreakerOpened { executor, reason } => {
@@ -181,11 +181,11 @@
                     .class(&class)
                     .detail("no longer"),
             };
-            self.note(event);
+            self.emit(event);
         }
     }
 
-    fn configure(&mut self, now: Now, config: Config) {
+    fn apply_config(&mut self, now: Now, config: Config) {
         let is_newer = self
             .config
             .as_ref()
@@ -195,7 +195,7 @@
         }
         self.policy.set_classes(now, &config.classes);
         let detail = smol_str::format_smolstr!("revision {}", config.revision);
-        self.note(Event::new(EventKind::ConfigInForce).detail(detail));
+        self.emit(Event::new(EventKind::ConfigInForce).detail(detail));
         self.config = Some(config);
     }
 
@@ -206,17 +206,17 @@
             .map(|member| (member.incarnation, member))
             .collect();
         self.policy.set_zone_hosts(now, sharers.max(1));
-        self.give_up_on_silent_holders();
+        self.refuse_unreachable_forwards();
     }
 
     fn answer(&mut self, request: RequestId, mut answer: Answer) {
-        answer.bind_to = answer.bind_to.or(Some(self.me));
+        answer.bind_to = answer.bind_to.or(Some(self.own_incarnation));
         self.outputs.push(Output::Answer { request, answer });
     }
 
     /// Emits an event; its class is set from the job if the event has none and the job is in the
     /// table.
-    fn note(&mut self, mut event: Event) {
+    fn emit(&mut self, mut event: Event) {
         let job = event.submission.and_then(|id| self.jobs.get(id));
         event.class = event.class.or_else(|| Some(job?.class().clone()));
         self.outputs.push(Output::Emit(event));
@@ -236,7 +236,7 @@
         }
     }
 
-    fn hold_bytes(&mut self, payloads: &[std::rc::Rc<Vec<u8>>]) {
+    fn reserve_bytes(&mut self, payloads: &[std::rc::Rc<Vec<u8>>]) {
         self.running_bytes += total_bytes(payloads);
     }
 
--- a/crates/onyxshed-dispatch/src/dispatch/admit.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/admit.rs
@@ -16,10 +16,10 @@
 /// The target is the time by which a job should be finished. Aborting a job that has begun wastes
 /// the work already done, so it may take twice the target. A deadline set by the caller is not
 /// extended.
-const TARGET_STRETCH: u64 = 2;
+const FINAL_DEADLINE_FACTOR: u64 = 2;
 
 /// Next step for a submission, depending on its claim and on the job table.
-pub(super) enum Entry {
+pub(super) enum SubmitStep {
     /// Join the job with the same id in the table.
     Join,
     /// Accept the job under a claim that this host already holds.
@@ -44,18 +44,20 @@
         request: RequestId,
         submission: Submission,
         content: ContentHash,
-        entry: &Entry,
+        entry: &SubmitStep,
     ) {
         let id = submission.submission;
         let told = |code| match entry {
-            Entry::Start => code,
-            entry => unproved(code, submission.copy, matches!(entry, Entry::Claim)),
+            SubmitStep::Start => code,
+            entry => {
+                unclaimed_refusal_code(code, submission.copy, matches!(entry, SubmitStep::Claim))
+            }
         };
-        if let Some(code) = self.closed_for(&submission) {
-            return self.refuse_of(request, &submission, told(code));
+        if let Some(code) = self.admission_block(&submission) {
+            return self.refuse_submission(request, &submission, told(code));
         }
-        let Some(head) = self.head_of(now, &submission, content) else {
-            return self.refuse_of(request, &submission, told(ResultCode::UnknownClass));
+        let Some(head) = self.job_head(now, &submission, content) else {
+            return self.refuse_submission(request, &submission, told(ResultCode::UnknownClass));
         };
 
         let count = submission.tasks.len();
@@ -65,18 +67,18 @@
                 retry_after_ms,
             } => {
                 let code = told(code);
-                self.note_refused(id, Some(&submission.class), code);
+                self.emit_refusal(id, Some(&submission.class), code);
                 let answer = Answer::ended(Some(id), code, "").retry_after(retry_after_ms);
                 self.answer(request, answer);
             }
-            Admission::Accept => self.take_job(now, request, head, submission, entry),
+            Admission::Accept => self.accept_job(now, request, head, submission, entry),
         }
     }
 
     /// Returns the reason for which this host accepts no new jobs or has no room for this one.
     ///
     /// Returns `None` if the host can accept the submission.
-    pub(super) fn closed_for(&self, submission: &Submission) -> Option<ResultCode> {
+    pub(super) fn admission_block(&self, submission: &Submission) -> Option<ResultCode> {
         let bytes: u64 = submission
             .tasks
             .iter()
@@ -93,7 +95,7 @@
         }
     }
 
-    pub(super) fn head_of(
+    pub(super) fn job_head(
         &self,
         now: Now,
         submission: &Submission,
@@ -103,7 +105,7 @@
         let target_us = Micros::from(target.finish_within_ms);
         let asked_us = submission.deadline_ms.map(Micros::from);
         let within_us = asked_us.map_or(target_us, |asked| asked.min(target_us));
-        let last_us = Micros(target_us.0.saturating_mul(TARGET_STRETCH));
+        let last_us = Micros(target_us.0.saturating_mul(FINAL_DEADLINE_FACTOR));
         let end_us = asked_us.map_or(last_us, |asked| asked.min(last_us));
         Some(JobHead {
             id: submission.submission,
@@ -112,17 +114,17 @@
             may_run_twice: target.may_run_twice,
             copy: submission.copy,
             deadline: now.mono + within_us,
-            end_by: now.mono + end_us,
+            final_deadline: now.mono + end_us,
         })
     }
 
-    pub(super) fn take_job(
+    pub(super) fn accept_job(
         &mut self,
         now: Now,
         request: RequestId,
         head: JobHead,
         submission: Submission,
-        entry: &Entry,
+        entry: &SubmitStep,
     ) {
         let (id, content, deadline) = (head.id, head.content, head.deadline);
         let payloads = submission.tasks.into_iter().map(Rc::new).collect();
@@ -132,25 +134,25 @@
             waiters: vec![request],
             cancels: Vec::new(),
         };
-        self.hold_bytes(&job.payloads);
-        self.put_claiming(id, job, deadline);
+        self.reserve_bytes(&job.payloads);
+        self.insert_claiming(id, job, deadline);
         match entry {
-            Entry::Claim => {
+            SubmitStep::Claim => {
                 self.book.request_start(now, id, content);
             }
-            Entry::StartUnclaimed => {
+            SubmitStep::StartUnclaimed => {
                 self.start_unclaimed(now, id, "the log can't be reached");
             }
-            Entry::TakeOver(gone) => self.take_over(now, id, content, *gone),
+            SubmitStep::TakeOver(gone) => self.take_over(now, id, content, *gone),
             _ => {
                 self.book.request_start(now, id, content);
-                self.grant(now, id, true);
+                self.start_job(now, id, true);
             }
         }
     }
 
-    pub(super) fn put_claiming(&mut self, id: SubmissionId, job: Claiming, due: Mono) {
-        self.jobs.put_live(id, Job::Claiming(job), due);
+    pub(super) fn insert_claiming(&mut self, id: SubmissionId, job: Claiming, due: Mono) {
+        self.jobs.insert_live(id, Job::Claiming(job), due);
     }
 }
 
@@ -160,7 +162,11 @@
 /// "not run", it would submit the work under another id, and the work would be done twice. "Not
 /// run" therefore requires either the caller's statement that there is no earlier copy, or a
 /// readable log that contains no claim.
-pub(super) fn unproved(code: ResultCode, copy: CopyMark, is_log_readable: bool) -> ResultCode {
+pub(super) fn unclaimed_refusal_code(
+    code: ResultCode,
+    copy: CopyMark,
+    is_log_readable: bool,
+) -> ResultCode {
     match copy {
         CopyMark::First => code,
         CopyMark::Unmarked if is_log_readable => code,
--- a/crates/onyxshed-dispatch/src/dispatch/ask.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/ask.rs
@@ -14,41 +14,43 @@
 use crate::output::{AttemptId, Output};
 
 /// Delay before the first query, as a multiple of the class's 99th percentile of service time.
-const SILENCE_FACTOR: u64 = 2;
+const QUERY_DELAY_FACTOR: u64 = 2;
 
 /// Minimum delay before the first query.
-const SILENCE_MIN: Micros = Micros(100_000);
+const QUERY_DELAY_MIN_US: Micros = Micros(100_000);
 
 /// Delay before the first query while the class has no service time estimate.
-const SILENCE_UNKNOWN: Micros = Micros(1_000_000);
+const QUERY_DELAY_DEFAULT_US: Micros = Micros(1_000_000);
 
 impl Dispatch {
     /// Returns the delay before the first query for a task of a class.
-    pub(super) fn silence_of(&self, class: &ClassName) -> Micros {
+    pub(super) fn query_delay_us(&self, class: &ClassName) -> Micros {
         match self.policy.service_time_p99(class) {
-            Some(usual) => Micros(usual.0.saturating_mul(SILENCE_FACTOR)).max(SILENCE_MIN),
-            None => SILENCE_UNKNOWN,
+            Some(usual) => {
+                Micros(usual.0.saturating_mul(QUERY_DELAY_FACTOR)).max(QUERY_DELAY_MIN_US)
+            }
+            None => QUERY_DELAY_DEFAULT_US,
         }
     }
 
     /// Queries every attempt whose query is due; each interval is twice the previous one.
-    pub(super) fn ask_overdue(&mut self, now: Now) {
-        while let Some(&(at, id)) = self.asks.first() {
+    pub(super) fn send_due_queries(&mut self, now: Now) {
+        while let Some(&(at, id)) = self.queries.first() {
             if at > now.mono {
                 return;
             }
-            self.asks.pop_first();
-            self.ask(now, id);
+            self.queries.pop_first();
+            self.send_query(now, id);
         }
     }
 
-    fn ask(&mut self, now: Now, id: AttemptId) {
+    fn send_query(&mut self, now: Now, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.ask_again_us = Micros(attempt.ask_again_us.0.saturating_mul(2));
-        attempt.ask_at = now.mono + attempt.ask_again_us;
-        self.asks.insert((attempt.ask_at, id));
+        attempt.query_interval_us = Micros(attempt.query_interval_us.0.saturating_mul(2));
+        attempt.query_at = now.mono + attempt.query_interval_us;
+        self.queries.insert((attempt.query_at, id));
         if attempt.is_resolving {
             return;
         }
@@ -61,16 +63,21 @@
     }
 
     /// Applies an executor's reply to a status query.
-    pub(super) fn sighted(&mut self, _now: Now, id: AttemptId, sighting: Option<TaskSighting>) {
+    pub(super) fn apply_task_status(
+        &mut self,
+        _now: Now,
+        id: AttemptId,
+        sighting: Option<TaskSighting>,
+    ) {
         match sighting {
             None | Some(TaskSighting::Running) => {}
-            Some(TaskSighting::Unseen) => self.give_up_connection(id, "the start never arrived"),
-            Some(TaskSighting::Ended(_)) => self.give_up_connection(id, "the answer never came"),
+            Some(TaskSighting::Unseen) => self.abandon_connection(id, "the start never arrived"),
+            Some(TaskSighting::Ended(_)) => self.abandon_connection(id, "the answer never came"),
         }
     }
 
     /// Treats an attempt as lost and determines the task's state over another connection.
-    fn give_up_connection(&mut self, id: AttemptId, detail: &'static str) {
+    fn abandon_connection(&mut self, id: AttemptId, detail: &'static str) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -78,6 +85,6 @@
             return;
         }
         let attempt = attempt.clone();
-        self.resolve(id, &attempt, &AttemptReport::lost(detail));
+        self.resolve_lost_attempt(id, &attempt, &AttemptReport::lost(detail));
     }
 }
--- a/crates/onyxshed-dispatch/src/dispatch/attempt.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/attempt.rs
@@ -6,11 +6,11 @@
 
 use super::{Attempt, Dispatch};
 use crate::input::{AttemptReport, StopReport};
-use crate::job::GiveUp;
+use crate::job::AbortCodes;
 use crate::output::{AttemptId, Output};
 
 impl Dispatch {
-    pub(super) fn attempt_ended(&mut self, now: Now, id: AttemptId, report: AttemptReport) {
+    pub(super) fn apply_attempt_end(&mut self, now: Now, id: AttemptId, report: AttemptReport) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -18,11 +18,11 @@
             // Once a stop is under way, its reply decides the attempt's outcome.
             if !std::mem::replace(&mut attempt.is_resolving, true) {
                 let attempt = attempt.clone();
-                self.resolve(id, &attempt, &report);
+                self.resolve_lost_attempt(id, &attempt, &report);
             }
             return;
         }
-        self.conclude(now, id, report);
+        self.finish_attempt(now, id, report);
     }
 
     /// Sends a stop over another connection to determine the state of a task whose attempt was
@@ -30,8 +30,13 @@
     ///
     /// The stop is also a fence: an executor that replies "refused" guarantees that a start still
     /// in transit will not run, which proves that the task has not started.
-    pub(super) fn resolve(&mut self, id: AttemptId, attempt: &Attempt, report: &AttemptReport) {
-        self.note(task_event(EventKind::TaskLost, attempt).detail(report.detail.clone()));
+    pub(super) fn resolve_lost_attempt(
+        &mut self,
+        id: AttemptId,
+        attempt: &Attempt,
+        report: &AttemptReport,
+    ) {
+        self.emit(attempt_event(EventKind::TaskLost, attempt).detail(report.detail.clone()));
         self.outputs.push(Output::Stop {
             attempt: id,
             task: attempt.task,
@@ -39,7 +44,7 @@
         });
     }
 
-    pub(super) fn stop_ended(&mut self, now: Now, id: AttemptId, stop: Option<StopReport>) {
+    pub(super) fn apply_stop_end(&mut self, now: Now, id: AttemptId, stop: Option<StopReport>) {
         let is_resolving = self
             .attempts
             .get(&id)
@@ -49,7 +54,7 @@
         }
         let (verdict, body) = match stop {
             None => (AttemptOutcome::Lost, Vec::new()),
-            Some(stop) => (verdict_of(stop.state), stop.body),
+            Some(stop) => (outcome_of_stop(stop.state), stop.body),
         };
         let report = AttemptReport {
             outcome: verdict,
@@ -58,17 +63,17 @@
             load: None,
             detail: "stop".into(),
         };
-        self.conclude(now, id, report);
+        self.finish_attempt(now, id, report);
     }
 
     /// Records the end of an attempt and determines the next step of its task and job.
-    fn conclude(&mut self, now: Now, id: AttemptId, report: AttemptReport) {
+    fn finish_attempt(&mut self, now: Now, id: AttemptId, report: AttemptReport) {
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
         };
-        self.asks.remove(&(attempt.ask_at, id));
+        self.queries.remove(&(attempt.query_at, id));
         let task = attempt.task;
-        self.note_end(&attempt, &report);
+        self.emit_attempt_end(&attempt, &report);
         let step = self.policy.apply_attempt_end(
             now,
             &AttemptEnd {
@@ -80,7 +85,7 @@
             },
         );
         let Some(job) = self.running_mut(task.submission) else {
-            self.drop_late(&attempt, step);
+            self.drop_late_end(&attempt, step);
             return;
         };
         job.attempts.remove(&id);
@@ -96,27 +101,27 @@
         }
         match report.outcome {
             AttemptOutcome::Finished => self.keep_result(now, task, report.body),
-            _ => self.follow(now, task, step, &report),
+            _ => self.apply_retry_step(now, task, step, &report),
         }
     }
 
     fn keep_result(&mut self, now: Now, task: TaskId, body: Vec<u8>) {
         if body.len() as u64 > self.options.result_max_bytes.0 {
-            return self.end(now, task.submission, ResultCode::ResultTooLarge, "".into());
+            return self.end_job(now, task.submission, ResultCode::ResultTooLarge, "".into());
         }
         let Some(job) = self.running_mut(task.submission) else {
             return;
         };
-        job.keep_result(task.index, body);
+        job.record_result(task.index, body);
         if job.is_complete() {
-            self.end(now, task.submission, ResultCode::Complete, "".into());
+            self.end_job(now, task.submission, ResultCode::Complete, "".into());
             return;
         }
-        self.stop_copies(task);
+        self.stop_other_attempts(task);
     }
 
     /// Stops the remaining attempts of a task that has its result.
-    fn stop_copies(&mut self, task: TaskId) {
+    fn stop_other_attempts(&mut self, task: TaskId) {
         let Some(job) = self.running_mut(task.submission) else {
             return;
         };
@@ -127,12 +132,18 @@
                 .get(&other)
                 .is_some_and(|attempt| attempt.task == task)
             {
-                self.stop(other);
+                self.stop_attempt(other);
             }
         }
     }
 
-    fn follow(&mut self, now: Now, task: TaskId, step: RetryStep, report: &AttemptReport) {
+    fn apply_retry_step(
+        &mut self,
+        now: Now,
+        task: TaskId,
+        step: RetryStep,
+        report: &AttemptReport,
+    ) {
         let has_result = self
             .running_mut(task.submission)
             .is_some_and(|job| job.has_result(task.index));
@@ -142,9 +153,14 @@
             }
             RetryStep::GiveUp(code) if !has_result => {
                 let detail = smol_str::format_smolstr!("task {}: {}", task.index, report.detail);
-                self.give_up(now, task.submission, GiveUp::task(code), &detail);
+                self.abort(
+                    now,
+                    task.submission,
+                    AbortCodes::for_task_end(code),
+                    &detail,
+                );
             }
-            RetryStep::Queued => self.note(
+            RetryStep::Queued => self.emit(
                 Event::new(EventKind::TaskRetried)
                     .submission(task.submission)
                     .task(task.index)
@@ -155,14 +171,14 @@
     }
 
     /// Drops the end of an attempt whose job has already ended.
-    fn drop_late(&mut self, attempt: &Attempt, step: RetryStep) {
+    fn drop_late_end(&mut self, attempt: &Attempt, step: RetryStep) {
         if step == RetryStep::Queued {
             self.policy.withdraw(attempt.task);
         }
-        self.note(task_event(EventKind::AnswerDropped, attempt).detail("the job is over"));
+        self.emit(attempt_event(EventKind::AnswerDropped, attempt).detail("the job is over"));
     }
 
-    fn note_end(&mut self, attempt: &Attempt, report: &AttemptReport) {
+    fn emit_attempt_end(&mut self, attempt: &Attempt, report: &AttemptReport) {
         let kind = match report.outcome {
             AttemptOutcome::Refused | AttemptOutcome::Unsent => EventKind::TaskRefused,
             AttemptOutcome::Lost => EventKind::TaskLost,
@@ -172,12 +188,12 @@
             true => smol_str::format_smolstr!("{:?}", report.outcome),
             false => smol_str::format_smolstr!("{:?}: {}", report.outcome, report.detail),
         };
-        self.note(task_event(kind, attempt).detail(detail));
+        self.emit(attempt_event(kind, attempt).detail(detail));
     }
 }
 
 /// Creates an event that concerns an attempt.
-pub(super) fn task_event(kind: EventKind, attempt: &Attempt) -> Event {
+pub(super) fn attempt_event(kind: EventKind, attempt: &Attempt) -> Event {
     Event::new(kind)
         .submission(attempt.task.submission)
         .task(attempt.task.index)
@@ -186,7 +202,7 @@
 }
 
 /// Returns the outcome of an attempt that follows from an executor's reply to a stop.
-fn verdict_of(state: TaskState) -> AttemptOutcome {
+fn outcome_of_stop(state: TaskState) -> AttemptOutcome {
     match state {
         TaskState::Finished => AttemptOutcome::Finished,
         TaskState::Failed => AttemptOutcome::Failed,
--- a/crates/onyxshed-dispatch/src/dispatch/caller.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/caller.rs
@@ -6,8 +6,8 @@
 use onyxshed_wire::caller::{Answer, CopyMark, Submission};
 
 use super::Dispatch;
-use super::admit::{Entry, unproved};
-use crate::job::{GiveUp, Job};
+use super::admit::{SubmitStep, unclaimed_refusal_code};
+use crate::job::{AbortCodes, Job};
 use crate::output::{ForwardedCall, RequestId};
 
 impl Dispatch {
@@ -20,46 +20,46 @@
     ) {
         let id = submission.submission;
         let content = submission.content();
-        self.note(
+        self.emit(
             Event::new(EventKind::JobReceived)
                 .submission(id)
                 .class(&submission.class),
         );
-        match self.look_up(now, &submission, content) {
-            Entry::Join => self.join(request, id, content, submission.copy),
-            Entry::Forward(holder) if !is_forwarded => {
-                self.forward(
+        match self.submit_step(now, &submission, content) {
+            SubmitStep::Join => self.join(request, id, content, submission.copy),
+            SubmitStep::Forward(holder) if !is_forwarded => {
+                self.forward_if_reachable(
                     request,
                     id,
                     holder,
                     ForwardedCall::Submit(Box::new(submission)),
                 );
             }
-            Entry::Forward(_) => {
-                self.refuse_of(request, &submission, ResultCode::HolderUnreachable);
+            SubmitStep::Forward(_) => {
+                self.refuse_submission(request, &submission, ResultCode::HolderUnreachable);
             }
-            Entry::Refuse(code) => self.refuse_of(request, &submission, code),
+            SubmitStep::Refuse(code) => self.refuse_submission(request, &submission, code),
             entry => self.admit(now, request, submission, content, &entry),
         }
     }
 
-    fn look_up(&self, now: Now, submission: &Submission, content: ContentHash) -> Entry {
+    fn submit_step(&self, now: Now, submission: &Submission, content: ContentHash) -> SubmitStep {
         if self.jobs.get(submission.submission).is_some() {
-            return Entry::Join;
+            return SubmitStep::Join;
         }
         match self.book.peek(now, submission.submission, Some(content)) {
-            ClaimStep::Start => Entry::Start,
-            ClaimStep::Wait => Entry::Claim,
+            ClaimStep::Start => SubmitStep::Start,
+            ClaimStep::Wait => SubmitStep::Claim,
             ClaimStep::HeldBy(holder) if self.may_take_over(submission, holder) => {
-                Entry::TakeOver(holder)
+                SubmitStep::TakeOver(holder)
             }
-            ClaimStep::HeldBy(holder) => Entry::Forward(holder),
-            ClaimStep::OtherContent => Entry::Refuse(ResultCode::OtherContent),
-            ClaimStep::AlreadyStarted => Entry::Refuse(ResultCode::AnswerDropped),
-            ClaimStep::TooOld => Entry::Refuse(ResultCode::IdTooOld),
-            ClaimStep::FromFuture => Entry::Refuse(ResultCode::IdFromFuture),
-            ClaimStep::Unavailable if self.may_run_twice(submission) => Entry::StartUnclaimed,
-            ClaimStep::Unavailable => Entry::Refuse(unproved(
+            ClaimStep::HeldBy(holder) => SubmitStep::Forward(holder),
+            ClaimStep::OtherContent => SubmitStep::Refuse(ResultCode::OtherContent),
+            ClaimStep::AlreadyStarted => SubmitStep::Refuse(ResultCode::AnswerDropped),
+            ClaimStep::TooOld => SubmitStep::Refuse(ResultCode::IdTooOld),
+            ClaimStep::FromFuture => SubmitStep::Refuse(ResultCode::IdFromFuture),
+            ClaimStep::Unavailable if self.may_run_twice(submission) => SubmitStep::StartUnclaimed,
+            ClaimStep::Unavailable => SubmitStep::Refuse(unclaimed_refusal_code(
                 ResultCode::PlatformUnavailable,
                 submission.copy,
                 false,
@@ -89,7 +89,7 @@
         if !is_same {
             return self.refuse(request, id, ResultCode::OtherContent);
         }
-        self.note(Event::new(EventKind::JobJoined).submission(id));
+        self.emit(Event::new(EventKind::JobJoined).submission(id));
         let waiters = match self.jobs.get_mut(id) {
             Some(Job::Claiming(job)) => {
                 // The first copy's mark is void once another copy has arrived, because that copy
@@ -127,7 +127,7 @@
             }
             Some(_) => self.answer(request, Answer::running(id)),
             None => {
-                self.ask_holder(now, request, id, is_forwarded, ForwardedCall::Fetch(id));
+                self.forward_to_holder(now, request, id, is_forwarded, ForwardedCall::Fetch(id));
             }
         }
     }
@@ -147,11 +147,11 @@
             Some(Job::Claiming(_)) => self.cancel_claiming(request, id),
             Some(Job::Running(job)) => {
                 job.waiters.push(request);
-                self.note(Event::new(EventKind::JobCancelled).submission(id));
-                self.give_up(now, id, GiveUp::CANCELLED, "");
+                self.emit(Event::new(EventKind::JobCancelled).submission(id));
+                self.abort(now, id, AbortCodes::CANCELLED, "");
             }
             None => {
-                self.ask_holder(now, request, id, is_forwarded, ForwardedCall::Cancel(id));
+                self.forward_to_holder(now, request, id, is_forwarded, ForwardedCall::Cancel(id));
             }
         }
     }
@@ -162,7 +162,7 @@
     /// cancel request itself, the answer concerns every copy, and one may be running on another
     /// host: these requests wait until the log decides which host holds the submission.
     fn cancel_claiming(&mut self, request: RequestId, id: SubmissionId) {
-        self.note(Event::new(EventKind::JobCancelled).submission(id));
+        self.emit(Event::new(EventKind::JobCancelled).submission(id));
         let Some(job) = self.claiming_mut(id) else {
             return;
         };
@@ -179,7 +179,7 @@
     }
 
     /// Forwards a fetch or cancel of a job that is not in the table to its holder, if there is one.
-    fn ask_holder(
+    fn forward_to_holder(
         &mut self,
         now: Now,
         request: RequestId,
@@ -188,14 +188,16 @@
         call: ForwardedCall,
     ) {
         match self.book.peek(now, id, None) {
-            ClaimStep::HeldBy(holder) if !is_forwarded => self.forward(request, id, holder, call),
+            ClaimStep::HeldBy(holder) if !is_forwarded => {
+                self.forward_if_reachable(request, id, holder, call)
+            }
             ClaimStep::TooOld => self.refuse(request, id, ResultCode::IdTooOld),
             ClaimStep::Unavailable => self.refuse(request, id, ResultCode::EarlierCopyOpen),
             _ => self.refuse(request, id, ResultCode::NotKnownHere),
         }
     }
 
-    fn forward(
+    fn forward_if_reachable(
         &mut self,
         request: RequestId,
         id: SubmissionId,
@@ -210,32 +212,32 @@
                 let party = smol_str::format_smolstr!("{holder}");
                 let mut event = Event::new(EventKind::JobForwarded).submission(id);
                 event.class = call.class().cloned();
-                self.note(event.party(party));
-                self.pass_on(request, id, holder, call);
+                self.emit(event.party(party));
+                self.forward_request(request, id, holder, call);
             }
         }
     }
 
     pub(super) fn refuse(&mut self, request: RequestId, id: SubmissionId, code: ResultCode) {
-        self.note_refused(id, None, code);
+        self.emit_refusal(id, None, code);
         let answer = self.refusal(Some(id), code, "");
         self.answer(request, answer);
     }
 
     /// Refuses a submission; the event includes the class.
-    pub(super) fn refuse_of(
+    pub(super) fn refuse_submission(
         &mut self,
         request: RequestId,
         submission: &Submission,
         code: ResultCode,
     ) {
         let id = submission.submission;
-        self.note_refused(id, Some(&submission.class), code);
+        self.emit_refusal(id, Some(&submission.class), code);
         let answer = self.refusal(Some(id), code, "");
         self.answer(request, answer);
     }
 
-    pub(super) fn note_refused(
+    pub(super) fn emit_refusal(
         &mut self,
         id: SubmissionId,
         class: Option<&ClassName>,
@@ -243,6 +245,6 @@
     ) {
         let mut event = Event::new(EventKind::JobRefused).submission(id);
         event.class = class.cloned();
-        self.note(event.detail(smol_str::format_smolstr!("{code}")));
+        self.emit(event.detail(smol_str::format_smolstr!("{code}")));
     }
 }
--- a/crates/onyxshed-dispatch/src/dispatch/claim.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/claim.rs
@@ -14,7 +14,13 @@
 use crate::output::ForwardedCall;
 
 impl Dispatch {
-    pub(super) fn log_read(&mut self, now: Now, oldest: Offset, next: Offset, records: &[Record]) {
+    pub(super) fn apply_log_records(
+        &mut self,
+        now: Now,
+        oldest: Offset,
+        next: Offset,
+        records: &[Record],
+    ) {
         self.book.skip_to(now, oldest);
         for record in records {
             let settled = self.book.apply_record(now, record.offset, &record.data);
@@ -23,7 +29,7 @@
         self.book.mark_caught_up(next);
     }
 
-    pub(super) fn log_lost(&mut self, now: Now) {
+    pub(super) fn apply_log_loss(&mut self, now: Now) {
         let failed = self.book.mark_log_unreachable();
         self.settle_all(now, failed);
     }
@@ -40,10 +46,15 @@
         }
     }
 
-    pub(super) fn appended(&mut self, now: Now, batch: u64, result: Result<Offset, AppendFailure>) {
+    pub(super) fn apply_append_result(
+        &mut self,
+        now: Now,
+        batch: u64,
+        result: Result<Offset, AppendFailure>,
+    ) {
         if let Err(failure) = result {
             let detail = smol_str::format_smolstr!("batch {batch}: {failure:?}");
-            self.note(
+            self.emit(
                 Event::new(EventKind::ClaimFailed)
                     .party("platform")
                     .detail(detail),
@@ -57,21 +68,21 @@
         let id = settled.submission;
         match settled.outcome {
             ClaimOutcome::Won => {
-                self.note(Event::new(EventKind::ClaimWon).submission(id));
-                self.grant(now, id, true);
+                self.emit(Event::new(EventKind::ClaimWon).submission(id));
+                self.start_job(now, id, true);
             }
             ClaimOutcome::HeldBy(holder) => {
                 let party = smol_str::format_smolstr!("{holder}");
-                self.note(Event::new(EventKind::ClaimLost).submission(id).party(party));
-                self.hand_over(id, holder);
+                self.emit(Event::new(EventKind::ClaimLost).submission(id).party(party));
+                self.forward_to_winner(id, holder);
             }
-            ClaimOutcome::OtherContent => self.end_unclaimed(now, id, ResultCode::OtherContent),
-            ClaimOutcome::Failed => self.claim_failed(now, id),
+            ClaimOutcome::OtherContent => self.refuse_unclaimed(now, id, ResultCode::OtherContent),
+            ClaimOutcome::Failed => self.apply_claim_failure(now, id),
         }
     }
 
     /// Queues the tasks of a job that this host may run.
-    pub(super) fn grant(&mut self, now: Now, id: SubmissionId, is_claimed: bool) {
+    pub(super) fn start_job(&mut self, now: Now, id: SubmissionId, is_claimed: bool) {
         let Some(job) = self.take_claiming(id) else {
             // The job ended while its claim was under way: the claim is released so that another
             // host can get it. A job that runs without a claim keeps one that is won late.
@@ -80,10 +91,10 @@
             }
             return;
         };
-        if self.is_called_off(now, id, &job) {
+        if self.settle_cancels(now, id, &job) {
             return;
         }
-        let job = job.granted(is_claimed);
+        let job = job.into_running(is_claimed);
         for task in job.tasks() {
             let work = QueuedTask {
                 task,
@@ -94,17 +105,17 @@
             self.policy.enqueue(now, work);
         }
         let due = job.head.deadline;
-        self.jobs.put_live(id, Job::Running(job), due);
+        self.jobs.insert_live(id, Job::Running(job), due);
     }
 
     /// Starts a job without a claim; its tasks may run twice.
     pub(super) fn start_unclaimed(&mut self, now: Now, id: SubmissionId, reason: &'static str) {
-        self.note(
+        self.emit(
             Event::new(EventKind::ClaimSkipped)
                 .submission(id)
                 .detail(reason),
         );
-        self.grant(now, id, false);
+        self.start_job(now, id, false);
     }
 
     /// Takes over the claim of a job that may run twice from a holder that is gone.
@@ -119,7 +130,7 @@
         gone: Incarnation,
     ) {
         let party = smol_str::format_smolstr!("{gone}");
-        self.note(
+        self.emit(
             Event::new(EventKind::ClaimTakenOver)
                 .submission(id)
                 .party(party),
@@ -133,7 +144,7 @@
     /// cancelled.
     ///
     /// The job is cancelled unless another request has joined it since.
-    fn is_called_off(&mut self, now: Now, id: SubmissionId, job: &Claiming) -> bool {
+    fn settle_cancels(&mut self, now: Now, id: SubmissionId, job: &Claiming) -> bool {
         let is_called_off = !job.cancels.is_empty() && job.waiters.is_empty();
         if is_called_off {
             self.release_bytes(&job.payloads);
@@ -148,18 +159,18 @@
         is_called_off
     }
 
-    fn claim_failed(&mut self, now: Now, id: SubmissionId) {
+    fn apply_claim_failure(&mut self, now: Now, id: SubmissionId) {
         let Some(job) = self.claiming_mut(id) else {
             return;
         };
         match job.head.may_run_twice {
             true => self.start_unclaimed(now, id, "the log can't be reached"),
-            false => self.end_unclaimed(now, id, ResultCode::PlatformUnavailable),
+            false => self.refuse_unclaimed(now, id, ResultCode::PlatformUnavailable),
         }
     }
 
     /// Forwards every request of a job to the host that won the claim.
-    fn hand_over(&mut self, id: SubmissionId, holder: Incarnation) {
+    fn forward_to_winner(&mut self, id: SubmissionId, holder: Incarnation) {
         let Some(job) = self.take_claiming(id) else {
             return;
         };
@@ -177,17 +188,17 @@
         };
         for request in job.waiters {
             let call = ForwardedCall::Submit(Box::new(submission.clone()));
-            self.pass_on(request, id, holder, call);
+            self.forward_request(request, id, holder, call);
         }
         for request in job.cancels {
             let call = ForwardedCall::Cancel(id);
-            self.pass_on(request, id, holder, call);
+            self.forward_request(request, id, holder, call);
         }
     }
 
     fn take_claiming(&mut self, id: SubmissionId) -> Option<Claiming> {
         self.claiming_mut(id)?;
-        match self.jobs.take(id) {
+        match self.jobs.remove(id) {
             Some(Job::Claiming(job)) => Some(job),
             _ => None,
         }
--- a/crates/onyxshed-dispatch/src/dispatch/ending.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/ending.rs
@@ -5,55 +5,63 @@
 use smol_str::SmolStr;
 
 use super::{Dispatch, admit, attempt};
-use crate::job::{Ended, GiveUp, Job, Running};
+use crate::job::{AbortCodes, Ended, Job, Running};
 use crate::output::{AttemptId, Output, RequestId};
 
 impl Dispatch {
     /// Processes the claims, tasks and jobs that are due.
-    pub(super) fn settle_due(&mut self, now: Now) {
+    pub(super) fn process_due(&mut self, now: Now) {
         self.settle_overdue_claims(now);
         self.settle_expired_tasks(now);
         while let Some(id) = self.jobs.due(now.mono) {
-            self.settle_due_job(now, id);
+            self.process_due_job(now, id);
         }
     }
 
-    pub(super) fn settle_due_job(&mut self, now: Now, id: SubmissionId) {
+    pub(super) fn process_due_job(&mut self, now: Now, id: SubmissionId) {
         match self.jobs.get(id) {
-            Some(Job::Claiming(_)) => self.end_unclaimed(now, id, ResultCode::ExpiredInQueue),
-            Some(Job::Running(job)) if job.is_unstarted() || job.head.end_by <= now.mono => {
-                self.give_up(now, id, GiveUp::OUT_OF_TIME, "");
+            Some(Job::Claiming(_)) => self.refuse_unclaimed(now, id, ResultCode::ExpiredInQueue),
+            Some(Job::Running(job))
+                if job.is_unstarted() || job.head.final_deadline <= now.mono =>
+            {
+                self.abort(now, id, AbortCodes::TIMED_OUT, "");
             }
             Some(Job::Running(job)) => {
-                let end_by = job.head.end_by;
-                self.jobs.set_due(id, Some(end_by));
+                let end_by = job.head.final_deadline;
+                self.jobs.set_due_at(id, Some(end_by));
             }
-            Some(Job::Ended(_)) | None => self.jobs.set_due(id, None),
+            Some(Job::Ended(_)) | None => self.jobs.set_due_at(id, None),
         }
     }
 
     /// Aborts a running job with the code that matches the evidence on whether its tasks started.
-    pub(super) fn give_up(&mut self, now: Now, id: SubmissionId, reason: GiveUp, detail: &str) {
+    pub(super) fn abort(&mut self, now: Now, id: SubmissionId, reason: AbortCodes, detail: &str) {
         let Some(Job::Running(job)) = self.jobs.get(id) else {
             return;
         };
-        let code = job.truthful(reason);
-        self.end(now, id, code, detail.into());
+        let code = job.abort_code(reason);
+        self.end_job(now, id, code, detail.into());
     }
 
     /// Ends a running job: withdraws queued tasks, stops running ones and answers the waiters.
-    pub(super) fn end(&mut self, now: Now, id: SubmissionId, code: ResultCode, detail: SmolStr) {
-        let Some(Job::Running(job)) = self.jobs.take(id) else {
+    pub(super) fn end_job(
+        &mut self,
+        now: Now,
+        id: SubmissionId,
+        code: ResultCode,
+        detail: SmolStr,
+    ) {
+        let Some(Job::Running(job)) = self.jobs.remove(id) else {
             return;
         };
-        self.withdraw_rest(&job);
-        self.stop_rest(&job);
+        self.withdraw_remaining_tasks(&job);
+        self.stop_remaining_attempts(&job);
         self.release_bytes(&job.payloads);
         let is_unstarted = job.is_unstarted();
         let class = job.head.class.clone();
         let (ended, waiters) = job.end(code, detail);
-        self.answer_all(&waiters, id, &ended);
-        self.note(
+        self.answer_waiters(&waiters, id, &ended);
+        self.emit(
             Event::new(EventKind::JobAnswered)
                 .submission(id)
                 .class(&class)
@@ -65,14 +73,14 @@
             self.book.release(now, id);
         } else {
             self.jobs
-                .put_ended(id, ended, self.options.answers_max_bytes);
+                .insert_ended(id, ended, self.options.answers_max_bytes);
         }
     }
 
     /// Ends a job whose claim was not decided in time or failed; the log may contain another host's
     /// claim.
-    pub(super) fn end_unclaimed(&mut self, now: Now, id: SubmissionId, code: ResultCode) {
-        let Some(Job::Claiming(job)) = self.jobs.take(id) else {
+    pub(super) fn refuse_unclaimed(&mut self, now: Now, id: SubmissionId, code: ResultCode) {
+        let Some(Job::Claiming(job)) = self.jobs.remove(id) else {
             return;
         };
         self.book.release(now, id);
@@ -80,10 +88,10 @@
         let code = match code {
             // The id was claimed with different content, so this content has not run anywhere.
             ResultCode::OtherContent => code,
-            code => admit::unproved(code, job.head.copy, false),
+            code => admit::unclaimed_refusal_code(code, job.head.copy, false),
         };
         let answer = self.refusal(Some(id), code, "");
-        self.note(
+        self.emit(
             Event::new(EventKind::JobRefused)
                 .submission(id)
                 .class(&job.head.class)
@@ -97,19 +105,19 @@
         }
     }
 
-    pub(super) fn withdraw_rest(&mut self, job: &Running) {
+    pub(super) fn withdraw_remaining_tasks(&mut self, job: &Running) {
         for task in job.tasks().filter(|task| !job.has_result(task.index)) {
             self.policy.withdraw(task);
         }
     }
 
-    pub(super) fn stop_rest(&mut self, job: &Running) {
+    pub(super) fn stop_remaining_attempts(&mut self, job: &Running) {
         for attempt in &job.attempts {
-            self.stop(*attempt);
+            self.stop_attempt(*attempt);
         }
     }
 
-    pub(super) fn stop(&mut self, attempt: AttemptId) {
+    pub(super) fn stop_attempt(&mut self, attempt: AttemptId) {
         let Some(found) = self.attempts.get(&attempt) else {
             return;
         };
@@ -117,8 +125,8 @@
             return;
         }
         let (task, executor) = (found.task, found.executor.clone());
-        let event = attempt::task_event(EventKind::TaskStopped, found);
-        self.note(event);
+        let event = attempt::attempt_event(EventKind::TaskStopped, found);
+        self.emit(event);
         self.outputs.push(Output::Stop {
             attempt,
             task,
@@ -126,7 +134,12 @@
         });
     }
 
-    pub(super) fn answer_all(&mut self, waiters: &[RequestId], id: SubmissionId, ended: &Ended) {
+    pub(super) fn answer_waiters(
+        &mut self,
+        waiters: &[RequestId],
+        id: SubmissionId,
+        ended: &Ended,
+    ) {
         let is_refusal = ended.code.outcome() == Some(Outcome::NotRun);
         let answer = match is_refusal {
             true => self.refusal(Some(id), ended.code, &ended.detail),
--- a/crates/onyxshed-dispatch/src/dispatch/forward.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/forward.rs
@@ -9,30 +9,31 @@
 
 /// Forwarded request that waits for the holder's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct PassedOn {
+pub(super) struct ForwardedRequest {
     to: Incarnation,
     id: SubmissionId,
 }
 
 impl Dispatch {
-    pub(super) fn pass_on(
+    pub(super) fn forward_request(
         &mut self,
         request: RequestId,
         id: SubmissionId,
         to: Incarnation,
         call: ForwardedCall,
     ) {
-        self.passed_on.insert(request, PassedOn { to, id });
+        self.forwarded_requests
+            .insert(request, ForwardedRequest { to, id });
         self.outputs.push(Output::Forward { request, to, call });
     }
 
-    pub(super) fn forwarded(
+    pub(super) fn apply_forward_answer(
         &mut self,
         request: RequestId,
         id: SubmissionId,
         answer: Option<Answer>,
     ) {
-        if self.passed_on.remove(&request).is_none() {
+        if self.forwarded_requests.remove(&request).is_none() {
             return;
         }
         match answer {
@@ -47,19 +48,19 @@
     /// otherwise wait half a minute on a connection without data. Requests keep waiting while the
     /// membership considers the peer live; it detects within seconds that it is not. A late answer
     /// of the holder is dropped.
-    pub(super) fn give_up_on_silent_holders(&mut self) {
-        let is_heard = |passed: &PassedOn| {
+    pub(super) fn refuse_unreachable_forwards(&mut self) {
+        let is_heard = |passed: &ForwardedRequest| {
             let member = self.members.get(&passed.to);
             member.is_some_and(|member| member.state == MemberState::Live)
         };
         let mut given_up = Vec::new();
-        for (request, passed) in &self.passed_on {
+        for (request, passed) in &self.forwarded_requests {
             if !is_heard(passed) {
                 given_up.push((*request, *passed));
             }
         }
-        for (request, PassedOn { to, id }) in given_up {
-            self.passed_on.remove(&request);
+        for (request, ForwardedRequest { to, id }) in given_up {
+            self.forwarded_requests.remove(&request);
             let code = match self.gone.contains(&to) {
                 true => ResultCode::HolderGone,
                 false => ResultCode::HolderUnreachable,
--- a/crates/onyxshed-dispatch/src/dispatch/pump.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/pump.rs
@@ -8,20 +8,25 @@
 use onyxshed_state::BatchStep;
 
 use super::{Attempt, Dispatch};
-use crate::job::{GiveUp, Job};
+use crate::job::{AbortCodes, Job};
 use crate::output::{AttemptId, Output};
 
 impl Dispatch {
     pub(super) fn pump(&mut self, now: Now) {
-        self.ask_overdue(now);
+        self.send_due_queries(now);
         let start_again = self.start_tasks(now);
         let append_again = self.append_claims(now);
-        self.forget(now);
-        let ask_again = self.asks.first().map(|(at, _)| *at);
-        self.wake_at = [start_again, append_again, ask_again, self.jobs.next_due()]
-            .into_iter()
-            .flatten()
-            .min();
+        self.remove_expired(now);
+        let ask_again = self.queries.first().map(|(at, _)| *at);
+        self.wake_at = [
+            start_again,
+            append_again,
+            ask_again,
+            self.jobs.next_due_at(),
+        ]
+        .into_iter()
+        .flatten()
+        .min();
     }
 
     /// Starts the tasks that the policy selects; returns the time at which to ask the policy again.
@@ -33,8 +38,8 @@
                     executor,
                     is_hedge,
                 } => {
-                    if !self.start(now, task, executor.clone(), is_hedge) {
-                        self.never_sent(now, task, executor);
+                    if !self.start_attempt(now, task, executor.clone(), is_hedge) {
+                        self.release_unsent_start(now, task, executor);
                     }
                 }
                 NextStep::WaitUntil(then) => return Some(then),
@@ -54,7 +59,7 @@
     ///
     /// The policy has already reserved the slot. If it stayed reserved, the executor would lose the
     /// slot permanently and appear unresponsive.
-    fn never_sent(&mut self, now: Now, task: TaskId, executor: ExecutorName) {
+    fn release_unsent_start(&mut self, now: Now, task: TaskId, executor: ExecutorName) {
         let end = AttemptEnd {
             task,
             executor,
@@ -66,14 +71,20 @@
     }
 
     /// Sends a start; returns `false` if it must not be sent.
-    fn start(&mut self, now: Now, task: TaskId, executor: ExecutorName, is_hedge: bool) -> bool {
+    fn start_attempt(
+        &mut self,
+        now: Now,
+        task: TaskId,
+        executor: ExecutorName,
+        is_hedge: bool,
+    ) -> bool {
         // A host that was frozen past the horizon must not start the task, because other hosts have
         // forgotten its claim by now. The age of the id shows this regardless of the cause.
         if !self.may_start(now, task.submission) {
-            self.give_up(
+            self.abort(
                 now,
                 task.submission,
-                GiveUp::OUT_OF_TIME,
+                AbortCodes::TIMED_OUT,
                 "the id is past the horizon",
             );
             return false;
@@ -89,7 +100,7 @@
         };
         job.attempts.insert(attempt);
         let class = job.head.class.clone();
-        let lease_ms = Micros(job.head.end_by.since(now.mono).0).as_millis();
+        let lease_ms = Micros(job.head.final_deadline.since(now.mono).0).as_millis();
         let output = Output::Start {
             attempt,
             task,
@@ -104,24 +115,24 @@
         } else {
             EventKind::TaskStarted
         };
-        self.note(
+        self.emit(
             Event::new(kind)
                 .submission(task.submission)
                 .task(task.index)
                 .class(&class)
                 .party(executor.as_str()),
         );
-        let ask_again_us = self.silence_of(&class);
+        let ask_again_us = self.query_delay_us(&class);
         let ask_at = now.mono + ask_again_us;
-        self.asks.insert((ask_at, attempt));
+        self.queries.insert((ask_at, attempt));
         let is_resolving = false;
         let record = Attempt {
             task,
             class,
             executor,
             is_resolving,
-            ask_at,
-            ask_again_us,
+            query_at: ask_at,
+            query_interval_us: ask_again_us,
         };
         self.attempts.insert(attempt, record);
         self.outputs.push(output);
@@ -134,7 +145,7 @@
             BatchStep::Append(batch) => {
                 let count = batch.claims.len();
                 let detail = smol_str::format_smolstr!("batch {}: {count} claims", batch.batch);
-                self.note(
+                self.emit(
                     Event::new(EventKind::ClaimAppended)
                         .party("platform")
                         .detail(detail),
@@ -153,25 +164,27 @@
         for ExpiredTask { task, deadline, .. } in self.policy.take_expired(now) {
             match self.jobs.get(task.submission) {
                 // Past the final deadline, requeueing would only make the task expire again.
-                Some(Job::Running(job)) if !job.is_unstarted() && deadline < job.head.end_by => {
+                Some(Job::Running(job))
+                    if !job.is_unstarted() && deadline < job.head.final_deadline =>
+                {
                     let work = QueuedTask {
                         task,
                         class: job.head.class.clone(),
-                        deadline: job.head.end_by,
+                        deadline: job.head.final_deadline,
                         may_run_twice: job.head.may_run_twice,
                     };
                     self.policy.enqueue(now, work);
                 }
-                _ => self.give_up(now, task.submission, GiveUp::OUT_OF_TIME, ""),
+                _ => self.abort(now, task.submission, AbortCodes::TIMED_OUT, ""),
             }
         }
     }
 
-    fn forget(&mut self, now: Now) {
+    fn remove_expired(&mut self, now: Now) {
         self.book.expire(now);
         let claims = &self.options.claims;
         let keep_ms = claims.horizon_ms.0 + 2 * claims.skew_ms.0;
         self.jobs
-            .forget_older(UnixMs(now.wall.0.saturating_sub(keep_ms)));
+            .remove_older_than(UnixMs(now.wall.0.saturating_sub(keep_ms)));
     }
 }
--- a/crates/onyxshed-dispatch/src/job.rs
+++ b/crates/onyxshed-dispatch/src/job.rs
@@ -9,7 +9,7 @@
 
 pub use claiming::Claiming;
 pub use ended::Ended;
-pub use running::{Evidence, GiveUp, Running};
+pub use running::{AbortCodes, Evidence, Running};
 
 use onyxshed_core::{ClassName, Mono, SubmissionId};
 use onyxshed_wire::ContentHash;
@@ -31,7 +31,7 @@
     /// Time by which the job should be finished; no job is begun after it.
     pub deadline: Mono,
     /// Time at which the job is aborted even if it has begun.
-    pub end_by: Mono,
+    pub final_deadline: Mono,
 }
 
 /// Job in any of its stages.
--- a/crates/onyxshed-dispatch/src/job/claiming.rs
+++ b/crates/onyxshed-dispatch/src/job/claiming.rs
@@ -21,7 +21,7 @@
 
 impl Claiming {
     /// Converts the job into one whose tasks may start, with or without a claim.
-    pub fn granted(self, is_claimed: bool) -> Running {
+    pub fn into_running(self, is_claimed: bool) -> Running {
         Running::new(self.head, self.payloads, self.waiters, is_claimed)
     }
 }
--- a/crates/onyxshed-dispatch/src/job/ended.rs
+++ b/crates/onyxshed-dispatch/src/job/ended.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns the total size of the stored results, in bytes.
-    pub fn kept_bytes(&self) -> u64 {
+    pub fn result_bytes(&self) -> u64 {
         let results = self.results.iter().flatten();
         results.map(|result| result.len() as u64).sum()
     }
--- a/crates/onyxshed-dispatch/src/job/running.rs
+++ b/crates/onyxshed-dispatch/src/job/running.rs
@@ -38,7 +38,7 @@
     /// one.
     pub is_claimed: bool,
     results: Vec<Option<Vec<u8>>>,
-    missing: usize,
+    missing_results: usize,
 }
 
 impl Running {
@@ -57,7 +57,7 @@
             evidence: Evidence::default(),
             is_claimed,
             results: vec![None; missing],
-            missing,
+            missing_results: missing,
         }
     }
 
@@ -76,19 +76,19 @@
     }
 
     /// Stores the result of a task; later results of the same task are ignored.
-    pub fn keep_result(&mut self, index: u16, result: Vec<u8>) {
+    pub fn record_result(&mut self, index: u16, result: Vec<u8>) {
         let Some(place) = self.results.get_mut(usize::from(index)) else {
             return;
         };
         if place.is_none() {
             *place = Some(result);
-            self.missing -= 1;
+            self.missing_results -= 1;
         }
     }
 
     /// Returns whether the results of all tasks are stored.
     pub fn is_complete(&self) -> bool {
-        self.missing == 0
+        self.missing_results == 0
     }
 
     /// Returns whether it is proven that no task has started.
@@ -100,7 +100,7 @@
     ///
     /// A "not run" code is returned only while it is proven that no task has started, and a
     /// "failed" code of the started case only if a task is known to have run.
-    pub fn truthful(&self, reason: GiveUp) -> ResultCode {
+    pub fn abort_code(&self, reason: AbortCodes) -> ResultCode {
         let is_doubtful = self.evidence.is_in_doubt || !self.attempts.is_empty();
         match (self.evidence.has_run, is_doubtful) {
             (false, false) => reason.unstarted,
@@ -126,7 +126,7 @@
 
 /// Result codes for one reason to abort a job, depending on whether a task has started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct GiveUp {
+pub struct AbortCodes {
     /// Code if it is proven that no task has started.
     pub unstarted: ResultCode,
     /// Code if a task is known to have run.
@@ -135,25 +135,25 @@
     pub in_doubt: ResultCode,
 }
 
-impl GiveUp {
+impl AbortCodes {
     /// Codes for a job that the caller cancelled.
-    pub const CANCELLED: GiveUp = GiveUp {
+    pub const CANCELLED: AbortCodes = AbortCodes {
         unstarted: ResultCode::CancelledUnstarted,
         started: ResultCode::Cancelled,
         in_doubt: ResultCode::CancelledInDoubt,
     };
 
     /// Codes for a job whose time ran out.
-    pub const OUT_OF_TIME: GiveUp = GiveUp {
+    pub const TIMED_OUT: AbortCodes = AbortCodes {
         unstarted: ResultCode::ExpiredInQueue,
         started: ResultCode::DeadlinePassed,
         in_doubt: ResultCode::UpstreamSilent,
     };
 
     /// Returns the codes for a job of which a task ended for good with `code`.
-    pub fn task(code: ResultCode) -> GiveUp {
+    pub fn for_task_end(code: ResultCode) -> AbortCodes {
         let is_not_run = code.outcome() == Some(Outcome::NotRun);
-        GiveUp {
+        AbortCodes {
             unstarted: code,
             started: if is_not_run {
                 ResultCode::PartlyRefused
--- a/crates/onyxshed-dispatch/src/table.rs
+++ b/crates/onyxshed-dispatch/src/table.rs
@@ -15,10 +15,10 @@
 #[derive(Debug, Default)]
 pub struct JobTable {
     jobs: HashMap<SubmissionId, Job>,
-    due: BTreeSet<(Mono, SubmissionId)>,
-    due_of: BTreeMap<SubmissionId, Mono>,
+    due_queue: BTreeSet<(Mono, SubmissionId)>,
+    due_at: BTreeMap<SubmissionId, Mono>,
     ended_by_time: BTreeSet<(UnixMs, SubmissionId)>,
-    kept: VecDeque<SubmissionId>,
+    results_by_age: VecDeque<SubmissionId>,
     kept_bytes: u64,
 }
 
@@ -35,7 +35,7 @@
 
     /// Returns the number of jobs that have not ended.
     pub fn live_count(&self) -> usize {
-        self.due_of.len()
+        self.due_at.len()
     }
 
     /// Returns a job, or `None` if it is not in the table.
@@ -49,18 +49,18 @@
     }
 
     /// Inserts a job that has not ended and becomes due at `due`.
-    pub fn put_live(&mut self, id: SubmissionId, job: Job, due: Mono) {
-        self.set_due(id, Some(due));
+    pub fn insert_live(&mut self, id: SubmissionId, job: Job, due: Mono) {
+        self.set_due_at(id, Some(due));
         self.jobs.insert(id, job);
     }
 
     /// Inserts a job that has ended and drops the oldest results that exceed `keep` in total.
-    pub fn put_ended(&mut self, id: SubmissionId, ended: Ended, keep: Bytes) {
-        self.set_due(id, None);
+    pub fn insert_ended(&mut self, id: SubmissionId, ended: Ended, keep: Bytes) {
+        self.set_due_at(id, None);
         self.ended_by_time.insert((id.time(), id));
-        let bytes = ended.kept_bytes();
+        let bytes = ended.result_bytes();
         if bytes > 0 {
-            self.kept.push_back(id);
+            self.results_by_age.push_back(id);
             self.kept_bytes += bytes;
         }
         self.jobs.insert(id, Job::Ended(ended));
@@ -68,59 +68,59 @@
     }
 
     /// Removes and returns a job.
-    pub fn take(&mut self, id: SubmissionId) -> Option<Job> {
-        self.set_due(id, None);
+    pub fn remove(&mut self, id: SubmissionId) -> Option<Job> {
+        self.set_due_at(id, None);
         self.jobs.remove(&id)
     }
 
     /// Returns the earliest time at which a job becomes due.
-    pub fn next_due(&self) -> Option<Mono> {
-        self.due.first().map(|(due, _)| *due)
+    pub fn next_due_at(&self) -> Option<Mono> {
+        self.due_queue.first().map(|(due, _)| *due)
     }
 
     /// Returns the job that has been due longest at `now`, if any.
     pub fn due(&self, now: Mono) -> Option<SubmissionId> {
-        self.due
+        self.due_queue
             .first()
             .filter(|(due, _)| *due <= now)
             .map(|(_, id)| *id)
     }
 
     /// Sets the time at which a job becomes due; `None` if it never does.
-    pub fn set_due(&mut self, id: SubmissionId, due: Option<Mono>) {
-        if let Some(before) = self.due_of.remove(&id) {
-            self.due.remove(&(before, id));
+    pub fn set_due_at(&mut self, id: SubmissionId, due: Option<Mono>) {
+        if let Some(before) = self.due_at.remove(&id) {
+            self.due_queue.remove(&(before, id));
         }
         if let Some(due) = due {
-            self.due_of.insert(id, due);
-            self.due.insert((due, id));
+            self.due_at.insert(id, due);
+            self.due_queue.insert((due, id));
         }
     }
 
     /// Removes ended jobs whose id is older than `horizon`.
-    pub fn forget_older(&mut self, horizon: UnixMs) {
+    pub fn remove_older_than(&mut self, horizon: UnixMs) {
         while let Some(&(time, id)) = self.ended_by_time.first() {
             if time >= horizon {
                 return;
             }
             self.ended_by_time.pop_first();
-            self.forget_results(id);
+            self.drop_results(id);
             self.jobs.remove(&id);
         }
     }
 
     fn drop_results_over(&mut self, keep: Bytes) {
         while self.kept_bytes > keep.0 {
-            let Some(id) = self.kept.pop_front() else {
+            let Some(id) = self.results_by_age.pop_front() else {
                 return;
             };
-            self.forget_results(id);
+            self.drop_results(id);
         }
     }
 
-    fn forget_results(&mut self, id: SubmissionId) {
+    fn drop_results(&mut self, id: SubmissionId) {
         if let Some(Job::Ended(ended)) = self.jobs.get_mut(&id) {
-            self.kept_bytes -= ended.kept_bytes();
+            self.kept_bytes -= ended.result_bytes();
             ended.results = None;
         }
     }
