--- a/crates/onyxshed-dispatch/src/dispatch.rs
+++ b/crates/onyxshed-dispatch/src/dispatch.rs
@@ -2,13 +2,13 @@
 //! outputs.
 
 mod admit;
-mod ask;
 mod attempt;
 mod caller;
 mod claim;
-mod ending;
+mod completion;
 mod forward;
 mod pump;
+mod query;
 mod status;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -22,7 +22,7 @@
 use onyxshed_wire::caller::Answer;
 
 use crate::input::Input;
-use crate::job::{Claiming, Job, Running};
+use crate::job::{ClaimingJob, Job, RunningJob};
 use crate::options::DispatchOptions;
 use crate::output::{AttemptId, Output, RequestId};
 use crate::table::JobTable;
@@ -133,11 +133,11 @@
             Input::Members {
                 members,
                 gone,
-                zone_hosts: sharers,
-                live_hosts: live,
+                zone_hosts,
+                live_hosts,
             } => {
                 self.gone = gone.into_iter().collect();
-                self.set_members(now, members, sharers, live);
+                self.set_members(now, members, zone_hosts, live_hosts);
             }
             Input::LogRead {
                 oldest,
@@ -150,10 +150,7 @@
             Input::AppendEnded { batch, result } => self.apply_append_result(now, batch, result),
             Input::AttemptEnded { attempt, report } => self.apply_attempt_end(now, attempt, report),
             Input::StopEnded { attempt, report } => self.apply_stop_end(now, attempt, report),
-            Input::QueryEnded {
-                attempt,
-                status: sighting,
-            } => self.apply_task_status(now, attempt, sighting),
+            Input::QueryEnded { attempt, status } => self.apply_task_status(now, attempt, status),
             Input::Drain => self.is_draining = true,
             Input::Tick => {}
         }
@@ -189,7 +186,7 @@
         let is_newer = self
             .config
             .as_ref()
-            .is_none_or(|held| config.revision > held.revision);
+            .is_none_or(|current| config.revision > current.revision);
         if !is_newer {
             return;
         }
@@ -199,13 +196,13 @@
         self.config = Some(config);
     }
 
-    fn set_members(&mut self, now: Now, members: Vec<Member>, sharers: u32, live: u32) {
-        self.book.set_live_hosts(live as usize);
+    fn set_members(&mut self, now: Now, members: Vec<Member>, zone_hosts: u32, live_hosts: u32) {
+        self.book.set_live_hosts(live_hosts as usize);
         self.members = members
             .into_iter()
             .map(|member| (member.incarnation, member))
             .collect();
-        self.policy.set_zone_hosts(now, sharers.max(1));
+        self.policy.set_zone_hosts(now, zone_hosts.max(1));
         self.refuse_unreachable_forwards();
     }
 
@@ -222,14 +219,14 @@
         self.outputs.push(Output::Emit(event));
     }
 
-    fn claiming_mut(&mut self, id: SubmissionId) -> Option<&mut Claiming> {
+    fn claiming_mut(&mut self, id: SubmissionId) -> Option<&mut ClaimingJob> {
         match self.jobs.get_mut(id) {
             Some(Job::Claiming(job)) => Some(job),
             _ => None,
         }
     }
 
-    fn running_mut(&mut self, id: SubmissionId) -> Option<&mut Running> {
+    fn running_mut(&mut self, id: SubmissionId) -> Option<&mut RunningJob> {
         match self.jobs.get_mut(id) {
             Some(Job::Running(job)) => Some(job),
             _ => None,
--- a/crates/onyxshed-dispatch/src/dispatch/admit.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/admit.rs
@@ -8,7 +8,7 @@
 use onyxshed_wire::caller::{Answer, CopyMark, Submission};
 
 use super::Dispatch;
-use crate::job::{Claiming, Job, JobHead};
+use crate::job::{ClaimingJob, Job, JobHead};
 use crate::output::RequestId;
 
 /// Factor on the class's target after which a job that has begun is aborted.
@@ -44,20 +44,24 @@
         request: RequestId,
         submission: Submission,
         content: ContentHash,
-        entry: &SubmitStep,
+        step: &SubmitStep,
     ) {
         let id = submission.submission;
-        let told = |code| match entry {
+        let refusal_code = |code| match step {
             SubmitStep::Start => code,
-            entry => {
-                unclaimed_refusal_code(code, submission.copy, matches!(entry, SubmitStep::Claim))
+            step => {
+                unclaimed_refusal_code(code, submission.copy, matches!(step, SubmitStep::Claim))
             }
         };
         if let Some(code) = self.admission_block(&submission) {
-            return self.refuse_submission(request, &submission, told(code));
+            return self.refuse_submission(request, &submission, refusal_code(code));
         }
         let Some(head) = self.job_head(now, &submission, content) else {
-            return self.refuse_submission(request, &submission, told(ResultCode::UnknownClass));
+            return self.refuse_submission(
+                request,
+                &submission,
+                refusal_code(ResultCode::UnknownClass),
+            );
         };
 
         let count = submission.tasks.len();
@@ -66,12 +70,12 @@
                 code,
                 retry_after_ms,
             } => {
-                let code = told(code);
+                let code = refusal_code(code);
                 self.emit_refusal(id, Some(&submission.class), code);
                 let answer = Answer::ended(Some(id), code, "").retry_after(retry_after_ms);
                 self.answer(request, answer);
             }
-            Admission::Accept => self.accept_job(now, request, head, submission, entry),
+            Admission::Accept => self.accept_job(now, request, head, submission, step),
         }
     }
 
@@ -84,10 +88,10 @@
             .iter()
             .map(|payload| payload.len() as u64)
             .sum();
-        let is_full = self.jobs.len() >= self.options.jobs_max
+        let has_no_room = self.jobs.len() >= self.options.jobs_max
             || self.running_bytes + bytes > self.options.running_max_bytes.0;
-        let is_unready = self.config.is_none() || !self.has_executors;
-        match (self.is_draining, is_unready, is_full) {
+        let is_not_ready = self.config.is_none() || !self.has_executors;
+        match (self.is_draining, is_not_ready, has_no_room) {
             (true, _, _) => Some(ResultCode::Draining),
             (_, true, _) => Some(ResultCode::NotReady),
             (_, _, true) => Some(ResultCode::EntryFull),
@@ -103,10 +107,10 @@
     ) -> Option<JobHead> {
         let target = self.config.as_ref()?.classes.get(&submission.class)?;
         let target_us = Micros::from(target.finish_within_ms);
-        let asked_us = submission.deadline_ms.map(Micros::from);
-        let within_us = asked_us.map_or(target_us, |asked| asked.min(target_us));
-        let last_us = Micros(target_us.0.saturating_mul(FINAL_DEADLINE_FACTOR));
-        let end_us = asked_us.map_or(last_us, |asked| asked.min(last_us));
+        let requested_us = submission.deadline_ms.map(Micros::from);
+        let within_us = requested_us.map_or(target_us, |requested| requested.min(target_us));
+        let max_us = Micros(target_us.0.saturating_mul(FINAL_DEADLINE_FACTOR));
+        let end_us = requested_us.map_or(max_us, |requested| requested.min(max_us));
         Some(JobHead {
             id: submission.submission,
             content,
@@ -124,11 +128,11 @@
         request: RequestId,
         head: JobHead,
         submission: Submission,
-        entry: &SubmitStep,
+        step: &SubmitStep,
     ) {
         let (id, content, deadline) = (head.id, head.content, head.deadline);
         let payloads = submission.tasks.into_iter().map(Rc::new).collect();
-        let job = Claiming {
+        let job = ClaimingJob {
             head,
             payloads,
             waiters: vec![request],
@@ -136,14 +140,14 @@
         };
         self.reserve_bytes(&job.payloads);
         self.insert_claiming(id, job, deadline);
-        match entry {
+        match step {
             SubmitStep::Claim => {
                 self.book.request_start(now, id, content);
             }
             SubmitStep::StartUnclaimed => {
                 self.start_unclaimed(now, id, "the log can't be reached");
             }
-            SubmitStep::TakeOver(gone) => self.take_over(now, id, content, *gone),
+            SubmitStep::TakeOver(holder) => self.take_over(now, id, content, *holder),
             _ => {
                 self.book.request_start(now, id, content);
                 self.start_job(now, id, true);
@@ -151,7 +155,7 @@
         }
     }
 
-    pub(super) fn insert_claiming(&mut self, id: SubmissionId, job: Claiming, due: Mono) {
+    pub(super) fn insert_claiming(&mut self, id: SubmissionId, job: ClaimingJob, due: Mono) {
         self.jobs.insert_live(id, Job::Claiming(job), due);
     }
 }
--- a/crates/onyxshed-dispatch/src/dispatch/attempt.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/attempt.rs
@@ -100,12 +100,12 @@
             AttemptOutcome::Refused | AttemptOutcome::Unsent => {}
         }
         match report.outcome {
-            AttemptOutcome::Finished => self.keep_result(now, task, report.body),
+            AttemptOutcome::Finished => self.record_result(now, task, report.body),
             _ => self.apply_retry_step(now, task, step, &report),
         }
     }
 
-    fn keep_result(&mut self, now: Now, task: TaskId, body: Vec<u8>) {
+    fn record_result(&mut self, now: Now, task: TaskId, body: Vec<u8>) {
         if body.len() as u64 > self.options.result_max_bytes.0 {
             return self.end_job(now, task.submission, ResultCode::ResultTooLarge, "".into());
         }
--- a/crates/onyxshed-dispatch/src/dispatch/claim.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/claim.rs
@@ -10,7 +10,7 @@
 
 use super::Dispatch;
 
-use crate::job::{Claiming, Job};
+use crate::job::{ClaimingJob, Job};
 use crate::output::ForwardedCall;
 
 impl Dispatch {
@@ -41,8 +41,8 @@
     }
 
     fn settle_all(&mut self, now: Now, settled: Vec<SettledClaim>) {
-        for one in settled {
-            self.settle(now, one);
+        for claim in settled {
+            self.settle(now, claim);
         }
     }
 
@@ -127,15 +127,15 @@
         now: Now,
         id: SubmissionId,
         content: ContentHash,
-        gone: Incarnation,
+        gone_holder: Incarnation,
     ) {
-        let party = smol_str::format_smolstr!("{gone}");
+        let party = smol_str::format_smolstr!("{gone_holder}");
         self.emit(
             Event::new(EventKind::ClaimTakenOver)
                 .submission(id)
                 .party(party),
         );
-        if self.book.take_over(now, id, content, gone) != ClaimStep::Wait {
+        if self.book.take_over(now, id, content, gone_holder) != ClaimStep::Wait {
             self.start_unclaimed(now, id, "its holder is gone");
         }
     }
@@ -144,19 +144,19 @@
     /// cancelled.
     ///
     /// The job is cancelled unless another request has joined it since.
-    fn settle_cancels(&mut self, now: Now, id: SubmissionId, job: &Claiming) -> bool {
-        let is_called_off = !job.cancels.is_empty() && job.waiters.is_empty();
-        if is_called_off {
+    fn settle_cancels(&mut self, now: Now, id: SubmissionId, job: &ClaimingJob) -> bool {
+        let is_cancelled = !job.cancels.is_empty() && job.waiters.is_empty();
+        if is_cancelled {
             self.release_bytes(&job.payloads);
             self.book.release(now, id);
         }
         for request in &job.cancels {
-            match is_called_off {
+            match is_cancelled {
                 true => self.refuse(*request, id, ResultCode::CancelledUnstarted),
                 false => self.answer(*request, Answer::running(id)),
             }
         }
-        is_called_off
+        is_cancelled
     }
 
     fn apply_claim_failure(&mut self, now: Now, id: SubmissionId) {
@@ -196,7 +196,7 @@
         }
     }
 
-    fn take_claiming(&mut self, id: SubmissionId) -> Option<Claiming> {
+    fn take_claiming(&mut self, id: SubmissionId) -> Option<ClaimingJob> {
         self.claiming_mut(id)?;
         match self.jobs.remove(id) {
             Some(Job::Claiming(job)) => Some(job),
--- a/crates/onyxshed-dispatch/src/dispatch/ending.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/completion.rs
@@ -5,7 +5,7 @@
 use smol_str::SmolStr;
 
 use super::{Dispatch, admit, attempt};
-use crate::job::{AbortCodes, Ended, Job, Running};
+use crate::job::{AbortCodes, EndedJob, Job, RunningJob};
 use crate::output::{AttemptId, Output, RequestId};
 
 impl Dispatch {
@@ -13,7 +13,7 @@
     pub(super) fn process_due(&mut self, now: Now) {
         self.settle_overdue_claims(now);
         self.settle_expired_tasks(now);
-        while let Some(id) = self.jobs.due(now.mono) {
+        while let Some(id) = self.jobs.first_due(now.mono) {
             self.process_due_job(now, id);
         }
     }
@@ -27,8 +27,8 @@
                 self.abort(now, id, AbortCodes::TIMED_OUT, "");
             }
             Some(Job::Running(job)) => {
-                let end_by = job.head.final_deadline;
-                self.jobs.set_due_at(id, Some(end_by));
+                let final_deadline = job.head.final_deadline;
+                self.jobs.set_due_at(id, Some(final_deadline));
             }
             Some(Job::Ended(_)) | None => self.jobs.set_due_at(id, None),
         }
@@ -59,7 +59,7 @@
         self.release_bytes(&job.payloads);
         let is_unstarted = job.is_unstarted();
         let class = job.head.class.clone();
-        let (ended, waiters) = job.end(code, detail);
+        let (ended, waiters) = job.into_ended(code, detail);
         self.answer_waiters(&waiters, id, &ended);
         self.emit(
             Event::new(EventKind::JobAnswered)
@@ -105,27 +105,27 @@
         }
     }
 
-    pub(super) fn withdraw_remaining_tasks(&mut self, job: &Running) {
+    pub(super) fn withdraw_remaining_tasks(&mut self, job: &RunningJob) {
         for task in job.tasks().filter(|task| !job.has_result(task.index)) {
             self.policy.withdraw(task);
         }
     }
 
-    pub(super) fn stop_remaining_attempts(&mut self, job: &Running) {
+    pub(super) fn stop_remaining_attempts(&mut self, job: &RunningJob) {
         for attempt in &job.attempts {
             self.stop_attempt(*attempt);
         }
     }
 
     pub(super) fn stop_attempt(&mut self, attempt: AttemptId) {
-        let Some(found) = self.attempts.get(&attempt) else {
+        let Some(running) = self.attempts.get(&attempt) else {
             return;
         };
-        if found.is_resolving {
+        if running.is_resolving {
             return;
         }
-        let (task, executor) = (found.task, found.executor.clone());
-        let event = attempt::attempt_event(EventKind::TaskStopped, found);
+        let (task, executor) = (running.task, running.executor.clone());
+        let event = attempt::attempt_event(EventKind::TaskStopped, running);
         self.emit(event);
         self.outputs.push(Output::Stop {
             attempt,
@@ -138,7 +138,7 @@
         &mut self,
         waiters: &[RequestId],
         id: SubmissionId,
-        ended: &Ended,
+        ended: &EndedJob,
     ) {
         let is_refusal = ended.code.outcome() == Some(Outcome::NotRun);
         let answer = match is_refusal {
--- a/crates/onyxshed-dispatch/src/dispatch/forward.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/forward.rs
@@ -49,17 +49,17 @@
     /// membership considers the peer live; it detects within seconds that it is not. A late answer
     /// of the holder is dropped.
     pub(super) fn refuse_unreachable_forwards(&mut self) {
-        let is_heard = |passed: &ForwardedRequest| {
-            let member = self.members.get(&passed.to);
+        let is_holder_live = |forwarded: &ForwardedRequest| {
+            let member = self.members.get(&forwarded.to);
             member.is_some_and(|member| member.state == MemberState::Live)
         };
-        let mut given_up = Vec::new();
-        for (request, passed) in &self.forwarded_requests {
-            if !is_heard(passed) {
-                given_up.push((*request, *passed));
+        let mut unreachable = Vec::new();
+        for (request, forwarded) in &self.forwarded_requests {
+            if !is_holder_live(forwarded) {
+                unreachable.push((*request, *forwarded));
             }
         }
-        for (request, ForwardedRequest { to, id }) in given_up {
+        for (request, ForwardedRequest { to, id }) in unreachable {
             self.forwarded_requests.remove(&request);
             let code = match self.gone.contains(&to) {
                 true => ResultCode::HolderGone,
--- a/crates/onyxshed-dispatch/src/dispatch/pump.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/pump.rs
@@ -14,14 +14,14 @@
 impl Dispatch {
     pub(super) fn pump(&mut self, now: Now) {
         self.send_due_queries(now);
-        let start_again = self.start_tasks(now);
-        let append_again = self.append_claims(now);
+        let next_start_at = self.start_tasks(now);
+        let next_append_at = self.append_claims(now);
         self.remove_expired(now);
-        let ask_again = self.queries.first().map(|(at, _)| *at);
+        let next_query_at = self.queries.first().map(|(at, _)| *at);
         self.wake_at = [
-            start_again,
-            append_again,
-            ask_again,
+            next_start_at,
+            next_append_at,
+            next_query_at,
             self.jobs.next_due_at(),
         ]
         .into_iter()
@@ -42,7 +42,7 @@
                         self.release_unsent_start(now, task, executor);
                     }
                 }
-                NextStep::WaitUntil(then) => return Some(then),
+                NextStep::WaitUntil(at) => return Some(at),
                 NextStep::Idle => return None,
             }
         }
@@ -122,17 +122,17 @@
                 .class(&class)
                 .party(executor.as_str()),
         );
-        let ask_again_us = self.query_delay_us(&class);
-        let ask_at = now.mono + ask_again_us;
-        self.queries.insert((ask_at, attempt));
+        let query_interval_us = self.query_delay_us(&class);
+        let query_at = now.mono + query_interval_us;
+        self.queries.insert((query_at, attempt));
         let is_resolving = false;
         let record = Attempt {
             task,
             class,
             executor,
             is_resolving,
-            query_at: ask_at,
-            query_interval_us: ask_again_us,
+            query_at,
+            query_interval_us,
         };
         self.attempts.insert(attempt, record);
         self.outputs.push(output);
@@ -153,7 +153,7 @@
                 self.outputs.push(Output::Append(batch));
                 None
             }
-            BatchStep::WaitUntil(then) => Some(then),
+            BatchStep::WaitUntil(at) => Some(at),
             BatchStep::Idle => None,
         }
     }
@@ -183,8 +183,8 @@
     fn remove_expired(&mut self, now: Now) {
         self.book.expire(now);
         let claims = &self.options.claims;
-        let keep_ms = claims.horizon_ms.0 + 2 * claims.skew_ms.0;
+        let retention_ms = claims.horizon_ms.0 + 2 * claims.skew_ms.0;
         self.jobs
-            .remove_older_than(UnixMs(now.wall.0.saturating_sub(keep_ms)));
+            .remove_older_than(UnixMs(now.wall.0.saturating_sub(retention_ms)));
     }
 }
--- a/crates/onyxshed-dispatch/src/dispatch/ask.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/query.rs
@@ -67,9 +67,9 @@
         &mut self,
         _now: Now,
         id: AttemptId,
-        sighting: Option<TaskSighting>,
+        status: Option<TaskSighting>,
     ) {
-        match sighting {
+        match status {
             None | Some(TaskSighting::Running) => {}
             Some(TaskSighting::Unseen) => self.abandon_connection(id, "the start never arrived"),
             Some(TaskSighting::Ended(_)) => self.abandon_connection(id, "the answer never came"),
--- a/crates/onyxshed-dispatch/src/job.rs
+++ b/crates/onyxshed-dispatch/src/job.rs
@@ -7,9 +7,9 @@
 mod ended;
 mod running;
 
-pub use claiming::Claiming;
-pub use ended::Ended;
-pub use running::{AbortCodes, Evidence, Running};
+pub use claiming::ClaimingJob;
+pub use ended::EndedJob;
+pub use running::{AbortCodes, Evidence, RunningJob};
 
 use onyxshed_core::{ClassName, Mono, SubmissionId};
 use onyxshed_wire::ContentHash;
@@ -38,11 +38,11 @@
 #[derive(Debug)]
 pub enum Job {
     /// The claim of the job is not decided yet.
-    Claiming(Claiming),
+    Claiming(ClaimingJob),
     /// This host may start the job's tasks.
-    Running(Running),
+    Running(RunningJob),
     /// The job has its final answer.
-    Ended(Ended),
+    Ended(EndedJob),
 }
 
 impl Job {
--- a/crates/onyxshed-dispatch/src/job/claiming.rs
+++ b/crates/onyxshed-dispatch/src/job/claiming.rs
@@ -3,12 +3,12 @@
 use std::rc::Rc;
 
 use super::JobHead;
-use super::running::Running;
+use super::running::RunningJob;
 use crate::output::RequestId;
 
 /// Job that waits until the log decides which host holds the submission.
 #[derive(Debug)]
-pub struct Claiming {
+pub struct ClaimingJob {
     /// Properties of the job that do not change.
     pub head: JobHead,
     /// Payload of each task, in order of their indexes.
@@ -19,9 +19,9 @@
     pub cancels: Vec<RequestId>,
 }
 
-impl Claiming {
+impl ClaimingJob {
     /// Converts the job into one whose tasks may start, with or without a claim.
-    pub fn into_running(self, is_claimed: bool) -> Running {
-        Running::new(self.head, self.payloads, self.waiters, is_claimed)
+    pub fn into_running(self, is_claimed: bool) -> RunningJob {
+        RunningJob::new(self.head, self.payloads, self.waiters, is_claimed)
     }
 }
--- a/crates/onyxshed-dispatch/src/job/ended.rs
+++ b/crates/onyxshed-dispatch/src/job/ended.rs
@@ -10,7 +10,7 @@
 
 /// Job that has ended, with its final answer.
 #[derive(Debug)]
-pub struct Ended {
+pub struct EndedJob {
     /// Hash of the content that was submitted under the job's id.
     pub content: ContentHash,
     /// Class of the job.
@@ -23,7 +23,7 @@
     pub results: Option<Vec<Vec<u8>>>,
 }
 
-impl Ended {
+impl EndedJob {
     /// Returns the answer to a repeated request.
     pub fn answer(&self, id: SubmissionId) -> Answer {
         match (&self.results, self.code) {
--- a/crates/onyxshed-dispatch/src/job/running.rs
+++ b/crates/onyxshed-dispatch/src/job/running.rs
@@ -7,7 +7,7 @@
 use smol_str::SmolStr;
 
 use super::JobHead;
-use super::ended::Ended;
+use super::ended::EndedJob;
 use crate::output::{AttemptId, RequestId};
 
 /// Evidence on whether any task of a job has started.
@@ -23,7 +23,7 @@
 
 /// Job whose tasks may start, run and end on this host.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningJob {
     /// Properties of the job that do not change.
     pub head: JobHead,
     /// Payload of each task, in order of their indexes.
@@ -41,7 +41,7 @@
     missing_results: usize,
 }
 
-impl Running {
+impl RunningJob {
     pub(super) fn new(
         head: JobHead,
         payloads: Vec<Rc<Vec<u8>>>,
@@ -49,7 +49,7 @@
         is_claimed: bool,
     ) -> Self {
         let missing = payloads.len();
-        Running {
+        RunningJob {
             head,
             payloads,
             waiters,
@@ -77,11 +77,11 @@
 
     /// Stores the result of a task; later results of the same task are ignored.
     pub fn record_result(&mut self, index: u16, result: Vec<u8>) {
-        let Some(place) = self.results.get_mut(usize::from(index)) else {
+        let Some(slot) = self.results.get_mut(usize::from(index)) else {
             return;
         };
-        if place.is_none() {
-            *place = Some(result);
+        if slot.is_none() {
+            *slot = Some(result);
             self.missing_results -= 1;
         }
     }
@@ -110,10 +110,10 @@
     }
 
     /// Converts the job into an ended one and returns the requests that wait for its answer.
-    pub fn end(self, code: ResultCode, detail: SmolStr) -> (Ended, Vec<RequestId>) {
+    pub fn into_ended(self, code: ResultCode, detail: SmolStr) -> (EndedJob, Vec<RequestId>) {
         let is_complete = code.outcome() == Some(Outcome::Complete);
         let results = is_complete.then(|| self.results.into_iter().flatten().collect());
-        let ended = Ended {
+        let ended = EndedJob {
             content: self.head.content,
             class: self.head.class,
             code,
--- a/crates/onyxshed-dispatch/src/table.rs
+++ b/crates/onyxshed-dispatch/src/table.rs
@@ -9,7 +9,7 @@
 
 use onyxshed_core::{Bytes, Mono, SubmissionId, UnixMs};
 
-use crate::job::{Ended, Job};
+use crate::job::{EndedJob, Job};
 
 /// Jobs of one entry host, indexed by submission id and by the time at which they are due.
 #[derive(Debug, Default)]
@@ -19,7 +19,7 @@
     due_at: BTreeMap<SubmissionId, Mono>,
     ended_by_time: BTreeSet<(UnixMs, SubmissionId)>,
     results_by_age: VecDeque<SubmissionId>,
-    kept_bytes: u64,
+    kept_result_bytes: u64,
 }
 
 impl JobTable {
@@ -48,23 +48,23 @@
         self.jobs.get_mut(&id)
     }
 
-    /// Inserts a job that has not ended and becomes due at `due`.
-    pub fn insert_live(&mut self, id: SubmissionId, job: Job, due: Mono) {
-        self.set_due_at(id, Some(due));
+    /// Inserts a job that has not ended and becomes due at `due_at`.
+    pub fn insert_live(&mut self, id: SubmissionId, job: Job, due_at: Mono) {
+        self.set_due_at(id, Some(due_at));
         self.jobs.insert(id, job);
     }
 
     /// Inserts a job that has ended and drops the oldest results that exceed `keep` in total.
-    pub fn insert_ended(&mut self, id: SubmissionId, ended: Ended, keep: Bytes) {
+    pub fn insert_ended(&mut self, id: SubmissionId, ended: EndedJob, max_bytes: Bytes) {
         self.set_due_at(id, None);
         self.ended_by_time.insert((id.time(), id));
         let bytes = ended.result_bytes();
         if bytes > 0 {
             self.results_by_age.push_back(id);
-            self.kept_bytes += bytes;
+            self.kept_result_bytes += bytes;
         }
         self.jobs.insert(id, Job::Ended(ended));
-        self.drop_results_over(keep);
+        self.drop_results_over(max_bytes);
     }
 
     /// Removes and returns a job.
@@ -75,32 +75,32 @@
 
     /// Returns the earliest time at which a job becomes due.
     pub fn next_due_at(&self) -> Option<Mono> {
-        self.due_queue.first().map(|(due, _)| *due)
+        self.due_queue.first().map(|(due_at, _)| *due_at)
     }
 
     /// Returns the job that has been due longest at `now`, if any.
-    pub fn due(&self, now: Mono) -> Option<SubmissionId> {
+    pub fn first_due(&self, now: Mono) -> Option<SubmissionId> {
         self.due_queue
             .first()
-            .filter(|(due, _)| *due <= now)
+            .filter(|(due_at, _)| *due_at <= now)
             .map(|(_, id)| *id)
     }
 
     /// Sets the time at which a job becomes due; `None` if it never does.
-    pub fn set_due_at(&mut self, id: SubmissionId, due: Option<Mono>) {
-        if let Some(before) = self.due_at.remove(&id) {
-            self.due_queue.remove(&(before, id));
+    pub fn set_due_at(&mut self, id: SubmissionId, due_at: Option<Mono>) {
+        if let Some(previous) = self.due_at.remove(&id) {
+            self.due_queue.remove(&(previous, id));
         }
-        if let Some(due) = due {
-            self.due_at.insert(id, due);
-            self.due_queue.insert((due, id));
+        if let Some(due_at) = due_at {
+            self.due_at.insert(id, due_at);
+            self.due_queue.insert((due_at, id));
         }
     }
 
     /// Removes ended jobs whose id is older than `horizon`.
-    pub fn remove_older_than(&mut self, horizon: UnixMs) {
+    pub fn remove_older_than(&mut self, oldest: UnixMs) {
         while let Some(&(time, id)) = self.ended_by_time.first() {
-            if time >= horizon {
+            if time >= oldest {
                 return;
             }
             self.ended_by_time.pop_first();
@@ -109,8 +109,8 @@
         }
     }
 
-    fn drop_results_over(&mut self, keep: Bytes) {
-        while self.kept_bytes > keep.0 {
+    fn drop_results_over(&mut self, max_bytes: Bytes) {
+        while self.kept_result_bytes > max_bytes.0 {
             let Some(id) = self.results_by_age.pop_front() else {
                 return;
             };
@@ -120,7 +120,7 @@
 
     fn drop_results(&mut self, id: SubmissionId) {
         if let Some(Job::Ended(ended)) = self.jobs.get_mut(&id) {
-            self.kept_bytes -= ended.result_bytes();
+            self.kept_result_bytes -= ended.result_bytes();
             ended.results = None;
         }
     }
--- a/crates/onyxshed-dispatch/tests/machine.rs
+++ b/crates/onyxshed-dispatch/tests/machine.rs
@@ -1,4 +1,4 @@
-//! The machine by itself, where a single event decides.
+//! Tests of the state machine in which a single input decides the result.
 
 use std::net::SocketAddr;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Makes a machine that has read the log to its end and knows its class and no executor yet.
+/// Creates a state machine that has read the log to its end and has one class and no executors.
 fn machine(may_run_twice: bool) -> Dispatch {
     let mut machine = Dispatch::new(ME, DispatchOptions::default(), 7);
     machine.handle(NOW, Input::Configured(config(1, may_run_twice)));
@@ -96,7 +96,7 @@
     outputs.iter().any(is_submit)
 }
 
-fn know_other(machine: &mut Dispatch, gone: Vec<Incarnation>) {
+fn add_suspected_member(machine: &mut Dispatch, gone: Vec<Incarnation>) {
     let member = Member {
         host: "other".parse().expect("a name"),
         zone: "a".parse().expect("a name"),
@@ -116,10 +116,10 @@
     );
 }
 
-// A control process that restarts, or lags behind, hands over an older configuration than the entry
-// holds. Callers must not see a class come back that was removed: the entry keeps what it has.
+// A control process that restarts or lags sends an older configuration than the one in force. The
+// older one is ignored, so that callers do not see a removed class reappear.
 #[test]
-fn an_older_configuration_is_not_taken() {
+fn older_configuration_is_ignored() {
     let mut machine = machine(false);
     machine.handle(NOW, Input::Configured(config(5, false)));
     machine.handle(NOW, Input::Configured(config(4, true)));
@@ -127,22 +127,23 @@
     assert_eq!((held.revision, held), (Revision(5), &config(5, false)));
 }
 
-// A copy comes to another host than the one its id is bound to. While that host is merely suspected
-// it may be running the job: the copy is passed on, even of a class that may run twice. Only once it
-// is held to be gone is such a class taken over; any other is told that the outcome is unknown.
+// A copy is submitted to a different host than the one its id is bound to. While that host is only
+// suspected, it may be running the job, so the copy is forwarded, even if its class may run twice.
+// Once the host is considered gone, a class that may run twice is taken over; for any other class
+// the outcome is unknown.
 #[rstest]
 #[case::suspected_and_may_run_twice(true, false)]
 #[case::suspected_and_may_not(false, false)]
 #[case::gone_and_may_run_twice(true, true)]
 #[case::gone_and_may_not(false, true)]
-fn only_a_gone_holder_is_taken_over(#[case] may_run_twice: bool, #[case] is_gone: bool) {
+fn claim_is_taken_over_only_from_gone_holder(#[case] may_run_twice: bool, #[case] is_gone: bool) {
     let mut machine = machine(may_run_twice);
-    know_other(&mut machine, if is_gone { vec![OTHER] } else { Vec::new() });
+    add_suspected_member(&mut machine, if is_gone { vec![OTHER] } else { Vec::new() });
     let outputs = submit(&mut machine, Some(OTHER));
     let code = answer_of(&outputs).and_then(|answer| answer.code);
     match (may_run_twice, is_gone) {
         (_, false) => assert!(is_forwarded(&outputs)),
-        // Taken over: nothing stands in its way but that no executor is there.
+        // Taken over; the job is refused only because there is no executor.
         (true, true) => assert_eq!(code, Some(ResultCode::EarlierCopyOpen)),
         (false, true) => assert_eq!(code, Some(ResultCode::HolderGone)),
     }
--- a/crates/onyxshed-dispatch/tests/search.rs
+++ b/crates/onyxshed-dispatch/tests/search.rs
@@ -1,68 +1,70 @@
-//! Random search over orders of events: three hosts, one log, executors that record every start.
+//! Randomized search over orders of events, with three hosts, one log and executors that record
+//! every start.
 //!
-//! Every message may be late, overtaken or lost, hosts freeze and crash, appends take effect without
-//! an answer, clocks differ, the log goes down. After every step the world checks what must always
-//! hold. `ONYXSHED_SEARCH_SEEDS=100000 cargo test --release -p onyxshed-dispatch --test search`
-//! searches further; a seed that shows a fault is added to `KEPT`.
+//! Messages may be delayed, reordered or lost, hosts freeze and crash, appends succeed without a
+//! reply, clocks differ, and the log becomes unreachable. After every step the simulation checks
+//! its invariants. `ONYXSHED_SEARCH_SEEDS=100000 cargo test --release -p onyxshed-dispatch --test
+//! search` runs a longer search; a seed that reveals a fault is added to `REGRESSION_SEEDS`.
 
 mod search {
     pub mod executors;
     pub mod host;
-    pub mod world;
+    pub mod simulation;
 }
 
-use search::world::{World, WorldOptions};
+use search::simulation::{Simulation, SimulationOptions};
 
-/// Seeds searched when nothing else is asked.
-const SEEDS: u64 = 1_000;
+/// Number of seeds searched by default.
+const DEFAULT_SEEDS: u64 = 1_000;
 
-/// Steps in one search.
-const STEPS: usize = 400;
+/// Number of random steps per seed.
+const STEPS_PER_SEED: usize = 400;
 
-/// Seeds that showed a fault once.
-const KEPT: &[u64] = &[90, 337, 474, 816];
+/// Seeds that revealed a fault in the past.
+const REGRESSION_SEEDS: &[u64] = &[90, 337, 474, 816];
 
-fn seeds() -> u64 {
+fn seed_count() -> u64 {
     std::env::var("ONYXSHED_SEARCH_SEEDS")
         .ok()
         .and_then(|text| text.parse().ok())
-        .unwrap_or(SEEDS)
+        .unwrap_or(DEFAULT_SEEDS)
 }
 
-fn search(options: &WorldOptions) {
-    for seed in KEPT.iter().copied().chain(0..seeds()) {
-        let mut world = World::new(seed, options.clone());
-        for _ in 0..STEPS {
-            world.step();
+fn search(options: &SimulationOptions) {
+    for seed in REGRESSION_SEEDS.iter().copied().chain(0..seed_count()) {
+        let mut simulation = Simulation::new(seed, options.clone());
+        for _ in 0..STEPS_PER_SEED {
+            simulation.step();
         }
-        world.settle();
+        simulation.settle();
     }
 }
 
-// Callers send copies of one submission to several hosts while messages are late, lost and
-// overtaken. A caller may see "not run" or "unknown" and never a lie: an executor's record shows at
-// most one start of each task, none at all behind "not run", and every result behind "complete".
+// Callers send copies of one submission to several hosts while messages are delayed, lost and
+// reordered. A caller may get "not run" or "unknown", but the answer must match the executors'
+// records: at most one start of each task, no start after "not run", and every result in
+// "complete".
 #[test]
 fn late_and_lost_messages_never_start_a_task_twice() {
-    search(&WorldOptions {
+    search(&SimulationOptions {
         faults: false,
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     });
 }
 
-// The same while hosts crash and come back as new incarnations, freeze for seconds in the middle of
-// a claim or a start and thaw, and the log is down or loses answers to appends that took effect.
+// As above, while hosts crash and restart as new incarnations, freeze for seconds during a claim or
+// a start, and the log is unreachable or loses the replies to appends that succeeded.
 #[test]
 fn crashes_freezes_and_outages_never_start_a_task_twice() {
-    search(&WorldOptions::default());
+    search(&SimulationOptions::default());
 }
 
-// The same with ids bound to one incarnation, which start without any claim: only the host they
-// name may start them, so a copy at another host is passed on or its outcome is unknown.
+// As above, with ids bound to one incarnation, which start without a claim: only the host that the
+// id names may start the tasks, so a copy at another host is forwarded or its outcome is unknown.
 #[test]
 fn bound_ids_never_start_a_task_twice() {
-    search(&WorldOptions {
+    search(&SimulationOptions {
         bound: true,
-        ..WorldOptions::default()
+        ..SimulationOptions::default()
     });
 }
--- a/crates/onyxshed-dispatch/tests/search/executors.rs
+++ b/crates/onyxshed-dispatch/tests/search/executors.rs
@@ -1,4 +1,4 @@
-//! Executors of the search: they run whatever arrives and record each start.
+//! Simulated executors, which run every task that arrives and record each start.
 
 use std::collections::BTreeMap;
 
@@ -6,73 +6,75 @@
 use onyxshed_dispatch::{AttemptId, StopReport};
 use onyxshed_wire::upstream::{TaskSighting, TaskState};
 
-/// What an executor knows of a task.
+/// State of a task on an executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Seen {
+enum ExecutorTaskState {
     Running,
     Finished,
     Stopped,
     Fenced,
 }
 
-/// What became of a start that arrived.
+/// Reply of an executor to a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Arrival {
-    /// It runs; its end follows.
+pub enum StartReply {
+    /// The task runs; its end is reported later.
     Started,
-    /// A stop had come before it.
+    /// A stop that arrived earlier fenced the start.
     Refused,
 }
 
-/// All executors together; each knows only its own tasks.
+/// All simulated executors; each has a separate set of tasks.
 #[derive(Debug, Default)]
 pub struct Executors {
-    seen: BTreeMap<(u8, TaskId), Seen>,
-    /// Starts up to this one are fenced off.
+    tasks: BTreeMap<(u8, TaskId), ExecutorTaskState>,
+    /// Attempt up to which starts are fenced, by executor, task and starter.
     fences: BTreeMap<(u8, TaskId, Incarnation), AttemptId>,
-    /// Every start, where it happened.
+    /// Incarnations that started each task.
     pub starts: BTreeMap<TaskId, Vec<Incarnation>>,
 }
 
 impl Executors {
-    /// Takes in a start.
+    /// Starts a task unless the attempt is fenced.
     pub fn start(
         &mut self,
         executor: u8,
         task: TaskId,
         starter: Incarnation,
         attempt: AttemptId,
-    ) -> Arrival {
+    ) -> StartReply {
         let fence = self.fences.get(&(executor, task, starter));
         if fence.is_some_and(|fence| attempt <= *fence) {
-            return Arrival::Refused;
+            return StartReply::Refused;
         }
-        self.seen.insert((executor, task), Seen::Running);
+        self.tasks
+            .insert((executor, task), ExecutorTaskState::Running);
         self.starts.entry(task).or_default().push(starter);
-        Arrival::Started
+        StartReply::Started
     }
 
-    /// Ends a task that runs; false if it was stopped meanwhile.
+    /// Ends a running task; returns `false` if it was stopped in the meantime.
     pub fn finish(&mut self, executor: u8, task: TaskId) -> bool {
-        let is_running = self.seen.get(&(executor, task)) == Some(&Seen::Running);
+        let is_running = self.tasks.get(&(executor, task)) == Some(&ExecutorTaskState::Running);
         if is_running {
-            self.seen.insert((executor, task), Seen::Finished);
+            self.tasks
+                .insert((executor, task), ExecutorTaskState::Finished);
         }
         is_running
     }
 
-    /// Tells what has become of a task.
-    pub fn sight(&self, executor: u8, task: TaskId) -> TaskSighting {
-        match self.seen.get(&(executor, task)) {
+    /// Returns the status of a task.
+    pub fn status(&self, executor: u8, task: TaskId) -> TaskSighting {
+        match self.tasks.get(&(executor, task)) {
             None => TaskSighting::Unseen,
-            Some(Seen::Running) => TaskSighting::Running,
-            Some(Seen::Finished) => TaskSighting::Ended(TaskState::Finished),
-            Some(Seen::Stopped) => TaskSighting::Ended(TaskState::Stopped),
-            Some(Seen::Fenced) => TaskSighting::Ended(TaskState::Refused),
+            Some(ExecutorTaskState::Running) => TaskSighting::Running,
+            Some(ExecutorTaskState::Finished) => TaskSighting::Ended(TaskState::Finished),
+            Some(ExecutorTaskState::Stopped) => TaskSighting::Ended(TaskState::Stopped),
+            Some(ExecutorTaskState::Fenced) => TaskSighting::Ended(TaskState::Refused),
         }
     }
 
-    /// Takes in a stop, which is also a fence against a start still on its way.
+    /// Stops a task, and fences starts of it that are still in transit.
     pub fn stop(
         &mut self,
         executor: u8,
@@ -81,15 +83,18 @@
         attempt: AttemptId,
     ) -> StopReport {
         self.fences.insert((executor, task, starter), attempt);
-        let seen = self.seen.entry((executor, task)).or_insert(Seen::Fenced);
-        let state = match *seen {
-            Seen::Running => {
-                *seen = Seen::Stopped;
+        let task_state = self
+            .tasks
+            .entry((executor, task))
+            .or_insert(ExecutorTaskState::Fenced);
+        let state = match *task_state {
+            ExecutorTaskState::Running => {
+                *task_state = ExecutorTaskState::Stopped;
                 TaskState::Stopped
             }
-            Seen::Finished => TaskState::Finished,
-            Seen::Stopped => TaskState::Stopped,
-            Seen::Fenced => TaskState::Refused,
+            ExecutorTaskState::Finished => TaskState::Finished,
+            ExecutorTaskState::Stopped => TaskState::Stopped,
+            ExecutorTaskState::Fenced => TaskState::Refused,
         };
         let body = match state {
             TaskState::Finished => result_of(task),
@@ -99,7 +104,7 @@
     }
 }
 
-/// Gets the result that a task's run gives: it names the task, so a swapped answer shows.
+/// Returns the result of a task; it contains the task's id, so that swapped answers are detected.
 pub fn result_of(task: TaskId) -> Vec<u8> {
     task.to_string().into_bytes()
 }
--- a/crates/onyxshed-dispatch/tests/search/host.rs
+++ b/crates/onyxshed-dispatch/tests/search/host.rs
@@ -1,4 +1,4 @@
-//! One entry host of the search: a machine, its clocks, and whether it is frozen.
+//! Simulated entry host: a state machine, its clocks and its frozen state.
 
 use std::collections::VecDeque;
 
@@ -6,30 +6,30 @@
 use onyxshed_dispatch::{Dispatch, DispatchOptions, Input};
 use onyxshed_state::ClaimOptions;
 
-/// How long ids are remembered in the search, short enough to be passed within one.
+/// Horizon of ids in the simulation, in milliseconds; short enough to pass during one search.
 pub const HORIZON_MS: u64 = 4_000;
 
-/// Most that clocks differ.
+/// Maximum difference between wall clocks, in milliseconds.
 pub const SKEW_MS: u64 = 200;
 
-/// One host.
+/// Simulated entry host.
 pub struct Host {
-    /// Its machine.
+    /// State machine of the host.
     pub machine: Dispatch,
-    /// Its current life.
+    /// Current incarnation of the host.
     pub incarnation: Incarnation,
-    /// How far its wall clock is off, in milliseconds.
+    /// Offset of the host's wall clock, in milliseconds.
     pub skew_ms: i64,
-    /// Until when it does nothing, in world time.
+    /// Simulation time until which the host is frozen, in milliseconds.
     pub frozen_until_ms: u64,
-    /// What waits until it thaws.
+    /// Inputs that arrived while the host was frozen.
     pub inbox: VecDeque<Input>,
-    /// Whether a read of the log is under way.
+    /// Whether a read of the log is in progress.
     pub is_reading: bool,
 }
 
 impl Host {
-    /// Makes a host in a new life.
+    /// Creates a host with a new incarnation.
     pub fn new(incarnation: Incarnation, skew_ms: i64) -> Self {
         let options = DispatchOptions {
             claims: ClaimOptions {
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Reads the host's clocks at a world time.
-    pub fn now(&self, world_ms: u64) -> Now {
-        let wall_ms = world_ms.saturating_add_signed(self.skew_ms);
+    /// Returns the readings of the host's clocks at a simulation time in milliseconds.
+    pub fn now(&self, simulation_ms: u64) -> Now {
+        let wall_ms = simulation_ms.saturating_add_signed(self.skew_ms);
         Now {
-            mono: Mono(world_ms * 1_000),
+            mono: Mono(simulation_ms * 1_000),
             wall: UnixMs(wall_ms),
         }
     }
--- a/crates/onyxshed-dispatch/tests/search/world.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation.rs
@@ -1,7 +1,7 @@
-//! The world of the search: hosts, log, executors, and every message on its way.
+//! Simulation of hosts, log and executors, and of the messages in transit between them.
 
 mod callers;
-mod judge;
+mod checks;
 mod wire;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,37 +21,37 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::executors::{Arrival, Executors, result_of};
+use super::executors::{Executors, StartReply, result_of};
 use super::host::{Host, SKEW_MS};
 
-/// Hosts in the search.
+/// Number of hosts.
 const HOSTS: usize = 3;
 
-/// Executors in the search.
+/// Number of executors.
 const EXECUTORS: u8 = 2;
 
-/// Where the world's clock begins, in milliseconds.
+/// Simulation time at the start, in milliseconds.
 const BEGIN_MS: u64 = 1_000_000_000;
 
-/// What the search may do.
+/// Options of a simulation.
 #[derive(Debug, Clone)]
-pub struct WorldOptions {
-    /// Whether hosts crash and freeze and the log fails.
+pub struct SimulationOptions {
+    /// Whether hosts crash and freeze and the log becomes unreachable.
     pub faults: bool,
-    /// Whether ids are bound to the host they are first sent to.
+    /// Whether ids are bound to the host that they are first sent to.
     pub bound: bool,
 }
 
-impl Default for WorldOptions {
+impl Default for SimulationOptions {
     fn default() -> Self {
-        WorldOptions {
+        SimulationOptions {
             faults: true,
             bound: false,
         }
     }
 }
 
-/// A message on its way; `to` is the incarnation it is meant for, dead ones get nothing.
+/// Message in transit; `to` is the receiving incarnation, and messages to a gone one are dropped.
 enum Message {
     ToHost {
         to: Incarnation,
@@ -102,13 +102,13 @@
     },
 }
 
-/// Who waits for the answer to a request.
+/// Party that waits for the answer to a request.
 #[derive(Clone, Copy)]
-enum Asker {
+enum Requester {
     Caller {
         id: SubmissionId,
         copy: u32,
-        /// No other copy was under way when it asked.
+        /// Whether no other copy was in progress when the request was sent.
         is_alone: bool,
     },
     Peer {
@@ -118,11 +118,11 @@
     },
 }
 
-/// All of it.
-pub struct World {
+/// Simulation with its random generator, hosts, messages and records of what callers were told.
+pub struct Simulation {
     seed: u64,
     rng: StdRng,
-    options: WorldOptions,
+    options: SimulationOptions,
     now_ms: u64,
     hosts: Vec<Host>,
     log: Vec<String>,
@@ -132,19 +132,19 @@
     sent: BTreeMap<SubmissionId, Submission>,
     copies: BTreeMap<SubmissionId, u32>,
 
-    askers: BTreeMap<(Incarnation, RequestId), Asker>,
+    requesters: BTreeMap<(Incarnation, RequestId), Requester>,
     not_run: BTreeSet<SubmissionId>,
     next_request: u64,
-    next_life: u64,
-    /// Whether the answer at hand was given by a peer and is only passed on.
+    next_incarnation: u64,
+    /// Whether the input being processed is a peer's answer, which the host only relays.
     is_relaying: bool,
     trace: Vec<String>,
 }
 
-impl World {
-    /// Makes a world of live hosts with one class whose tasks may not run twice.
-    pub fn new(seed: u64, options: WorldOptions) -> Self {
-        let mut world = World {
+impl Simulation {
+    /// Creates a simulation of live hosts with one class whose tasks may not run twice.
+    pub fn new(seed: u64, options: SimulationOptions) -> Self {
+        let mut simulation = Simulation {
             seed,
             rng: StdRng::seed_from_u64(seed),
             options,
@@ -157,22 +157,22 @@
             sent: BTreeMap::new(),
             copies: BTreeMap::new(),
 
-            askers: BTreeMap::new(),
+            requesters: BTreeMap::new(),
             not_run: BTreeSet::new(),
             next_request: 0,
-            next_life: 0,
+            next_incarnation: 0,
             is_relaying: false,
             trace: Vec::new(),
         };
         for _ in 0..HOSTS {
-            let host = world.born();
-            world.hosts.push(host);
+            let host = simulation.new_host();
+            simulation.hosts.push(host);
         }
-        world.introduce_all();
-        world
+        simulation.configure_all();
+        simulation
     }
 
-    /// Does one thing at random and checks what must always hold.
+    /// Performs one random action and checks the invariants.
     pub fn step(&mut self) {
         self.now_ms += self.rng.random_range(0..20);
         match self.rng.random_range(0..100) {
@@ -189,7 +189,7 @@
         self.check();
     }
 
-    /// Lets everything come to rest, then checks that every request was answered once.
+    /// Runs until no work is left, then checks that every request was answered once.
     pub fn settle(&mut self) {
         self.is_log_down = false;
         for _ in 0..20_000 {
@@ -201,36 +201,40 @@
                 .messages
                 .iter()
                 .all(|message| matches!(message, Message::Read { .. }))
-                && self.live_askers() == 0
+                && self.live_requesters() == 0
             {
                 break;
             }
         }
         self.check();
         assert_eq!(
-            self.live_askers(),
+            self.live_requesters(),
             0,
             "{}: a request was never answered",
-            self.story()
+            self.failure_context()
         );
     }
 
-    pub(super) fn live_askers(&self) -> usize {
-        let is_live = |life: Incarnation| self.hosts.iter().any(|host| host.incarnation == life);
-        self.askers
+    pub(super) fn live_requesters(&self) -> usize {
+        let is_live = |incarnation: Incarnation| {
+            self.hosts
+                .iter()
+                .any(|host| host.incarnation == incarnation)
+        };
+        self.requesters
             .keys()
-            .filter(|(life, _)| is_live(*life))
+            .filter(|(incarnation, _)| is_live(*incarnation))
             .count()
     }
 
-    pub(super) fn born(&mut self) -> Host {
-        self.next_life += 1;
+    pub(super) fn new_host(&mut self) -> Host {
+        self.next_incarnation += 1;
         let skew_ms = self.rng.random_range(0..SKEW_MS / 2).cast_signed();
-        Host::new(Incarnation(self.next_life), skew_ms)
+        Host::new(Incarnation(self.next_incarnation), skew_ms)
     }
 
-    /// Tells every host the class, the executors and who the others are.
-    pub(super) fn introduce_all(&mut self) {
+    /// Sends the configuration, the executors and the members to every host.
+    pub(super) fn configure_all(&mut self) {
         let target: ClassTarget = ClassTarget {
             class: "stock-sync".parse().expect("a name"),
             upstream: "tablets".parse().expect("a name"),
@@ -243,12 +247,15 @@
             classes,
         };
         let executors: Vec<ExecutorInfo> = (0..EXECUTORS).map(executor_info).collect();
-        let lives: Vec<Incarnation> = self.hosts.iter().map(|host| host.incarnation).collect();
+        let incarnations: Vec<Incarnation> =
+            self.hosts.iter().map(|host| host.incarnation).collect();
         for index in 0..self.hosts.len() {
-            let me = lives[index];
-            let others = lives.iter().filter(|life| **life != me);
-            let members = others.map(|life| member_of(*life)).collect();
-            let live_hosts = u32::try_from(lives.len()).expect("few hosts");
+            let me = incarnations[index];
+            let others = incarnations
+                .iter()
+                .filter(|incarnation| **incarnation != me);
+            let members = others.map(|incarnation| member_of(*incarnation)).collect();
+            let live_hosts = u32::try_from(incarnations.len()).expect("few hosts");
             self.feed(index, Input::Configured(config.clone()));
             self.feed(index, Input::Executors(executors.clone()));
             self.feed(
@@ -260,11 +267,11 @@
                     live_hosts,
                 },
             );
-            self.read_on(index);
+            self.schedule_read(index);
         }
     }
 
-    pub(super) fn read_on(&mut self, index: usize) {
+    pub(super) fn schedule_read(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         if !std::mem::replace(&mut host.is_reading, true) {
             let from = host.incarnation;
@@ -272,7 +279,7 @@
         }
     }
 
-    /// Gives a host an input, or keeps it until the host thaws.
+    /// Applies an input to a host, or queues it while the host is frozen.
     pub(super) fn feed(&mut self, index: usize, input: Input) {
         let host = &mut self.hosts[index];
         if host.frozen_until_ms > self.now_ms {
@@ -287,10 +294,10 @@
             }
         );
         let now = host.now(self.now_ms);
-        let life = host.incarnation;
+        let incarnation = host.incarnation;
         let outputs = host.machine.handle(now, input);
         for output in outputs {
-            self.carry_out(life, output);
+            self.execute(incarnation, output);
         }
     }
 
@@ -305,9 +312,9 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, from: Incarnation, output: Output) {
+    pub(super) fn execute(&mut self, from: Incarnation, output: Output) {
         match output {
-            Output::Answer { request, answer } => self.answered(from, request, answer),
+            Output::Answer { request, answer } => self.apply_answer(from, request, answer),
             Output::Forward { request, to, call } => {
                 self.messages.push(Message::Forward {
                     from,
@@ -323,7 +330,7 @@
                 executor,
                 ..
             } => {
-                let executor = number_of(executor.as_str());
+                let executor = executor_number(executor.as_str());
                 self.messages.push(Message::Start {
                     from,
                     attempt,
@@ -336,7 +343,7 @@
                 task,
                 executor,
             } => {
-                let executor = number_of(executor.as_str());
+                let executor = executor_number(executor.as_str());
                 self.messages.push(Message::Stop {
                     from,
                     attempt,
@@ -349,7 +356,7 @@
                 task,
                 executor,
             } => {
-                let executor = number_of(executor.as_str());
+                let executor = executor_number(executor.as_str());
                 self.messages.push(Message::Ask {
                     from,
                     attempt,
@@ -383,7 +390,7 @@
     }
 }
 
-fn number_of(executor: &str) -> u8 {
+fn executor_number(executor: &str) -> u8 {
     executor.trim_start_matches('e').parse().expect("a number")
 }
 
--- a/crates/onyxshed-dispatch/tests/search/world/callers.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation/callers.rs
@@ -1,8 +1,8 @@
-//! What callers and faults do.
+//! Actions of callers, and faults of hosts.
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(super) fn submit(&mut self) {
         let index = self.rng.random_range(0..HOSTS);
         let unique = u128::from(self.next_request) << 8;
@@ -23,7 +23,7 @@
         self.send(index, submission);
     }
 
-    /// Sends another copy of a submission to any host; it was told "not run" or nothing yet.
+    /// Sends another copy of a submission to a random host.
     pub(super) fn submit_copy(&mut self) {
         let Some(id) = self.pick_sent() else {
             return;
@@ -33,18 +33,18 @@
             copy: CopyMark::Again,
             ..self.sent[&id].clone()
         };
-        // Asking again withdraws what an earlier copy was told: this one may run.
+        // A new copy may run, so an earlier "not run" answer for the submission is void.
         self.not_run.remove(&id);
         self.send(index, copy);
     }
 
     pub(super) fn send(&mut self, index: usize, submission: Submission) {
         let id = submission.submission;
-        let is_alone = !self.is_under_way(id);
+        let is_alone = !self.is_in_progress(id);
         let copy = self.copies.entry(id).or_default();
         *copy += 1;
         let copy = *copy;
-        let request = self.request(index, Asker::Caller { id, copy, is_alone });
+        let request = self.request(index, Requester::Caller { id, copy, is_alone });
 
         self.trace
             .push(format!("submit {} to {index}", submission.submission));
@@ -58,11 +58,11 @@
         );
     }
 
-    pub(super) fn request(&mut self, index: usize, asker: Asker) -> RequestId {
+    pub(super) fn request(&mut self, index: usize, requester: Requester) -> RequestId {
         self.next_request += 1;
         let request = RequestId(self.next_request);
-        self.askers
-            .insert((self.hosts[index].incarnation, request), asker);
+        self.requesters
+            .insert((self.hosts[index].incarnation, request), requester);
         request
     }
 
@@ -71,9 +71,9 @@
             return;
         };
         let index = self.rng.random_range(0..HOSTS);
-        let is_alone = !self.is_under_way(id);
+        let is_alone = !self.is_in_progress(id);
         let copy = self.copies[&id];
-        let request = self.request(index, Asker::Caller { id, copy, is_alone });
+        let request = self.request(index, Requester::Caller { id, copy, is_alone });
 
         self.trace.push(format!("cancel {id} at {index}"));
         self.feed(
@@ -87,9 +87,9 @@
     }
 
     pub(super) fn pick_sent(&mut self) -> Option<SubmissionId> {
-        // Mostly recent ones, so that copies meet jobs under way.
-        let back = self.rng.random_range(0..6);
-        self.sent.keys().rev().nth(back).copied()
+        // Only recent submissions are picked, so that copies meet jobs in progress.
+        let position = self.rng.random_range(0..6);
+        self.sent.keys().rev().nth(position).copied()
     }
 
     pub(super) fn tick(&mut self) {
@@ -102,20 +102,20 @@
         let index = self.rng.random_range(0..HOSTS);
         let gone = self.hosts[index].incarnation;
         self.trace.push(format!("crash of {gone}"));
-        self.hang_up(gone);
-        self.hosts[index] = self.born();
-        self.introduce_all();
+        self.drop_requests(gone);
+        self.hosts[index] = self.new_host();
+        self.configure_all();
     }
 
-    /// Drops what waits for a host that is gone; peers see their connections close.
-    pub(super) fn hang_up(&mut self, gone: Incarnation) {
-        let lost: Vec<Asker> = self
-            .askers
-            .extract_if(.., |(life, _), _| *life == gone)
-            .map(|(_, asker)| asker)
+    /// Drops the requests that a gone host has not answered; peers see their connections close.
+    pub(super) fn drop_requests(&mut self, gone: Incarnation) {
+        let lost: Vec<Requester> = self
+            .requesters
+            .extract_if(.., |(incarnation, _), _| *incarnation == gone)
+            .map(|(_, requester)| requester)
             .collect();
-        for asker in lost {
-            if let Asker::Peer { from, request, id } = asker {
+        for requester in lost {
+            if let Requester::Peer { from, request, id } = requester {
                 let input = Input::ForwardEnded {
                     request,
                     id,
--- a/crates/onyxshed-dispatch/tests/search/world/wire.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation/wire.rs
@@ -1,9 +1,9 @@
-//! Messages on their way: delivered in any order, some lost.
+//! Delivery of messages in random order; some are lost.
 
 use super::*;
 
-impl World {
-    /// Delivers any one message: order and delay are arbitrary, and some are lost.
+impl Simulation {
+    /// Delivers one random message, so order and delay are arbitrary; some messages are lost.
     pub(super) fn deliver_one(&mut self) {
         if self.messages.is_empty() {
             return;
@@ -12,7 +12,7 @@
         let message = self.messages.swap_remove(index);
         let is_lost = self.rng.random_range(0..12) == 0;
         match message {
-            Message::ToHost { to, input } => self.give(to, input),
+            Message::ToHost { to, input } => self.deliver_to(to, input),
             Message::Append { from, batch } => self.append(from, &batch, is_lost),
             Message::Read { from } => self.read(from),
             Message::Start {
@@ -46,8 +46,8 @@
                 task,
                 executor,
             } => {
-                let status = (!is_lost).then(|| self.executors.sight(executor, task));
-                self.give(from, Input::QueryEnded { attempt, status });
+                let status = (!is_lost).then(|| self.executors.status(executor, task));
+                self.deliver_to(from, Input::QueryEnded { attempt, status });
             }
             Message::Forward {
                 from,
@@ -64,7 +64,7 @@
                 answer,
             } => {
                 let answer = (!is_lost).then_some(answer);
-                self.give(
+                self.deliver_to(
                     to,
                     Input::ForwardEnded {
                         request,
@@ -76,14 +76,16 @@
         }
     }
 
-    pub(super) fn give(&mut self, to: Incarnation, input: Input) {
+    pub(super) fn deliver_to(&mut self, to: Incarnation, input: Input) {
         if let Some(index) = self.index_of(to) {
             self.feed(index, input);
         }
     }
 
-    pub(super) fn index_of(&self, life: Incarnation) -> Option<usize> {
-        self.hosts.iter().position(|host| host.incarnation == life)
+    pub(super) fn index_of(&self, incarnation: Incarnation) -> Option<usize> {
+        self.hosts
+            .iter()
+            .position(|host| host.incarnation == incarnation)
     }
 
     pub(super) fn append(&mut self, from: Incarnation, batch: &ClaimBatch, is_lost: bool) {
@@ -117,7 +119,7 @@
             false => self.page(self.hosts[index].machine.next_log_offset()),
         };
         self.feed(index, input);
-        self.read_on(index);
+        self.schedule_read(index);
     }
 
     pub(super) fn page(&self, from: Offset) -> Input {
@@ -143,7 +145,7 @@
         is_lost: bool,
     ) {
         if is_lost {
-            // The connection breaks; whether the start still arrives is open.
+            // The connection breaks; the start may still arrive.
             if self.rng.random_bool(0.5) {
                 self.messages.push(Message::Start {
                     from,
@@ -155,8 +157,8 @@
             return self.reply(from, attempt, AttemptOutcome::Lost, Vec::new());
         }
         match self.executors.start(executor, task, from, attempt) {
-            Arrival::Refused => self.reply(from, attempt, AttemptOutcome::Refused, Vec::new()),
-            Arrival::Started => self.messages.push(Message::Run {
+            StartReply::Refused => self.reply(from, attempt, AttemptOutcome::Refused, Vec::new()),
+            StartReply::Started => self.messages.push(Message::Run {
                 from,
                 attempt,
                 task,
@@ -224,7 +226,7 @@
             ForwardedCall::Fetch(id) | ForwardedCall::Cancel(id) => *id,
         };
         let Some(index) = self.index_of(to).filter(|_| !is_lost) else {
-            return self.give(
+            return self.deliver_to(
                 from,
                 Input::ForwardEnded {
                     request,
@@ -233,20 +235,20 @@
                 },
             );
         };
-        let theirs = self.request(index, Asker::Peer { from, request, id });
+        let peer_request = self.request(index, Requester::Peer { from, request, id });
         let input = match call {
             ForwardedCall::Submit(submission) => Input::Submit {
-                request: theirs,
+                request: peer_request,
                 submission: *submission,
                 is_forwarded: true,
             },
             ForwardedCall::Fetch(id) => Input::Fetch {
-                request: theirs,
+                request: peer_request,
                 id,
                 is_forwarded: true,
             },
             ForwardedCall::Cancel(id) => Input::Cancel {
-                request: theirs,
+                request: peer_request,
                 id,
                 is_forwarded: true,
             },
