--- a/crates/onyxshed-core/src/event.rs
+++ b/crates/onyxshed-core/src/event.rs
@@ -115,7 +115,7 @@
     700 PlatformLost Warn "The platform's log can't be reached.";
     701 PlatformBack Info "The platform's log can be reached again.";
     702 HostListStale Warn "The platform's host list is stale.";
-    800 PoolJobAnswered Info "The answer to a job was sent to its caller; the detail gives the reason.";
+    800 PoolJobAnswered Info "The answer to a job was sent to its caller; the detail summarizes the job.";
     801 PoolJobRefused Warn "A job was refused before any of its tasks ran; the detail gives the reason.";
     802 PoolJobLost Warn "The outcome of a job is unknown; its caller may submit it again.";
     803 PoolRunOrdered Debug "A run of a task was requested from an executor.";
@@ -146,7 +146,7 @@
     843 SettingsReloaded Info "The settings file was reloaded.";
     844 SettingsRejected Warn "The settings file can't be read; the previous settings stay in force.";
     845 PeerStateLearned Info "This host has just started and received the state known to another host.";
-    846 ZoneEvacuated Info "An operator evacuated an availability zone; it gets no more tasks.";
+    846 ZoneEvacuated Info "An operator evacuated an availability zone; it gets no tasks until it is restored.";
     847 ZoneRestored Info "An evacuated availability zone was restored and gets tasks again.";
 }
 
--- a/crates/onyxshed-dispatch/src/dispatch.rs
+++ b/crates/onyxshed-dispatch/src/dispatch.rs
@@ -17,7 +17,7 @@
     ClassName, Event, EventKind, ExecutorName, Incarnation, Micros, Mono, Now, SubmissionId, TaskId,
 };
 use onyxshed_policy::Policy;
-use onyxshed_policy::decision::PolicyDecision as PolicyNote;
+use onyxshed_policy::decision::PolicyDecision as Decision;
 use onyxshed_state::{ClaimBook, Config, Member};
 use onyxshed_wire::caller::Answer;
 
@@ -35,8 +35,9 @@
     executor: ExecutorName,
     /// Whether its connection was lost and a stop was sent to determine the task's state.
     is_resolving: bool,
-    /// Time of the next query for the task's status, and the interval before that query.
+    /// Time of the next query for the task's status.
     query_at: Mono,
+    /// Interval before the next query; it doubles with every query.
     query_interval_us: Micros,
 }
 
@@ -46,30 +47,39 @@
     own_incarnation: Incarnation,
     options: DispatchOptions,
     config: Option<Config>,
+    /// Whether a list of executors has been received.
     has_executors: bool,
+    /// Claims of this host, and holders of other claims that were read from the log.
     book: ClaimBook,
     policy: Policy,
     jobs: JobTable,
     attempts: HashMap<AttemptId, Attempt>,
+    /// Attempts by the time of their next status query.
     queries: BTreeSet<(Mono, AttemptId)>,
     last_attempt: u64,
+    /// Known members except this host.
     members: BTreeMap<Incarnation, Member>,
+    /// Incarnations that are considered permanently gone.
     gone: BTreeSet<Incarnation>,
+    /// Requests that wait for the answer of a peer.
     forwarded_requests: BTreeMap<RequestId, forward::ForwardedRequest>,
+    /// Total size of the payloads of jobs that have not ended.
     running_bytes: u64,
     is_draining: bool,
+    /// Time by which an [`Input::Tick`] is needed.
     wake_at: Option<Mono>,
+    /// Outputs of the input being processed.
     outputs: Vec<Output>,
 }
 
 impl Dispatch {
     /// Creates the state machine of one incarnation; `seed` seeds all of its random choices.
-    pub fn new(me: Incarnation, options: DispatchOptions, seed: u64) -> Self {
+    pub fn new(own_incarnation: Incarnation, options: DispatchOptions, seed: u64) -> Self {
         Dispatch {
-            own_incarnation: me,
+            own_incarnation,
             config: None,
             has_executors: false,
-            book: ClaimBook::new(me, options.claims.clone()),
+            book: ClaimBook::new(own_incarnation, options.claims.clone()),
             policy: Policy::new(options.policy.clone(), seed),
             jobs: JobTable::default(),
             attempts: HashMap::new(),
@@ -158,23 +168,23 @@
 
     /// Emits an event for each decision of the policy on executors, jobs and classes.
     fn emit_policy_decisions(&mut self) {
-        for note in self.policy.drain_decisions() {
-            let event = match note {
-                PolicyNote::BreakerOpened { executor, reason } => {
+        for decision in self.policy.drain_decisions() {
+            let event = match decision {
+                Decision::BreakerOpened { executor, reason } => {
                     Event::new(EventKind::BreakerOpened)
                         .party(executor.as_str())
                         .detail(smol_str::format_smolstr!("{reason}"))
                 }
-                PolicyNote::BreakerClosed { executor } => {
+                Decision::BreakerClosed { executor } => {
                     Event::new(EventKind::BreakerClosed).party(executor.as_str())
                 }
-                PolicyNote::JobUnrunnable { submission, class } => Event::new(EventKind::JobBlamed)
+                Decision::JobUnrunnable { submission, class } => Event::new(EventKind::JobBlamed)
                     .submission(submission)
                     .class(&class),
-                PolicyNote::ClassUnrunnable { class } => Event::new(EventKind::JobBlamed)
+                Decision::ClassUnrunnable { class } => Event::new(EventKind::JobBlamed)
                     .class(&class)
                     .detail("every job of the class"),
-                PolicyNote::ClassRunnable { class } => Event::new(EventKind::JobBlamed)
+                Decision::ClassRunnable { class } => Event::new(EventKind::JobBlamed)
                     .class(&class)
                     .detail("no longer"),
             };
@@ -182,6 +192,7 @@
         }
     }
 
+    /// Puts a configuration into force if it is newer than the current one.
     fn apply_config(&mut self, now: Now, config: Config) {
         let is_newer = self
             .config
@@ -206,6 +217,7 @@
         self.refuse_unreachable_forwards();
     }
 
+    /// Answers a request; the answer names this incarnation unless it names another to bind ids to.
     fn answer(&mut self, request: RequestId, mut answer: Answer) {
         answer.bind_to = answer.bind_to.or(Some(self.own_incarnation));
         self.outputs.push(Output::Answer { request, answer });
--- a/crates/onyxshed-dispatch/src/dispatch/admit.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/admit.rs
@@ -99,6 +99,7 @@
         }
     }
 
+    /// Creates the head of a job; returns `None` if its class is not configured.
     pub(super) fn job_head(
         &self,
         now: Now,
@@ -110,7 +111,7 @@
         let requested_us = submission.deadline_ms.map(Micros::from);
         let within_us = requested_us.map_or(target_us, |requested| requested.min(target_us));
         let max_us = Micros(target_us.0.saturating_mul(FINAL_DEADLINE_FACTOR));
-        let end_us = requested_us.map_or(max_us, |requested| requested.min(max_us));
+        let final_us = requested_us.map_or(max_us, |requested| requested.min(max_us));
         Some(JobHead {
             id: submission.submission,
             content,
@@ -118,10 +119,11 @@
             may_run_twice: target.may_run_twice,
             copy: submission.copy,
             deadline: now.mono + within_us,
-            final_deadline: now.mono + end_us,
+            final_deadline: now.mono + final_us,
         })
     }
 
+    /// Inserts an accepted job into the table and takes the next step of its claim.
     pub(super) fn accept_job(
         &mut self,
         now: Now,
@@ -155,8 +157,8 @@
         }
     }
 
-    pub(super) fn insert_claiming(&mut self, id: SubmissionId, job: ClaimingJob, due: Mono) {
-        self.jobs.insert_live(id, Job::Claiming(job), due);
+    pub(super) fn insert_claiming(&mut self, id: SubmissionId, job: ClaimingJob, due_at: Mono) {
+        self.jobs.insert_live(id, Job::Claiming(job), due_at);
     }
 }
 
--- a/crates/onyxshed-dispatch/src/dispatch/attempt.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/attempt.rs
@@ -52,12 +52,12 @@
         if !is_resolving {
             return;
         }
-        let (verdict, body) = match stop {
+        let (outcome, body) = match stop {
             None => (AttemptOutcome::Lost, Vec::new()),
             Some(stop) => (outcome_of_stop(stop.state), stop.body),
         };
         let report = AttemptReport {
-            outcome: verdict,
+            outcome,
             body,
             service_us: None,
             load: None,
--- a/crates/onyxshed-dispatch/src/dispatch/caller.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/caller.rs
@@ -11,6 +11,7 @@
 use crate::output::{ForwardedCall, RequestId};
 
 impl Dispatch {
+    /// Handles a submission: joins it to its job, forwards it, refuses it or admits it.
     pub(super) fn submit(
         &mut self,
         now: Now,
@@ -39,10 +40,11 @@
                 self.refuse_submission(request, &submission, ResultCode::HolderUnreachable);
             }
             SubmitStep::Refuse(code) => self.refuse_submission(request, &submission, code),
-            entry => self.admit(now, request, submission, content, &entry),
+            step => self.admit(now, request, submission, content, &step),
         }
     }
 
+    /// Returns the next step for a submission.
     fn submit_step(&self, now: Now, submission: &Submission, content: ContentHash) -> SubmitStep {
         if self.jobs.get(submission.submission).is_some() {
             return SubmitStep::Join;
@@ -75,7 +77,7 @@
         let target = self
             .config
             .as_ref()
-            .and_then(|held| held.classes.get(&submission.class));
+            .and_then(|config| config.classes.get(&submission.class));
         target.is_some_and(|target| target.may_run_twice)
     }
 
@@ -108,11 +110,12 @@
         if waiters.len() < waiters_max {
             waiters.push(request);
         } else {
-            let wait = self.options.retry_after_ms;
-            self.answer(request, Answer::running(id).retry_after(wait));
+            let delay = self.options.retry_after_ms;
+            self.answer(request, Answer::running(id).retry_after(delay));
         }
     }
 
+    /// Handles a request for the answer of a job.
     pub(super) fn fetch(
         &mut self,
         now: Now,
@@ -132,6 +135,7 @@
         }
     }
 
+    /// Handles a request to cancel a job.
     pub(super) fn cancel(
         &mut self,
         now: Now,
@@ -197,6 +201,7 @@
         }
     }
 
+    /// Forwards a request to its holder, or refuses it if the holder is gone or unknown.
     fn forward_if_reachable(
         &mut self,
         request: RequestId,
@@ -237,6 +242,7 @@
         self.answer(request, answer);
     }
 
+    /// Emits the event for a refused request; its detail is the result code.
     pub(super) fn emit_refusal(
         &mut self,
         id: SubmissionId,
--- a/crates/onyxshed-dispatch/src/dispatch/claim.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/claim.rs
@@ -64,6 +64,7 @@
         self.settle_all(now, settled);
     }
 
+    /// Applies the outcome of a claim to its job.
     fn settle(&mut self, now: Now, settled: SettledClaim) {
         let id = settled.submission;
         match settled.outcome {
@@ -96,16 +97,16 @@
         }
         let job = job.into_running(is_claimed);
         for task in job.tasks() {
-            let work = QueuedTask {
+            let queued_task = QueuedTask {
                 task,
                 class: job.head.class.clone(),
                 deadline: job.head.deadline,
                 may_run_twice: job.head.may_run_twice,
             };
-            self.policy.enqueue(now, work);
+            self.policy.enqueue(now, queued_task);
         }
-        let due = job.head.deadline;
-        self.jobs.insert_live(id, Job::Running(job), due);
+        let due_at = job.head.deadline;
+        self.jobs.insert_live(id, Job::Running(job), due_at);
     }
 
     /// Starts a job without a claim; its tasks may run twice.
@@ -143,7 +144,7 @@
     /// Answers the cancel requests of a job that this host now holds, and returns whether it is
     /// cancelled.
     ///
-    /// The job is cancelled unless another request has joined it since.
+    /// The job is cancelled unless another request has joined it since the cancel request.
     fn settle_cancels(&mut self, now: Now, id: SubmissionId, job: &ClaimingJob) -> bool {
         let is_cancelled = !job.cancels.is_empty() && job.waiters.is_empty();
         if is_cancelled {
@@ -159,6 +160,7 @@
         is_cancelled
     }
 
+    /// Starts a job whose claim failed without a claim if it may run twice; otherwise refuses it.
     fn apply_claim_failure(&mut self, now: Now, id: SubmissionId) {
         let Some(job) = self.claiming_mut(id) else {
             return;
--- a/crates/onyxshed-dispatch/src/dispatch/completion.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/completion.rs
@@ -35,11 +35,11 @@
     }
 
     /// Aborts a running job with the code that matches the evidence on whether its tasks started.
-    pub(super) fn abort(&mut self, now: Now, id: SubmissionId, reason: AbortCodes, detail: &str) {
+    pub(super) fn abort(&mut self, now: Now, id: SubmissionId, codes: AbortCodes, detail: &str) {
         let Some(Job::Running(job)) = self.jobs.get(id) else {
             return;
         };
-        let code = job.abort_code(reason);
+        let code = job.abort_code(codes);
         self.end_job(now, id, code, detail.into());
     }
 
--- a/crates/onyxshed-dispatch/src/dispatch/forward.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/forward.rs
@@ -15,6 +15,7 @@
 }
 
 impl Dispatch {
+    /// Forwards a request to a peer and records that it waits for the peer's answer.
     pub(super) fn forward_request(
         &mut self,
         request: RequestId,
@@ -27,6 +28,7 @@
         self.outputs.push(Output::Forward { request, to, call });
     }
 
+    /// Answers a forwarded request; an answer to a request that no longer waits is dropped.
     pub(super) fn apply_forward_answer(
         &mut self,
         request: RequestId,
--- a/crates/onyxshed-dispatch/src/dispatch/pump.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/pump.rs
@@ -12,6 +12,7 @@
 use crate::output::{AttemptId, Output};
 
 impl Dispatch {
+    /// Does all work that is due, and sets the time of the next tick.
     pub(super) fn pump(&mut self, now: Now) {
         self.send_due_queries(now);
         let next_start_at = self.start_tasks(now);
@@ -48,6 +49,7 @@
         }
     }
 
+    /// Returns whether the tasks of a job may be started at `now`.
     fn may_start(&self, now: Now, id: SubmissionId) -> bool {
         match self.jobs.get(id) {
             Some(Job::Running(job)) if job.is_claimed => self.book.may_start(now, id),
@@ -167,19 +169,20 @@
                 Some(Job::Running(job))
                     if !job.is_unstarted() && deadline < job.head.final_deadline =>
                 {
-                    let work = QueuedTask {
+                    let queued_task = QueuedTask {
                         task,
                         class: job.head.class.clone(),
                         deadline: job.head.final_deadline,
                         may_run_twice: job.head.may_run_twice,
                     };
-                    self.policy.enqueue(now, work);
+                    self.policy.enqueue(now, queued_task);
                 }
                 _ => self.abort(now, task.submission, AbortCodes::TIMED_OUT, ""),
             }
         }
     }
 
+    /// Removes claims and ended jobs that are older than the horizon.
     fn remove_expired(&mut self, now: Now) {
         self.book.expire(now);
         let claims = &self.options.claims;
--- a/crates/onyxshed-dispatch/src/dispatch/query.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/query.rs
@@ -26,8 +26,8 @@
     /// Returns the delay before the first query for a task of a class.
     pub(super) fn query_delay_us(&self, class: &ClassName) -> Micros {
         match self.policy.service_time_p99(class) {
-            Some(usual) => {
-                Micros(usual.0.saturating_mul(QUERY_DELAY_FACTOR)).max(QUERY_DELAY_MIN_US)
+            Some(service_time) => {
+                Micros(service_time.0.saturating_mul(QUERY_DELAY_FACTOR)).max(QUERY_DELAY_MIN_US)
             }
             None => QUERY_DELAY_DEFAULT_US,
         }
@@ -44,6 +44,7 @@
         }
     }
 
+    /// Schedules the next query of an attempt, and sends one now unless a stop is under way.
     fn send_query(&mut self, now: Now, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
--- a/crates/onyxshed-dispatch/src/dispatch/status.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/status.rs
@@ -7,7 +7,8 @@
 use super::Dispatch;
 
 impl Dispatch {
-    /// Returns the time by which an [`Input::Tick`] is needed; `None` if no timer is pending.
+    /// Returns the time by which an [`Input::Tick`](crate::Input::Tick) is needed; `None` if no
+    /// timer is pending.
     pub fn wake_at(&self) -> Option<Mono> {
         self.wake_at
     }
--- a/crates/onyxshed-dispatch/src/job/running.rs
+++ b/crates/onyxshed-dispatch/src/job/running.rs
@@ -100,12 +100,12 @@
     ///
     /// A "not run" code is returned only while it is proven that no task has started, and a
     /// "failed" code of the started case only if a task is known to have run.
-    pub fn abort_code(&self, reason: AbortCodes) -> ResultCode {
+    pub fn abort_code(&self, codes: AbortCodes) -> ResultCode {
         let is_doubtful = self.evidence.is_in_doubt || !self.attempts.is_empty();
         match (self.evidence.has_run, is_doubtful) {
-            (false, false) => reason.unstarted,
-            (true, _) => reason.started,
-            (false, true) => reason.in_doubt,
+            (false, false) => codes.unstarted,
+            (true, _) => codes.started,
+            (false, true) => codes.in_doubt,
         }
     }
 
--- a/crates/onyxshed-dispatch/src/table.rs
+++ b/crates/onyxshed-dispatch/src/table.rs
@@ -15,9 +15,12 @@
 #[derive(Debug, Default)]
 pub struct JobTable {
     jobs: HashMap<SubmissionId, Job>,
+    /// Jobs that have not ended, by the time at which they are due.
     due_queue: BTreeSet<(Mono, SubmissionId)>,
     due_at: BTreeMap<SubmissionId, Mono>,
+    /// Ended jobs by the time in their id.
     ended_by_time: BTreeSet<(UnixMs, SubmissionId)>,
+    /// Ended jobs whose results are kept, oldest first.
     results_by_age: VecDeque<SubmissionId>,
     kept_result_bytes: u64,
 }
@@ -54,7 +57,8 @@
         self.jobs.insert(id, job);
     }
 
-    /// Inserts a job that has ended and drops the oldest results that exceed `keep` in total.
+    /// Inserts a job that has ended and drops the oldest results until
+    /// all results together have at most `max_bytes`.
     pub fn insert_ended(&mut self, id: SubmissionId, ended: EndedJob, max_bytes: Bytes) {
         self.set_due_at(id, None);
         self.ended_by_time.insert((id.time(), id));
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Removes ended jobs whose id is older than `horizon`.
+    /// Removes ended jobs whose id is older than `oldest`.
     pub fn remove_older_than(&mut self, oldest: UnixMs) {
         while let Some(&(time, id)) = self.ended_by_time.first() {
             if time >= oldest {
@@ -109,6 +113,7 @@
         }
     }
 
+    /// Drops the oldest results until all results together have at most `max_bytes`.
     fn drop_results_over(&mut self, max_bytes: Bytes) {
         while self.kept_result_bytes > max_bytes.0 {
             let Some(id) = self.results_by_age.pop_front() else {
--- a/crates/onyxshed-dispatch/tests/machine.rs
+++ b/crates/onyxshed-dispatch/tests/machine.rs
@@ -20,8 +20,8 @@
 
 fn config(revision: u64, may_run_twice: bool) -> Config {
     let target = ClassTarget {
-        class: "stock-sync".parse().expect("a name"),
-        upstream: "tablets".parse().expect("a name"),
+        class: "stock-sync".parse().expect("the name is valid"),
+        upstream: "tablets".parse().expect("the name is valid"),
         finish_within_ms: Millis(500),
         may_run_twice,
     };
@@ -55,7 +55,7 @@
             ulid: Ulid::from_parts(NOW.wall.0, 1),
             bound_to,
         },
-        class: "stock-sync".parse().expect("a name"),
+        class: "stock-sync".parse().expect("the name is valid"),
         deadline_ms: None,
         copy: CopyMark::Again,
         tasks: vec![b"a".to_vec()],
@@ -98,8 +98,8 @@
 
 fn add_suspected_member(machine: &mut Dispatch, gone: Vec<Incarnation>) {
     let member = Member {
-        host: "other".parse().expect("a name"),
-        zone: "a".parse().expect("a name"),
+        host: "other".parse().expect("the name is valid"),
+        zone: "a".parse().expect("the name is valid"),
         incarnation: OTHER,
         peer_address: SocketAddr::from(([127, 0, 0, 1], 1)),
         state: MemberState::Suspect,
@@ -123,8 +123,11 @@
     let mut machine = machine(false);
     machine.handle(NOW, Input::Configured(config(5, false)));
     machine.handle(NOW, Input::Configured(config(4, true)));
-    let held = machine.config().unwrap();
-    assert_eq!((held.revision, held), (Revision(5), &config(5, false)));
+    let current = machine.config().unwrap();
+    assert_eq!(
+        (current.revision, current),
+        (Revision(5), &config(5, false))
+    );
 }
 
 // A copy is submitted to a different host than the one its id is bound to. While that host is only
--- a/crates/onyxshed-dispatch/tests/search.rs
+++ b/crates/onyxshed-dispatch/tests/search.rs
@@ -3,8 +3,9 @@
 //!
 //! Messages may be delayed, reordered or lost, hosts freeze and crash, appends succeed without a
 //! reply, clocks differ, and the log becomes unreachable. After every step the simulation checks
-//! its invariants. `ONYXSHED_SEARCH_SEEDS=100000 cargo test --release -p onyxshed-dispatch --test
-//! search` runs a longer search; a seed that reveals a fault is added to `REGRESSION_SEEDS`.
+//! its invariants. A longer search is run with
+//! `ONYXSHED_SEARCH_SEEDS=100000 cargo test --release -p onyxshed-dispatch --test search`; a seed
+//! that reveals a fault is added to `REGRESSION_SEEDS`.
 
 mod search {
     pub mod executors;
--- a/crates/onyxshed-dispatch/tests/search/simulation.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation.rs
@@ -82,7 +82,7 @@
         task: TaskId,
         executor: u8,
     },
-    Ask {
+    Query {
         from: Incarnation,
         attempt: AttemptId,
         task: TaskId,
@@ -118,7 +118,7 @@
     },
 }
 
-/// Simulation with its random generator, hosts, messages and records of what callers were told.
+/// Simulation with its random generator, hosts, messages, and records of callers' answers.
 pub struct Simulation {
     seed: u64,
     rng: StdRng,
@@ -129,15 +129,19 @@
     is_log_down: bool,
     executors: Executors,
     messages: Vec<Message>,
+    /// First copy of every submission.
     sent: BTreeMap<SubmissionId, Submission>,
+    /// Number of copies sent of every submission.
     copies: BTreeMap<SubmissionId, u32>,
 
     requesters: BTreeMap<(Incarnation, RequestId), Requester>,
+    /// Submissions whose caller was told that no copy of them ran.
     not_run: BTreeSet<SubmissionId>,
     next_request: u64,
     next_incarnation: u64,
     /// Whether the input being processed is a peer's answer, which the host only relays.
     is_relaying: bool,
+    /// Lines that describe the actions and events so far.
     trace: Vec<String>,
 }
 
@@ -236,8 +240,8 @@
     /// Sends the configuration, the executors and the members to every host.
     pub(super) fn configure_all(&mut self) {
         let target: ClassTarget = ClassTarget {
-            class: "stock-sync".parse().expect("a name"),
-            upstream: "tablets".parse().expect("a name"),
+            class: "stock-sync".parse().expect("the name is valid"),
+            upstream: "tablets".parse().expect("the name is valid"),
             finish_within_ms: Millis(500),
             may_run_twice: false,
         };
@@ -250,12 +254,13 @@
         let incarnations: Vec<Incarnation> =
             self.hosts.iter().map(|host| host.incarnation).collect();
         for index in 0..self.hosts.len() {
-            let me = incarnations[index];
+            let receiver = incarnations[index];
             let others = incarnations
                 .iter()
-                .filter(|incarnation| **incarnation != me);
+                .filter(|incarnation| **incarnation != receiver);
             let members = others.map(|incarnation| member_of(*incarnation)).collect();
-            let live_hosts = u32::try_from(incarnations.len()).expect("few hosts");
+            let live_hosts =
+                u32::try_from(incarnations.len()).expect("the number of hosts fits in u32");
             self.feed(index, Input::Configured(config.clone()));
             self.feed(index, Input::Executors(executors.clone()));
             self.feed(
@@ -357,7 +362,7 @@
                 executor,
             } => {
                 let executor = executor_number(executor.as_str());
-                self.messages.push(Message::Ask {
+                self.messages.push(Message::Query {
                     from,
                     attempt,
                     task,
@@ -371,9 +376,9 @@
 
 fn executor_info(number: u8) -> ExecutorInfo {
     ExecutorInfo {
-        name: format!("e{number}").parse().expect("a name"),
-        upstream: "tablets".parse().expect("a name"),
-        zone: "a".parse().expect("a name"),
+        name: format!("e{number}").parse().expect("the name is valid"),
+        upstream: "tablets".parse().expect("the name is valid"),
+        zone: "a".parse().expect("the name is valid"),
         rack: smol_str::SmolStr::default(),
         slots: 4,
         is_draining: false,
@@ -382,8 +387,10 @@
 
 fn member_of(incarnation: Incarnation) -> Member {
     Member {
-        host: format!("h{incarnation}").parse().expect("a name"),
-        zone: "a".parse().expect("a name"),
+        host: format!("h{incarnation}")
+            .parse()
+            .expect("the name is valid"),
+        zone: "a".parse().expect("the name is valid"),
         incarnation,
         peer_address: SocketAddr::from(([127, 0, 0, 1], 1)),
         state: MemberState::Live,
@@ -391,12 +398,15 @@
 }
 
 fn executor_number(executor: &str) -> u8 {
-    executor.trim_start_matches('e').parse().expect("a number")
+    executor
+        .trim_start_matches('e')
+        .parse()
+        .expect("the name ends with the executor's number")
 }
 
 fn tasks_of(submission: &Submission) -> impl Iterator<Item = TaskId> + use<> {
     let id = submission.submission;
-    let count = u16::try_from(submission.tasks.len()).expect("few tasks");
+    let count = u16::try_from(submission.tasks.len()).expect("the number of tasks fits in u16");
     (0..count).map(move |index| TaskId {
         submission: id,
         index,
--- a/crates/onyxshed-dispatch/tests/search/simulation/callers.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation/callers.rs
@@ -14,7 +14,7 @@
             .collect();
         let submission = Submission {
             submission: id,
-            class: "stock-sync".parse().expect("a name"),
+            class: "stock-sync".parse().expect("the name is valid"),
             deadline_ms: None,
             copy: CopyMark::First,
             tasks,
--- a/crates/onyxshed-dispatch/tests/search/simulation/checks.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation/checks.rs
@@ -54,7 +54,7 @@
         assert_eq!(
             answer.submission,
             Some(id),
-            "{}: foreign answer",
+            "{}: answer for another submission",
             self.failure_context()
         );
         match answer.outcome {
--- a/crates/onyxshed-dispatch/tests/search/simulation/wire.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation/wire.rs
@@ -40,7 +40,7 @@
                 let report = (!is_lost).then(|| self.executors.stop(executor, task, from, attempt));
                 self.reply_to_stop(from, attempt, report);
             }
-            Message::Ask {
+            Message::Query {
                 from,
                 attempt,
                 task,
@@ -127,7 +127,7 @@
         let records = (from.0..next.0).map(|offset| Record {
             offset: Offset(offset),
             at_ms: onyxshed_core::UnixMs(self.now_ms),
-            data: self.log[usize::try_from(offset).expect("a short log")].clone(),
+            data: self.log[usize::try_from(offset).expect("the offset fits in usize")].clone(),
         });
         Input::LogRead {
             oldest: Offset(0),
