--- a/crates/onyxshed-dispatch/src/dispatch.rs
+++ b/crates/onyxshed-dispatch/src/dispatch.rs
@@ -1,13 +1,14 @@
-//! The machine as a whole: takes an input, lets the parts decide, gives the outputs.
+//! The state machine [`Dispatch`]: applies an input, advances jobs and claims, and returns the
+//! outputs.
 
 mod admit;
-mod ask;
 mod attempt;
 mod caller;
 mod claim;
-mod ending;
+mod completion;
 mod forward;
 mod pump;
+mod query;
 mod status;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -16,67 +17,77 @@
     ClassName, Event, EventKind, ExecutorName, Incarnation, Micros, Mono, Now, SubmissionId, TaskId,
 };
 use onyxshed_policy::Policy;
-use onyxshed_policy::decision::PolicyDecision as PolicyNote;
+use onyxshed_policy::decision::PolicyDecision as Decision;
 use onyxshed_state::{ClaimBook, Config, Member};
 use onyxshed_wire::caller::Answer;
 
 use crate::input::Input;
-use crate::job::{Claiming, Job, Running};
+use crate::job::{ClaimingJob, Job, RunningJob};
 use crate::options::DispatchOptions;
 use crate::output::{AttemptId, Output, RequestId};
 use crate::table::JobTable;
 
-/// One start that has not ended.
+/// Attempt that has not ended.
 #[derive(Debug, Clone)]
 struct Attempt {
     task: TaskId,
     class: ClassName,
     executor: ExecutorName,
-    /// Its connection was lost and a stop was sent to learn what became of it.
+    /// Whether its connection was lost and a stop was sent to determine the task's state.
     is_resolving: bool,
-    /// When to ask about it, and how long to wait after that.
-    ask_at: Mono,
-    ask_again_us: Micros,
+    /// Time of the next query for the task's status.
+    query_at: Mono,
+    /// Interval before the next query; it doubles with every query.
+    query_interval_us: Micros,
 }
 
-/// One entry host's state machine.
+/// State machine of one entry host.
 #[derive(Debug)]
 pub struct Dispatch {
-    me: Incarnation,
+    own_incarnation: Incarnation,
     options: DispatchOptions,
     config: Option<Config>,
+    /// Whether a list of executors has been received.
     has_executors: bool,
+    /// Claims of this host, and holders of other claims that were read from the log.
     book: ClaimBook,
     policy: Policy,
     jobs: JobTable,
     attempts: HashMap<AttemptId, Attempt>,
-    asks: BTreeSet<(Mono, AttemptId)>,
+    /// Attempts by the time of their next status query.
+    queries: BTreeSet<(Mono, AttemptId)>,
     last_attempt: u64,
+    /// Known members except this host.
     members: BTreeMap<Incarnation, Member>,
+    /// Incarnations that are considered permanently gone.
     gone: BTreeSet<Incarnation>,
-    passed_on: BTreeMap<RequestId, forward::PassedOn>,
+    /// Requests that wait for the answer of a peer.
+    forwarded_requests: BTreeMap<RequestId, forward::ForwardedRequest>,
+    /// Total size of the payloads of jobs that have not ended.
     running_bytes: u64,
     is_draining: bool,
+    /// Time by which an [`Input::Tick`] is needed.
     wake_at: Option<Mono>,
+    /// Outputs of the input being processed.
     outputs: Vec<Output>,
 }
 
 impl Dispatch {
-    /// Makes the machine for one incarnation; `seed` feeds every draw it makes.
-    pub fn new(me: Incarnation, options: DispatchOptions, seed: u64) -> Self {
+    /// Creates the state machine of one incarnation; `seed` seeds all of its random choices.
+    pub fn new(own_incarnation: Incarnation, options: DispatchOptions, seed: u64) -> Self {
         Dispatch {
-            me,
+            own_incarnation,
             config: None,
             has_executors: false,
-            book: ClaimBook::new(me, options.claims.clone()),
+            book: ClaimBook::new(own_incarnation, options.claims.clone()),
             policy: Policy::new(options.policy.clone(), seed),
             jobs: JobTable::default(),
             attempts: HashMap::new(),
-            asks: BTreeSet::new(),
+            queries: BTreeSet::new(),
             last_attempt: 0,
             members: BTreeMap::new(),
             gone: BTreeSet::new(),
-            passed_on: BTreeMap::new(),
+            forwarded_requests: BTreeMap::new(),
             running_bytes: 0,
             is_draining: false,
             wake_at: None,
@@ -85,18 +96,18 @@
         }
     }
 
-    /// Takes in one event and gives what to do about it, in order.
+    /// Applies an input and returns the outputs to execute, in order.
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
-        // What time has made due comes first: a process that was frozen must find out that a job is
-        // over before it starts another task of it.
-        self.settle_due(now);
-        self.take_in(now, input);
+        // Due jobs are processed first: a process that was frozen must detect that a job is over
+        // before it starts another task of that job.
+        self.process_due(now);
+        self.apply_input(now, input);
         self.pump(now);
-        self.note_policy();
+        self.emit_policy_decisions();
         std::mem::take(&mut self.outputs)
     }
 
-    fn take_in(&mut self, now: Now, input: Input) {
+    fn apply_input(&mut self, now: Now, input: Input) {
         match input {
             Input::Submit {
                 request,
@@ -123,8 +134,8 @@
                 request,
                 id,
                 answer,
-            } => self.forwarded(request, id, answer),
-            Input::Configured(config) => self.configure(now, config),
+            } => self.apply_forward_answer(request, id, answer),
+            Input::Configured(config) => self.apply_config(now, config),
             Input::Executors(executors) => {
                 self.has_executors = true;
                 self.policy.set_executors(now, &executors);
@@ -132,109 +143,109 @@
             Input::Members {
                 members,
                 gone,
-                zone_hosts: sharers,
-                live_hosts: live,
+                zone_hosts,
+                live_hosts,
             } => {
                 self.gone = gone.into_iter().collect();
-                self.set_members(now, members, sharers, live);
+                self.set_members(now, members, zone_hosts, live_hosts);
             }
             Input::LogRead {
                 oldest,
                 next,
                 records,
             } => {
-                self.log_read(now, oldest, next, &records);
+                self.apply_log_records(now, oldest, next, &records);
             }
-            Input::LogLost => self.log_lost(now),
-            Input::AppendEnded { batch, result } => self.appended(now, batch, result),
-            Input::AttemptEnded { attempt, report } => self.attempt_ended(now, attempt, report),
-            Input::StopEnded { attempt, report } => self.stop_ended(now, attempt, report),
-            Input::QueryEnded {
-                attempt,
-                status: sighting,
-            } => self.sighted(now, attempt, sighting),
+            Input::LogLost => self.apply_log_loss(now),
+            Input::AppendEnded { batch, result } => self.apply_append_result(now, batch, result),
+            Input::AttemptEnded { attempt, report } => self.apply_attempt_end(now, attempt, report),
+            Input::StopEnded { attempt, report } => self.apply_stop_end(now, attempt, report),
+            Input::QueryEnded { attempt, status } => self.apply_task_status(now, attempt, status),
             Input::Drain => self.is_draining = true,
             Input::Tick => {}
         }
     }
 
-    /// Tells what the policy decided about executors and classes.
-    fn note_policy(&mut self) {
-        for note in self.policy.drain_decisions() {
-            let event = match note {
-                PolicyNote::BreakerOpened { executor, reason } => {
+    /// Emits an event for each decision of the policy on executors, jobs and classes.
+    fn emit_policy_decisions(&mut self) {
+        for decision in self.policy.drain_decisions() {
+            let event = match decision {
+                Decision::BreakerOpened { executor, reason } => {
                     Event::new(EventKind::BreakerOpened)
                         .party(executor.as_str())
                         .detail(smol_str::format_smolstr!("{reason}"))
                 }
-                PolicyNote::BreakerClosed { executor } => {
+                Decision::BreakerClosed { executor } => {
                     Event::new(EventKind::BreakerClosed).party(executor.as_str())
                 }
-                PolicyNote::JobUnrunnable { submission, class } => Event::new(EventKind::JobBlamed)
+                Decision::JobUnrunnable { submission, class } => Event::new(EventKind::JobBlamed)
                     .submission(submission)
                     .class(&class),
-                PolicyNote::ClassUnrunnable { class } => Event::new(EventKind::JobBlamed)
+                Decision::ClassUnrunnable { class } => Event::new(EventKind::JobBlamed)
                     .class(&class)
                     .detail("every job of the class"),
-                PolicyNote::ClassRunnable { class } => Event::new(EventKind::JobBlamed)
+                Decision::ClassRunnable { class } => Event::new(EventKind::JobBlamed)
                     .class(&class)
                     .detail("no longer"),
             };
-            self.note(event);
+            self.emit(event);
         }
     }
 
-    fn configure(&mut self, now: Now, config: Config) {
+    /// Puts a configuration into force if it is newer than the current one.
+    fn apply_config(&mut self, now: Now, config: Config) {
         let is_newer = self
             .config
             .as_ref()
-            .is_none_or(|held| config.revision > held.revision);
+            .is_none_or(|current| config.revision > current.revision);
         if !is_newer {
             return;
         }
         self.policy.set_classes(now, &config.classes);
         let detail = smol_str::format_smolstr!("revision {}", config.revision);
-        self.note(Event::new(EventKind::ConfigInForce).detail(detail));
+        self.emit(Event::new(EventKind::ConfigInForce).detail(detail));
         self.config = Some(config);
     }
 
-    fn set_members(&mut self, now: Now, members: Vec<Member>, sharers: u32, live: u32) {
-        self.book.set_live_hosts(live as usize);
+    fn set_members(&mut self, now: Now, members: Vec<Member>, zone_hosts: u32, live_hosts: u32) {
+        self.book.set_live_hosts(live_hosts as usize);
         self.members = members
             .into_iter()
             .map(|member| (member.incarnation, member))
             .collect();
-        self.policy.set_zone_hosts(now, sharers.max(1));
-        self.give_up_on_silent_holders();
+        self.policy.set_zone_hosts(now, zone_hosts.max(1));
+        self.refuse_unreachable_forwards();
     }
 
+    /// Answers a request; the answer names this incarnation unless it names another to bind ids to.
     fn answer(&mut self, request: RequestId, mut answer: Answer) {
-        answer.bind_to = answer.bind_to.or(Some(self.me));
+        answer.bind_to = answer.bind_to.or(Some(self.own_incarnation));
         self.outputs.push(Output::Answer { request, answer });
     }
 
-    /// Puts an event out, with its job's class where the job is here and the event names none.
-    fn note(&mut self, mut event: Event) {
+    /// Emits an event; its class is set from the job if the event has none and the job is in the
+    /// table.
+    fn emit(&mut self, mut event: Event) {
         let job = event.submission.and_then(|id| self.jobs.get(id));
         event.class = event.class.or_else(|| Some(job?.class().clone()));
         self.outputs.push(Output::Emit(event));
     }
 
-    fn claiming_mut(&mut self, id: SubmissionId) -> Option<&mut Claiming> {
+    fn claiming_mut(&mut self, id: SubmissionId) -> Option<&mut ClaimingJob> {
         match self.jobs.get_mut(id) {
             Some(Job::Claiming(job)) => Some(job),
             _ => None,
         }
     }
 
-    fn running_mut(&mut self, id: SubmissionId) -> Option<&mut Running> {
+    fn running_mut(&mut self, id: SubmissionId) -> Option<&mut RunningJob> {
         match self.jobs.get_mut(id) {
             Some(Job::Running(job)) => Some(job),
             _ => None,
         }
     }
 
-    fn hold_bytes(&mut self, payloads: &[std::rc::Rc<Vec<u8>>]) {
+    fn reserve_bytes(&mut self, payloads: &[std::rc::Rc<Vec<u8>>]) {
         self.running_bytes += total_bytes(payloads);
     }
 
--- a/crates/onyxshed-dispatch/src/dispatch/admit.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a submission that was looked up is taken in, and what a refusal may say.
+//! Admission of submissions, and the result code of a refusal.
 
 use std::rc::Rc;
 
@@ -8,53 +8,60 @@
 use onyxshed_wire::caller::{Answer, CopyMark, Submission};
 
 use super::Dispatch;
-use crate::job::{Claiming, Job, JobHead};
+use crate::job::{ClaimingJob, Job, JobHead};
 use crate::output::RequestId;
 
-/// How many times its target a job that has begun may last before it is given up.
+/// Factor on the class's target after which a job that has begun is aborted.
 ///
-/// A target is when a job should be finished. Giving up a job that has begun wastes what ran, so it
-/// gets as long again; a deadline that the caller named is kept to.
-const TARGET_STRETCH: u64 = 2;
+/// The target is the time by which a job should be finished. Aborting a job that has begun wastes
+/// the work already done, so it may take twice the target. A deadline set by the caller is not
+/// extended.
+const FINAL_DEADLINE_FACTOR: u64 = 2;
 
-/// What to do with a submission, once looked up.
-pub(super) enum Entry {
-    /// Join the job that is here.
+/// Next step for a submission, depending on its claim and on the job table.
+pub(super) enum SubmitStep {
+    /// Join the job with the same id in the table.
     Join,
-    /// Take it in under a claim that is ours already.
+    /// Accept the job under a claim that this host already holds.
     Start,
-    /// Take it in and claim it.
+    /// Accept the job and claim the submission.
     Claim,
-    /// Take it in though the log can't be read, as it may run twice.
+    /// Accept the job without a claim: the log can't be read, and the class's tasks may run twice.
     StartUnclaimed,
-    /// Take it in and claim it in place of a holder that is gone, as it may run twice.
+    /// Accept the job and take over the claim of a holder that is gone: its tasks may run twice.
     TakeOver(Incarnation),
-    /// Pass it on to its holder.
+    /// Forward the submission to its holder.
     Forward(Incarnation),
-    /// Refuse it.
+    /// Refuse the submission.
     Refuse(ResultCode),
 }
 
 impl Dispatch {
-    /// Takes the job in or refuses it.
+    /// Accepts or refuses a job that was looked up.
     pub(super) fn admit(
         &mut self,
         now: Now,
         request: RequestId,
         submission: Submission,
         content: ContentHash,
-        entry: &Entry,
+        step: &SubmitStep,
     ) {
         let id = submission.submission;
-        let told = |code| match entry {
-            Entry::Start => code,
-            entry => unproved(code, submission.copy, matches!(entry, Entry::Claim)),
+        let refusal_code = |code| match step {
+            SubmitStep::Start => code,
+            step => {
+                unclaimed_refusal_code(code, submission.copy, matches!(step, SubmitStep::Claim))
+            }
         };
-        if let Some(code) = self.closed_for(&submission) {
-            return self.refuse_of(request, &submission, told(code));
+        if let Some(code) = self.admission_block(&submission) {
+            return self.refuse_submission(request, &submission, refusal_code(code));
         }
-        let Some(head) = self.head_of(now, &submission, content) else {
-            return self.refuse_of(request, &submission, told(ResultCode::UnknownClass));
+        let Some(head) = self.job_head(now, &submission, content) else {
+            return self.refuse_submission(
+                request,
+                &submission,
+                refusal_code(ResultCode::UnknownClass),
+            );
         };
 
         let count = submission.tasks.len();
@@ -63,26 +70,28 @@
                 code,
                 retry_after_ms,
             } => {
-                let code = told(code);
-                self.note_refused(id, Some(&submission.class), code);
+                let code = refusal_code(code);
+                self.emit_refusal(id, Some(&submission.class), code);
                 let answer = Answer::ended(Some(id), code, "").retry_after(retry_after_ms);
                 self.answer(request, answer);
             }
-            Admission::Accept => self.take_job(now, request, head, submission, entry),
+            Admission::Accept => self.accept_job(now, request, head, submission, step),
         }
     }
 
-    /// Tells why nothing new is taken in, if so.
-    pub(super) fn closed_for(&self, submission: &Submission) -> Option<ResultCode> {
+    /// Returns the reason for which this host accepts no new jobs or has no room for this one.
+    ///
+    /// Returns `None` if the host can accept the submission.
+    pub(super) fn admission_block(&self, submission: &Submission) -> Option<ResultCode> {
         let bytes: u64 = submission
             .tasks
             .iter()
             .map(|payload| payload.len() as u64)
             .sum();
-        let is_full = self.jobs.len() >= self.options.jobs_max
+        let has_no_room = self.jobs.len() >= self.options.jobs_max
             || self.running_bytes + bytes > self.options.running_max_bytes.0;
-        let is_unready = self.config.is_none() || !self.has_executors;
-        match (self.is_draining, is_unready, is_full) {
+        let is_not_ready = self.config.is_none() || !self.has_executors;
+        match (self.is_draining, is_not_ready, has_no_room) {
             (true, _, _) => Some(ResultCode::Draining),
             (_, true, _) => Some(ResultCode::NotReady),
             (_, _, true) => Some(ResultCode::EntryFull),
@@ -90,7 +99,8 @@
         }
     }
 
-    pub(super) fn head_of(
+    /// Creates the head of a job; returns `None` if its class is not configured.
+    pub(super) fn job_head(
         &self,
         now: Now,
         submission: &Submission,
@@ -98,10 +108,10 @@
     ) -> Option<JobHead> {
         let target = self.config.as_ref()?.classes.get(&submission.class)?;
         let target_us = Micros::from(target.finish_within_ms);
-        let asked_us = submission.deadline_ms.map(Micros::from);
-        let within_us = asked_us.map_or(target_us, |asked| asked.min(target_us));
-        let last_us = Micros(target_us.0.saturating_mul(TARGET_STRETCH));
-        let end_us = asked_us.map_or(last_us, |asked| asked.min(last_us));
+        let requested_us = submission.deadline_ms.map(Micros::from);
+        let within_us = requested_us.map_or(target_us, |requested| requested.min(target_us));
+        let max_us = Micros(target_us.0.saturating_mul(FINAL_DEADLINE_FACTOR));
+        let final_us = requested_us.map_or(max_us, |requested| requested.min(max_us));
         Some(JobHead {
             id: submission.submission,
             content,
@@ -109,54 +119,60 @@
             may_run_twice: target.may_run_twice,
             copy: submission.copy,
             deadline: now.mono + within_us,
-            end_by: now.mono + end_us,
+            final_deadline: now.mono + final_us,
         })
     }
 
-    pub(super) fn take_job(
+    /// Inserts an accepted job into the table and takes the next step of its claim.
+    pub(super) fn accept_job(
         &mut self,
         now: Now,
         request: RequestId,
         head: JobHead,
         submission: Submission,
-        entry: &Entry,
+        step: &SubmitStep,
     ) {
         let (id, content, deadline) = (head.id, head.content, head.deadline);
         let payloads = submission.tasks.into_iter().map(Rc::new).collect();
-        let job = Claiming {
+        let job = ClaimingJob {
             head,
             payloads,
             waiters: vec![request],
             cancels: Vec::new(),
         };
-        self.hold_bytes(&job.payloads);
-        self.put_claiming(id, job, deadline);
-        match entry {
-            Entry::Claim => {
+        self.reserve_bytes(&job.payloads);
+        self.insert_claiming(id, job, deadline);
+        match step {
+            SubmitStep::Claim => {
                 self.book.request_start(now, id, content);
             }
-            Entry::StartUnclaimed => {
+            SubmitStep::StartUnclaimed => {
                 self.start_unclaimed(now, id, "the log can't be reached");
             }
-            Entry::TakeOver(gone) => self.take_over(now, id, content, *gone),
+            SubmitStep::TakeOver(holder) => self.take_over(now, id, content, *holder),
             _ => {
                 self.book.request_start(now, id, content);
-                self.grant(now, id, true);
+                self.start_job(now, id, true);
             }
         }
     }
 
-    pub(super) fn put_claiming(&mut self, id: SubmissionId, job: Claiming, due: Mono) {
-        self.jobs.put_live(id, Job::Claiming(job), due);
+    pub(super) fn insert_claiming(&mut self, id: SubmissionId, job: ClaimingJob, due_at: Mono) {
+        self.jobs.insert_live(id, Job::Claiming(job), due_at);
     }
 }
 
-/// Gets the truth for a submission that is refused before the log has given it to this host.
+/// Returns the code with which to refuse a submission for which this host has not won the claim.
 ///
-/// Failure guarded against: an earlier copy runs on another host, unseen from here, and the caller is
-/// told "not run". Symptom: it submits the work under another id and it is done twice. So "not run"
-/// needs the caller's word that there is no earlier copy, or a readable log without a claim.
-pub(super) fn unproved(code: ResultCode, copy: CopyMark, is_log_readable: bool) -> ResultCode {
+/// An earlier copy may be running on another host without this host knowing. If the caller then got
+/// "not run", it would submit the work under another id, and the work would be done twice. "Not
+/// run" therefore requires either the caller's statement that there is no earlier copy, or a
+/// readable log that contains no claim.
+pub(super) fn unclaimed_refusal_code(
+    code: ResultCode,
+    copy: CopyMark,
+    is_log_readable: bool,
+) -> ResultCode {
     match copy {
         CopyMark::First => code,
         CopyMark::Unmarked if is_log_readable => code,
--- a/crates/onyxshed-dispatch/src/dispatch/caller.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/caller.rs
@@ -1,4 +1,4 @@
-//! What callers ask: submit, fetch, cancel, and the same passed on by peers.
+//! Requests of callers: submit, fetch and cancel, received directly or forwarded by peers.
 
 use onyxshed_core::{ClassName, Event, EventKind, Incarnation, Now, ResultCode, SubmissionId};
 use onyxshed_state::ClaimStep;
@@ -6,11 +6,12 @@
 use onyxshed_wire::caller::{Answer, CopyMark, Submission};
 
 use super::Dispatch;
-use super::admit::{Entry, unproved};
-use crate::job::{GiveUp, Job};
+use super::admit::{SubmitStep, unclaimed_refusal_code};
+use crate::job::{AbortCodes, Job};
 use crate::output::{ForwardedCall, RequestId};
 
 impl Dispatch {
+    /// Handles a submission: joins it to its job, forwards it, refuses it or admits it.
     pub(super) fn submit(
         &mut self,
         now: Now,
@@ -20,46 +21,47 @@
     ) {
         let id = submission.submission;
         let content = submission.content();
-        self.note(
+        self.emit(
             Event::new(EventKind::JobReceived)
                 .submission(id)
                 .class(&submission.class),
         );
-        match self.look_up(now, &submission, content) {
-            Entry::Join => self.join(request, id, content, submission.copy),
-            Entry::Forward(holder) if !is_forwarded => {
-                self.forward(
+        match self.submit_step(now, &submission, content) {
+            SubmitStep::Join => self.join(request, id, content, submission.copy),
+            SubmitStep::Forward(holder) if !is_forwarded => {
+                self.forward_if_reachable(
                     request,
                     id,
                     holder,
                     ForwardedCall::Submit(Box::new(submission)),
                 );
             }
-            Entry::Forward(_) => {
-                self.refuse_of(request, &submission, ResultCode::HolderUnreachable);
+            SubmitStep::Forward(_) => {
+                self.refuse_submission(request, &submission, ResultCode::HolderUnreachable);
             }
-            Entry::Refuse(code) => self.refuse_of(request, &submission, code),
-            entry => self.admit(now, request, submission, content, &entry),
+            SubmitStep::Refuse(code) => self.refuse_submission(request, &submission, code),
+            step => self.admit(now, request, submission, content, &step),
         }
     }
 
-    fn look_up(&self, now: Now, submission: &Submission, content: ContentHash) -> Entry {
+    /// Returns the next step for a submission.
+    fn submit_step(&self, now: Now, submission: &Submission, content: ContentHash) -> SubmitStep {
         if self.jobs.get(submission.submission).is_some() {
-            return Entry::Join;
+            return SubmitStep::Join;
         }
         match self.book.peek(now, submission.submission, Some(content)) {
-            ClaimStep::Start => Entry::Start,
-            ClaimStep::Wait => Entry::Claim,
+            ClaimStep::Start => SubmitStep::Start,
+            ClaimStep::Wait => SubmitStep::Claim,
             ClaimStep::HeldBy(holder) if self.may_take_over(submission, holder) => {
-                Entry::TakeOver(holder)
+                SubmitStep::TakeOver(holder)
             }
-            ClaimStep::HeldBy(holder) => Entry::Forward(holder),
-            ClaimStep::OtherContent => Entry::Refuse(ResultCode::OtherContent),
-            ClaimStep::AlreadyStarted => Entry::Refuse(ResultCode::AnswerDropped),
-            ClaimStep::TooOld => Entry::Refuse(ResultCode::IdTooOld),
-            ClaimStep::FromFuture => Entry::Refuse(ResultCode::IdFromFuture),
-            ClaimStep::Unavailable if self.may_run_twice(submission) => Entry::StartUnclaimed,
-            ClaimStep::Unavailable => Entry::Refuse(unproved(
+            ClaimStep::HeldBy(holder) => SubmitStep::Forward(holder),
+            ClaimStep::OtherContent => SubmitStep::Refuse(ResultCode::OtherContent),
+            ClaimStep::AlreadyStarted => SubmitStep::Refuse(ResultCode::AnswerDropped),
+            ClaimStep::TooOld => SubmitStep::Refuse(ResultCode::IdTooOld),
+            ClaimStep::FromFuture => SubmitStep::Refuse(ResultCode::IdFromFuture),
+            ClaimStep::Unavailable if self.may_run_twice(submission) => SubmitStep::StartUnclaimed,
+            ClaimStep::Unavailable => SubmitStep::Refuse(unclaimed_refusal_code(
                 ResultCode::PlatformUnavailable,
                 submission.copy,
                 false,
@@ -75,11 +77,11 @@
         let target = self
             .config
             .as_ref()
-            .and_then(|held| held.classes.get(&submission.class));
+            .and_then(|config| config.classes.get(&submission.class));
         target.is_some_and(|target| target.may_run_twice)
     }
 
-    /// Adds a request to the job that is here, or answers it from the job that ended.
+    /// Adds a request to the waiters of the job in the table, or answers it if the job has ended.
     fn join(&mut self, request: RequestId, id: SubmissionId, content: ContentHash, copy: CopyMark) {
         let waiters_max = self.options.waiters_max;
         let is_same = self
@@ -89,11 +91,11 @@
         if !is_same {
             return self.refuse(request, id, ResultCode::OtherContent);
         }
-        self.note(Event::new(EventKind::JobJoined).submission(id));
+        self.emit(Event::new(EventKind::JobJoined).submission(id));
         let waiters = match self.jobs.get_mut(id) {
             Some(Job::Claiming(job)) => {
-                // The first copy's word no longer holds once another has come: that one may have
-                // been to other hosts on its way here.
+                // The first copy's mark is void once another copy has arrived, because that copy
+                // may have been submitted to other hosts before.
                 job.head.copy = job.head.copy.max(copy);
                 &mut job.waiters
             }
@@ -108,11 +110,12 @@
         if waiters.len() < waiters_max {
             waiters.push(request);
         } else {
-            let wait = self.options.retry_after_ms;
-            self.answer(request, Answer::running(id).retry_after(wait));
+            let delay = self.options.retry_after_ms;
+            self.answer(request, Answer::running(id).retry_after(delay));
         }
     }
 
+    /// Handles a request for the answer of a job.
     pub(super) fn fetch(
         &mut self,
         now: Now,
@@ -127,11 +130,12 @@
             }
             Some(_) => self.answer(request, Answer::running(id)),
             None => {
-                self.ask_holder(now, request, id, is_forwarded, ForwardedCall::Fetch(id));
+                self.forward_to_holder(now, request, id, is_forwarded, ForwardedCall::Fetch(id));
             }
         }
     }
 
+    /// Handles a request to cancel a job.
     pub(super) fn cancel(
         &mut self,
         now: Now,
@@ -147,21 +151,22 @@
             Some(Job::Claiming(_)) => self.cancel_claiming(request, id),
             Some(Job::Running(job)) => {
                 job.waiters.push(request);
-                self.note(Event::new(EventKind::JobCancelled).submission(id));
-                self.give_up(now, id, GiveUp::CANCELLED, "");
+                self.emit(Event::new(EventKind::JobCancelled).submission(id));
+                self.abort(now, id, AbortCodes::CANCELLED, "");
             }
             None => {
-                self.ask_holder(now, request, id, is_forwarded, ForwardedCall::Cancel(id));
+                self.forward_to_holder(now, request, id, is_forwarded, ForwardedCall::Cancel(id));
             }
         }
     }
 
-    /// Gives up a job whose claim is under way.
+    /// Cancels a job whose claim is under way.
     ///
-    /// Whoever sent the only copy is answered at once. Everyone else asks about every copy, and one
-    /// may run on another host: that answer waits until the log tells who holds the submission.
+    /// If only one copy was ever sent, its waiters are answered at once. Otherwise, and for the
+    /// cancel request itself, the answer concerns every copy, and one may be running on another
+    /// host: these requests wait until the log decides which host holds the submission.
     fn cancel_claiming(&mut self, request: RequestId, id: SubmissionId) {
-        self.note(Event::new(EventKind::JobCancelled).submission(id));
+        self.emit(Event::new(EventKind::JobCancelled).submission(id));
         let Some(job) = self.claiming_mut(id) else {
             return;
         };
@@ -177,8 +182,8 @@
         }
     }
 
-    /// Passes a question about a job that is not here on to its holder, if there is one.
-    fn ask_holder(
+    /// Forwards a fetch or cancel of a job that is not in the table to its holder, if there is one.
+    fn forward_to_holder(
         &mut self,
         now: Now,
         request: RequestId,
@@ -187,14 +192,17 @@
         call: ForwardedCall,
     ) {
         match self.book.peek(now, id, None) {
-            ClaimStep::HeldBy(holder) if !is_forwarded => self.forward(request, id, holder, call),
+            ClaimStep::HeldBy(holder) if !is_forwarded => {
+                self.forward_if_reachable(request, id, holder, call)
+            }
             ClaimStep::TooOld => self.refuse(request, id, ResultCode::IdTooOld),
             ClaimStep::Unavailable => self.refuse(request, id, ResultCode::EarlierCopyOpen),
             _ => self.refuse(request, id, ResultCode::NotKnownHere),
         }
     }
 
-    fn forward(
+    /// Forwards a request to its holder, or refuses it if the holder is gone or unknown.
+    fn forward_if_reachable(
         &mut self,
         request: RequestId,
         id: SubmissionId,
@@ -209,32 +217,33 @@
                 let party = smol_str::format_smolstr!("{holder}");
                 let mut event = Event::new(EventKind::JobForwarded).submission(id);
                 event.class = call.class().cloned();
-                self.note(event.party(party));
-                self.pass_on(request, id, holder, call);
+                self.emit(event.party(party));
+                self.forward_request(request, id, holder, call);
             }
         }
     }
 
     pub(super) fn refuse(&mut self, request: RequestId, id: SubmissionId, code: ResultCode) {
-        self.note_refused(id, None, code);
+        self.emit_refusal(id, None, code);
         let answer = self.refusal(Some(id), code, "");
         self.answer(request, answer);
     }
 
-    /// Refuses a submission, whose class is known.
-    pub(super) fn refuse_of(
+    /// Refuses a submission; the event includes the class.
+    pub(super) fn refuse_submission(
         &mut self,
         request: RequestId,
         submission: &Submission,
         code: ResultCode,
     ) {
         let id = submission.submission;
-        self.note_refused(id, Some(&submission.class), code);
+        self.emit_refusal(id, Some(&submission.class), code);
         let answer = self.refusal(Some(id), code, "");
         self.answer(request, answer);
     }
 
-    pub(super) fn note_refused(
+    /// Emits the event for a refused request; its detail is the result code.
+    pub(super) fn emit_refusal(
         &mut self,
         id: SubmissionId,
         class: Option<&ClassName>,
@@ -242,6 +251,6 @@
     ) {
         let mut event = Event::new(EventKind::JobRefused).submission(id);
         event.class = class.cloned();
-        self.note(event.detail(smol_str::format_smolstr!("{code}")));
+        self.emit(event.detail(smol_str::format_smolstr!("{code}")));
     }
 }
--- a/crates/onyxshed-dispatch/src/dispatch/claim.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/claim.rs
@@ -1,4 +1,4 @@
-//! What the log says: claims won, lost or undecided.
+//! Claims read back from the log: won, lost or failed.
 
 use onyxshed_core::{Event, EventKind, Incarnation, Now, Offset, ResultCode, SubmissionId};
 use onyxshed_policy::QueuedTask;
@@ -10,11 +10,17 @@
 
 use super::Dispatch;
 
-use crate::job::{Claiming, Job};
+use crate::job::{ClaimingJob, Job};
 use crate::output::ForwardedCall;
 
 impl Dispatch {
-    pub(super) fn log_read(&mut self, now: Now, oldest: Offset, next: Offset, records: &[Record]) {
+    pub(super) fn apply_log_records(
+        &mut self,
+        now: Now,
+        oldest: Offset,
+        next: Offset,
+        records: &[Record],
+    ) {
         self.book.skip_to(now, oldest);
         for record in records {
             let settled = self.book.apply_record(now, record.offset, &record.data);
@@ -23,7 +29,7 @@
         self.book.mark_caught_up(next);
     }
 
-    pub(super) fn log_lost(&mut self, now: Now) {
+    pub(super) fn apply_log_loss(&mut self, now: Now) {
         let failed = self.book.mark_log_unreachable();
         self.settle_all(now, failed);
     }
@@ -35,15 +41,20 @@
     }
 
     fn settle_all(&mut self, now: Now, settled: Vec<SettledClaim>) {
-        for one in settled {
-            self.settle(now, one);
+        for claim in settled {
+            self.settle(now, claim);
         }
     }
 
-    pub(super) fn appended(&mut self, now: Now, batch: u64, result: Result<Offset, AppendFailure>) {
+    pub(super) fn apply_append_result(
+        &mut self,
+        now: Now,
+        batch: u64,
+        result: Result<Offset, AppendFailure>,
+    ) {
         if let Err(failure) = result {
             let detail = smol_str::format_smolstr!("batch {batch}: {failure:?}");
-            self.note(
+            self.emit(
                 Event::new(EventKind::ClaimFailed)
                     .party("platform")
                     .detail(detail),
@@ -53,108 +64,115 @@
         self.settle_all(now, settled);
     }
 
+    /// Applies the outcome of a claim to its job.
     fn settle(&mut self, now: Now, settled: SettledClaim) {
         let id = settled.submission;
         match settled.outcome {
             ClaimOutcome::Won => {
-                self.note(Event::new(EventKind::ClaimWon).submission(id));
-                self.grant(now, id, true);
+                self.emit(Event::new(EventKind::ClaimWon).submission(id));
+                self.start_job(now, id, true);
             }
             ClaimOutcome::HeldBy(holder) => {
                 let party = smol_str::format_smolstr!("{holder}");
-                self.note(Event::new(EventKind::ClaimLost).submission(id).party(party));
-                self.hand_over(id, holder);
+                self.emit(Event::new(EventKind::ClaimLost).submission(id).party(party));
+                self.forward_to_winner(id, holder);
             }
-            ClaimOutcome::OtherContent => self.end_unclaimed(now, id, ResultCode::OtherContent),
-            ClaimOutcome::Failed => self.claim_failed(now, id),
+            ClaimOutcome::OtherContent => self.refuse_unclaimed(now, id, ResultCode::OtherContent),
+            ClaimOutcome::Failed => self.apply_claim_failure(now, id),
         }
     }
 
-    /// Starts the tasks of a job that this host holds.
-    pub(super) fn grant(&mut self, now: Now, id: SubmissionId, is_claimed: bool) {
+    /// Queues the tasks of a job that this host may run.
+    pub(super) fn start_job(&mut self, now: Now, id: SubmissionId, is_claimed: bool) {
         let Some(job) = self.take_claiming(id) else {
-            // Given up while its claim was under way: another host may have it. A job that runs
-            // without a claim keeps the one that turned up late.
+            // The job ended while its claim was under way: the claim is released so that another
+            // host can get it. A job that runs without a claim keeps one that is won late.
             if self.jobs.get(id).is_none() {
                 self.book.release(now, id);
             }
             return;
         };
-        if self.is_called_off(now, id, &job) {
+        if self.settle_cancels(now, id, &job) {
             return;
         }
-        let job = job.granted(is_claimed);
+        let job = job.into_running(is_claimed);
         for task in job.tasks() {
-            let work = QueuedTask {
+            let queued_task = QueuedTask {
                 task,
                 class: job.head.class.clone(),
                 deadline: job.head.deadline,
                 may_run_twice: job.head.may_run_twice,
             };
-            self.policy.enqueue(now, work);
+            self.policy.enqueue(now, queued_task);
         }
-        let due = job.head.deadline;
-        self.jobs.put_live(id, Job::Running(job), due);
+        let due_at = job.head.deadline;
+        self.jobs.insert_live(id, Job::Running(job), due_at);
     }
 
-    /// Starts a job whose tasks may run twice without a claim.
+    /// Starts a job without a claim; its tasks may run twice.
     pub(super) fn start_unclaimed(&mut self, now: Now, id: SubmissionId, reason: &'static str) {
-        self.note(
+        self.emit(
             Event::new(EventKind::ClaimSkipped)
                 .submission(id)
                 .detail(reason),
         );
-        self.grant(now, id, false);
+        self.start_job(now, id, false);
     }
 
-    /// Claims a job that may run twice in place of a holder that is gone; where the log can't say
-    /// who replaces it, the job starts on the word of its class.
+    /// Takes over the claim of a job that may run twice from a holder that is gone.
+    ///
+    /// If the log can't decide which host replaces the holder, the job starts without a claim,
+    /// which its class permits.
     pub(super) fn take_over(
         &mut self,
         now: Now,
         id: SubmissionId,
         content: ContentHash,
-        gone: Incarnation,
+        gone_holder: Incarnation,
     ) {
-        let party = smol_str::format_smolstr!("{gone}");
-        self.note(
+        let party = smol_str::format_smolstr!("{gone_holder}");
+        self.emit(
             Event::new(EventKind::ClaimTakenOver)
                 .submission(id)
                 .party(party),
         );
-        if self.book.take_over(now, id, content, gone) != ClaimStep::Wait {
+        if self.book.take_over(now, id, content, gone_holder) != ClaimStep::Wait {
             self.start_unclaimed(now, id, "its holder is gone");
         }
     }
 
-    /// Tells whether a job that this host now holds was cancelled and nobody has asked for it since.
-    fn is_called_off(&mut self, now: Now, id: SubmissionId, job: &Claiming) -> bool {
-        let is_called_off = !job.cancels.is_empty() && job.waiters.is_empty();
-        if is_called_off {
+    /// Answers the cancel requests of a job that this host now holds, and returns whether it is
+    /// cancelled.
+    ///
+    /// The job is cancelled unless another request has joined it since the cancel request.
+    fn settle_cancels(&mut self, now: Now, id: SubmissionId, job: &ClaimingJob) -> bool {
+        let is_cancelled = !job.cancels.is_empty() && job.waiters.is_empty();
+        if is_cancelled {
             self.release_bytes(&job.payloads);
             self.book.release(now, id);
         }
         for request in &job.cancels {
-            match is_called_off {
+            match is_cancelled {
                 true => self.refuse(*request, id, ResultCode::CancelledUnstarted),
                 false => self.answer(*request, Answer::running(id)),
             }
         }
-        is_called_off
+        is_cancelled
     }
 
-    fn claim_failed(&mut self, now: Now, id: SubmissionId) {
+    /// Starts a job whose claim failed without a claim if it may run twice; otherwise refuses it.
+    fn apply_claim_failure(&mut self, now: Now, id: SubmissionId) {
         let Some(job) = self.claiming_mut(id) else {
             return;
         };
         match job.head.may_run_twice {
             true => self.start_unclaimed(now, id, "the log can't be reached"),
-            false => self.end_unclaimed(now, id, ResultCode::PlatformUnavailable),
+            false => self.refuse_unclaimed(now, id, ResultCode::PlatformUnavailable),
         }
     }
 
-    /// Passes every request of a job on to the host that won its claim.
-    fn hand_over(&mut self, id: SubmissionId, holder: Incarnation) {
+    /// Forwards every request of a job to the host that won the claim.
+    fn forward_to_winner(&mut self, id: SubmissionId, holder: Incarnation) {
         let Some(job) = self.take_claiming(id) else {
             return;
         };
@@ -172,17 +190,17 @@
         };
         for request in job.waiters {
             let call = ForwardedCall::Submit(Box::new(submission.clone()));
-            self.pass_on(request, id, holder, call);
+            self.forward_request(request, id, holder, call);
         }
         for request in job.cancels {
             let call = ForwardedCall::Cancel(id);
-            self.pass_on(request, id, holder, call);
+            self.forward_request(request, id, holder, call);
         }
     }
 
-    fn take_claiming(&mut self, id: SubmissionId) -> Option<Claiming> {
+    fn take_claiming(&mut self, id: SubmissionId) -> Option<ClaimingJob> {
         self.claiming_mut(id)?;
-        match self.jobs.take(id) {
+        match self.jobs.remove(id) {
             Some(Job::Claiming(job)) => Some(job),
             _ => None,
         }
--- a/crates/onyxshed-dispatch/src/dispatch/forward.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/forward.rs
@@ -1,4 +1,4 @@
-//! Requests passed on to the entry host that holds their submission.
+//! Requests that are forwarded to the entry host that holds their submission.
 
 use onyxshed_core::{Incarnation, ResultCode, SubmissionId};
 use onyxshed_state::MemberState;
@@ -7,32 +7,35 @@
 use super::Dispatch;
 use crate::output::{ForwardedCall, Output, RequestId};
 
-/// A request that waits for its holder's answer.
+/// Forwarded request that waits for the holder's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct PassedOn {
+pub(super) struct ForwardedRequest {
     to: Incarnation,
     id: SubmissionId,
 }
 
 impl Dispatch {
-    pub(super) fn pass_on(
+    /// Forwards a request to a peer and records that it waits for the peer's answer.
+    pub(super) fn forward_request(
         &mut self,
         request: RequestId,
         id: SubmissionId,
         to: Incarnation,
         call: ForwardedCall,
     ) {
-        self.passed_on.insert(request, PassedOn { to, id });
+        self.forwarded_requests
+            .insert(request, ForwardedRequest { to, id });
         self.outputs.push(Output::Forward { request, to, call });
     }
 
-    pub(super) fn forwarded(
+    /// Answers a forwarded request; an answer to a request that no longer waits is dropped.
+    pub(super) fn apply_forward_answer(
         &mut self,
         request: RequestId,
         id: SubmissionId,
         answer: Option<Answer>,
     ) {
-        if self.passed_on.remove(&request).is_none() {
+        if self.forwarded_requests.remove(&request).is_none() {
             return;
         }
         match answer {
@@ -41,25 +44,25 @@
         }
     }
 
-    /// Answers the requests whose holder is no longer heard.
+    /// Refuses the forwarded requests whose holder is not live.
     ///
-    /// Failure guarded against: the holder is frozen or cut off after it took the request.
-    /// Symptom: the caller of this host waits half a minute for a connection on which nothing
-    /// comes. That the membership holds the peer to be live is enough to go on waiting; it finds
-    /// out within seconds when it is not. A late answer of the holder is dropped.
-    pub(super) fn give_up_on_silent_holders(&mut self) {
-        let is_heard = |passed: &PassedOn| {
-            let member = self.members.get(&passed.to);
+    /// If the holder freezes or is cut off after it received the request, the caller would
+    /// otherwise wait half a minute on a connection without data. Requests keep waiting while the
+    /// membership considers the peer live; it detects within seconds that it is not. A late answer
+    /// of the holder is dropped.
+    pub(super) fn refuse_unreachable_forwards(&mut self) {
+        let is_holder_live = |forwarded: &ForwardedRequest| {
+            let member = self.members.get(&forwarded.to);
             member.is_some_and(|member| member.state == MemberState::Live)
         };
-        let mut given_up = Vec::new();
-        for (request, passed) in &self.passed_on {
-            if !is_heard(passed) {
-                given_up.push((*request, *passed));
+        let mut unreachable = Vec::new();
+        for (request, forwarded) in &self.forwarded_requests {
+            if !is_holder_live(forwarded) {
+                unreachable.push((*request, *forwarded));
             }
         }
-        for (request, PassedOn { to, id }) in given_up {
-            self.passed_on.remove(&request);
+        for (request, ForwardedRequest { to, id }) in unreachable {
+            self.forwarded_requests.remove(&request);
             let code = match self.gone.contains(&to) {
                 true => ResultCode::HolderGone,
                 false => ResultCode::HolderUnreachable,
--- a/crates/onyxshed-dispatch/src/dispatch/pump.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/pump.rs
@@ -1,4 +1,5 @@
-//! What the machine does of itself after every event: starts, appends, forgetting, the next alarm.
+//! Work done after every input: starting tasks, appending claims, expiring entries, setting the
+//! next timer.
 
 use onyxshed_core::{
     Event, EventKind, ExecutorName, Micros, Millis, Mono, Now, SubmissionId, TaskId, UnixMs,
@@ -7,23 +8,29 @@
 use onyxshed_state::BatchStep;
 
 use super::{Attempt, Dispatch};
-use crate::job::{GiveUp, Job};
+use crate::job::{AbortCodes, Job};
 use crate::output::{AttemptId, Output};
 
 impl Dispatch {
+    /// Does all work that is due, and sets the time of the next tick.
     pub(super) fn pump(&mut self, now: Now) {
-        self.ask_overdue(now);
-        let start_again = self.start_tasks(now);
-        let append_again = self.append_claims(now);
-        self.forget(now);
-        let ask_again = self.asks.first().map(|(at, _)| *at);
-        self.wake_at = [start_again, append_again, ask_again, self.jobs.next_due()]
-            .into_iter()
-            .flatten()
-            .min();
+        self.send_due_queries(now);
+        let next_start_at = self.start_tasks(now);
+        let next_append_at = self.append_claims(now);
+        self.remove_expired(now);
+        let next_query_at = self.queries.first().map(|(at, _)| *at);
+        self.wake_at = [
+            next_start_at,
+            next_append_at,
+            next_query_at,
+            self.jobs.next_due_at(),
+        ]
+        .into_iter()
+        .flatten()
+        .min();
     }
 
-    /// Starts what the policy says, and gets when to ask it again.
+    /// Starts the tasks that the policy selects; returns the time at which to ask the policy again.
     fn start_tasks(&mut self, now: Now) -> Option<Mono> {
         loop {
             match self.policy.next(now) {
@@ -32,16 +39,17 @@
                     executor,
                     is_hedge,
                 } => {
-                    if !self.start(now, task, executor.clone(), is_hedge) {
-                        self.never_sent(now, task, executor);
+                    if !self.start_attempt(now, task, executor.clone(), is_hedge) {
+                        self.release_unsent_start(now, task, executor);
                     }
                 }
-                NextStep::WaitUntil(then) => return Some(then),
+                NextStep::WaitUntil(at) => return Some(at),
                 NextStep::Idle => return None,
             }
         }
     }
 
+    /// Returns whether the tasks of a job may be started at `now`.
     fn may_start(&self, now: Now, id: SubmissionId) -> bool {
         match self.jobs.get(id) {
             Some(Job::Running(job)) if job.is_claimed => self.book.may_start(now, id),
@@ -49,11 +57,11 @@
         }
     }
 
-    /// Gives back the place of a start that was not sent.
+    /// Releases the slot of a start that was not sent.
     ///
-    /// The policy has booked it. Left booked, the executor would be short of a slot for good, and
-    /// look silent.
-    fn never_sent(&mut self, now: Now, task: TaskId, executor: ExecutorName) {
+    /// The policy has already reserved the slot. If it stayed reserved, the executor would lose the
+    /// slot permanently and appear unresponsive.
+    fn release_unsent_start(&mut self, now: Now, task: TaskId, executor: ExecutorName) {
         let end = AttemptEnd {
             task,
             executor,
@@ -64,15 +72,21 @@
         self.policy.apply_attempt_end(now, &end);
     }
 
-    /// Sends a start; false if it must not be sent any more.
-    fn start(&mut self, now: Now, task: TaskId, executor: ExecutorName, is_hedge: bool) -> bool {
-        // A host that was frozen past the horizon must not start: other hosts have forgotten its
-        // claim by now. The id's own age tells, whatever happened in between.
+    /// Sends a start; returns `false` if it must not be sent.
+    fn start_attempt(
+        &mut self,
+        now: Now,
+        task: TaskId,
+        executor: ExecutorName,
+        is_hedge: bool,
+    ) -> bool {
+        // A host that was frozen past the horizon must not start the task, because other hosts have
+        // forgotten its claim by now. The age of the id shows this regardless of the cause.
         if !self.may_start(now, task.submission) {
-            self.give_up(
+            self.abort(
                 now,
                 task.submission,
-                GiveUp::OUT_OF_TIME,
+                AbortCodes::TIMED_OUT,
                 "the id is past the horizon",
             );
             return false;
@@ -88,7 +102,7 @@
         };
         job.attempts.insert(attempt);
         let class = job.head.class.clone();
-        let lease_ms = Micros(job.head.end_by.since(now.mono).0).as_millis();
+        let lease_ms = Micros(job.head.final_deadline.since(now.mono).0).as_millis();
         let output = Output::Start {
             attempt,
             task,
@@ -103,37 +117,37 @@
         } else {
             EventKind::TaskStarted
         };
-        self.note(
+        self.emit(
             Event::new(kind)
                 .submission(task.submission)
                 .task(task.index)
                 .class(&class)
                 .party(executor.as_str()),
         );
-        let ask_again_us = self.silence_of(&class);
-        let ask_at = now.mono + ask_again_us;
-        self.asks.insert((ask_at, attempt));
+        let query_interval_us = self.query_delay_us(&class);
+        let query_at = now.mono + query_interval_us;
+        self.queries.insert((query_at, attempt));
         let is_resolving = false;
         let record = Attempt {
             task,
             class,
             executor,
             is_resolving,
-            ask_at,
-            ask_again_us,
+            query_at,
+            query_interval_us,
         };
         self.attempts.insert(attempt, record);
         self.outputs.push(output);
         true
     }
 
-    /// Appends the claims that are due, and gets when to ask again.
+    /// Appends the claims that are due; returns the time at which the next batch is due.
     fn append_claims(&mut self, now: Now) -> Option<Mono> {
         match self.book.next_batch(now) {
             BatchStep::Append(batch) => {
                 let count = batch.claims.len();
                 let detail = smol_str::format_smolstr!("batch {}: {count} claims", batch.batch);
-                self.note(
+                self.emit(
                     Event::new(EventKind::ClaimAppended)
                         .party("platform")
                         .detail(detail),
@@ -141,36 +155,39 @@
                 self.outputs.push(Output::Append(batch));
                 None
             }
-            BatchStep::WaitUntil(then) => Some(then),
+            BatchStep::WaitUntil(at) => Some(at),
             BatchStep::Idle => None,
         }
     }
 
-    /// Deals with waiting tasks whose deadline has passed: a job that has begun goes on until it is
-    /// given up, one that has not is over.
+    /// Handles queued tasks whose deadline has passed: a job that has begun continues until its
+    /// final deadline, and a job that has not begun is aborted.
     pub(super) fn settle_expired_tasks(&mut self, now: Now) {
         for ExpiredTask { task, deadline, .. } in self.policy.take_expired(now) {
             match self.jobs.get(task.submission) {
-                // Given up by its last deadline too, it would only come back until that has passed.
-                Some(Job::Running(job)) if !job.is_unstarted() && deadline < job.head.end_by => {
-                    let work = QueuedTask {
+                // Past the final deadline, requeueing would only make the task expire again.
+                Some(Job::Running(job))
+                    if !job.is_unstarted() && deadline < job.head.final_deadline =>
+                {
+                    let queued_task = QueuedTask {
                         task,
                         class: job.head.class.clone(),
-                        deadline: job.head.end_by,
+                        deadline: job.head.final_deadline,
                         may_run_twice: job.head.may_run_twice,
                     };
-                    self.policy.enqueue(now, work);
+                    self.policy.enqueue(now, queued_task);
                 }
-                _ => self.give_up(now, task.submission, GiveUp::OUT_OF_TIME, ""),
+                _ => self.abort(now, task.submission, AbortCodes::TIMED_OUT, ""),
             }
         }
     }
 
-    fn forget(&mut self, now: Now) {
+    /// Removes claims and ended jobs that are older than the horizon.
+    fn remove_expired(&mut self, now: Now) {
         self.book.expire(now);
         let claims = &self.options.claims;
-        let keep_ms = claims.horizon_ms.0 + 2 * claims.skew_ms.0;
+        let retention_ms = claims.horizon_ms.0 + 2 * claims.skew_ms.0;
         self.jobs
-            .forget_older(UnixMs(now.wall.0.saturating_sub(keep_ms)));
+            .remove_older_than(UnixMs(now.wall.0.saturating_sub(retention_ms)));
     }
 }
--- a/crates/onyxshed-dispatch/src/table.rs
+++ b/crates/onyxshed-dispatch/src/table.rs
@@ -1,125 +1,131 @@
-//! All jobs of an entry host, within bounds of count and bytes.
+//! Table of all jobs of an entry host, limited in count and in bytes of results.
 //!
-//! An ended job is remembered until its id is past the horizon: forgetting it earlier would let a
-//! late copy start again on this very host, which holds the claim. When the table is full, new jobs
-//! are refused instead. Results are kept only as long as their bytes fit; the code stays.
+//! An ended job is remembered until its id is older than the horizon. Forgetting it earlier would
+//! let a late copy of the submission start again on this host, which holds the claim. When the
+//! table is full, new jobs are refused instead. Results are dropped, oldest first, when they exceed
+//! their limit; the result code is kept.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use onyxshed_core::{Bytes, Mono, SubmissionId, UnixMs};
 
-use crate::job::{Ended, Job};
+use crate::job::{EndedJob, Job};
 
-/// The jobs of one entry host.
+/// Jobs of one entry host, indexed by submission id and by the time at which they are due.
 #[derive(Debug, Default)]
 pub struct JobTable {
     jobs: HashMap<SubmissionId, Job>,
-    due: BTreeSet<(Mono, SubmissionId)>,
-    due_of: BTreeMap<SubmissionId, Mono>,
+    /// Jobs that have not ended, by the time at which they are due.
+    due_queue: BTreeSet<(Mono, SubmissionId)>,
+    due_at: BTreeMap<SubmissionId, Mono>,
+    /// Ended jobs by the time in their id.
     ended_by_time: BTreeSet<(UnixMs, SubmissionId)>,
-    kept: VecDeque<SubmissionId>,
-    kept_bytes: u64,
+    /// Ended jobs whose results are kept, oldest first.
+    results_by_age: VecDeque<SubmissionId>,
+    kept_result_bytes: u64,
 }
 
 impl JobTable {
-    /// Gets how many jobs are remembered.
+    /// Returns the number of jobs, running and ended.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Tells whether no job is remembered.
+    /// Returns whether the table contains no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Gets how many jobs have not ended.
+    /// Returns the number of jobs that have not ended.
     pub fn live_count(&self) -> usize {
-        self.due_of.len()
+        self.due_at.len()
     }
 
-    /// Gets a job.
+    /// Returns a job, or `None` if it is not in the table.
     pub fn get(&self, id: SubmissionId) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// Gets a job to change it in its stage.
+    /// Returns a job for changes that keep it in its stage.
     pub fn get_mut(&mut self, id: SubmissionId) -> Option<&mut Job> {
         self.jobs.get_mut(&id)
     }
 
-    /// Puts a job that has not ended, to be looked at when `due` has come.
-    pub fn put_live(&mut self, id: SubmissionId, job: Job, due: Mono) {
-        self.set_due(id, Some(due));
+    /// Inserts a job that has not ended and becomes due at `due_at`.
+    pub fn insert_live(&mut self, id: SubmissionId, job: Job, due_at: Mono) {
+        self.set_due_at(id, Some(due_at));
         self.jobs.insert(id, job);
     }
 
-    /// Puts a job that has ended and drops the oldest results over `keep`.
-    pub fn put_ended(&mut self, id: SubmissionId, ended: Ended, keep: Bytes) {
-        self.set_due(id, None);
+    /// Inserts a job that has ended and drops the oldest results until
+    /// all results together have at most `max_bytes`.
+    pub fn insert_ended(&mut self, id: SubmissionId, ended: EndedJob, max_bytes: Bytes) {
+        self.set_due_at(id, None);
         self.ended_by_time.insert((id.time(), id));
-        let bytes = ended.kept_bytes();
+        let bytes = ended.result_bytes();
         if bytes > 0 {
-            self.kept.push_back(id);
-            self.kept_bytes += bytes;
+            self.results_by_age.push_back(id);
+            self.kept_result_bytes += bytes;
         }
         self.jobs.insert(id, Job::Ended(ended));
-        self.drop_results_over(keep);
+        self.drop_results_over(max_bytes);
     }
 
-    /// Takes a job out.
-    pub fn take(&mut self, id: SubmissionId) -> Option<Job> {
-        self.set_due(id, None);
+    /// Removes and returns a job.
+    pub fn remove(&mut self, id: SubmissionId) -> Option<Job> {
+        self.set_due_at(id, None);
         self.jobs.remove(&id)
     }
 
-    /// Gets the earliest time at which a job wants to be looked at.
-    pub fn next_due(&self) -> Option<Mono> {
-        self.due.first().map(|(due, _)| *due)
+    /// Returns the earliest time at which a job becomes due.
+    pub fn next_due_at(&self) -> Option<Mono> {
+        self.due_queue.first().map(|(due_at, _)| *due_at)
     }
 
-    /// Gets a job whose time has come.
-    pub fn due(&self, now: Mono) -> Option<SubmissionId> {
-        self.due
+    /// Returns the job that has been due longest at `now`, if any.
+    pub fn first_due(&self, now: Mono) -> Option<SubmissionId> {
+        self.due_queue
             .first()
-            .filter(|(due, _)| *due <= now)
+            .filter(|(due_at, _)| *due_at <= now)
             .map(|(_, id)| *id)
     }
 
-    /// Sets when a job wants to be looked at, if at all.
-    pub fn set_due(&mut self, id: SubmissionId, due: Option<Mono>) {
-        if let Some(before) = self.due_of.remove(&id) {
-            self.due.remove(&(before, id));
+    /// Sets the time at which a job becomes due; `None` if it never does.
+    pub fn set_due_at(&mut self, id: SubmissionId, due_at: Option<Mono>) {
+        if let Some(previous) = self.due_at.remove(&id) {
+            self.due_queue.remove(&(previous, id));
         }
-        if let Some(due) = due {
-            self.due_of.insert(id, due);
-            self.due.insert((due, id));
+        if let Some(due_at) = due_at {
+            self.due_at.insert(id, due_at);
+            self.due_queue.insert((due_at, id));
         }
     }
 
-    /// Forgets ended jobs whose id is older than `horizon`.
-    pub fn forget_older(&mut self, horizon: UnixMs) {
+    /// Removes ended jobs whose id is older than `oldest`.
+    pub fn remove_older_than(&mut self, oldest: UnixMs) {
         while let Some(&(time, id)) = self.ended_by_time.first() {
-            if time >= horizon {
+            if time >= oldest {
                 return;
             }
             self.ended_by_time.pop_first();
-            self.forget_results(id);
+            self.drop_results(id);
             self.jobs.remove(&id);
         }
     }
 
-    fn drop_results_over(&mut self, keep: Bytes) {
-        while self.kept_bytes > keep.0 {
-            let Some(id) = self.kept.pop_front() else {
+    /// Drops the oldest results until all results together have at most `max_bytes`.
+    fn drop_results_over(&mut self, max_bytes: Bytes) {
+        while self.kept_result_bytes > max_bytes.0 {
+            let Some(id) = self.results_by_age.pop_front() else {
                 return;
             };
-            self.forget_results(id);
+            self.drop_results(id);
         }
     }
 
-    fn forget_results(&mut self, id: SubmissionId) {
+    fn drop_results(&mut self, id: SubmissionId) {
         if let Some(Job::Ended(ended)) = self.jobs.get_mut(&id) {
-            self.kept_bytes -= ended.kept_bytes();
+            self.kept_result_bytes -= ended.result_bytes();
             ended.results = None;
         }
     }
