--- a/crates/onyxshed-pool/examples/decision-cost.rs
+++ b/crates/onyxshed-pool/examples/decision-cost.rs
@@ -1,8 +1,8 @@
-//! Processor time of a pool's decisions: what an event costs while jobs wait.
+//! Measures the processor time of a pool's decisions per event while jobs are queued.
 //!
-//! Plays a full pool by hand: each event is a job that comes, or a report of a run that has ended, and a
-//! load report as it goes with each answer. Prints microseconds an event by the number of executors and of
-//! jobs under way.
+//! Drives a full pool directly. Each event is a submitted job or a report of an ended run, followed by a
+//! load report as each answer carries one. Prints microseconds per event by the numbers of executors and
+//! jobs.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -18,16 +18,16 @@
 
 const OWN: PeerIncarnation = PeerIncarnation(1);
 
-/// Events measured at each size.
+/// Number of events measured at each size.
 const EVENTS: u32 = 4_000;
 
-/// Time between two events, in microseconds.
+/// Simulated time between two events, in microseconds.
 const STEP_US: u64 = 20;
 
-/// Time between two ticks, in microseconds.
+/// Simulated time between two ticks, in microseconds.
 const TICK_US: u64 = 20_000;
 
-/// A pool with the runs that are at work.
+/// A pool and its executing runs.
 struct Desk {
     pool: Pool,
     rng: SmallRng,
@@ -66,7 +66,7 @@
         self.take(actions);
     }
 
-    /// Ends the run that has been at work longest.
+    /// Completes the run that has executed longest.
     fn end_one(&mut self) {
         let Some((id, order)) = self.at_work.pop_front() else {
             return;
@@ -125,7 +125,7 @@
 }
 
 fn job(number: u64, tasks: u16, cpu_millis: u32, estimate: Millis) -> JobRequest {
-    /// Long enough that no job is late or refused.
+    /// Long enough that no job is late or rejected.
     const LONG: Millis = Millis(60_000);
     JobRequest {
         peer: OWN,
@@ -168,7 +168,7 @@
     }
 }
 
-/// Measures the mean time of an event, in microseconds, with so many jobs under way.
+/// Returns the mean time per event in microseconds, with `jobs` jobs in the pool.
 fn measure(executors: u64, jobs: usize) -> f64 {
     let mut desk = Desk::new(executors);
     while desk.pool.job_count() < jobs {
--- a/crates/onyxshed-pool/src/candidate.rs
+++ b/crates/onyxshed-pool/src/candidate.rs
@@ -1,51 +1,52 @@
-//! When a host takes over a pool that nobody owns in the store's books.
+//! The decision of a host to take over a pool that has no owner in the store.
 
 use onyxshed_core::{Millis, Mono};
 
-/// How long an owner that answers keeps a pool which is vacant in the store: longer than outages of
-/// the store to single hosts last (9 s), short against the minutes in which executors are replaced.
+/// How long an owner that answers keeps a pool that is vacant in the store. Outages of the store to
+/// single hosts last up to 9 s; executors are replaced over minutes, which is far longer.
 const PRESENT_OWNER_PATIENCE: Millis = Millis(10_000);
 
-/// How long a pool is left alone after the store answers this host again: an owner that was cut off
-/// from the store as well joins again within 350 ms, and the look for it takes up to 100 ms.
+/// How long no host takes over a pool after the store answers that host again. An owner that was also
+/// cut off from the store rejoins within 350 ms, and the query for it takes up to 100 ms.
 const REJOIN_PATIENCE: Millis = Millis(500);
 
-/// How long a pool is left alone whose owner this host has never heard: an owner whose membership
-/// lapsed while the store was away joins again within 1,050 ms of its return (a renewal each 350 ms,
-/// and 700 ms for a call that is still waiting).
+/// How long a pool stays vacant before a host that has had no contact with an owner takes it over. An
+/// owner whose membership expired during an outage of the store rejoins within 1,050 ms of the store's
+/// return: 350 ms between renewals, and 700 ms for a call that is still pending.
 const UNKNOWN_OWNER_PATIENCE: Millis = Millis(1_200);
 
-/// Longest random wait before a host joins for a vacant pool, so that seldom two do.
+/// Maximum random delay before a host joins for a vacant pool, so that two hosts rarely join at once.
 const JOIN_SPREAD: Millis = Millis(120);
 
-/// Processor share that makes a good owner, in thousandths of a core: an owner of a hundred executors
-/// needs half of it.
+/// Processor share that a host should have to own a pool, in thousandths of a core. An owner of a
+/// hundred executors needs half of it.
 pub(crate) const OWNER_CPU_MILLIS: u32 = 400;
 
-/// How long a host waits for each time that its processor share fits into a good owner's.
+/// Delay before a small host joins, for each time beyond the first that its processor share fits into
+/// [`OWNER_CPU_MILLIS`].
 const SMALL_HOST_PAUSE: Millis = Millis(200);
 
-/// What a candidate does next.
+/// What a host does about a vacant pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CandidateStep {
-    /// It leaves the pool to whoever owns it.
+    /// The host leaves the pool to its last owner for now.
     Defer,
-    /// It joins after a pause, if the pool is still vacant then.
+    /// The host joins the pool's group after the delay if the pool is still vacant then.
     JoinAfter(Millis),
 }
 
-/// What a host knows of the owner that a vacant pool had last.
+/// What a host knows about the last owner of a vacant pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LastOwner {
-    /// It answers and means to stay.
+    /// The owner answers and needs no replacement.
     Active,
-    /// It is gone, or wants to be replaced.
+    /// The owner is gone or needs to be replaced.
     Gone,
-    /// This host has never heard one.
+    /// This host has never had contact with an owner of the pool.
     Unknown,
 }
 
-/// A host that may come to own a pool.
+/// A host that may take over a vacant pool.
 #[derive(Debug)]
 pub struct Candidate {
     cpu_millis: u32,
@@ -53,7 +54,7 @@
 }
 
 impl Candidate {
-    /// Makes a candidate with a processor share in thousandths of a core.
+    /// Creates a candidate with a processor share in thousandths of a core.
     pub fn new(cpu_millis: u32) -> Self {
         Candidate {
             cpu_millis,
@@ -61,16 +62,16 @@
         }
     }
 
-    /// Takes in that nobody owns the pool in the store's books, and what this host knows of its last
-    /// owner; `draw` is a random number from 0 to 1.
+    /// Decides what to do about a pool that has no owner in the store. `draw` is a random number from 0 to
+    /// 1, and `store_back_at` is when the store answered this host again after an outage, if one occurred.
     ///
-    /// A membership may lapse while its owner serves on, cut off from the store. An owner that answers is left
-    /// alone until it has joined again; one that can't for long is replaced, since it no longer sees which
-    /// executors come and leave.
+    /// The membership of an owner may expire while it still serves the pool, cut off from the store. An
+    /// owner that answers has time to rejoin. One that can't rejoin for long is replaced, since it does not
+    /// learn which executors are added and removed.
     ///
-    /// A host that started a moment ago, or while its zone was cut off, knows no owner to ask. When
-    /// the store answers again, at `store_back_at`, the memberships of living owners have lapsed,
-    /// and they need a moment to join again; a host that is faster costs them their jobs.
+    /// A host that has just started, or that started while its zone was cut off, knows no owner to query.
+    /// When the store answers again, the memberships of running owners have expired, and the owners need a
+    /// moment to rejoin. A host that joined before them would make them lose their jobs.
     pub fn evaluate_vacancy(
         &mut self,
         now: Mono,
@@ -93,8 +94,8 @@
         CandidateStep::JoinAfter(self.join_pause(draw))
     }
 
-    /// Gets how long this host leaves a vacant pool to others: an owner's work grows with its pool,
-    /// so hosts with more processor go first.
+    /// Returns the delay before this host joins for a vacant pool. The load of an owner grows with its pool,
+    /// so hosts with a larger processor share go first.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     fn join_pause(&self, draw: f64) -> Millis {
         let cpu_millis = self.cpu_millis.clamp(1, OWNER_CPU_MILLIS);
--- a/crates/onyxshed-pool/src/error.rs
+++ b/crates/onyxshed-pool/src/error.rs
@@ -1,22 +1,22 @@
-//! Errors of reading identifiers.
+//! Errors in parsing the text forms of this crate's types.
 
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// What is wrong with a text.
+/// Error in parsing a text.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The text is no id.
+    /// The text does not have the expected form.
     #[snafu(display("{text:?} is no {kind}: {allowed}"))]
     Id {
-        /// What it should be.
+        /// Kind of value that was expected.
         kind: &'static str,
-        /// The text.
+        /// Text that was parsed.
         text: SmolStr,
-        /// What is allowed.
+        /// Form that was expected.
         allowed: &'static str,
     },
 }
 
-/// Result of reading an identifier.
+/// Result of parsing a text.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-pool/src/evacuation.rs
+++ b/crates/onyxshed-pool/src/evacuation.rs
@@ -1,8 +1,8 @@
 //! Availability zones that operators have evacuated.
 //!
-//! Operators evacuate a zone, and restore it, with records in a log. A host learns these records from
-//! the log and from other hosts, in any order and more than once: of two records of a zone, the one with
-//! the higher position in the log holds.
+//! Operators evacuate and restore a zone by records in a log. A host receives these records from the log
+//! and from other hosts, in any order and possibly more than once. Of two records of a zone, the one at
+//! the higher log position is in force.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -29,54 +29,54 @@
     }
 }
 
-/// One record on a zone.
+/// A record that evacuates or restores a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvacuationRecord {
-    /// The zone.
+    /// Availability zone to which the record applies.
     pub zone: SmolStr,
-    /// Where the record stands in the log.
+    /// Position of the record in the log.
     pub position: LogPosition,
-    /// Whether the zone is evacuated from there on.
+    /// Whether the record evacuates the zone; otherwise it restores the zone.
     pub is_evacuated: bool,
 }
 
-/// The state of a zone by the newest record known.
+/// State of a zone according to its newest known record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ZoneState {
     position: LogPosition,
     is_evacuated: bool,
 }
 
-/// What a record changed.
+/// Effect of a record on the known state of a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EvacuationChange {
-    /// Nothing: the state was known, or a newer one is.
+    /// The record repeats the known state or is older than it.
     Unchanged,
-    /// The zone gets no task from now on.
+    /// The zone is now evacuated and gets no more tasks.
     Evacuated(SmolStr),
-    /// The zone gets tasks again.
+    /// The zone is restored and gets tasks again.
     Restored(SmolStr),
 }
 
-/// Every zone that was ever evacuated, as far as this host knows.
+/// Known state of every zone with an evacuation record.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evacuations {
     zones: BTreeMap<SmolStr, ZoneState>,
 }
 
 impl Evacuations {
-    /// Tells whether a zone is evacuated.
+    /// Returns whether a zone is evacuated.
     pub fn contains(&self, zone: &str) -> bool {
         self.zones.get(zone).is_some_and(|state| state.is_evacuated)
     }
 
-    /// Gets the zones that are evacuated.
+    /// Returns the zones that are evacuated.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &SmolStr> {
         let evacuated = self.zones.iter().filter(|(_, state)| state.is_evacuated);
         evacuated.map(|(zone, _)| zone)
     }
 
-    /// Gets the newest record known of each zone, for other hosts.
+    /// Returns the newest known record of each zone, for other hosts.
     pub fn records(&self) -> Vec<EvacuationRecord> {
         let zones = self.zones.iter();
         zones
@@ -88,7 +88,7 @@
             .collect()
     }
 
-    /// Takes in a record.
+    /// Applies a record and returns its effect.
     pub fn apply(&mut self, record: EvacuationRecord) -> EvacuationChange {
         let EvacuationRecord {
             zone,
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Takes in all records that were in force at a position of the log. A zone without one among them
-    /// was restored by then.
+    /// Applies a snapshot of all records in force at the log position `at`, and returns the changes. A zone
+    /// without a record in the snapshot was restored by then.
     pub fn apply_snapshot(
         &mut self,
         records: Vec<EvacuationRecord>,
--- a/crates/onyxshed-pool/src/executor.rs
+++ b/crates/onyxshed-pool/src/executor.rs
@@ -1,4 +1,4 @@
-//! One executor as its owner sees it.
+//! The owner's state of an executor.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,100 +11,100 @@
 use crate::resources::Resources;
 use crate::speed::Slowdown;
 
-/// What the platform lists of an executor.
+/// Properties of an executor as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExecutorFacts {
-    /// Where it takes orders.
+    /// Address at which the executor accepts orders.
     pub address: SocketAddr,
-    /// The upstream that it belongs to.
+    /// Upstream that the executor belongs to.
     pub upstream: SmolStr,
-    /// Room when nothing runs.
+    /// Resources that are free when nothing runs.
     pub capacity: Resources,
-    /// Its labels.
+    /// Labels that jobs can require.
     pub labels: Vec<SmolStr>,
-    /// Its rack, if known.
+    /// Rack of the executor, if known.
     pub rack: Option<SmolStr>,
-    /// Whether it is leaving.
+    /// Whether the executor is draining and gets no new tasks.
     pub is_draining: bool,
-    /// When this life of it began, if known.
+    /// Start time of the current incarnation on the executor's clock, if known.
     pub started_at: Option<UnixMs>,
 }
 
-/// What became of an order to start.
+/// State of a run that was ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RunState {
-    /// No answer yet; so many orders were sent.
+    /// The start order was sent, and the executor has not confirmed that the run executes.
     Ordered {
-        /// Orders sent so far.
+        /// Start orders sent so far.
         tries: u32,
     },
-    /// The executor has said that it is at work.
+    /// The executor has confirmed that the run executes.
     AtWork {
-        /// When that was known.
+        /// When the confirmation arrived.
         since: Mono,
     },
-    /// It is being stopped; set once the executor has taken the order.
+    /// A stop order was sent, and the run may still execute.
     Stopping {
-        /// When the executor took the order to stop.
+        /// When the acceptance of the stop order arrived; `None` until then.
         taken: Option<Mono>,
     },
 }
 
-/// A run that was ordered and may be at work.
+/// A run that was ordered and may execute.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Run {
     pub number: RunNumber,
     pub demand: Resources,
     pub state: RunState,
     pub ordered_at: Mono,
-    /// What it was expected to take on this executor.
+    /// Expected run time on this executor.
     pub expected: Micros,
     pub estimate: Micros,
 }
 
-/// Which of an executor's lives.
+/// Relation of an incarnation to the one that is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Life {
-    /// The one that is known.
+    /// The current incarnation.
     Present,
-    /// One that has ended.
+    /// An incarnation that is known to have ended.
     Past,
-    /// One that is not known yet.
+    /// An incarnation that has not been seen before.
     New,
 }
 
-/// Earlier lives remembered. Messages are late by seconds; an executor that starts more often than
-/// this within seconds runs nothing anyway.
+/// Number of past incarnations remembered. Messages are late by seconds at most, and an executor that
+/// restarts more often than this within seconds runs nothing anyway.
 const PAST_LIVES_MAX: usize = 8;
 
-/// Whether runs may be started.
+/// Progress of the takeover of an executor by this owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// An earlier owner that answers still uses it; it gets no order.
+    /// A previous owner that answers may still use the executor; it gets no orders.
     Withheld,
-    /// Runs of an earlier owner may be at work; no lease is renewed.
+    /// Runs of an earlier owner may execute; no lease is renewed and no run started.
     Taking,
-    /// Everything that runs was started by this owner.
+    /// Every run was started by this owner.
     Held,
 }
 
-/// Whether an executor is avoided because runs failed on it.
+/// Failure record of an executor, which decides whether the executor is avoided.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Health {
-    /// Jobs of which runs failed, and other strikes, since the last run that was done. With one strike
-    /// the executor is on trial: it gets one task at a time.
+    /// Failures since the last completed run; failed runs of one job in succession count once. From the
+    /// first failure on, the executor is on probation: it gets one task at a time.
     pub strikes: u32,
-    /// The job of which a run failed last.
+    /// Job of the most recently failed run.
     failed_job: Option<JobId>,
-    /// Until when it gets no work.
+    /// Time until which the executor gets no tasks.
     pub avoided_until: Mono,
 }
 
 impl Health {
-    /// Notes that a run of a job failed, and gets how long the executor is avoided, if it is.
+    /// Records a failed run of a job. Returns how long the executor is avoided, or `None` if it is not.
     ///
-    /// Jobs that can never be done fail on every executor. One job's failures are one strike, and an executor is
-    /// avoided from the second on.
+    /// A faulty job fails on every executor. Failed runs of one job therefore count as one failure, and an
+    /// executor is avoided from the second failure on.
     pub fn run_failed(&mut self, now: Mono, job: JobId, options: &PoolOptions) -> Option<Millis> {
         if self.strikes > 0 && self.failed_job == Some(job) {
             return None;
@@ -117,7 +117,8 @@
         Some(self.strike(now, options))
     }
 
-    /// Notes a failure that is the executor's for certain, and gets how long it is avoided.
+    /// Records a failure that is certainly caused by the executor, and returns how long it is avoided: twice
+    /// as long with each failure, up to `avoid_max_ms`.
     pub fn strike(&mut self, now: Mono, options: &PoolOptions) -> Millis {
         let doublings = self.strikes.min(8);
         self.strikes += 1;
@@ -126,7 +127,7 @@
         span
     }
 
-    /// Takes back a strike that the job was to blame for.
+    /// Removes a failure that was caused by the job. Without failures the executor is no longer avoided.
     pub fn exonerate(&mut self, now: Mono) {
         self.strikes = self.strikes.saturating_sub(1);
         if self.strikes == 0 {
@@ -135,33 +136,34 @@
     }
 }
 
-/// An executor.
+/// An executor and its runs.
 #[derive(Debug)]
 pub(crate) struct Executor {
     pub facts: ExecutorFacts,
     pub phase: Phase,
     pub free: Resources,
     pub runs: BTreeMap<TaskId, Run>,
-    /// The executor's clock less this host's, in milliseconds, never ahead of the truth.
+    /// Lower bound of the executor's clock minus this host's clock, in milliseconds; `None` until a clock
+    /// reading of the current incarnation has arrived.
     clock_offset: Option<i128>,
     pub born: Option<UnixMs>,
-    /// When its earlier lives began, the latest last.
+    /// Start times of past incarnations, the latest last.
     past_lives: Vec<UnixMs>,
     pub last_seen: u64,
-    /// When the last report was asked for that came.
+    /// When the last report arrived.
     pub heard_at: Mono,
-    /// When a run was last done there.
+    /// When the last completion of a run was reported.
     pub done_at: Mono,
     pub is_silent: bool,
-    /// When everything that may run there has lapsed, unless a lease is renewed.
+    /// When the leases of all runs will have expired, unless they are renewed.
     pub lapses_at: Mono,
     pub slowdown: Slowdown,
     pub health: Health,
-    /// Since when it is no longer listed.
+    /// Since when the platform no longer lists the executor; `None` while it is listed.
     pub unlisted_at: Option<Mono>,
-    /// Until when it is taken to have no room, after it refused for want of it.
+    /// Time until which the executor is assumed to be full, after it refused a task or was unreachable.
     pub full_until: Mono,
-    /// Whether it is not called, since its zone is evacuated and nothing runs there.
+    /// Whether the executor gets no orders because its zone is evacuated and nothing runs on it.
     pub is_parked: bool,
 }
 
@@ -188,31 +190,32 @@
         }
     }
 
-    /// Takes in the executor's clock as told in an answer that came at `now`.
+    /// Updates the clock offset by a clock reading from an answer that arrived at `now`.
     ///
-    /// The clock was read before the answer travelled, so the estimate lags behind the truth by at
-    /// most that time, and a lease reckoned from it is never longer than meant.
+    /// The clock was read before the answer was sent, so the estimate lags behind the real clock by at most
+    /// the transit time. A lease computed from it is never longer than intended.
     pub fn observe_clock(&mut self, now: Mono, clock: UnixMs) {
         let local_ms = i128::from(now.0 / 1_000);
         self.clock_offset = Some(i128::from(clock.0) - local_ms);
     }
 
-    /// Gets when a lease that is given now ends, on the executor's clock; none while it is unknown.
+    /// Returns when a lease granted now expires on the executor's clock, or `None` while that clock is
+    /// unknown.
     pub fn lease_end(&self, now: Mono, lease: Millis) -> Option<UnixMs> {
         let there_ms = i128::from(now.0 / 1_000) + self.clock_offset?;
         let end_ms = there_ms + i128::from(lease.0);
         u64::try_from(end_ms).ok().map(UnixMs)
     }
 
-    /// Notes that an order with a lease was sent.
+    /// Records that an order with a lease was sent.
     pub fn lease_sent(&mut self, now: Mono, options: &PoolOptions) {
         self.lapses_at = self.lapses_at.max(now + options.lease_bound());
     }
 
-    /// Tells whether new runs may be started there.
+    /// Returns whether new runs may be started on the executor.
     pub fn takes_work(&self, now: Mono, options: &PoolOptions) -> bool {
         let is_avoided = now < self.health.avoided_until;
-        // One that has just been avoided is tried with one task before it gets more.
+        // After a failure, the executor is probed with one task before it gets more.
         let is_on_trial = self.health.strikes > 0 && !self.runs.is_empty();
         self.counts(now, options)
             && self.phase == Phase::Held
@@ -222,7 +225,8 @@
             && now >= self.full_until
     }
 
-    /// Counts towards what the pool can do, now or after a short while.
+    /// Returns whether the executor counts towards the pool's capacity: it can run tasks now or is likely to
+    /// soon.
     pub fn counts(&self, now: Mono, options: &PoolOptions) -> bool {
         let is_known = match self.unlisted_at {
             Some(since) => now.since(since) < options.unlisted_grace_ms.into(),
@@ -231,28 +235,29 @@
         !self.facts.is_draining && !self.is_lost(now, options) && is_known
     }
 
-    /// Tells whether the executor is unresponsive. One that is being taken over has more time: its new
-    /// owner opens connections to all executors at once.
+    /// Returns whether the executor is unresponsive. An executor that is being acquired has
+    /// `takeover_grace_ms`, because a new owner opens connections to all executors at once.
     fn is_lost(&self, now: Mono, options: &PoolOptions) -> bool {
         let is_awaited = self.phase == Phase::Taking
             && now.since(self.heard_at) < options.taking_patience_ms.into();
         self.is_silent && !is_awaited
     }
 
-    /// Adds a run.
+    /// Adds a run and reserves its resources.
     pub fn add_run(&mut self, task: TaskId, run: Run) {
         self.free -= run.demand;
         self.runs.insert(task, run);
     }
 
-    /// Removes a run that is no longer at work.
+    /// Removes a run that no longer executes and frees its resources. Returns `None` if there is no run of the
+    /// task.
     pub fn remove_run(&mut self, task: TaskId) -> Option<Run> {
         let run = self.runs.remove(&task)?;
         self.recount();
         Some(run)
     }
 
-    /// Works out the free room anew, from capacity and runs.
+    /// Recomputes the free resources from the capacity and the runs.
     fn recount(&mut self) {
         let mut free = self.facts.capacity;
         for run in self.runs.values() {
@@ -261,14 +266,14 @@
         self.free = free;
     }
 
-    /// Takes in what the platform lists.
+    /// Replaces the listed properties and marks the executor as listed.
     pub fn list(&mut self, facts: ExecutorFacts) {
         self.facts = facts;
         self.unlisted_at = None;
         self.recount();
     }
 
-    /// Gets what is known of the life that is there now.
+    /// Returns the listed properties with the start time of the current incarnation.
     pub fn present_facts(&self) -> ExecutorFacts {
         ExecutorFacts {
             started_at: self.born,
@@ -276,10 +281,10 @@
         }
     }
 
-    /// Tells which life of the executor says something, by when that life began.
+    /// Classifies the incarnation of the executor that sent a message, by its start time.
     ///
-    /// Lives are told apart by what was seen before, not by which began later: an executor's time of day may
-    /// jump back, and reports and lists may be late.
+    /// Start times are compared with those seen before, not ordered: the executor's wall clock may jump
+    /// back, and reports and lists may be late. An unknown start time counts as the current incarnation.
     pub fn life_of(&self, born: Option<UnixMs>) -> Life {
         match (self.born, born) {
             (Some(known), Some(told)) if known == told => Life::Present,
@@ -289,10 +294,10 @@
         }
     }
 
-    /// Begins a new life, whose counts and clock start anew.
+    /// Records a restart of the executor and resets its counters, clock offset and health.
     ///
-    /// The runs stay until the new life's reports show which of them it has: an order that was on
-    /// its way while the executor started anew is carried out by the new life.
+    /// The runs stay until a report of the new incarnation shows which of them it has: the new incarnation
+    /// executes orders that were in transit during the restart.
     pub fn reborn(&mut self, born: Option<UnixMs>) {
         if let Some(ended) = std::mem::replace(&mut self.born, born) {
             self.past_lives.push(ended);
@@ -305,23 +310,23 @@
         self.slowdown = Slowdown::default();
     }
 
-    /// Takes away every run, as when another executor is at the address.
+    /// Removes and returns every run, as when another executor answers at the address.
     pub fn take_runs(&mut self) -> Vec<(TaskId, Run)> {
         let runs = std::mem::take(&mut self.runs);
         self.recount();
         runs.into_iter().collect()
     }
 
-    /// Gets the tasks of a job that run there.
+    /// Returns how many tasks of a job run on the executor.
     pub fn tasks_of(&self, job: JobId) -> usize {
         self.runs.keys().filter(|task| task.job == job).count()
     }
 
-    /// Tells whether the executor has a label, or none is asked for.
+    /// Returns whether the executor has the label; `None` is always satisfied.
     pub fn has_label(&self, label: Option<&SmolStr>) -> bool {
         label.is_none_or(|label| self.facts.labels.contains(label))
     }
 }
 
-/// Executors by id.
+/// The executors of a pool by id.
 pub(crate) type Executors = BTreeMap<ExecutorId, Executor>;
--- a/crates/onyxshed-pool/src/id.rs
+++ b/crates/onyxshed-pool/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers of jobs, tasks, runs and their parties.
+//! Identifiers of jobs, tasks, runs, executors and hosts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,11 +7,11 @@
 
 use crate::error::Error;
 
-/// Job, named by its caller.
+/// Identifier of a job, chosen by its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// Hexadecimal digits of a job's id.
+/// Number of hexadecimal digits in the text form of a job id.
 const JOB_DIGITS: usize = 16;
 
 impl fmt::Display for JobId {
@@ -29,7 +29,7 @@
             text: text.into(),
             allowed: "16 lower-case hexadecimal digits",
         };
-        // Upper-case digits would name the same job by two texts.
+        // With upper-case digits, a job would have several text forms.
         let is_plain = text
             .bytes()
             .all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte));
@@ -42,12 +42,12 @@
     }
 }
 
-/// One task of a job.
+/// Identifier of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// Job to which the task belongs.
     pub job: JobId,
-    /// The task's place in it.
+    /// Index of the task in its job, from 0.
     pub index: u16,
 }
 
@@ -57,20 +57,20 @@
     }
 }
 
-/// Share of a run's work that is done, in whole percent, rounded down.
+/// Progress of a run in whole percent, rounded down; 0 to 100.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Percent(u8);
 
 impl Percent {
-    /// Everything.
+    /// 100%.
     pub const ALL: Percent = Percent(100);
 
-    /// Makes a share; more than everything counts as everything.
+    /// Creates a percentage; values above 100 become 100.
     pub fn new(value: u64) -> Self {
         Percent(u8::try_from(value).unwrap_or(u8::MAX).min(Percent::ALL.0))
     }
 
-    /// Gets the number of percent.
+    /// Returns the number of percent.
     pub fn get(self) -> u8 {
         self.0
     }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Start of a task, counted from 1.
+/// Number of a run of a task, counted from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunNumber(pub u32);
 
@@ -108,16 +108,17 @@
     }
 }
 
-/// Token of an owner; executors refuse one that is lower than any they have seen.
+/// Fencing token of an owner. Executors refuse orders with a lower token than the highest that they have
+/// seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
-/// Lowest bits of a token, which count successors: owners that were made so by the owner before them.
+/// Number of lowest token bits that count successors, which are owners selected by their predecessor.
 pub(crate) const SUCCESSOR_BITS: u32 = 4;
 
 impl FencingToken {
-    /// Gets the token of this owner's successor: higher than this one, and lower than that of every owner
-    /// that the store makes later. None after as many successors in a row as can be counted.
+    /// Returns the token of this owner's successor: higher than this token, and lower than that of every
+    /// owner that the store elects later. Returns `None` when the successor bits are used up.
     pub fn of_successor(self) -> Option<FencingToken> {
         let successors_max = (1 << SUCCESSOR_BITS) - 1;
         (self.0 & successors_max < successors_max).then_some(FencingToken(self.0 + 1))
@@ -130,7 +131,7 @@
     }
 }
 
-/// Executor, by the id under which it is listed.
+/// Identifier under which the platform lists an executor.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExecutorId(pub SmolStr);
 
@@ -140,7 +141,7 @@
     }
 }
 
-/// One run of an entry host's process.
+/// Identifier of an entry host's incarnation, which is one start of its process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerIncarnation(pub u64);
 
@@ -150,10 +151,11 @@
     }
 }
 
-/// Stretch of time in which an owner has heard an entry host without a break; 0 is none.
+/// Identifier of a session: a period in which an owner has heard from an entry host without
+/// interruption. 0 means no session.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Session(pub u64);
 
-/// One hand-over of a job, counted by the entry host.
+/// Number of a job submission to an owner, counted by the entry host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubmissionNumber(pub u64);
--- a/crates/onyxshed-pool/src/job.rs
+++ b/crates/onyxshed-pool/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs handed to a pool.
+//! Jobs submitted to a pool, and their outcomes.
 
 use onyxshed_core::{Micros, Millis, Mono};
 use smol_str::SmolStr;
@@ -7,56 +7,56 @@
 use crate::resources::Resources;
 use crate::speed::{as_f64, scaled};
 
-/// A job as an entry host hands it over.
+/// A job as submitted by an entry host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobRequest {
-    /// The entry host.
+    /// Incarnation of the submitting entry host.
     pub peer: PeerIncarnation,
-    /// Its number for this hand-over.
+    /// The entry host's number for this submission.
     pub submission: SubmissionNumber,
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// The upstream whose executors run it.
+    /// Upstream whose executors run the job.
     pub upstream: SmolStr,
-    /// What the executors are told to do.
+    /// Work specification that is passed to the executors unchanged.
     pub spec: SmolStr,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u16,
-    /// What each task needs.
+    /// Resources that each task needs.
     pub demand: Resources,
-    /// The caller's rough estimate of a task's run time.
+    /// Caller's rough estimate of a task's run time.
     pub estimate: Millis,
-    /// Runs of a task that may end failed before the job has failed.
+    /// Number of failed runs of a task after which the job fails.
     pub attempts_max: u32,
-    /// How much longer than its longest task the job may take, in thousandths.
+    /// Factor on the run time of the job's longest task in its target, in thousandths.
     pub stretch_millis: u32,
-    /// What it may take beyond that.
+    /// Time that the target allows in addition to the stretched run time.
     pub objective: Millis,
-    /// How long it has been under way at the entry host, as with other pools' owners.
+    /// Time since the job arrived at its entry host, including the time with other pools' owners.
     pub elapsed: Millis,
-    /// How long its caller still waits.
+    /// Time that the caller still waits.
     pub time_left: Millis,
-    /// Label that the executor must have, if any.
+    /// Label that an executor must have, if any.
     pub label: Option<SmolStr>,
-    /// Rack where the data lies, if it matters.
+    /// Rack that holds the job's data, if it matters.
     pub data_rack: Option<SmolStr>,
-    /// Most tasks of the job on one executor, if bounded.
+    /// Maximum number of tasks of the job on one executor, if limited.
     pub per_executor_max: Option<u16>,
 }
 
 impl JobRequest {
-    /// Gets the time within which the job should end, by the caller's estimate.
+    /// Returns the time within which the job should end, according to the caller's estimate.
     pub fn target(&self) -> Micros {
         self.target_of(self.estimate.into())
     }
 
-    /// Gets the time within which the job should end, if its tasks take so long.
+    /// Returns the time within which the job should end if each task takes `task`.
     fn target_of(&self, task: Micros) -> Micros {
         let stretched_us = task.0 * u64::from(self.stretch_millis) / 1_000;
         Micros(stretched_us + Micros::from(self.objective).0)
     }
 
-    /// Gets the work that it is, in thousandths of a core times milliseconds.
+    /// Returns the total work of the job, in thousandths of a core times milliseconds.
     pub fn work(&self) -> u64 {
         u64::from(self.tasks) * u64::from(self.demand.cpu_millis.max(1)) * self.estimate.0
     }
@@ -65,20 +65,20 @@
 /// Why a job was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunReason {
-    /// It could not end in time for its caller, given what waits before it.
+    /// The job could not end in time for its caller, given the jobs ahead of it.
     NoTime,
-    /// No executor of the pool can run such a task.
+    /// No usable executor of the pool can run the tasks.
     NoExecutor,
-    /// The host asked does not own the pool, or gives it up.
+    /// The host does not own the pool or is giving it up.
     NotOwner,
-    /// The entry host was not heard for so long that it has to introduce itself again.
+    /// The session of the entry host has ended; a heartbeat starts a new one.
     OldSession,
-    /// Operators have evacuated the zone.
+    /// Operators have evacuated the pool's zone.
     ZoneEvacuated,
 }
 
 impl NotRunReason {
-    /// Every reason; on the wire each is its place here.
+    /// All reasons. The index of a reason in this array is its encoding on the wire.
     pub const ALL: [NotRunReason; 5] = [
         NotRunReason::NoTime,
         NotRunReason::NoExecutor,
@@ -88,31 +88,31 @@
     ];
 }
 
-/// Why a job's fate is not known.
+/// Why the outcome of a job is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnknownReason {
     /// The owner of the pool changed.
     OwnerChanged,
-    /// The owner stood still.
+    /// The process of the owner was paused.
     OwnerPaused,
-    /// The entry host was not heard.
+    /// The entry host was unresponsive.
     PeerSilent,
-    /// Its caller's time ran out.
+    /// The caller's deadline passed.
     TimeOut,
-    /// Its caller gave it up.
+    /// The caller cancelled the job.
     Cancelled,
-    /// Another hand-over of the job took its place.
+    /// A later submission of the job replaced this one.
     Superseded,
     /// The entry host stopped before the job ended.
     EntryStopped,
     /// Operators evacuated the zone before all tasks had started.
     ZoneEvacuated,
-    /// No executor answers that could run the rest of its tasks.
+    /// No responsive executor can run the remaining tasks.
     ExecutorsLost,
 }
 
 impl UnknownReason {
-    /// Every reason; on the wire each is its place here.
+    /// All reasons. The index of a reason in this array is its encoding on the wire.
     pub const ALL: [UnknownReason; 9] = [
         UnknownReason::OwnerChanged,
         UnknownReason::OwnerPaused,
@@ -126,58 +126,58 @@
     ];
 }
 
-/// How a job ended.
+/// Outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobEnd {
     /// Every task is done.
     Completed,
-    /// A task failed as often as it may.
+    /// A task failed as often as permitted.
     Failed,
-    /// Nothing of it ran; worth asking again after the span.
+    /// No task ran. The caller may retry after the given delay.
     NotRun(NotRunReason, Millis),
-    /// Some of it may have run; nothing of it is at work a little later.
+    /// Some tasks may have run. Runs that may still execute end shortly afterwards.
     Unknown(UnknownReason),
 }
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum TaskState {
-    /// It waits for an executor.
+    /// The task waits for an executor.
     Waiting,
-    /// A run of it is ordered or at work.
+    /// A run of the task was ordered from this executor and may execute.
     Running(ExecutorId),
-    /// It is done.
+    /// The task is done.
     Done,
 }
 
-/// One task.
+/// A task of a job.
 #[derive(Debug, Clone)]
 pub(crate) struct Task {
     pub state: TaskState,
-    /// Runs ordered so far.
+    /// Number of runs ordered so far.
     pub runs: u32,
-    /// Runs that ended failed, by executor.
+    /// Executors on which runs failed, one entry per failed run.
     pub failed_on: Vec<ExecutorId>,
-    /// Runs stopped because they took too long.
+    /// Number of runs that were stopped because they took too long, or moved off a slow executor.
     pub stuck: u32,
 }
 
-/// A job under way.
+/// A job that is queued or running.
 #[derive(Debug, Clone)]
 pub(crate) struct Job {
     pub request: JobRequest,
-    /// When it came to its entry host.
+    /// When the job arrived at its entry host.
     pub arrived: Mono,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub gives_up_at: Mono,
     pub tasks: Vec<Task>,
     pub waiting: u16,
     pub done: u16,
     /// Whether any run was ordered.
     pub has_started: bool,
-    /// Mean of the logarithms of how long tasks took over what was expected, and their number.
+    /// Mean over the completed tasks of ln(actual / expected run time), and the number of these tasks.
     pub ratio: (f64, u32),
-    /// What a task takes on an ordinary executor, corrected by the tasks that are done.
+    /// Estimated run time of a task on an ordinary executor, corrected by the completed tasks.
     estimate: Micros,
 }
 
@@ -202,32 +202,33 @@
         }
     }
 
-    /// Gets the time within which the job should end, by what its tasks have shown to take.
+    /// Returns the time within which the job should end, according to the run times of its completed tasks.
     ///
-    /// Uses what the job's tasks have taken rather than the caller's estimate: by an estimate far too low, a
-    /// job that can still be of use would starve half done.
+    /// With the caller's estimate alone, a job whose estimate is far too low would starve half done although
+    /// its answer could still be useful.
     pub fn target(&self) -> Micros {
         self.request.target_of(self.estimate())
     }
 
-    /// Gets when the job should end.
+    /// Returns when the job should end.
     pub fn target_at(&self) -> Mono {
         self.arrived + self.target()
     }
 
-    /// Gets until when an answer is of use to the caller, who counts one later than `late_factor`
-    /// targets for nothing.
+    /// Returns until when an answer is useful: until `late_factor` targets have passed or the caller stops
+    /// waiting.
     pub fn useful_until(&self, late_factor: u64) -> Mono {
         let late = Micros(self.target().0 * late_factor);
         self.gives_up_at.min(self.arrived + late)
     }
 
-    /// Gets the estimate of a task on an ordinary executor, corrected by the tasks that are done.
+    /// Returns the estimated run time of a task on an ordinary executor, corrected by the completed tasks.
     pub fn estimate(&self) -> Micros {
         self.estimate
     }
 
-    /// Takes in how long a task took, over what its executor's slowdown made expected.
+    /// Updates the estimate by the run time of a completed task and the time that was expected on its
+    /// executor, which includes the executor's slowdown.
     pub fn observe(&mut self, took: Micros, expected: Micros) {
         let log = (as_f64(took.0.max(1)) / as_f64(expected.0.max(1))).ln();
         let (mean, count) = self.ratio;
@@ -237,21 +238,21 @@
         self.estimate = scaled(self.request.estimate.into(), mean.exp());
     }
 
-    /// Gets the work of the tasks that wait, in thousandths of a core times milliseconds.
+    /// Returns the work of the waiting tasks, in thousandths of a core times milliseconds.
     pub fn waiting_work(&self) -> u64 {
         u64::from(self.waiting)
             * u64::from(self.request.demand.cpu_millis.max(1))
             * self.estimate().as_millis().0.max(1)
     }
 
-    /// Gets the first task that waits.
+    /// Returns the index of the first waiting task, if any.
     pub fn next_waiting(&self) -> Option<u16> {
         let mut tasks = self.tasks.iter();
         let index = tasks.position(|task| task.state == TaskState::Waiting)?;
         u16::try_from(index).ok()
     }
 
-    /// Names a task.
+    /// Returns the identifier of the task at an index.
     pub fn task_id(&self, index: u16) -> TaskId {
         TaskId {
             job: self.request.job,
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Notes that a run of a task was ordered, and numbers it.
+    /// Records that a run of a waiting task is ordered from an executor, and returns the number of the run.
     pub fn run_ordered(&mut self, index: u16, executor: &ExecutorId) -> RunNumber {
         let task = &mut self.tasks[usize::from(index)];
         task.runs += 1;
@@ -269,14 +270,14 @@
         RunNumber(task.runs)
     }
 
-    /// Tells whether a run is the one that the task now waits for.
+    /// Returns whether a run is the current run of its task.
     pub fn awaits(&self, index: u16, run: RunNumber, executor: &ExecutorId) -> bool {
         self.tasks.get(usize::from(index)).is_some_and(|task| {
             task.runs == run.0 && task.state == TaskState::Running(executor.clone())
         })
     }
 
-    /// Lets a task wait again.
+    /// Makes a running task wait for an executor again.
     pub fn wait_again(&mut self, index: u16) {
         self.tasks[usize::from(index)].state = TaskState::Waiting;
         self.waiting += 1;
--- a/crates/onyxshed-pool/src/lib.rs
+++ b/crates/onyxshed-pool/src/lib.rs
@@ -1,16 +1,16 @@
-//! Decisions of a pool of executors that one host at a time owns.
+//! Scheduling decisions for a pool of executors, which is owned by one host at a time.
 //!
-//! Entry hosts hand jobs whole to the owner of a pool; the owner orders them, places their tasks,
-//! renews the executors' leases and learns how runs ended. Everything here is a state machine: an
-//! event with its time goes in, actions come out. No clock, socket, random number or log call.
+//! Entry hosts submit whole jobs to the owner of a pool. The owner queues the jobs, places their
+//! tasks on executors, renews the executors' leases and collects the results of runs. The crate is a
+//! sans-I/O state machine: an event and its time go in, [`Action`]s come out. It reads no clock and
+//! uses no socket, random number or log call.
 //!
-//! No two runs of a task may be at work at the same time. Three rules see to it:
-//! - a task gets a new run only when its last one is known to have ended, to have been stopped, or
-//!   to have outlived its lease;
-//! - an owner that begins renews no lease on an executor until nothing runs there that it did not
-//!   start itself;
-//! - the runs of an entry host that is no longer heard are stopped well before its callers send
-//!   their jobs again.
+//! Two runs of a task never execute at the same time. Three rules ensure this:
+//! - a task gets a new run only when its previous run is known to have ended or to have been stopped,
+//!   or when the lease of that run has expired;
+//! - a new owner renews no lease on an executor while a run that it did not start itself is still
+//!   executing there;
+//! - the runs of an unresponsive entry host are stopped well before its callers resubmit their jobs.
 
 pub mod candidate;
 pub mod error;
--- a/crates/onyxshed-pool/src/message.rs
+++ b/crates/onyxshed-pool/src/message.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of the decisions.
+//! Inputs and outputs of the pool's state machine: orders, answers, reports and decisions.
 
 use std::net::SocketAddr;
 
@@ -13,269 +13,269 @@
 /// Order to start a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartOrder {
-    /// The task.
+    /// Task to run.
     pub task: TaskId,
-    /// Which run of it.
+    /// Number of the run.
     pub run: RunNumber,
-    /// What the executor is told to do.
+    /// Work specification from the job request.
     pub spec: SmolStr,
-    /// When the lease ends, on the executor's clock.
+    /// When the lease expires, on the executor's clock.
     pub expires: UnixMs,
-    /// The owner's token.
+    /// Fencing token of the owner.
     pub token: FencingToken,
 }
 
 /// Order to stop a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StopOrder {
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// Which run of it.
+    /// Number of the run.
     pub run: RunNumber,
-    /// The owner's token.
+    /// Fencing token of the owner.
     pub token: FencingToken,
 }
 
-/// Order to renew the lease of all that runs, and to report.
+/// Order to renew the leases of all runs on an executor and to report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HoldOrder {
-    /// When the lease ends, on the executor's clock; none renews nothing.
+    /// When the renewed leases expire, on the executor's clock. `None` renews no lease.
     pub expires: Option<UnixMs>,
-    /// The owner's token.
+    /// Fencing token of the owner.
     pub token: FencingToken,
-    /// Ends up to this one are known and may be forgotten.
+    /// Number of the last end that the owner has seen. It acknowledges all ends up to this number.
     pub last_seen: u64,
-    /// How long the executor waits for an end before it reports.
+    /// How long the executor waits for a run to end before it reports.
     pub wait: Millis,
-    /// How long the report may take beyond that.
+    /// How long the report may take beyond `wait` before it counts as missing.
     pub answer_within: Millis,
 }
 
 /// Why an executor did not start a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefuseReason {
-    /// Another owner's token is higher.
+    /// The executor has seen a higher token from another owner.
     Fenced,
-    /// This run, or a later one, has ended or was stopped here.
+    /// This run or a later run of the task has ended or was stopped on the executor.
     Ended,
-    /// The order's lease was over when it came.
+    /// The lease had expired when the order arrived.
     Expired,
-    /// There is no room.
+    /// The executor lacks free resources.
     NoRoom,
-    /// The executor is unwell.
+    /// The executor reports that it is unhealthy.
     Unhealthy,
-    /// Anything else.
+    /// Any other reason.
     Other,
 }
 
-/// What came of an order to start.
+/// Answer to a start order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// The run is at work.
+    /// The run executes.
     Started {
-        /// The executor's clock, if it told it.
+        /// Reading of the executor's clock, if the answer contains one.
         clock: Option<UnixMs>,
     },
-    /// It was not started by this order.
+    /// The order did not start the run.
     Refused(RefuseReason),
-    /// Another life of the executor answered.
+    /// Another incarnation of the executor answered.
     OtherIncarnation,
-    /// Nothing left this host.
+    /// The order was not sent.
     NotSent,
-    /// The answer did not come; the order may be carried out, also later.
+    /// No answer arrived. The executor may have executed the order or may still do so.
     Unknown,
 }
 
-/// What came of an order to stop.
+/// Answer to a stop order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopAnswer {
-    /// The executor ends the run, and never starts it if it has not.
+    /// The executor ends the run, and will not start it if it has not yet done so.
     Accepted,
-    /// Another owner's token is higher.
+    /// The executor has seen a higher token from another owner.
     Fenced,
-    /// Another life of the executor answered.
+    /// Another incarnation of the executor answered.
     OtherIncarnation,
-    /// The answer did not come.
+    /// No answer arrived.
     Unknown,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The task is done.
+    /// The run completed its task.
     Done,
-    /// It failed, by its own fault or the executor's.
+    /// The run failed because of the task or the executor.
     Failed,
-    /// It was stopped, or its lease lapsed.
+    /// The run was stopped or its lease expired.
     Stopped,
 }
 
-/// A run that is at work.
+/// An executing run in an executor's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunningRun {
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// Which run of it.
+    /// Number of the run.
     pub run: RunNumber,
-    /// How much of it is done, if the executor tells.
+    /// Progress of the run, if the executor reports it.
     pub progress: Option<Percent>,
 }
 
-/// A run that has ended.
+/// An ended run in an executor's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FinishedRun {
-    /// The end's number, counted by the executor's life.
+    /// Number of the end, counted by the executor's incarnation.
     pub number: u64,
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// Which run of it.
+    /// Number of the run.
     pub run: RunNumber,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
 }
 
-/// What an executor lists of its runs.
+/// The runs that an executor lists in a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExecutorLists {
-    /// The executor's clock.
+    /// Reading of the executor's clock.
     pub clock: UnixMs,
-    /// When this life of it began.
+    /// Start time of the reporting incarnation, if known.
     pub started_at: Option<UnixMs>,
-    /// Runs at work.
+    /// Executing runs.
     pub running: Vec<RunningRun>,
-    /// Ends that were not acknowledged.
+    /// Ended runs that have not been acknowledged.
     pub finished: Vec<FinishedRun>,
-    /// Number of the last end listed, those of runs that this system never named included.
+    /// Number of the last listed end, including ends of runs that this system did not start.
     pub listed_to: u64,
 }
 
-/// What an executor reports.
+/// Report of an executor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExecutorReport {
-    /// What runs and what ended.
+    /// The executing and ended runs.
     Lists(ExecutorLists),
-    /// Another owner's token is higher.
+    /// The executor has seen a higher token from another owner.
     Fenced,
-    /// Another life of the executor answered.
+    /// Another incarnation of the executor answered.
     OtherIncarnation,
 }
 
-/// What came of an order to hold.
+/// Answer to a hold order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HoldAnswer {
-    /// The report.
+    /// The executor's report.
     Report(ExecutorReport),
-    /// No report came.
+    /// No report arrived in time.
     Unknown,
 }
 
-/// What the shell is to do.
+/// Output of the state machine, to be carried out by the host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send an order to start.
+    /// Send a start order.
     Start(ExecutorId, StartOrder),
-    /// Send an order to stop.
+    /// Send a stop order.
     Stop(ExecutorId, StopOrder),
-    /// Send an order to hold, after a pause.
+    /// Send a hold order after a pause.
     Hold(ExecutorId, HoldOrder, Millis),
-    /// Tell an entry host how its job ended.
+    /// Report the outcome of a job to its entry host.
     End {
-        /// The entry host.
+        /// Incarnation of the entry host.
         peer: PeerIncarnation,
-        /// Its number for the hand-over.
+        /// The entry host's number for the submission.
         submission: SubmissionNumber,
-        /// The job.
+        /// Identifier of the job.
         job: JobId,
-        /// How it ended.
+        /// Outcome of the job.
         end: JobEnd,
     },
-    /// Give up the pool: another host owns it.
+    /// Step down as owner, because another host owns the pool.
     StepDown,
-    /// Write down what was decided.
+    /// Log a decision.
     Log(Decision),
 }
 
-/// A decision or a change of belief, for the log.
+/// A decision or a change in the state of an executor or host, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
     /// A run was ordered.
     RunOrdered {
-        /// The task.
+        /// Task of the run.
         task: TaskId,
-        /// Which run.
+        /// Number of the run.
         run: RunNumber,
-        /// The executor.
+        /// Executor of the run.
         executor: ExecutorId,
-        /// What the run is expected to take.
+        /// Expected run time.
         expected: Micros,
-        /// How long the job has waited.
+        /// Time since the job arrived at its entry host.
         waited: Micros,
     },
-    /// A run ended otherwise than done.
+    /// A run ended without completing its task.
     RunEnded {
-        /// The task.
+        /// Task of the run.
         task: TaskId,
-        /// Which run.
+        /// Number of the run.
         run: RunNumber,
-        /// The executor.
+        /// Executor of the run.
         executor: ExecutorId,
-        /// Why.
+        /// Why the run ended.
         reason: &'static str,
     },
-    /// A run of another owner, or one given up, was found at work and is stopped.
+    /// A run of another owner, or one that is no longer tracked, still executes and is stopped.
     OrphanStopped {
-        /// The task.
+        /// Task of the run.
         task: TaskId,
-        /// Which run.
+        /// Number of the run.
         run: RunNumber,
-        /// The executor.
+        /// Executor of the run.
         executor: ExecutorId,
     },
-    /// A run on an executor that turned slow is stopped, to begin anew elsewhere.
+    /// A run on an executor that has become slow is stopped so that its task can run elsewhere.
     RunMoved {
-        /// The task.
+        /// Task of the run.
         task: TaskId,
-        /// Which run.
+        /// Number of the run.
         run: RunNumber,
-        /// The executor.
+        /// Executor of the run.
         executor: ExecutorId,
-        /// How long the run would have taken from now on.
+        /// Estimated remaining time of the run.
         remaining: Micros,
     },
-    /// An executor is used from now on.
+    /// An executor was acquired and can get tasks.
     ExecutorAcquired(ExecutorId),
-    /// An executor did not answer; its runs are given up when their lease has ended.
+    /// An executor did not answer. Its tasks are requeued when their leases have expired.
     ExecutorUnresponsive(ExecutorId),
-    /// An executor answers again.
+    /// An unresponsive executor answers again.
     ExecutorRecovered(ExecutorId),
-    /// An executor gets no work for a while.
+    /// An executor gets no tasks for the given time because of failures.
     ExecutorAvoided(ExecutorId, Millis),
-    /// An executor is leaving.
+    /// An executor is draining and gets no new tasks.
     ExecutorDraining(ExecutorId),
-    /// An executor is no longer known.
+    /// An executor that is no longer listed was removed.
     ExecutorForgotten(ExecutorId),
-    /// An entry host fell silent with jobs under way.
+    /// An entry host with this number of active jobs became unresponsive.
     PeerUnresponsive(PeerIncarnation, usize),
-    /// This process stood still and gave up every job.
+    /// This process was paused for the given time and ended this number of other hosts' jobs.
     Paused(Micros, usize),
-    /// The next owner is taking over.
+    /// The next owner began to take over.
     HandoverBegun {
-        /// Jobs of which nothing was started, handed back.
+        /// Number of jobs without a started task, which ended as not run.
         handed_back: usize,
-        /// Jobs that have begun and end here.
+        /// Number of started jobs, which this owner completes.
         kept: usize,
     },
-    /// The last owner holds no executor any more.
+    /// The previous owner has released every executor.
     HandoverEnded,
     /// Operators have evacuated the zone.
     EvacuationBegun {
-        /// Jobs of which nothing was started, handed back.
+        /// Number of jobs without a started task, which ended as not run.
         handed_back: usize,
-        /// Jobs that have begun and end here.
+        /// Number of started jobs, which continue in this pool.
         kept: usize,
     },
-    /// The zone gets tasks again.
+    /// The zone was restored and gets tasks again.
     EvacuationEnded,
-    /// A host was made the successor of this stopping owner.
+    /// This stopping owner selected the host at the address as its successor.
     OwnershipTransferred(SocketAddr),
 }
--- a/crates/onyxshed-pool/src/offered_load.rs
+++ b/crates/onyxshed-pool/src/offered_load.rs
@@ -1,16 +1,16 @@
-//! How much work callers offer to a pool.
+//! The rate of work that callers offer to a pool.
 
 use onyxshed_core::Mono;
 
-/// Time that one bucket covers.
+/// Duration of a bucket, in microseconds.
 const BUCKET_US: u64 = 100_000;
 
-/// Buckets kept; together they cover one second.
+/// Number of buckets; together they cover one second.
 const BUCKETS: usize = 10;
 
-/// Work that has come within the last second, in thousandths of a core times milliseconds.
+/// Work that arrived within the last second, in thousandths of a core times milliseconds.
 ///
-/// For a younger pool the time before it counts as idle.
+/// The time before the pool was created counts as idle.
 #[derive(Debug, Default)]
 pub struct OfferedLoad {
     buckets: [u64; BUCKETS],
@@ -18,13 +18,13 @@
 }
 
 impl OfferedLoad {
-    /// Takes in work that has come.
+    /// Records the work of an arriving job.
     pub fn record(&mut self, now: Mono, work: u64) {
         self.advance(now);
         self.buckets[bucket_of(self.newest)] += work;
     }
 
-    /// Gets the work that comes in a millisecond, in thousandths of a core.
+    /// Returns the offered load in thousandths of a core.
     pub fn cpu_millis(&self, now: Mono) -> u64 {
         let newest = now.0 / BUCKET_US;
         let kept = BUCKETS as u64;
@@ -36,7 +36,7 @@
         work * 1_000 / (kept * BUCKET_US)
     }
 
-    /// Empties the buckets that have passed since the last work came.
+    /// Clears the buckets that began since the last recorded work.
     fn advance(&mut self, now: Mono) {
         let newest = now.0 / BUCKET_US;
         let passed = newest.saturating_sub(self.newest).min(BUCKETS as u64);
--- a/crates/onyxshed-pool/src/peers.rs
+++ b/crates/onyxshed-pool/src/peers.rs
@@ -1,8 +1,8 @@
-//! Which entry hosts the owner hears.
+//! Sessions of entry hosts with the owner of a pool.
 //!
-//! Callers send the jobs of an entry host that is gone again elsewhere, so the owner stops its runs after a
-//! silence. When it is heard again a new session begins: jobs handed over before the silence and delayed
-//! on their way are refused.
+//! Callers of an unresponsive entry host resubmit their jobs elsewhere, so the owner stops that host's
+//! runs after a time-out. With the host's next heartbeat a new session begins, and submissions of the
+//! old session that were delayed in transit are rejected.
 
 use std::collections::BTreeMap;
 
@@ -17,18 +17,18 @@
     is_silent: bool,
 }
 
-/// Sessions with entry hosts.
+/// Sessions of entry hosts, by their incarnations.
 #[derive(Debug, Default)]
 pub struct PeerSessions {
     peers: BTreeMap<PeerIncarnation, Peer>,
     last: u64,
 }
 
-/// Silence after which a peer is forgotten altogether.
+/// Time without contact after which a peer is removed.
 const FORGET_AFTER: Millis = Millis(60_000);
 
 impl PeerSessions {
-    /// Notes that a peer was heard, and gets its session: a new one after a silence.
+    /// Records contact with a peer and returns its session: a new one if the peer was unresponsive.
     pub fn heard(&mut self, now: Mono, life: PeerIncarnation) -> Session {
         let last = &mut self.last;
         let mut open = || {
@@ -48,7 +48,8 @@
         peer.session
     }
 
-    /// Tells whether a session is the peer's present one, without a silence since.
+    /// Returns whether a session is the peer's current one and the peer's last contact is less than
+    /// `timeout` ago.
     pub fn is_current(
         &self,
         now: Mono,
@@ -61,7 +62,7 @@
         })
     }
 
-    /// Gets the peers that have just become silent.
+    /// Marks the peers without contact for `timeout` as unresponsive and returns those newly marked.
     pub fn fall_silent(&mut self, now: Mono, silence: Millis) -> Vec<PeerIncarnation> {
         self.peers
             .retain(|_, peer| now.since(peer.heard_at) < FORGET_AFTER.into());
@@ -75,7 +76,7 @@
         silent
     }
 
-    /// Ends every session, as after a standstill of this host.
+    /// Ends every session, as after a pause of this process.
     pub fn end_all(&mut self) {
         for peer in self.peers.values_mut() {
             peer.is_silent = true;
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -1,10 +1,11 @@
-//! The state machine of a pool's owner.
+//! The state machine run by the owner of a pool.
 //!
-//! [`admission`] takes jobs in and refuses those that can't end in time, [`place`] starts runs,
-//! [`fit`] says where,
-//! [`orders`] takes in what came of orders, [`reports`] what executors say, [`progress`] how far
-//! their runs are, [`watch`] what time brings, [`handover`] passes the pool on to its next owner,
-//! [`evacuation`] empties it for operators, [`stalled`] ends jobs that lost their executors.
+//! [`admission`] admits jobs and sheds those that can't end in time, [`place`] orders the queue and
+//! starts runs, [`fit`] selects the executor of a task, [`orders`] handles the answers to start and
+//! stop orders, [`reports`] handles the executors' reports, [`progress`] moves runs off slow
+//! executors, [`watch`] handles time-outs, [`handover`] passes the pool to its next owner,
+//! [`evacuation`] drains the pool when operators evacuate its zone, and [`stalled`] ends jobs that
+//! have lost their executors.
 
 mod admission;
 mod evacuation;
@@ -34,11 +35,11 @@
 use evacuation::ZoneStatus;
 use handover::{Predecessor, Stage};
 
-/// A pool and its owner's beliefs.
+/// A pool of executors and its queue, as known to its owner.
 pub struct Pool {
     options: PoolOptions,
     token: FencingToken,
-    /// The entry host of this very process, which is always heard.
+    /// Incarnation of the entry host in this process. Its jobs need no session.
     own: PeerIncarnation,
     executors: Executors,
     jobs: BTreeMap<JobId, Job>,
@@ -48,22 +49,22 @@
     stage: Stage,
     zone_status: ZoneStatus,
     successor_choice: SuccessorChoice,
-    /// Total room of the executors that are not slow, as of the last tick.
+    /// Total capacity of the usable executors that are not slow, as of the last tick.
     sound_room: Resources,
-    /// Whether it is known which executors there are.
+    /// Whether the list of executors has been read, from the store or from the previous owner.
     has_executors_read: bool,
-    /// No order is sent any more.
+    /// Whether this owner has stepped down; it sends no more orders then.
     is_over: bool,
     predecessor: Predecessor,
-    /// Jobs with tasks that lost their runs since the last look for places.
+    /// Jobs whose tasks were requeued since the last placement.
     requeued: Vec<JobId>,
-    /// Since when no executor in use could run a job.
+    /// Time since which no usable executor can run a job, for each stalled job.
     stalled_since: BTreeMap<JobId, Mono>,
     actions: Vec<Action>,
 }
 
 impl Pool {
-    /// Begins to own a pool.
+    /// Creates the state of a new owner, which holds `token` and knows no executors or jobs yet.
     pub fn new(now: Mono, token: FencingToken, own: PeerIncarnation, options: PoolOptions) -> Self {
         Pool {
             options,
@@ -87,32 +88,33 @@
         }
     }
 
-    /// Gets the token.
+    /// Returns the fencing token of this owner.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// Gets how many jobs are under way.
+    /// Returns the number of jobs that are queued or running.
     pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Gets how many executors are known.
+    /// Returns the number of known executors, usable or not.
     pub fn executors(&self) -> usize {
         self.executors.len()
     }
 
-    /// Takes no new job from now on.
+    /// Stops admitting jobs; each later submission ends as not run.
     pub fn close(&mut self) {
         self.stage = self.stage.max(Stage::Closing);
     }
 
-    /// Tells whether the pool takes no new job.
+    /// Returns whether the pool has stopped admitting jobs.
     pub fn is_closed(&self) -> bool {
         self.stage >= Stage::Closing
     }
 
-    /// Notes that an entry host was heard, with what it offers, and gets its session.
+    /// Records a heartbeat of an entry host with its offer to own the pool, if any, and returns the
+    /// host's session.
     pub fn record_peer_contact(
         &mut self,
         now: Mono,
@@ -123,15 +125,16 @@
         self.peers.heard(now, life)
     }
 
-    /// Notes that the list of executors was read, from the store or from the last owner.
+    /// Records that the list of executors has been read, from the store or from the previous owner.
     pub fn mark_executors_read(&mut self) {
         self.has_executors_read = true;
     }
 
-    /// Sums up the pool for entry hosts.
+    /// Returns the load report of the pool for entry hosts.
     ///
-    /// An owner that was cut off from the store before it read the executors' list asks to be replaced: it
-    /// answers, so other hosts would leave it alone, and it can serve nobody.
+    /// An owner that was cut off from the store before it read the list of executors reports that it
+    /// needs to be replaced. It can't run any job, yet other hosts would leave the pool to it because it
+    /// still answers.
     pub fn load(&self, now: Mono) -> PoolLoad {
         let is_in_service = self.zone_status == ZoneStatus::InService;
         let usable = self
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Takes in an executor as the platform lists it.
+    /// Adds or updates an executor that the platform lists. Entries of past incarnations are ignored.
     pub fn list_executor(
         &mut self,
         now: Mono,
@@ -177,7 +180,7 @@
                     self.log(Decision::ExecutorDraining(id.clone()));
                 }
             }
-            // It is the next owner's by now.
+            // The executor already belongs to the next owner.
             None if self.stage == Stage::Releasing => {}
             None => self.take_in(now, id.clone(), facts),
         }
@@ -196,7 +199,7 @@
         self.send_hold(now, &id, Millis(0));
     }
 
-    /// Takes in that an executor is no longer listed.
+    /// Records that the platform no longer lists an executor.
     pub fn unlist_executor(&mut self, now: Mono, id: &ExecutorId) -> Vec<Action> {
         if let Some(executor) = self.executors.get_mut(id) {
             executor.unlisted_at.get_or_insert(now);
@@ -204,7 +207,7 @@
         self.take_actions()
     }
 
-    /// Gives up the pool: every job's fate is unknown, and no order is sent any more.
+    /// Gives up the pool: every job ends with an unknown outcome, and no further order is sent.
     pub fn step_down(&mut self) -> Vec<Action> {
         self.is_over = true;
         let jobs: Vec<JobId> = self.jobs.keys().copied().collect();
@@ -216,7 +219,7 @@
         self.take_actions()
     }
 
-    /// Takes in that another executor is at the address: nothing runs under the id any more.
+    /// Handles that another executor answers at the address of `id`: none of its runs executes any more.
     fn executor_replaced(&mut self, now: Mono, id: &ExecutorId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
@@ -230,7 +233,7 @@
         self.place_after_report(now, id);
     }
 
-    /// Lets a task wait again whose run is known not to be at work any more.
+    /// Requeues a task whose run is known to have ended without success.
     fn requeue_run(
         &mut self,
         task: TaskId,
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Ends a job, tells its entry host and stops what still runs of it.
+    /// Ends a job: reports `end` to its entry host and stops the runs of the job.
     fn end_job(&mut self, id: JobId, end: JobEnd) {
         let Some(job) = self.jobs.remove(&id) else {
             return;
@@ -293,14 +296,15 @@
         ));
     }
 
-    /// Asks an executor for its next report.
+    /// Sends a hold order after `pause`: it renews the lease on the executor's runs and requests the next
+    /// report.
     fn send_hold(&mut self, now: Mono, id: &ExecutorId, pause: Millis) {
         let token = self.token;
         let options = &self.options;
         let Some(executor) = self.executors.get_mut(id) else {
             return;
         };
-        // One that does not answer gets no renewal: its leases have to end for its tasks to run
+        // An unresponsive executor gets no renewal: its leases must expire before its tasks can run
         // elsewhere.
         let is_renewed = executor.phase == Phase::Held && !executor.is_silent;
         let is_idle = executor.runs.is_empty();
@@ -329,7 +333,7 @@
         self.actions.push(Action::Hold(id.clone(), order, pause));
     }
 
-    /// Ends the jobs of which no task was started as not run, and gets how many these are.
+    /// Ends the jobs of which no task has started as not run, and returns how many these were.
     fn hand_back_unstarted(&mut self, reason: NotRunReason) -> usize {
         let unstarted = self.jobs.iter().filter(|(_, job)| !job.has_started);
         let unstarted: Vec<JobId> = unstarted.map(|(id, _)| *id).collect();
--- a/crates/onyxshed-pool/src/pool/admission.rs
+++ b/crates/onyxshed-pool/src/pool/admission.rs
@@ -1,8 +1,8 @@
-//! Jobs that come and jobs that are given up.
+//! Admission, cancellation and load shedding of jobs.
 //!
-//! Answers overload: a job that can't end before it is of no use to its caller is refused when that
-//! is known, at its arrival or while it waits; holding it would only keep its caller from trying
-//! elsewhere.
+//! Under overload, a job that can't end while its answer is still useful to its caller is rejected as
+//! soon as this is known, on arrival or while it is queued. Keeping it would only delay its caller's
+//! retry elsewhere.
 
 use onyxshed_core::{Micros, Millis, Mono};
 
@@ -15,35 +15,38 @@
 use crate::message::Action;
 use crate::resources::Resources;
 
-/// Shortest time after which a refused caller is asked back; a task of ordinary length.
+/// Minimum retry delay suggested to a rejected caller: the duration of a typical task.
 const RETRY_LEAST: Millis = Millis(100);
 
-/// Longest time after which a refused caller is asked back: a burst is over by then.
+/// Maximum retry delay suggested to a rejected caller: a burst has passed by then.
 pub(super) const RETRY_MOST: Millis = Millis(5_000);
 
-/// Backlog, as the time that the pool needs for it, up to which no late job is shed. Small pools would
-/// refuse callers who would have an answer a moment later.
+/// Backlog, as the time that the pool takes to process it, up to which no late job is shed. With a
+/// smaller value, small pools would reject jobs that they could run a moment later.
 const SHED_BACKLOG: Millis = Millis(60);
 
-/// Waiting jobs that can be on target, and what drains them.
+/// Queued jobs that can still meet their targets, and the capacity that processes them.
 struct Backlog {
-    /// Their waiting work, the least first, in thousandths of a core times milliseconds.
+    /// Waiting work of each job in ascending order, in thousandths of a core times milliseconds.
     works: Vec<u64>,
-    /// Processor room of the pool, in thousandths of a core.
+    /// Processor capacity of the pool, in thousandths of a core.
     capacity: u64,
-    /// What the offered load leaves of it.
+    /// Part of `capacity` that the offered load leaves free.
     spare: u64,
 }
 
 impl Backlog {
-    /// Gets the work that goes before a job of so much work.
+    /// Returns the total work of the jobs that go before a job of `work`.
     fn ahead_of(&self, work: u64) -> u64 {
         self.works.iter().take_while(|held| **held <= work).sum()
     }
 }
 
 impl Pool {
-    /// Takes in a job, or refuses it.
+    /// Admits a job to the queue or rejects it.
+    ///
+    /// A resubmission of a job that is still queued or running joins that job; the earlier submission ends
+    /// as superseded.
     pub fn submit(&mut self, now: Mono, session: Session, request: JobRequest) -> Vec<Action> {
         self.notice_pause(now);
         let id = request.job;
@@ -58,8 +61,8 @@
             return self.take_actions();
         }
         match self.jobs.get_mut(&id) {
-            // The caller lost its answer and sent the job again while it runs: the runs go on, and
-            // whoever asked last gets the answer.
+            // The caller lost its answer and resubmitted the job while it runs. The runs continue, and
+            // the latest submission gets the answer.
             Some(job) => {
                 let (peer, submission) = (job.request.peer, job.request.submission);
                 job.request.peer = new.request.peer;
@@ -80,7 +83,7 @@
         self.take_actions()
     }
 
-    /// Gives up a job for its entry host.
+    /// Cancels a job on behalf of its entry host. A submission that has been superseded cancels nothing.
     pub fn cancel(
         &mut self,
         now: Mono,
@@ -128,26 +131,27 @@
         None
     }
 
-    /// Gets the answer to a job that comes while the zone is evacuated.
+    /// Returns the answer to a job that arrives while the zone is evacuated.
     fn evacuation_refusal(&self, now: Mono, job: JobId) -> JobEnd {
-        // "Not run" would let another pool start the tasks of an earlier copy that are still being stopped.
+        // Runs of an earlier submission are still being stopped here. After "not run", another pool
+        // could start the same tasks at once.
         match self.runs_of(job) {
             true => JobEnd::Unknown(UnknownReason::ZoneEvacuated),
             false => JobEnd::NotRun(NotRunReason::ZoneEvacuated, self.retry_after(now)),
         }
     }
 
-    /// Tells whether a job that comes now can end while it is of use to its caller, given what goes
+    /// Returns whether a job that arrives now can end while its answer is useful, given the jobs that go
     /// before it.
     ///
-    /// The wait includes jobs that will be refused before their turn comes, so it tells which job expires
-    /// and not which is late.
+    /// The expected wait counts jobs that will be shed before their turn. It therefore shows which jobs
+    /// expire, but not which jobs miss their targets.
     fn is_feasible(&self, now: Mono, job: &Job) -> bool {
         let begins_at = now + self.expected_wait(now, &job.request);
         self.feasibility(begins_at, job) != Feasibility::Expired
     }
 
-    /// Gets what waits ahead of late jobs.
+    /// Returns the backlog of jobs that can meet their targets; late jobs queue behind it.
     fn on_target_backlog(&self, now: Mono) -> Backlog {
         let waiting = self.jobs.values().filter(|job| job.waiting > 0);
         let on_target = waiting.filter(|job| self.feasibility(now, job) == Feasibility::OnTarget);
@@ -161,10 +165,10 @@
         }
     }
 
-    /// Tells whether a late job is refused because it can't start while its answer is of use.
+    /// Returns whether a late job is shed because it can't start while its answer is useful.
     ///
-    /// The backlog ahead of it drains at the rate that the offered load leaves free. An overloaded pool
-    /// never gets to late jobs; one that only stood still for a moment does.
+    /// The backlog ahead of the job drains at the rate that the offered load leaves free. An overloaded
+    /// pool never reaches its late jobs; a pool that was blocked for a moment does.
     fn is_shed(&self, now: Mono, job: &Job, backlog: &Backlog) -> bool {
         let useful_until = job.useful_until(self.options.late_factor);
         let start_by = Mono(useful_until.0.saturating_sub(job.estimate().0));
@@ -186,9 +190,10 @@
             && executor.has_label(request.label.as_ref())
     }
 
-    /// Gets how long a job would wait behind those that go before it.
+    /// Returns how long a job would wait behind the jobs that go before it.
     ///
-    /// Less work goes first, so only jobs of less work count; they are worked off by the whole pool.
+    /// The queue is ordered by work, so only started jobs and jobs with no more work count. The whole pool
+    /// processes them.
     fn expected_wait(&self, now: Mono, request: &JobRequest) -> Micros {
         let work = request.work();
         let ahead: u64 = self
@@ -211,21 +216,24 @@
         room
     }
 
-    /// Gets when a refused caller may find room: when what waits now is worked off.
+    /// Returns the retry delay for a rejected caller: the time that the pool takes to process its queue.
     pub(super) fn retry_after(&self, now: Mono) -> Millis {
         let waiting: u64 = self.jobs.values().map(Job::waiting_work).sum();
         let capacity = u64::from(self.working_room(now).cpu_millis.max(1));
         Millis((waiting / capacity).clamp(RETRY_LEAST.0, RETRY_MOST.0))
     }
 
-    /// Tells whether an executor in use could run a job's tasks, now or when it has room.
+    /// Returns whether a usable executor can run the tasks of a job, now or once it has free resources.
     pub(super) fn is_placeable(&self, now: Mono, request: &JobRequest) -> bool {
         let mut executors = self.executors.values();
         executors.any(|executor| self.could_run(now, executor, request))
     }
 
-    /// Refuses the waiting jobs that can't be served while that is of use, and ends those whose callers
-    /// have left: held until they expire, their callers would wait for three targets to hear the same.
+    /// Sheds queued jobs that can't end while their answers are useful, and ends jobs whose callers no
+    /// longer wait.
+    ///
+    /// If such jobs were kept until they expire, their callers would wait for three targets to get the same
+    /// answer.
     pub(super) fn shed_late_jobs(&mut self, now: Mono) {
         let backlog = self.on_target_backlog(now);
         let mut ends = Vec::new();
--- a/crates/onyxshed-pool/src/pool/evacuation.rs
+++ b/crates/onyxshed-pool/src/pool/evacuation.rs
@@ -1,9 +1,10 @@
 //! Evacuation of the pool's zone by operators.
 //!
-//! From the moment the evacuation is known the pool takes no job, and jobs of which no task was started
-//! are handed back for other zones' pools. Jobs that have begun may start their other tasks for a short
-//! grace, since nobody else could finish them; what is left of them after that ends as unknown. Runs at
-//! work end where they are. Executors on which nothing runs are not called until the zone is restored.
+//! Once the evacuation is known, the pool admits no jobs, and jobs of which no task has started end as
+//! not run so that other zones' pools can take them. Jobs that have started may start their remaining
+//! tasks for a grace period, since no other pool could complete them; after that, those with waiting
+//! tasks end as unknown. Running tasks are left to end where they are. Idle executors get no orders
+//! until the zone is restored.
 
 use onyxshed_core::{Millis, Mono};
 
@@ -13,19 +14,19 @@
 use crate::job::{JobEnd, NotRunReason, UnknownReason};
 use crate::message::{Action, Decision};
 
-/// Whether the pool's zone may get tasks.
+/// Which tasks may start in the pool's zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ZoneStatus {
-    /// Without bounds.
+    /// All tasks.
     InService,
-    /// Only those of jobs that have begun, until the time given.
+    /// Only tasks of jobs that have started, until the given time.
     Emptying(Mono),
-    /// None.
+    /// No tasks.
     Evacuated,
 }
 
 impl Pool {
-    /// Takes in whether operators have evacuated the pool's zone. Repeating a known state changes nothing.
+    /// Sets whether operators have evacuated the pool's zone. Repeating the current state changes nothing.
     pub fn set_evacuated(&mut self, now: Mono, is_evacuated: bool) -> Vec<Action> {
         match (self.zone_status, is_evacuated) {
             (ZoneStatus::InService, true) => self.begin_evacuation(now),
@@ -48,7 +49,7 @@
         let mut parked = Vec::new();
         for (id, executor) in &mut self.executors {
             if std::mem::take(&mut executor.is_parked) {
-                // Its clock and its runs have to be heard of before it gets a task.
+                // The executor gets no task before a report shows its clock and its runs.
                 executor.phase = Phase::Taking;
                 executor.heard_at = now;
                 parked.push(id.clone());
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Ends what is left of the grace when it is over, and the jobs that still wait for executors.
+    /// Ends the grace period once it is over, and with it the jobs that still have waiting tasks.
     pub(super) fn expire_evacuation_grace(&mut self, now: Mono) {
         match self.zone_status {
             ZoneStatus::InService => return,
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Leaves an executor alone if the zone is evacuated and it is empty, and tells whether it does;
-    /// `has_news` says that its last report has to be answered.
+    /// Parks an idle executor of an evacuated zone, so that it gets no more orders, and returns whether it
+    /// did. An executor whose last report must be acknowledged (`has_entries`) is not parked.
     pub(super) fn park_if_empty(&mut self, id: &ExecutorId, has_news: bool) -> bool {
         if self.zone_status != ZoneStatus::Evacuated || has_news {
             return false;
--- a/crates/onyxshed-pool/src/pool/fit.rs
+++ b/crates/onyxshed-pool/src/pool/fit.rs
@@ -1,8 +1,9 @@
-//! Where a task may start.
+//! Selection of the executor for a task.
 //!
-//! A job is as late as its last task, so each task goes to the executor that is expected to end it first,
-//! and among equals to the one with the least room left over. A slow executor gets a task only if its job
-//! bears it, as long as the others can do what is offered.
+//! A job ends with its last task, so each task goes to the executor that is expected to finish it first
+//! and, among equals, to the one with the least free processor left over (best fit). A slow executor
+//! gets a task only if the task can still end in time there, as long as the other executors can handle
+//! the offered load.
 
 use onyxshed_core::{Micros, Mono};
 
@@ -14,10 +15,11 @@
 use crate::resources::Resources;
 use crate::speed::scaled;
 
-/// How well an executor suits a task; less is better: the task's time there, then the room left.
+/// Score of an executor for a task, less is better: the expected run time there, then the processor
+/// left over in thousandths of a core.
 pub(super) type Fit = (Micros, u32);
 
-/// An executor that takes work, its free room, and how slow it is.
+/// An executor that accepts tasks, with its free resources and its slowdown.
 pub(super) struct Place {
     pub id: ExecutorId,
     pub free: Resources,
@@ -36,13 +38,14 @@
     }
 }
 
-/// Gets the most processor room at one place, in thousandths of a core; none without places.
+/// Returns the largest free processor share of an executor, in thousandths of a core. Returns `None` if
+/// the slice is empty.
 pub(super) fn roomiest(places: &[Place]) -> Option<u32> {
     places.iter().map(|place| place.free.cpu_millis).max()
 }
 
 impl Pool {
-    /// Gets the executors that have room for a task of a size, with how slow they are.
+    /// Returns the executors that accept tasks and have at least `least_cpu_millis` free.
     pub(super) fn places(&self, now: Mono, least_cpu_millis: u32) -> Vec<Place> {
         self.executors
             .iter()
@@ -52,14 +55,15 @@
             .collect()
     }
 
-    /// Gets an executor as a place; none if it takes no work.
+    /// Returns the executor `id` as a candidate for tasks, or `None` if it accepts no tasks now.
     pub(super) fn place_of(&self, now: Mono, id: &ExecutorId) -> Option<Place> {
         let executor = self.executors.get(id)?;
         let takes_work = executor.takes_work(now, &self.options);
         takes_work.then(|| Place::of(now, id, executor))
     }
 
-    /// Takes in that a task was started at a place, and drops the place if it has no room left.
+    /// Updates a candidate after a task was started on it, and removes it if it has less than `least`
+    /// processor free.
     pub(super) fn renew_place(&self, now: Mono, places: &mut Vec<Place>, taken: usize, least: u32) {
         match self.place_of(now, &places[taken].id) {
             Some(place) if place.free.cpu_millis >= least => places[taken] = place,
@@ -69,7 +73,8 @@
         }
     }
 
-    /// Chooses a place for a task, with the time that the task is expected to take there.
+    /// Selects the best candidate for a task. Returns its index and the expected run time of the task there,
+    /// or `None` if the task can start on no candidate.
     pub(super) fn choose(
         &self,
         now: Mono,
@@ -89,7 +94,7 @@
         best.map(|((expected, _), number)| (number, expected))
     }
 
-    /// Gets how well a place suits a task; none if the task must not start there.
+    /// Returns the score of a candidate for a task, or `None` if the task must not start there.
     pub(super) fn fit(&self, now: Mono, job: &Job, index: u16, place: &Place) -> Option<Fit> {
         if !place.free.can_fit(job.request.demand) {
             return None;
@@ -114,8 +119,9 @@
         Some((expected, room_left))
     }
 
-    /// Gets by when a task has to end on a slow executor to be placed there; none if it may be placed
-    /// anywhere, since the offered load exceeds what the other executors can do.
+    /// Returns the time by which a task must end on a slow executor to be placed there. Returns `None` if
+    /// there is no such limit, because the job has expired anyway or the offered load exceeds the capacity
+    /// of the other executors.
     fn slow_deadline(&self, now: Mono, job: &Job) -> Option<Mono> {
         if self.offered.cpu_millis(now) >= u64::from(self.sound_room.cpu_millis) {
             return None;
@@ -127,7 +133,7 @@
         }
     }
 
-    /// Updates the total room of the executors that are not slow.
+    /// Recomputes the total capacity of the usable executors that are not slow.
     pub(super) fn update_sound_room(&mut self, now: Mono) {
         let mut room = Resources::default();
         for executor in self.executors.values() {
@@ -138,7 +144,8 @@
         self.sound_room = room;
     }
 
-    /// Gets how many times longer a job's tasks take because their data is elsewhere.
+    /// Returns the factor by which the tasks of a job take longer on an executor outside the rack that
+    /// holds their data, or 1.
     fn remoteness(&self, executor: &Executor, job: &Job) -> f64 {
         let wanted = job.request.data_rack.as_ref();
         let is_remote = wanted.is_some() && wanted != executor.facts.rack.as_ref();
@@ -149,7 +156,8 @@
     }
 }
 
-/// Tells whether an executor that takes work and has room may run a task of a job.
+/// Returns whether a job's upstream, label and limit of tasks per executor permit another task of it on
+/// the executor.
 fn may_run(executor: &Executor, job: &Job) -> bool {
     let request = &job.request;
     let has_place = match request.per_executor_max {
--- a/crates/onyxshed-pool/src/pool/handover.rs
+++ b/crates/onyxshed-pool/src/pool/handover.rs
@@ -1,10 +1,10 @@
-//! Passing a pool on to its next owner while both live.
+//! Handover of a pool to its next owner while both owners are running.
 //!
-//! Answers planned stops, and a store that gives the pool to another host. The old owner's runs are
-//! leased under its token; the next owner's first order at an executor raises the token there and
-//! ends the old owner's say. So the next owner asks which executors are still in use, and sends no
-//! order to those: the old owner finishes what it has begun, starts nothing new, and an executor
-//! changes hands when nothing runs on it.
+//! This covers planned stops and a store that assigns the pool to another host. The runs of the old
+//! owner are leased under its fencing token, and the first order of the next owner raises the token at
+//! an executor and fences the old owner off. The next owner therefore asks which executors are still in
+//! use and sends no orders to those. The old owner completes the jobs that it has started, starts no
+//! others, and releases each executor once nothing runs on it.
 
 use std::collections::BTreeSet;
 
@@ -18,33 +18,33 @@
 use crate::message::{Action, Decision};
 use crate::successor::OwnershipTransfer;
 
-/// How far an owner has let go of its pool; it only goes on.
+/// Progress of an owner towards giving up its pool. The stage never goes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Stage {
-    /// It means to stay.
+    /// The owner serves the pool.
     Serving,
-    /// It wants to be replaced, and still takes jobs.
+    /// The owner is stopping and needs to be replaced, but still admits jobs.
     Leaving,
-    /// It takes no new jobs.
+    /// The owner admits no new jobs.
     Closing,
-    /// The next owner is taking the executors over as they fall idle.
+    /// The next owner acquires each executor as it becomes idle.
     Releasing,
 }
 
-/// The owner before this one, as far as it matters.
+/// What the previous owner of the pool still uses.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) enum Predecessor {
-    /// There is none, or it has let go of everything.
+    /// There is no previous owner, or it has released every executor.
     #[default]
     None,
-    /// It answers, and has not told yet what it holds.
+    /// The previous owner answers, but has not yet named the executors that it uses.
     Unheard,
-    /// It holds these.
+    /// The previous owner uses these executors.
     Holds(BTreeSet<ExecutorId>),
 }
 
 impl Predecessor {
-    /// Tells whether an executor may be in its use.
+    /// Returns whether the previous owner may still use an executor.
     pub fn may_hold(&self, id: &ExecutorId) -> bool {
         match self {
             Predecessor::None => false,
@@ -55,18 +55,22 @@
 }
 
 impl Pool {
-    /// Notes that this owner is stopping; it serves on until another host takes over.
+    /// Records that this owner is stopping. It serves the pool until another host takes over.
     pub fn begin_drain(&mut self) {
         self.stage = self.stage.max(Stage::Leaving);
     }
 
-    /// Says whether a successor is needed among the hosts that offer themselves, for want of the store.
+    /// Sets whether this owner has to select a successor among the hosts that offer themselves, because the
+    /// store can't.
     pub fn set_successor_needed(&mut self, is_sought: bool) {
         self.successor_choice.seek(is_sought);
     }
 
-    /// Gets what a host that was just heard is given, if it is the successor; `members` are the names in the
-    /// pool's group of this owner and of those that it succeeds, as far as the store may know them.
+    /// Selects a successor if one is needed, and returns the transfer for the host `life`, from which a
+    /// heartbeat just arrived. Returns `None` if that host is not the successor.
+    ///
+    /// `members` are the names in the pool's group of this owner and of the owners before it that the store
+    /// may still know.
     pub fn transfer_ownership(
         &mut self,
         now: Mono,
@@ -91,16 +95,15 @@
         })
     }
 
-    /// Tells whether the next owner is taking over.
+    /// Returns whether the next owner is taking over.
     pub fn is_releasing(&self) -> bool {
         self.stage == Stage::Releasing
     }
 
-    /// Lets go of what the next owner, under its token, may take; gets the executors that it may not
-    /// take yet.
+    /// Releases the idle executors to the next owner, whose token is `next`, and returns the executors that
+    /// are still in use here.
     ///
-    /// Jobs that have begun end here, the others are handed back as not run, and idle executors serve the
-    /// next owner at once.
+    /// Jobs that have started are completed by this owner; the others end as not run.
     pub fn release(&mut self, now: Mono, next: FencingToken) -> (Vec<Action>, Vec<ExecutorId>) {
         self.notice_pause(now);
         if self.token.of_successor() == Some(next) {
@@ -113,7 +116,7 @@
             self.log(Decision::HandoverBegun { handed_back, kept });
         }
         self.place(now);
-        // What waits of the jobs that have begun takes the first room there is.
+        // Waiting tasks of started jobs take free executors before the next owner does.
         if self.jobs.values().all(|job| job.waiting == 0) {
             self.executors
                 .retain(|_, executor| !executor.runs.is_empty());
@@ -122,13 +125,13 @@
         (self.take_actions(), held)
     }
 
-    /// Begins as the next owner of a pool whose last one answers: no executor gets an order before
-    /// that owner has told what it holds.
+    /// Makes this new owner wait for its predecessor, which still answers: no executor gets an order before
+    /// [`Pool::apply_predecessor_executors`] names those that the predecessor uses.
     pub fn await_predecessor(&mut self) {
         self.predecessor = Predecessor::Unheard;
     }
 
-    /// Takes in which executors the last owner still uses; the others are taken over.
+    /// Applies the set of executors that the previous owner still uses, and takes over the others.
     pub fn apply_predecessor_executors(
         &mut self,
         now: Mono,
--- a/crates/onyxshed-pool/src/pool/orders.rs
+++ b/crates/onyxshed-pool/src/pool/orders.rs
@@ -1,4 +1,4 @@
-//! What came of orders to start and to stop.
+//! Answers to start and stop orders.
 
 use onyxshed_core::{Millis, Mono};
 
@@ -7,26 +7,27 @@
 use crate::id::{ExecutorId, JobId, RunNumber, TaskId};
 use crate::message::{Action, Decision, RefuseReason, StartAnswer, StartOrder, StopAnswer};
 
-/// How long an executor that refused for want of room gets no further task: its next end is due
-/// within about that time when it is full.
+/// How long an executor that refused a task for lack of room gets no further task. A full executor ends
+/// its next run within about that time.
 const FULL_PAUSE: Millis = Millis(15);
 
-/// What is to be done about a run after an answer.
+/// What happens to a run after the answer to its start order.
 enum Next {
-    /// Nothing: it is at work, or the matter is settled.
+    /// Nothing: the run executes, or the answer is obsolete.
     Nothing,
-    /// It is not at work and never will be: the task waits again.
+    /// The run does not execute and never will, for the given reason: the task is requeued.
     NotRunning(&'static str),
-    /// Nobody knows; the same order is sent again, which changes nothing if the run is there.
+    /// The state of the run is unknown: the same order is sent again, which has no effect if the executor
+    /// already has the run.
     Again,
-    /// Nobody knows, and it is stopped.
+    /// The state of the run is unknown, and the run is stopped.
     Stop,
-    /// The executor's word counts as a failure of the task there.
+    /// The refusal counts as a failed run on this executor.
     Failed,
 }
 
 impl Pool {
-    /// Takes in what came of an order to start.
+    /// Applies the answer to a start order.
     pub fn apply_start_answer(
         &mut self,
         now: Mono,
@@ -89,18 +90,18 @@
                 run.state = RunState::AtWork { since: now };
                 Next::Nothing
             }
-            // A copy of a job that was given up may use numbers of the first one's runs. This run's only
-            // order was refused, so it never started; the task's next run has a higher number.
+            // A resubmitted job may reuse run numbers of its earlier submission. The only order for this
+            // run was refused, so it never started; the task's next run has a higher number.
             StartAnswer::Refused(RefuseReason::Ended) if tries == 1 => {
                 Next::NotRunning("an earlier run of that number ended there")
             }
-            // It ran and ended already; the end is in the next report.
+            // The run has already ended; its end is in the next report.
             StartAnswer::Refused(RefuseReason::Ended) => {
                 run.state = RunState::AtWork { since: now };
                 Next::Nothing
             }
             StartAnswer::Refused(reason) if tries > 1 => match reason {
-                // An earlier order of this run may have been carried out, or may yet be.
+                // An earlier order for this run may have been executed, or may still be.
                 RefuseReason::Other => Next::Failed,
                 _ => Next::Stop,
             },
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Sends the order of a run again; an executor that has the run already changes nothing.
+    /// Resends the start order of a run. It has no effect if the executor already has the run.
     fn start_again(&mut self, now: Mono, id: &ExecutorId, task: TaskId, number: RunNumber) {
         let lease = self.options.lease_ms;
         let Some(job) = self.jobs.get(&task.job) else {
@@ -157,7 +158,7 @@
         self.actions.push(Action::Start(id.clone(), order));
     }
 
-    /// Begins to stop a run.
+    /// Sends an order to stop a run. The run stays until a report shows that it has ended.
     pub(super) fn stop_run(&mut self, id: &ExecutorId, task: TaskId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
@@ -170,7 +171,7 @@
         self.send_stop(id, task, number);
     }
 
-    /// Takes in what came of an order to stop.
+    /// Applies the answer to a stop order.
     pub fn apply_stop_answer(
         &mut self,
         now: Mono,
@@ -187,16 +188,16 @@
             StopAnswer::Fenced => return self.fenced(),
             StopAnswer::OtherIncarnation => self.executor_replaced(now, id),
             StopAnswer::Accepted => self.stop_taken(now, id, task, number),
-            // Sent again with the next report of the executor.
+            // The order is sent again after the executor's next report.
             StopAnswer::Unknown => {}
         }
         self.take_actions()
     }
 
-    /// Tells whether an executor is the next owner's by now.
+    /// Returns whether an executor has been released to the next owner.
     ///
-    /// Nothing of this owner runs there any more. The refusal of an order that was answered after the
-    /// handover must not make it give up its jobs elsewhere.
+    /// Nothing of this owner runs there. If an answer that arrives after the release is a refusal, this
+    /// owner must not step down because of it and lose its jobs on other executors.
     fn has_released(&self, id: &ExecutorId) -> bool {
         self.is_releasing() && !self.executors.contains_key(id)
     }
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Forgets a run that is not at work and never will be.
+    /// Removes a run that does not execute and never will, and requeues its task.
     pub(super) fn discard_run(
         &mut self,
         id: &ExecutorId,
@@ -226,7 +227,7 @@
         self.requeue_run(task, number, id, why);
     }
 
-    /// Takes in that another host owns the pool.
+    /// Steps down because an executor has seen a higher token: another host owns the pool.
     pub(super) fn fenced(&mut self) -> Vec<Action> {
         if self.is_over {
             return self.take_actions();
@@ -236,7 +237,7 @@
         actions
     }
 
-    /// Blames an executor for a failed run of a job.
+    /// Records a failed run of a job against an executor's health.
     pub(super) fn blame_for(&mut self, now: Mono, id: &ExecutorId, job: JobId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Blames an executor for what can't be a job's fault.
+    /// Records a failure that no job can have caused against an executor's health.
     pub(super) fn strike(&mut self, now: Mono, id: &ExecutorId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
--- a/crates/onyxshed-pool/src/pool/place.rs
+++ b/crates/onyxshed-pool/src/pool/place.rs
@@ -1,12 +1,11 @@
-//! Which task runs next.
+//! The order of the queue and the start of runs.
 //!
-//! Order: least work first, counting only what has not begun, since past the pool's capacity this
-//! serves the most callers. The work of a job that can't meet its target any more counts five times:
-//! an answer that is late is worth a fifth to its caller, so such a job goes on only if little is
-//! left of it. Last come jobs whose answers would be of no use at all; [`super::admission`] refuses those
-//! that have not begun.
+//! The job with the least waiting work goes first, since this serves the most callers when the load
+//! exceeds the pool's capacity. The work of a job that can no longer meet its target counts five times:
+//! a late answer is worth a fifth to its caller, so such a job continues only if little of it is left.
+//! Jobs whose answers would be useless go last; [`super::admission`] sheds those that have not started.
 //!
-//! [`super::fit`] chooses the executor.
+//! [`super::fit`] selects the executor.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -21,29 +20,29 @@
 use crate::job::Job;
 use crate::message::{Action, Decision, StartOrder};
 
-/// What a job's place in the queue depends on; less goes first.
+/// Sort key of a job in the queue, smallest first: expired or not, weighted waiting work, arrival, id.
 type Rank = (bool, u64, Mono, JobId);
 
-/// How many times the work of a job counts that can only be late. It then goes on only if little is
-/// left of it.
+/// Factor on the waiting work of a job that can only be late. Such a job continues only if little of it
+/// is left.
 pub(super) const LATE_WEIGHT: u64 = 5;
 
-/// What a job's caller can expect.
+/// The best outcome that a job can still reach.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Feasibility {
-    /// An answer within the target.
+    /// The job can end within its target.
     OnTarget,
-    /// A later one that is still of use.
+    /// The job can end only after its target, while its answer is still useful.
     Late,
-    /// None that is of use.
+    /// The job can't end before its answer becomes useless.
     Expired,
 }
 
 impl Pool {
-    /// Starts whatever can start.
+    /// Starts every waiting task that can start.
     ///
-    /// Ranks every job that may fit somewhere. Events about one executor or one job have cheaper ways:
-    /// [`Pool::place_after_report`] and [`Pool::place_job`].
+    /// Ranks each job that may fit on some executor. For events that concern a single executor or job,
+    /// [`Pool::place_after_report`] and [`Pool::place_job`] are cheaper.
     pub(super) fn place(&mut self, now: Mono) {
         self.requeued.clear();
         if !self.may_place() {
@@ -75,8 +74,8 @@
         }
     }
 
-    /// Starts what a report of an executor has made possible: tasks on the executor, and the tasks that
-    /// lost their runs.
+    /// Starts the tasks that a report of an executor has made possible: tasks on that executor, and the
+    /// tasks of requeued jobs.
     pub(super) fn place_after_report(&mut self, now: Mono, id: &ExecutorId) {
         let requeued = std::mem::take(&mut self.requeued);
         self.place_on(now, id);
@@ -85,7 +84,7 @@
         }
     }
 
-    /// Starts the tasks of a job that can start.
+    /// Starts the waiting tasks of a job that can start.
     pub(super) fn place_job(&mut self, now: Mono, id: JobId) {
         let job = self.jobs.get(&id).filter(|job| job.waiting > 0);
         let Some(demand) = job.map(|job| job.request.demand.cpu_millis) else {
@@ -97,7 +96,7 @@
         }
     }
 
-    /// Starts the tasks that can start on one executor.
+    /// Starts the tasks that can start on an executor, in queue order.
     fn place_on(&mut self, now: Mono, id: &ExecutorId) {
         while self.may_place()
             && let Some(place) = self.place_of(now, id)
@@ -107,7 +106,8 @@
         }
     }
 
-    /// Gets the first task in the queue's order that may start at a place, with the time expected there.
+    /// Returns the first task in queue order that may start on an executor, with its expected run time
+    /// there.
     fn first_for(&self, now: Mono, place: &Place) -> Option<(JobId, u16, Micros)> {
         let candidates = self.jobs.iter().filter_map(|(id, job)| {
             if job.waiting == 0 || !place.free.can_fit(job.request.demand) {
@@ -140,10 +140,10 @@
         (is_in_vain, job.waiting_work() * weight, job.arrived, id)
     }
 
-    /// Gets what a job's caller can expect if its waiting tasks start now.
+    /// Returns the best outcome that a job can reach if its waiting tasks start now.
     pub(super) fn feasibility(&self, now: Mono, job: &Job) -> Feasibility {
         let end_at = now + job.estimate() + Micros::from(self.options.overhead_ms);
-        // A caller may stop waiting before its target.
+        // A caller's deadline may precede its target.
         if end_at > job.useful_until(self.options.late_factor) {
             Feasibility::Expired
         } else if end_at > job.target_at() {
@@ -153,7 +153,8 @@
         }
     }
 
-    /// Starts a job's next task, if an executor has room for it; tells which place it took.
+    /// Starts the next waiting task of a job if one of the executors fits, and returns the index of that
+    /// executor.
     fn place_next(&mut self, now: Mono, id: JobId, places: &[Place]) -> Option<usize> {
         let job = self.jobs.get(&id)?;
         let index = job.next_waiting()?;
--- a/crates/onyxshed-pool/src/pool/progress.rs
+++ b/crates/onyxshed-pool/src/pool/progress.rs
@@ -1,9 +1,9 @@
-//! How far runs are, and which of them begin anew elsewhere.
+//! Detection of slow executors by the progress of their runs, and the move of runs to other executors.
 //!
-//! Answers executors that turn slow: the end of a run tells of it only when its job is late. An
-//! executor's report tells how much of each run is done, so that the executor is known to be slow
-//! while the run is at work. Such a run is stopped if a fresh run elsewhere serves the caller better;
-//! its task waits again once the executor lists the run as ended.
+//! The end of a run shows that an executor has become slow only when the job is already late. Reports
+//! contain the progress of each run, so a slow executor is detected while the run executes. Such a run
+//! is stopped if a new run elsewhere serves the caller better; its task is requeued once the executor
+//! lists the run as ended.
 
 use onyxshed_core::{Micros, Millis, Mono};
 
@@ -12,16 +12,17 @@
 use crate::id::{ExecutorId, Percent, RunNumber, TaskId};
 use crate::message::{Decision, RunningRun};
 
-/// Shortest time at work after which a run's progress says anything: executors round it down.
+/// Minimum age of a run before its progress is used. Executors round progress down, so earlier values
+/// mean little.
 const PROGRESS_AFTER: Micros = Micros(40_000);
 
-/// Times that a task may be moved off a slow executor.
+/// Maximum number of stopped runs of a task before it is no longer moved off a slow executor.
 const MOVES_MAX: u32 = 2;
 
-/// Time until a run that is stopped is known to have ended.
+/// Time from a stop order until the run is known to have ended.
 const MOVE_TIME: Millis = Millis(60);
 
-/// A run at work, and the earliest time at which it ends.
+/// An executing run and the earliest time at which it can end.
 struct Forecast {
     task: TaskId,
     run: RunNumber,
@@ -29,7 +30,8 @@
 }
 
 impl Pool {
-    /// Takes in how far an executor's runs are, and moves those that end too late there.
+    /// Updates an executor's slowdown by the progress of its runs, and moves the runs that would end too
+    /// late there.
     pub(super) fn observe_progress(&mut self, now: Mono, id: &ExecutorId, running: &[RunningRun]) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
@@ -62,7 +64,8 @@
         }
     }
 
-    /// Tells whether the caller of a run's job is served better if the run begins anew elsewhere.
+    /// Returns whether a new run elsewhere would meet a limit of the job, its target or the end of its
+    /// usefulness, that this run misses.
     fn is_better_elsewhere(&self, now: Mono, forecast: &Forecast) -> bool {
         let task = forecast.task;
         let Some(job) = self.jobs.get(&task.job) else {
@@ -98,8 +101,8 @@
     }
 }
 
-/// Gets the least time that a run takes in all, by what is done of it; none where it is too early to
-/// tell.
+/// Returns the least total time of a run according to its progress, or `None` if the run is too young
+/// for its progress to count.
 fn least_run_time(now: Mono, run: &Run, done: Percent) -> Option<Micros> {
     let at_work = now.since(run.ordered_at);
     let done_at_most = u64::from(done.get()) + 1;
--- a/crates/onyxshed-pool/src/pool/reports.rs
+++ b/crates/onyxshed-pool/src/pool/reports.rs
@@ -1,4 +1,4 @@
-//! What executors report.
+//! Reports of executors: the answers to hold orders.
 
 use onyxshed_core::{Millis, Mono};
 
@@ -10,18 +10,18 @@
     Action, Decision, ExecutorLists, ExecutorReport, FinishedRun, HoldAnswer, RunEnd, RunningRun,
 };
 
-/// Pause before an executor that did not answer is asked again.
+/// Pause before the next hold order to an executor that did not answer.
 const SILENT_PAUSE: Millis = Millis(50);
 
-/// The same after the first report without an answer: as a rule the answer alone was lost, and the
-/// executor gets no work until it is heard again.
+/// Pause after the first missing report. Usually only the answer was lost, and the executor gets no
+/// tasks until its next report.
 const FIRST_SILENT_PAUSE: Millis = Millis(5);
 
-/// Pause between two looks at an executor on which runs of an earlier owner are at work.
+/// Pause between two hold orders to an executor that still runs tasks of an earlier owner.
 const TAKING_PAUSE: Millis = Millis(20);
 
 impl Pool {
-    /// Takes in what came of a hold that was sent at `sent_at`.
+    /// Applies the answer to a hold order that was sent at `sent_at`.
     pub fn apply_hold_answer(
         &mut self,
         now: Mono,
@@ -73,8 +73,8 @@
         }
         executor.born = born.or(executor.born);
         executor.observe_clock(now, lists.clock);
-        // Every end listed, known or not: one that stays listed would be answered at once to each
-        // hold, which then never waits.
+        // Acknowledges every listed end, known or not. An end that stays listed would make the
+        // executor answer each hold order at once instead of waiting for news.
         executor.last_seen = executor.last_seen.max(lists.listed_to);
         executor.heard_at = now;
         let was_silent = std::mem::take(&mut executor.is_silent);
@@ -101,7 +101,7 @@
         Millis(0)
     }
 
-    /// Takes in one end.
+    /// Applies the end of a run. Ends of runs that this owner does not track are ignored.
     fn apply_finished(&mut self, now: Mono, id: &ExecutorId, end: FinishedRun) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
@@ -171,8 +171,8 @@
         let failures = u32::try_from(failed_on.len()).unwrap_or(u32::MAX);
         let is_over = failures >= job.request.attempts_max;
         self.requeue_run(task, number, id, "failed");
-        // A task that fails on one executor after another is to blame itself: the executors it
-        // failed on are as good as before.
+        // A task that fails on several executors is faulty itself, so its failures no longer count
+        // against these executors.
         if failures > 1 {
             self.exonerate(now, &failed_on);
         }
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Compares what the executor says is at work with what was ordered.
+    /// Reconciles the tracked runs of an executor with the runs that it reports as executing.
     fn reconcile(&mut self, now: Mono, id: &ExecutorId, sent_at: Mono, running: &[RunningRun]) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
@@ -204,7 +204,7 @@
                 RunState::Ordered { .. } if is_running => {
                     run.state = RunState::AtWork { since: now };
                 }
-                // It was at work before the report was asked for and is in neither list.
+                // The run executed before the report was requested and is in neither list.
                 RunState::AtWork { since } if !is_running && since < sent_at => {
                     gone.push((*task, run.number));
                 }
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Stops what this owner did not order, or has given up.
+    /// Stops orphaned runs: those that this owner did not order or no longer tracks.
     fn stop_orphans(&mut self, id: &ExecutorId, running: &[RunningRun]) {
         let Some(executor) = self.executors.get(id) else {
             return;
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Takes in that an executor did not answer; tells whether it had until now.
+    /// Marks an executor that did not answer as unresponsive, and returns whether this is a change.
     fn mark_unresponsive(&mut self, id: &ExecutorId) -> bool {
         let Some(executor) = self.executors.get_mut(id) else {
             return false;
@@ -259,7 +259,8 @@
     }
 }
 
-/// Tells whether a report lists anything that the next hold has to answer.
+/// Returns whether a report lists a run, executing or ended, that the next hold order has to renew or
+/// acknowledge.
 fn has_news(answer: &HoldAnswer) -> bool {
     match answer {
         HoldAnswer::Report(ExecutorReport::Lists(lists)) => {
--- a/crates/onyxshed-pool/src/pool/stalled.rs
+++ b/crates/onyxshed-pool/src/pool/stalled.rs
@@ -1,8 +1,8 @@
-//! Jobs that no executor in use could run any more.
+//! Jobs that no usable executor can run.
 //!
-//! Answers the loss of all executors of a pool, or of all that a job may run on: another pool may serve the
-//! jobs that have not begun, and the callers of the others need not wait for their deadlines to send them
-//! again.
+//! If a pool loses all its executors, or all that a job can run on, jobs that have not started end as not
+//! run so that another pool can take them. The other jobs end as unknown so that their callers can
+//! resubmit them before their deadlines.
 
 use std::collections::BTreeMap;
 
@@ -13,12 +13,12 @@
 use crate::id::{ExecutorId, JobId};
 use crate::job::{Job, JobEnd, NotRunReason, TaskState, UnknownReason};
 
-/// How long a job may be stalled before it ends. A report that is late makes its executor unresponsive for
-/// a moment.
+/// How long a job may be stalled before it ends. A shorter time would end jobs because of a single late
+/// report, which makes its executor unresponsive for a moment.
 const STALLED_PATIENCE: Millis = Millis(100);
 
 impl Pool {
-    /// Ends the jobs that have been stalled for too long.
+    /// Ends the jobs that have been stalled for [`STALLED_GRACE`].
     pub(super) fn end_stalled_jobs(&mut self, now: Mono) {
         let before = std::mem::take(&mut self.stalled_since);
         let stalled = self
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Ends a job as not run if nothing of it was started. Runs that may still be at work have lapsed before
-    /// a caller who hears that its job's fate is unknown sends it again.
+    /// Ends a job as not run if none of its tasks has started, otherwise as unknown. The leases of runs that
+    /// may still execute expire before a caller resubmits a job with an unknown outcome.
     fn end_stalled_job(&mut self, id: JobId) {
         let end = match self.jobs[&id].has_started {
             true => JobEnd::Unknown(UnknownReason::ExecutorsLost),
@@ -44,7 +44,8 @@
         self.end_job(id, end);
     }
 
-    /// Tells whether a job waits for an executor: to start a task, or to hear of one.
+    /// Returns whether a job depends on an executor that it lacks: it has waiting tasks, or a run on an
+    /// unresponsive executor.
     fn awaits_executor(&self, job: &Job) -> bool {
         let is_unresponsive = |id: &ExecutorId| {
             let executor = self.executors.get(id);
--- a/crates/onyxshed-pool/src/pool/watch.rs
+++ b/crates/onyxshed-pool/src/pool/watch.rs
@@ -1,4 +1,4 @@
-//! What the passing of time brings.
+//! Periodic work: time-outs, load shedding and stuck runs.
 
 use onyxshed_core::{Micros, Millis, Mono};
 
@@ -8,14 +8,14 @@
 use crate::job::{JobEnd, UnknownReason};
 use crate::message::{Action, Decision};
 
-/// Silence after which an executor that is no longer listed is forgotten.
+/// Time without a report after which an executor that is no longer listed is removed.
 const FORGET_AFTER: Millis = Millis(10_000);
 
-/// Most times that the limit for a stuck run doubles; by then it is past any caller's deadline.
+/// Maximum number of doublings of the limit for a stuck run; by then it exceeds every caller's deadline.
 const STUCK_DOUBLINGS_MAX: u32 = 6;
 
 impl Pool {
-    /// Looks at everything that is due; called every few hundredths of a second.
+    /// Processes everything that is due. The host calls this every few hundredths of a second.
     pub fn tick(&mut self, now: Mono) -> Vec<Action> {
         self.notice_pause(now);
         self.ticked_at = now;
@@ -31,7 +31,7 @@
         self.take_actions()
     }
 
-    /// Finds out, before anything else is done, whether this process stood still.
+    /// Detects whether this process was paused. Every event handler calls this first.
     pub(super) fn notice_pause(&mut self, now: Mono) {
         let stood_still = now.since(self.ticked_at);
         if stood_still >= self.options.pause_ms.into() {
@@ -40,11 +40,11 @@
         }
     }
 
-    /// Gives up every job of another host after a standstill of this process.
+    /// Ends every job of other entry hosts after a pause of this process.
     ///
-    /// Their entry hosts may have answered meanwhile, and copies may be at work elsewhere; starting the rest
-    /// of their tasks would run them twice. Jobs of this host's own callers end at their deadlines, which
-    /// count the standstill.
+    /// The entry hosts may have answered their callers during the pause, and resubmitted jobs may run
+    /// elsewhere; starting their remaining tasks here would run them twice. Jobs of this host's own callers
+    /// end at their deadlines, which include the pause.
     fn give_up_after_pause(&mut self, stood_still: Micros) {
         let jobs: Vec<JobId> = self
             .jobs
@@ -61,7 +61,8 @@
 
     fn drop_silent_peers(&mut self, now: Mono) {
         for peer in self.peers.fall_silent(now, self.options.peer_silence_ms) {
-            // A host that is gone would be kept among the possible successors for as long as the pool is owned.
+            // Without this, the offer of a host that is gone would be kept for as long as this owner
+            // serves the pool.
             self.successor_choice.heard(now, peer, None);
             let jobs: Vec<JobId> = self
                 .jobs
@@ -69,7 +70,7 @@
                 .filter(|(_, job)| job.request.peer == peer)
                 .map(|(id, _)| *id)
                 .collect();
-            // One that has handed nothing over and is heard seldom is no news.
+            // Hosts without jobs here send heartbeats rarely, so their time-out is not logged.
             if !jobs.is_empty() {
                 self.log(Decision::PeerUnresponsive(peer, jobs.len()));
             }
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Lets tasks of silent executors wait again once their leases have ended.
+    /// Requeues the tasks of unresponsive executors whose leases have expired.
     fn give_up_silent_runs(&mut self, now: Mono) {
         let mut lapsed = Vec::new();
         for (id, executor) in &mut self.executors {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Stops runs that take far longer than they should, so that they run elsewhere.
+    /// Stops runs that take far longer than expected, so that their tasks run elsewhere.
     fn stop_stuck(&mut self, now: Mono) {
         let mut stuck = Vec::new();
         for (id, executor) in &self.executors {
@@ -116,10 +117,10 @@
         }
     }
 
-    /// Tells whether a run takes so long that its executor is to blame.
+    /// Returns whether a run takes so long that its executor must be the cause.
     ///
-    /// Callers' estimates are far off, so time alone is no proof: the executor must have ended nothing since
-    /// the run began, and the limit doubles each time a run of the task was stopped.
+    /// Callers' estimates are far off, so the run time alone does not suffice: the executor must have
+    /// completed no run since this one was ordered, and the limit doubles with each stopped run of the task.
     fn is_stuck(&self, now: Mono, executor: &Executor, task: TaskId, run: &Run) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
--- a/crates/onyxshed-pool/src/pool_selector.rs
+++ b/crates/onyxshed-pool/src/pool_selector.rs
@@ -1,7 +1,8 @@
-//! Which pool an entry host hands a job to.
+//! Selection of the pool to which an entry host submits a job.
 //!
-//! The pool of its own zone, unless another can start the job clearly earlier: a job in another
-//! zone costs bytes between zones and two more milliseconds, waiting costs the caller's objective.
+//! A job goes to the home pool of its entry host, unless another pool can start it clearly earlier. A
+//! job in another zone costs traffic between zones and two more milliseconds; waiting costs the caller's
+//! objective.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,61 +13,61 @@
 use crate::shard_layout::PoolId;
 use onyxshed_core::Millis;
 
-/// What an owner tells about its pool.
+/// Load report of a pool's owner.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PoolLoad {
-    /// Processor room of all usable executors, in thousandths of a core.
+    /// Processor capacity of all executors that accept tasks, in thousandths of a core.
     pub capacity_cpu_millis: u64,
-    /// What of it is free.
+    /// Free part of that capacity, in thousandths of a core.
     pub free_cpu_millis: u64,
-    /// Work of the tasks that wait, in thousandths of a core times milliseconds.
+    /// Work of the waiting tasks, in thousandths of a core times milliseconds.
     pub waiting_work: u64,
-    /// The owner wants to be replaced, or is being replaced.
+    /// Whether the owner needs to be replaced or is being replaced.
     pub needs_replacement: bool,
-    /// It takes no new jobs any more.
+    /// Whether the owner has stopped admitting jobs.
     pub is_closed: bool,
-    /// The host that takes the pool over by its owner's word.
+    /// Address of the successor that the owner has selected, once it is taking the pool over.
     pub successor: Option<SocketAddr>,
 }
 
-/// Advantage in waiting time that makes another zone worth while; ten times the way there and
-/// back, so that small differences between reports half a heartbeat old move nothing.
+/// Advantage in waiting time from which another zone's pool is preferred. This is ten times the round
+/// trip, so that small differences between reports half a heartbeat old move no jobs.
 const AWAY_MARGIN: Millis = Millis(20);
 
-/// The same for another pool of the host's own zone, whose owner it hears seldom while it hands it
-/// no jobs.
+/// Advantage in waiting time from which another pool of the host's own zone is preferred. The load
+/// reports of a pool to which the host submits no jobs are infrequent.
 const NEIGHBOUR_MARGIN: Millis = Millis(10);
 
-/// Loads of the pools as the entry host believes them.
+/// Latest load reports of the pools, adjusted for the jobs submitted since.
 #[derive(Debug, Default)]
 pub struct PoolSelector {
     loads: BTreeMap<PoolId, PoolLoad>,
 }
 
 impl PoolSelector {
-    /// Takes in what an owner tells of its pool.
+    /// Stores the load report of a pool.
     pub fn update_load(&mut self, pool: &PoolId, load: PoolLoad) {
         self.loads.insert(pool.clone(), load);
     }
 
-    /// Forgets a pool whose owner is lost.
+    /// Removes a pool whose owner is unreachable.
     pub fn remove_pool(&mut self, pool: &PoolId) {
         self.loads.remove(pool);
     }
 
-    /// Tells whether any pool has executors that take work.
+    /// Returns whether any pool has executors that accept tasks.
     pub fn has_capacity(&self) -> bool {
         let mut loads = self.loads.values();
         loads.any(|load| load.capacity_cpu_millis > 0)
     }
 
-    /// Tells whether the owner of a pool answers and wants to be replaced, or is being replaced.
+    /// Returns whether the owner of a pool reports that it needs to be replaced or is being replaced.
     pub fn needs_replacement(&self, pool: &PoolId) -> bool {
         let load = self.loads.get(pool);
         load.is_some_and(|load| load.needs_replacement)
     }
 
-    /// Notes that a job was handed to a pool, ahead of the owner's next word.
+    /// Adjusts the load of a pool for a job that was submitted to it, until the owner's next report.
     pub fn record_dispatch(
         &mut self,
         pool: &PoolId,
@@ -83,8 +84,11 @@
         load.waiting_work += (u64::from(tasks) - fits) * one * estimate.0;
     }
 
-    /// Gets the pools in the order in which they should be asked. Among pools with the same wait the one
-    /// with the most free room comes first: the callers of an evacuated zone spread over the others.
+    /// Returns the pools in the order in which the job should be submitted to them. Closed pools and pools
+    /// in evacuated zones are left out.
+    ///
+    /// Among pools with the same wait, the one with the most free processor comes first, so that the callers
+    /// of an evacuated zone spread over the other zones.
     pub fn rank_pools(
         &self,
         home: &PoolId,
@@ -108,7 +112,7 @@
     }
 }
 
-/// Gets the advantage in waiting time that makes a pool worth while.
+/// Returns the advantage in waiting time from which a pool is preferred to the home pool.
 fn margin(home: &PoolId, pool: &PoolId) -> Millis {
     match (pool == home, pool.zone == home.zone) {
         (true, _) => Millis(0),
@@ -117,14 +121,14 @@
     }
 }
 
-/// Gets how long the last task of a job would wait, in milliseconds.
+/// Returns the estimated wait of a job's last task, in milliseconds.
 ///
-/// A pool that shows no capacity is asked last, and asked all the same: its owner may have told its
-/// sum a moment before it took its first executor over, and callers would hear "not run" until its
-/// next heartbeat.
+/// A pool that reports no capacity comes last, but is not left out: its owner may have sent the report
+/// a moment before it acquired its first executor, and callers would get "not run" until its next
+/// heartbeat.
 ///
-/// What waits is worked off by the whole pool; of the job itself, what does not fit into the free
-/// room counts as if each task lay in the way for as long as a short one takes.
+/// The whole pool processes the waiting work. Tasks of the job that don't fit into the free capacity
+/// count as if each delayed the job by the run time of a short task.
 fn wait_ms(load: &PoolLoad, demand: Resources, tasks: u16) -> u64 {
     const SHORT_TASK_MS: u64 = 60;
     if load.capacity_cpu_millis == 0 {
--- a/crates/onyxshed-pool/src/resources.rs
+++ b/crates/onyxshed-pool/src/resources.rs
@@ -1,30 +1,30 @@
-//! What tasks need and executors have.
+//! Resources that tasks need and executors have.
 
 use std::fmt;
 use std::ops::{AddAssign, SubAssign};
 
 use serde::{Deserialize, Serialize};
 
-/// Processor, memory and accelerators.
+/// An amount of processor, memory and accelerators.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resources {
-    /// Thousandths of a core.
+    /// Processor, in thousandths of a core.
     pub cpu_millis: u32,
-    /// Megabytes.
+    /// Memory, in megabytes.
     pub memory_mb: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
 impl Resources {
-    /// Tells whether a demand fits in.
+    /// Returns whether a demand fits into these resources.
     pub fn can_fit(self, demand: Resources) -> bool {
         self.cpu_millis >= demand.cpu_millis
             && self.memory_mb >= demand.memory_mb
             && self.accelerators >= demand.accelerators
     }
 
-    /// Gets what is left beside a demand, none below zero.
+    /// Returns the resources left after subtracting a demand, each at least zero.
     pub fn saturating_sub(self, demand: Resources) -> Resources {
         Resources {
             cpu_millis: self.cpu_millis.saturating_sub(demand.cpu_millis),
--- a/crates/onyxshed-pool/src/shard_layout.rs
+++ b/crates/onyxshed-pool/src/shard_layout.rs
@@ -1,8 +1,8 @@
-//! How the executors of a zone are divided into pools.
+//! Sharding of a zone's executors into pools.
 //!
-//! Answers size: the owner of a pool starts every run of it, and one host's processor bears a pool
-//! of a few hundred executors at most.
-//! A zone has one pool as long as that suffices, since a larger pool waits less.
+//! The owner of a pool starts each of its runs, and one host's processor can serve a few hundred
+//! executors at most. A zone has a single pool as long as that suffices, since jobs wait less in a larger
+//! pool.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,28 +13,28 @@
 use crate::error::Error;
 use crate::id::{ExecutorId, FencingToken, SUCCESSOR_BITS};
 
-/// Most executors that one pool is left with.
+/// Maximum number of executors per pool before the zone is resharded.
 const POOL_EXECUTORS_MAX: usize = 180;
 
-/// Executors of each pool where a zone has several.
+/// Target number of executors per pool in a zone with several pools.
 const POOL_EXECUTORS: usize = 128;
 
-/// Most pools of a zone; the store takes 100 topics in all, one a pool.
+/// Maximum number of pools of a zone. The store permits 100 topics in total, and each pool takes one.
 const POOLS_MAX: usize = 16;
 
-/// Bits of a token that hold the pool's index, below the group's generation.
+/// Number of token bits for the pool's index, below the bits of the group's generation.
 const INDEX_BITS: u32 = 4;
 
-/// Bits of a token that hold the generation and what lies below it; above them stands the division's
-/// version. The platform's numbers are exact up to 53 bits: 17 for versions, 28 for generations.
+/// Number of token bits for the generation and all bits below it; the bits above hold the layout's
+/// version. The platform's numbers are exact up to 53 bits: 17 for versions and 28 for generations.
 const GENERATION_BITS: u32 = 36;
 
-/// One pool.
+/// Identifier of a pool: a shard of a zone's executors.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId {
-    /// Its zone.
+    /// Availability zone of the pool.
     pub zone: SmolStr,
-    /// Its place among the zone's pools.
+    /// Index of the pool among the zone's pools, from 0.
     pub index: u32,
 }
 
@@ -63,12 +63,12 @@
     }
 }
 
-/// How many pools a zone has.
+/// Number of pools into which a zone's executors are sharded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShardLayout {
-    /// Rises with each change; 0 before the first.
+    /// Version of the layout: 0 at first, incremented by each change.
     pub version: u32,
-    /// The number of pools.
+    /// Number of pools, at least 1.
     pub pools: u32,
 }
 
@@ -82,10 +82,10 @@
 }
 
 impl ShardLayout {
-    /// Gets the division for a number of executors; none if the present one still does.
+    /// Returns the new layout for a number of executors, or `None` if the current layout is kept.
     ///
-    /// It changes only when pools have grown by two fifths or shrunk to a third, since a change
-    /// gives up every job of the zone.
+    /// The layout changes only when pools have grown by two fifths or shrunk to a third, because every job
+    /// of the zone is lost in a change.
     pub fn resharded(self, executors: usize) -> Option<ShardLayout> {
         let wanted = match executors {
             0..=POOL_EXECUTORS_MAX => 1,
@@ -102,35 +102,34 @@
         })
     }
 
-    /// Gets the index of the pool that an executor is in.
+    /// Returns the index of the pool to which an executor belongs.
     pub fn index_of(self, executor: &ExecutorId) -> u32 {
         let hash = xxh3_64(executor.0.as_bytes()) % u64::from(self.pools.max(1));
         u32::try_from(hash).unwrap_or_default()
     }
 
-    /// Gets the index of the pool that a host hands its jobs to first.
+    /// Returns the index of the home pool of a host, to which the host submits its jobs first.
     pub fn preferred_index(self, host: &str) -> u32 {
         self.index_of(&ExecutorId(host.into()))
     }
 
-    /// Makes the token of an owner from the generation of its group.
+    /// Returns the fencing token of an owner, made from the generation of its pool's group.
     ///
-    /// Generations of two pools' groups can't be compared. An executor that comes into another
-    /// pool does so by a new division, whose version makes every token higher than before. No two
-    /// pools have a token in common, so that of two owners which both hold an executor one is
-    /// refused.
+    /// The generations of different groups can't be compared. An executor moves to another pool only by a
+    /// new layout, whose higher version makes every token higher than before. Tokens of different pools are
+    /// never equal, so if two owners both use an executor, it fences one of them off.
     pub fn token(self, pool: &PoolId, generation: u64) -> FencingToken {
         let index = u64::from(pool.index) & ((1 << INDEX_BITS) - 1);
         let low = ((generation << INDEX_BITS) | index) << SUCCESSOR_BITS;
         FencingToken((u64::from(self.version) << GENERATION_BITS) | low)
     }
 
-    /// Writes the division as the store holds it.
+    /// Formats the layout as stored: version and number of pools, separated by a space.
     pub fn to_text(self) -> SmolStr {
         format_smolstr!("{} {}", self.version, self.pools)
     }
 
-    /// Reads the division as the store holds it.
+    /// Parses a stored layout. Returns `None` if the text is malformed or the number of pools is 0.
     pub fn from_text(text: &str) -> Option<ShardLayout> {
         let (version, pools) = text.split_once(' ')?;
         Some(ShardLayout {
--- a/crates/onyxshed-pool/src/speed.rs
+++ b/crates/onyxshed-pool/src/speed.rs
@@ -1,32 +1,32 @@
-//! How slow an executor is, learned from its runs.
+//! Estimation of an executor's slowdown from its runs.
 //!
-//! Each run that ends gives a ratio: what it took over what its caller estimated. The estimates are
-//! off by half either way, so ratios are averaged as logarithms.
+//! Each completed run gives the ratio of its run time to its estimate. The estimates are off by half in
+//! either direction, so the logarithms of the ratios are averaged.
 
 use onyxshed_core::{Micros, Mono};
 
-/// Weight of the newest ratio: a few runs show an executor that turns slow, and the callers' wrong
-/// estimates even out.
+/// Weight of the newest ratio. A few runs suffice to show that an executor has become slow, and callers'
+/// wrong estimates even out.
 const ALPHA: f64 = 0.2;
 
-/// Weight of a ratio that shows that the executor's speed has changed.
+/// Weight of a ratio that shows a change of the executor's speed.
 const CHANGED_ALPHA: f64 = 0.7;
 
-/// Logarithm of the ratio from which an executor is slow: a factor of three.
+/// Logarithm of the slowdown above which an executor is slow: a factor of three.
 const SLOW_LOG: f64 = 1.1;
 
-/// Logarithm of the ratio from which a run that has not ended shows an executor to be slow: a factor of
-/// five, since one run's estimate may be far too low.
+/// Logarithm of the ratio above which an unfinished run shows that its executor has become slow: a
+/// factor of five, since the estimate of a single run may be far too low.
 const UNFINISHED_LOG: f64 = 1.6;
 
-/// Time in which half of what was learned is forgotten, in seconds. An executor that was slow gets
-/// no long task and so has no chance to show that it has recovered; forgetting gives it one.
+/// Half-life of the estimate, in seconds. A slow executor gets no long tasks and could not show that it
+/// has recovered; the decay lets it get tasks again.
 const HALF_LIFE_S: f64 = 6.0;
 
-/// Largest ratio believed, either way.
+/// Bound on ratios: they are clamped to 1/20 to 20.
 const RATIO_MAX: f64 = 20.0;
 
-/// Running estimate of one executor's slowdown.
+/// Exponentially decaying estimate of an executor's slowdown.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Slowdown {
     log: f64,
@@ -35,7 +35,7 @@
 }
 
 impl Slowdown {
-    /// Takes in a run that ended.
+    /// Updates the estimate by a completed run.
     pub fn observe(&mut self, now: Mono, took: Micros, estimate: Micros) {
         let log = log_ratio(took, estimate);
         let held = self.decayed(now);
@@ -49,8 +49,8 @@
         self.at = now;
     }
 
-    /// Takes in the least time that a run will take that has not ended, if that shows that the executor
-    /// has become slow.
+    /// Updates the estimate by the least total time of an unfinished run, if that time shows that the
+    /// executor has become slow.
     pub fn observe_unfinished(&mut self, now: Mono, least: Micros, estimate: Micros) {
         let log = log_ratio(least, estimate);
         let held = self.decayed(now);
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Tells whether the executor is slow: beyond what callers' estimates and the ordinary differences
-    /// between executors explain.
+    /// Returns whether the executor is slow beyond what wrong estimates and the usual differences between
+    /// executors explain.
     pub fn is_slow(&self, now: Mono) -> bool {
         self.decayed(now) > SLOW_LOG
     }
 
-    /// Gets the slowdown: 1 is ordinary, 2 takes twice as long.
+    /// Returns the factor on run times: 1 for an ordinary executor, 2 if runs take twice as long.
     pub fn factor(&self, now: Mono) -> f64 {
         self.decayed(now).exp()
     }
@@ -82,13 +82,13 @@
     ratio.clamp(1.0 / RATIO_MAX, RATIO_MAX).ln()
 }
 
-/// Turns a count into a fraction; exact up to 2^53.
+/// Converts an integer to `f64`; exact up to 2^53.
 #[allow(clippy::cast_precision_loss)]
 pub(crate) fn as_f64(value: u64) -> f64 {
     value as f64
 }
 
-/// Stretches a span by a factor.
+/// Multiplies a duration by a factor.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub(crate) fn scaled(span: Micros, factor: f64) -> Micros {
     Micros((as_f64(span.0) * factor).max(0.0) as u64)
--- a/crates/onyxshed-pool/src/successor.rs
+++ b/crates/onyxshed-pool/src/successor.rs
@@ -1,10 +1,11 @@
-//! Whom a stopping owner makes its successor when the store can't.
+//! Selection of a successor by a stopping owner when the store can't elect the next owner.
 //!
-//! An owner may be stopped while no host can join its group in the store. Its hosts' heartbeats say
-//! which of them could serve; it names one of these in the answer to that host's next heartbeat.
+//! An owner may be stopped while no host can join its group in the store. Hosts that could own the pool
+//! say so in their heartbeats; the owner selects one of them and transfers the pool in the answer to that
+//! host's next heartbeat.
 //!
-//! One successor at most is named by each owner, and its token is the owner's plus one. So no two hosts
-//! hold one token, and whoever the store makes owner later has a higher one.
+//! Each owner selects at most one successor, whose token is the owner's token plus one. So no two hosts
+//! have the same token, and an owner that the store elects later has a higher one.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,27 +17,27 @@
 use crate::executor::ExecutorFacts;
 use crate::id::{ExecutorId, FencingToken, PeerIncarnation};
 
-/// Time since its last heartbeat for which a host may become the successor; four heartbeats of 150 ms.
+/// Time after a heartbeat in which its host can be selected: four heartbeats of 150 ms.
 const HEARD_WITHIN: Millis = Millis(600);
 
-/// What a host that could own the pool tells of itself.
+/// Offer of a host to own the pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SuccessorOffer {
-    /// Where owners are asked there.
+    /// Address at which the host accepts requests as an owner.
     pub address: SocketAddr,
-    /// Its share of a core, in thousandths.
+    /// Processor share of the host, in thousandths of a core.
     pub cpu_millis: u32,
 }
 
-/// What a successor is given.
+/// Transfer of a pool's ownership to a successor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnershipTransfer {
-    /// The token under which it owns the pool.
+    /// Fencing token of the successor.
     pub token: FencingToken,
-    /// Names in the pool's group of the owners before it that the store may still take for the owner:
-    /// the last one that it made, and every successor since.
+    /// Names in the pool's group of the earlier owners that the store may still regard as the owner: the
+    /// last one that it elected, and every successor since.
     pub past_members: Vec<SmolStr>,
-    /// The executors of the pool, since the store can't be asked for them.
+    /// The listed executors of the pool, which the successor can't read from the store.
     pub executors: Vec<(ExecutorId, ExecutorFacts)>,
 }
 
@@ -46,7 +47,7 @@
     heard_at: Mono,
 }
 
-/// Hosts that could own the pool, and the one that was made the successor.
+/// Offers of hosts to own the pool, and the selected successor.
 #[derive(Debug, Default)]
 pub(crate) struct SuccessorChoice {
     offers: BTreeMap<PeerIncarnation, Offer>,
@@ -58,12 +59,12 @@
 struct Successor {
     life: PeerIncarnation,
     address: SocketAddr,
-    /// It has asked for the executors.
+    /// Whether the successor has requested the executors.
     has_begun: bool,
 }
 
 impl SuccessorChoice {
-    /// Takes in what a host that was heard offers; none takes back what it offered.
+    /// Records the offer from a host's heartbeat; `None` withdraws an earlier offer.
     pub fn heard(&mut self, now: Mono, life: PeerIncarnation, offer: Option<SuccessorOffer>) {
         match offer {
             Some(offer) => {
@@ -76,13 +77,14 @@
         }
     }
 
-    /// Says whether a successor is needed now; one that was named stays the successor.
+    /// Sets whether a successor is needed. A successor that was already selected stays selected.
     pub fn seek(&mut self, is_sought: bool) {
         self.is_sought = is_sought;
     }
 
-    /// Makes a host that was just heard the successor, if one is needed and it is the best; gets its
-    /// address then.
+    /// Selects the host `life`, from which a heartbeat just arrived, as the successor and returns its
+    /// address. Returns `None` if no successor is needed, one was selected before, or another host is
+    /// better.
     pub fn name(&mut self, now: Mono, life: PeerIncarnation) -> Option<SocketAddr> {
         if self.successor.is_some() || !self.is_sought || self.best(now) != Some(life) {
             return None;
@@ -96,15 +98,15 @@
         Some(address)
     }
 
-    /// Tells whether a host is the successor. It is told so with each heartbeat, since an answer may be
-    /// lost.
+    /// Returns whether a host is the successor. The transfer is repeated with each of its heartbeats, since
+    /// an answer may be lost.
     pub fn is_successor(&self, life: PeerIncarnation) -> bool {
         self.successor
             .is_some_and(|successor| successor.life == life)
     }
 
-    /// Gets the host that serves best: an owner's work grows with its pool, so one with enough
-    /// processor goes before those with less.
+    /// Returns the best host with a recent offer. The load of an owner grows with its pool, so hosts with a
+    /// sufficient processor share are preferred to smaller ones.
     fn best(&self, now: Mono) -> Option<PeerIncarnation> {
         let heard = self
             .offers
@@ -117,14 +119,14 @@
         best.map(|(life, _)| *life)
     }
 
-    /// Notes that the successor takes the pool over.
+    /// Records that the successor is taking over the pool.
     pub fn begun(&mut self) {
         if let Some(successor) = &mut self.successor {
             successor.has_begun = true;
         }
     }
 
-    /// Gets where the successor is asked, once it takes the pool over.
+    /// Returns the address of the successor once it is taking over the pool, otherwise `None`.
     pub fn successor_address(&self) -> Option<SocketAddr> {
         self.successor
             .filter(|successor| successor.has_begun)
--- a/crates/onyxshed-pool/src/summary.rs
+++ b/crates/onyxshed-pool/src/summary.rs
@@ -1,4 +1,4 @@
-//! How a job ended, in one line of the log that is read back when somebody asks why.
+//! One-line summary of a job's outcome in the log, which is parsed back to explain the outcome.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,24 +10,24 @@
 use crate::job::{JobEnd, NotRunReason, UnknownReason};
 use crate::resources::Resources;
 
-/// What an entry host writes down when it answers a caller.
+/// Summary that an entry host logs when it answers a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobSummary {
-    /// How the job ended.
+    /// Outcome of the job.
     pub end: JobEnd,
-    /// Time from its arrival to its answer.
+    /// Time from the job's arrival to its answer.
     pub took: Millis,
-    /// Time within which it should have ended, by its caller's estimate.
+    /// Time within which the job should have ended, according to the caller's estimate.
     pub target: Millis,
-    /// How many tasks it had.
+    /// Number of tasks.
     pub tasks: u16,
-    /// The caller's estimate of a task's run time.
+    /// Caller's estimate of a task's run time.
     pub estimate: Millis,
-    /// What each task needed.
+    /// Resources that each task needs.
     pub demand: Resources,
-    /// The pool that was asked last.
+    /// Pool to which the job was submitted last.
     pub pool: SmolStr,
-    /// Version of the manifest.
+    /// Version of the manifest in force.
     pub manifest: u64,
 }
 
--- a/crates/onyxshed-pool/tests/pool/calls.rs
+++ b/crates/onyxshed-pool/tests/pool/calls.rs
@@ -1,4 +1,4 @@
-//! What the owner makes of executors' answers, one failure at a time.
+//! Handling of executors' answers, one failure at a time.
 
 use onyxshed_core::{Millis, UnixMs};
 use onyxshed_pool::{
@@ -32,9 +32,8 @@
     }
 }
 
-/// An answer to a start is lost. The caller must not get a second run of the task elsewhere while
-/// the first may be at work: the same order goes to the same executor, which changes nothing if
-/// the run is there.
+/// The answer to a start order is lost. No second run may start elsewhere while the first may execute, so
+/// the same order goes to the same executor, where it has no effect if the run is there.
 #[test]
 fn a_lost_answer_repeats_the_same_order() {
     let mut desk = Desk::with_executors(&[("x1", 64), ("x2", 64)]);
@@ -48,8 +47,8 @@
     );
 }
 
-/// No answer comes to any order for a run. Nobody knows whether it is at work, so it is stopped
-/// first; only when a report taken after the stop shows it gone does it run elsewhere.
+/// No order for a run is answered, so the run may or may not execute. It is stopped first, and its task
+/// runs elsewhere only when a report taken after the stop does not list the run.
 #[test]
 fn a_run_without_answers_is_stopped_before_it_runs_elsewhere() {
     let mut desk = Desk::with_executors(&[("x1", 64), ("x2", 64)]);
@@ -75,8 +74,8 @@
     assert_eq!((next.task, next.run.0), (order.task, 2));
 }
 
-/// One report gets no answer. The executor takes no work until it is heard again, so it is asked
-/// again at once; one that stays silent is asked every 50 ms.
+/// A hold order gets no answer. The executor gets no tasks until its next report, so the order is repeated
+/// almost at once; later orders to an unresponsive executor follow every 50 ms.
 #[test]
 fn a_report_without_an_answer_is_asked_for_again_at_once() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -94,8 +93,8 @@
     assert_eq!(pause(&mut desk), Millis(50));
 }
 
-/// An executor goes silent with a run at work. Its lease of 600 ms may last up to 648 ms on a slow
-/// clock; until then the task must not run elsewhere, and no hold may renew the lease.
+/// An executor becomes unresponsive while a run executes. The lease of 600 ms may last up to 648 ms on a
+/// slow clock; until then the task must not run elsewhere, and no hold order may renew the lease.
 #[test]
 fn a_silent_executors_task_runs_elsewhere_after_its_lease() {
     let mut desk = Desk::with_executors(&[("x1", 64), ("x2", 64)]);
@@ -111,8 +110,8 @@
     assert_eq!((next.task, next.run.0), (order.task, 2));
 }
 
-/// A lease is reckoned on the executor's clock, from a reading that was on its way: it is never
-/// longer than meant.
+/// A lease is computed on the executor's clock, from a reading that was in transit, so it is never longer
+/// than intended.
 #[test]
 fn leases_end_on_the_executors_clock() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -121,8 +120,8 @@
     assert_eq!(order.expires, UnixMs(40 + AHEAD_MS + 600));
 }
 
-/// A new owner finds a run of the old one. It must not keep it alive, since its caller may have
-/// been answered: it stops it, renews no lease, and starts nothing there before it is gone.
+/// A new owner finds a run of the old owner, whose caller may have been answered. The new owner must stop
+/// the run, renew no lease, and start nothing on the executor before the run is gone.
 #[test]
 fn a_new_owner_renews_nothing_that_it_did_not_start() {
     let mut desk = Desk::with_executors(&[]);
@@ -141,8 +140,8 @@
     assert_eq!(desk.starts().len(), 1);
 }
 
-/// Another host owns the pool: an executor refuses the token. Every caller hears that the fate of
-/// its job is unknown, and no further order goes out.
+/// An executor refuses the token because another host owns the pool. Every job ends with an unknown
+/// outcome, and no further order is sent.
 #[test]
 fn a_fenced_owner_steps_down() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -162,8 +161,8 @@
     ));
 }
 
-/// A task fails on one executor and is tried on another; failing as often as it may, the job
-/// fails. Executors on which the same task fails one after the other are not to blame.
+/// A task that fails on one executor is retried on another. When it has failed as often as permitted, its
+/// job fails, and the failures must not count against the executors.
 #[test]
 fn a_task_that_fails_everywhere_fails_its_job_and_blames_no_executor() {
     let mut desk = Desk::with_executors(&[("x1", 64), ("x2", 64)]);
@@ -178,8 +177,8 @@
     assert_eq!(desk.starts().len(), 4, "both executors take two tasks");
 }
 
-/// An executor fails whatever it is given, at once, and so looks idle. After the first failure it gets
-/// one task at a time; after that of another job none for a second, and then again a single one.
+/// An executor that fails every task at once looks idle. After the first failure it gets one task at a
+/// time; after a failure of another job it gets none for a second, and then a single one again.
 #[test]
 fn an_executor_that_fails_tasks_is_tried_with_one_then_avoided() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -197,9 +196,9 @@
     assert_eq!(desk.starts().len(), 1);
 }
 
-/// A job that can never be done fails on every executor, each of its tasks anew, before any of them has
-/// failed as often as it may. The executors are sound and stay in use: one job took all executors of a
-/// small pool away for a second, and callers were refused.
+/// Each task of a faulty job fails on every executor before any of them has failed as often as permitted.
+/// The executors are healthy and must stay in use. Otherwise one job makes all executors of a small pool
+/// unavailable for a second, and callers are rejected.
 #[test]
 fn a_jobs_failures_are_one_strike_however_many() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -214,8 +213,8 @@
     assert_eq!(desk.starts().len(), 1);
 }
 
-/// Callers' estimates are far off. A task that takes ten times its estimate on an executor that
-/// ends others is left alone; restarting it over and over would end in its caller's deadline.
+/// Callers' estimates are far off. A task that takes ten times its estimate on an executor that completes
+/// other runs must not be stopped, or repeated restarts would take until its caller's deadline.
 #[test]
 fn a_long_task_is_left_alone_where_others_end() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -231,8 +230,8 @@
     assert!(desk.stops().is_empty());
 }
 
-/// An executor accepts tasks and never ends them. Its run is stopped after three times what was
-/// expected, and the task runs elsewhere; the limit doubles with each further stop.
+/// An executor accepts tasks and never ends them. Its run is stopped after three times the expected run
+/// time, and the task runs elsewhere; the limit doubles with each stop.
 #[test]
 fn a_stuck_run_is_stopped_and_runs_elsewhere() {
     let mut desk = Desk::with_executors(&[("x1", 64), ("x2", 64)]);
@@ -249,8 +248,8 @@
     assert!(desk.stops().is_empty(), "600 ms and slack are allowed now");
 }
 
-/// An executor starts anew under its old id: nothing of before runs there, which its first report
-/// shows, long before the lease would have ended.
+/// An executor restarts under its old id. Its first report shows that the earlier runs are gone, long
+/// before their leases expire.
 #[test]
 fn a_new_life_of_an_executor_loses_its_runs_at_once() {
     let mut desk = Desk::with_executors(&[("x1", 64), ("x2", 64)]);
@@ -266,9 +265,8 @@
     assert_eq!(elsewhere.len(), 2);
 }
 
-/// An executor starts anew while an order is on its way to it, and the new life carries it out.
-/// Its first report shows a new life with the run at work: a second run elsewhere would be at work
-/// beside it.
+/// An executor restarts while an order is in transit, and the new incarnation executes the order. Its first
+/// report lists the run, so no second run may start elsewhere.
 #[test]
 fn a_run_that_a_new_life_has_started_stays() {
     let mut desk = Desk::with_executors(&[("x1", 64), ("x2", 64)]);
@@ -278,7 +276,7 @@
     assert!(desk.stops().is_empty());
 }
 
-/// An executor that is leaving gets no new task; what runs there is held to its end.
+/// A draining executor gets no new tasks, and the leases of its runs are renewed until they end.
 #[test]
 fn a_draining_executor_gets_no_new_task_and_is_still_held() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -305,9 +303,9 @@
     assert_ne!(elsewhere, name);
 }
 
-/// A job was given up, and its caller sends it again: the copy's tasks are numbered from one as the
-/// first one's were, and an executor that ran one of them refuses the number. The task starts again
-/// under the next number at once; it was taken to be at work there, and its executor to be stuck.
+/// A resubmitted job reuses the run numbers of its earlier submission, and an executor that ran one of them
+/// refuses the number. The task must restart with the next number at once; otherwise the run counts as
+/// executing and its executor as stuck.
 #[test]
 fn a_number_that_an_earlier_copy_used_is_passed_over() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -319,8 +317,8 @@
     assert_eq!((again.task, again.run.0), (order.task, 2));
 }
 
-/// The answer to a start was lost, and the order sent again is told that the run has ended: it ran, so
-/// it must not run again. Its end is in the next report.
+/// The answer to a start order is lost, and the repeated order is refused because the run has ended. The
+/// task must not run again; the end of the run is in the next report.
 #[test]
 fn a_run_that_ended_while_its_answer_was_lost_counts() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
--- a/crates/onyxshed-pool/tests/pool/candidate.rs
+++ b/crates/onyxshed-pool/tests/pool/candidate.rs
@@ -1,13 +1,13 @@
-//! When a host takes over a pool.
+//! Decisions of a host about a vacant pool.
 
 use onyxshed_core::Millis;
 use onyxshed_pool::{Candidate, CandidateStep, LastOwner};
 
 use crate::fixture::at_ms;
 
-/// The store drops the owner's membership while the owner serves on: a host that hears it must not
-/// take over, or every job of the pool would be lost. An owner that can't join again for ten
-/// seconds is replaced.
+/// The store drops the membership of an owner that still serves the pool. A host that has contact with
+/// the owner must not take over, or every job of the pool would be lost. An owner that can't rejoin for
+/// ten seconds is replaced.
 #[test]
 fn an_owner_that_answers_is_left_alone_for_a_while() {
     let mut candidate = Candidate::new(400);
@@ -26,7 +26,7 @@
     );
 }
 
-/// The owner dies: nothing is gained by waiting.
+/// Waiting gains nothing when the owner is gone.
 #[test]
 fn a_dead_owner_is_replaced_at_once() {
     let mut candidate = Candidate::new(400);
@@ -37,9 +37,9 @@
     );
 }
 
-/// A zone is cut off from the store, and a host of it starts anew meanwhile: it knows no owner. When
-/// the cut heals, the owner's membership has lapsed. A host that joined at once would take the pool
-/// from an owner that serves, and every job of it would be lost.
+/// A host restarts while its zone is cut off from the store, so it knows no owner. When the store
+/// answers again, the owner's membership has expired. A host that joined at once would take the pool from
+/// an owner that serves it, and every job would be lost.
 #[test]
 fn an_owner_has_time_to_join_again_when_the_store_is_back() {
     let mut candidate = Candidate::new(400);
@@ -50,9 +50,9 @@
     assert_eq!(step, CandidateStep::JoinAfter(Millis(0)));
 }
 
-/// A host starts a moment after the store is back from an outage in which all memberships lapsed. It
-/// knows no owner, sees the pool vacant and would take it from the one that serves it, with every
-/// job under way, before that one has joined again.
+/// A host starts right after an outage of the store in which all memberships expired. It knows no owner
+/// and sees a vacant pool. If it joined before the owner that still serves the pool rejoined, every job
+/// would be lost.
 #[test]
 fn a_host_that_has_just_started_leaves_an_owner_time_to_join_again() {
     let mut candidate = Candidate::new(400);
@@ -66,7 +66,7 @@
 fn the_wait_begins_anew_with_each_vacancy() {
     let mut candidate = Candidate::new(400);
     candidate.evaluate_vacancy(at_ms(0), LastOwner::Active, None, 0.0);
-    // Somebody owns it meanwhile: hosts forget the vacancy with its candidate.
+    // The pool has an owner in between, so the host drops the candidate and its vacancy.
     let mut candidate = Candidate::new(400);
     assert_eq!(
         candidate.evaluate_vacancy(at_ms(10_000), LastOwner::Active, None, 0.0),
@@ -74,7 +74,8 @@
     );
 }
 
-/// Owning a large pool takes several times the processor of the smallest hosts: they go last.
+/// An owner of a large pool needs several times the processor share of the smallest hosts, so these join
+/// last.
 #[test]
 fn hosts_with_more_processor_go_first() {
     let pause = |cpu_millis, draw| {
--- a/crates/onyxshed-pool/tests/pool/evacuation.rs
+++ b/crates/onyxshed-pool/tests/pool/evacuation.rs
@@ -22,7 +22,7 @@
     desk.asked.extend(actions);
 }
 
-/// Guards against a record that arrives late undoing a newer one.
+/// A late record must not undo a newer one.
 #[rstest]
 #[case(&[3, 7, 9])]
 #[case(&[9, 7, 3])]
@@ -36,7 +36,7 @@
     assert!(known.contains("a"));
 }
 
-/// Guards against a zone that stays evacuated because its restoring was dropped from the history.
+/// A zone must not stay evacuated because its restore record was dropped from the history.
 #[test]
 fn a_zone_missing_from_a_newer_snapshot_is_restored() {
     let mut known = Evacuations::default();
@@ -46,7 +46,7 @@
     assert_eq!(changes, [restored, EvacuationChange::Evacuated("b".into())]);
 }
 
-/// Guards against a read that falls back in time restoring a zone that is evacuated.
+/// A read of an older state must not restore an evacuated zone.
 #[test]
 fn a_snapshot_of_the_past_restores_nothing() {
     let mut known = Evacuations::default();
@@ -69,7 +69,7 @@
     assert_eq!(other.evacuated_zones().collect::<Vec<_>>(), ["a"]);
 }
 
-/// Guards against callers who hear nothing, or wait, because their job was queued in the zone.
+/// Callers must not wait or lose their answers because their jobs were queued in the zone.
 #[test]
 fn jobs_that_have_not_begun_are_handed_back_at_once() {
     let mut desk = Desk::with_executors(&[("a", 32)]);
@@ -84,7 +84,7 @@
     assert_eq!(desk.starts(), []);
 }
 
-/// Guards against a job that nobody finishes because half of its tasks are in the zone.
+/// A job with half of its tasks started in the zone must be completed there, since no other pool can.
 #[test]
 fn a_job_that_has_begun_ends_within_the_grace() {
     let mut desk = Desk::with_executors(&[("a", 32)]);
@@ -97,7 +97,7 @@
     assert_eq!(desk.ends(), [(JobId(1), JobEnd::Completed)]);
 }
 
-/// Guards against a task that starts in the zone seconds after its evacuation was confirmed.
+/// No task may start in the zone seconds after its evacuation was confirmed.
 #[test]
 fn nothing_starts_when_the_grace_is_over() {
     let mut desk = Desk::with_executors(&[("a", 32)]);
@@ -111,7 +111,8 @@
     assert_eq!(desk.starts(), []);
 }
 
-/// Guards against two runs of a task: its copy must not go to another zone while the first run ends here.
+/// A resubmitted job must not go to another zone while runs of it still execute here, or its tasks would
+/// run twice.
 #[test]
 fn a_copy_is_not_called_not_run_while_runs_of_it_are_stopped() {
     let mut desk = Desk::with_executors(&[("a", 32)]);
@@ -124,8 +125,7 @@
     assert_eq!(desk.ends(), [(JobId(1), unknown)]);
 }
 
-/// Guards against calls to machines that operators want left alone, and against ends that are never
-/// acknowledged.
+/// Idle executors of an evacuated zone must get no orders, except to acknowledge their last ends.
 #[test]
 fn an_empty_executor_is_called_again_only_when_its_zone_is_restored() {
     let mut desk = Desk::with_executors(&[("a", 32)]);
@@ -145,7 +145,7 @@
     assert_eq!(desk.starts().len(), 1);
 }
 
-/// Guards against the callers of an evacuated zone all going to the pool whose name sorts first.
+/// The callers of an evacuated zone must not all go to the pool whose name sorts first.
 #[test]
 fn an_evacuated_zones_callers_go_where_most_room_is_free() {
     let pool = |zone: &str| PoolId {
--- a/crates/onyxshed-pool/tests/pool/fixture.rs
+++ b/crates/onyxshed-pool/tests/pool/fixture.rs
@@ -1,4 +1,4 @@
-//! Jobs, executors and answers for tests of single decisions.
+//! Jobs, executors, answers and a test harness for single decisions of a pool.
 
 use onyxshed_core::{Millis, Mono, UnixMs};
 use onyxshed_pool::{
@@ -8,13 +8,13 @@
     SubmissionNumber, TaskId,
 };
 
-/// The host under test.
+/// Incarnation of the host under test.
 pub const OWN: PeerIncarnation = PeerIncarnation(1);
 
-/// Another entry host.
+/// Incarnation of another entry host.
 pub const PEER: PeerIncarnation = PeerIncarnation(2);
 
-/// How far the executors' clocks are ahead of this host's.
+/// How far the executors' clocks are ahead of the clock of the host under test.
 pub const AHEAD_MS: u64 = 5_000;
 
 pub fn at_ms(ms: u64) -> Mono {
@@ -69,7 +69,7 @@
     }
 }
 
-/// What an executor lists, by its own clock, in the life that began at a time.
+/// Creates the report of an executor's incarnation with the given clock reading and start time.
 fn lists(
     clock_ms: u64,
     born: u64,
@@ -100,14 +100,14 @@
     })
 }
 
-/// A pool under test with what it asked for last.
+/// A pool under test and the actions that it has returned so far.
 pub struct Desk {
     pub pool: Pool,
     pub asked: Vec<Action>,
 }
 
 impl Desk {
-    /// Makes a pool whose executors are all taken over at 0 ms.
+    /// Creates a pool whose executors are all acquired at 0 ms.
     pub fn with_executors(executors: &[(&str, u32)]) -> Self {
         let pool = Pool::new(at_ms(0), FencingToken(7), OWN, PoolOptions::default());
         let mut desk = Desk {
@@ -133,7 +133,7 @@
         self.asked.extend(actions);
     }
 
-    /// Lets time pass as it does in a process that is not held up.
+    /// Advances the time with the regular ticks of a process that is not paused.
     pub fn pass(&mut self, from_ms: u64, to_ms: u64) {
         let mut ms = from_ms;
         while ms < to_ms {
@@ -153,7 +153,7 @@
         self.hold_answer(ms, name, HoldAnswer::Report(report));
     }
 
-    /// A report of runs at work with the percent that is done of each.
+    /// Applies a report of executing runs and their progress in percent.
     pub fn report_progress(&mut self, ms: u64, name: &str, running: &[(TaskId, u32, u64)]) {
         let rows: Vec<(TaskId, u32)> = running.iter().map(|row| (row.0, row.1)).collect();
         let mut report = lists(ms + AHEAD_MS, 1, &rows, &[]);
@@ -165,7 +165,7 @@
         self.hold_answer(ms, name, HoldAnswer::Report(report));
     }
 
-    /// A report of another life of an executor, in which nothing has ended.
+    /// Applies a report of the executor's incarnation that started at the given time, without ended runs.
     pub fn report_of_life(&mut self, born: u64, ms: u64, name: &str, running: &[(TaskId, u32)]) {
         let report = lists(ms, born, running, &[]);
         self.hold_answer(ms, name, HoldAnswer::Report(report));
@@ -185,7 +185,7 @@
         self.asked.extend(actions);
     }
 
-    /// Takes the orders to start, with their executors' names.
+    /// Removes and returns the start orders, with their executors' names.
     pub fn starts(&mut self) -> Vec<(String, StartOrder)> {
         self.take(|action| match action {
             Action::Start(id, order) => Some((id.to_string(), order.clone())),
@@ -193,7 +193,7 @@
         })
     }
 
-    /// Takes the orders to stop.
+    /// Removes and returns the stop orders.
     pub fn stops(&mut self) -> Vec<(String, StopOrder)> {
         self.take(|action| match action {
             Action::Stop(id, order) => Some((id.to_string(), order.clone())),
@@ -201,7 +201,7 @@
         })
     }
 
-    /// Takes the orders to hold.
+    /// Removes and returns the hold orders.
     pub fn holds(&mut self) -> Vec<(String, HoldOrder)> {
         self.take(|action| match action {
             Action::Hold(id, order, _) => Some((id.to_string(), order.clone())),
@@ -209,7 +209,7 @@
         })
     }
 
-    /// Takes the ends of jobs.
+    /// Removes and returns the outcomes of jobs.
     pub fn ends(&mut self) -> Vec<(JobId, JobEnd)> {
         self.take(|action| match action {
             Action::End { job, end, .. } => Some((*job, *end)),
@@ -229,7 +229,7 @@
         taken
     }
 
-    /// Starts a job of one task and tells the pool that it is at work.
+    /// Submits a job, and confirms the start of its last started task to the pool.
     pub fn run_one(&mut self, ms: u64, job: JobRequest) -> (String, StartOrder) {
         self.submit(ms, job);
         let (name, order) = self.starts().pop().expect("a start");
--- a/crates/onyxshed-pool/tests/pool/handover.rs
+++ b/crates/onyxshed-pool/tests/pool/handover.rs
@@ -1,4 +1,4 @@
-//! A pool that changes hands while both owners live.
+//! Handover of a pool while both owners are running.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 
 use crate::fixture::{Desk, OWN, at_ms, facts, id, job};
 
-/// Token of the owner that the store made after this one.
+/// Token of the owner that the store elected after this one.
 const NEXT: FencingToken = FencingToken(100);
 
 fn release(desk: &mut Desk, ms: u64) -> Vec<ExecutorId> {
@@ -18,9 +18,9 @@
     held
 }
 
-/// A host that owns a pool is stopped. What its executors have begun ends there and is answered;
-/// what waits is handed back as not run, so that its entry host hands it to the next owner; idle
-/// executors are let go at once, the others when their last run has ended.
+/// When an owner is stopped, running jobs end there and are answered. Queued jobs end as not run, so that
+/// their entry hosts submit them to the next owner. Idle executors are released at once, the others when
+/// their last run has ended.
 #[test]
 fn what_has_begun_ends_and_what_waits_is_handed_back() {
     let mut desk = Desk::with_executors(&[("a", 64), ("b", 64)]);
@@ -34,8 +34,8 @@
     assert_eq!(release(&mut desk, 40), Vec::new());
 }
 
-/// The pool is full when it changes hands: the jobs that wait are handed back with the promise that
-/// nothing of them ran.
+/// The pool is full at the handover: queued jobs end as not run, which guarantees that none of their tasks
+/// ran.
 #[test]
 fn jobs_that_have_not_begun_are_not_run() {
     let mut desk = Desk::with_executors(&[("a", 32)]);
@@ -46,8 +46,8 @@
     assert_eq!(desk.ends(), vec![(JobId(2), not_run)]);
 }
 
-/// A job has more tasks than there is room for when the pool changes hands: the executors stay until
-/// its last task has begun, or it would wait for ever.
+/// At the handover, a job has more tasks than fit on the executors. The executors must stay until its last
+/// task has started, or the job would wait forever.
 #[test]
 fn a_job_that_has_begun_keeps_its_room() {
     let mut desk = Desk::with_executors(&[("a", 32)]);
@@ -62,8 +62,8 @@
     assert_eq!(release(&mut desk, 210), Vec::new());
 }
 
-/// An answer comes from an executor that was handed over, where the next owner's token refuses this
-/// one's. It must not make this owner give up what it still runs elsewhere.
+/// An executor that was released answers that this owner's token is fenced off. This owner must not step
+/// down because of it, as it still runs jobs on other executors.
 #[test]
 fn a_refusal_of_an_executor_handed_over_changes_nothing() {
     let mut desk = Desk::with_executors(&[("a", 64), ("b", 64)]);
@@ -76,8 +76,9 @@
     assert_eq!(desk.pool.job_count(), 1);
 }
 
-/// The next owner sends no order to an executor that the last one still uses: its token would end
-/// the last one's say there, and what runs would be lost. When it is let go, it is used at once.
+/// The next owner must send no order to an executor that the previous owner still uses, because the higher
+/// token would fence the previous owner off and its runs would be lost. A released executor is used at
+/// once.
 #[test]
 fn the_next_owner_waits_until_an_executor_is_let_go() {
     let pool = Pool::new(at_ms(0), FencingToken(8), OWN, PoolOptions::default());
--- a/crates/onyxshed-pool/tests/pool/hosts.rs
+++ b/crates/onyxshed-pool/tests/pool/hosts.rs
@@ -1,4 +1,4 @@
-//! Entry hosts and callers that fall silent, give up, or ask again.
+//! Entry hosts that become unresponsive, and callers that cancel or resubmit jobs.
 
 use onyxshed_core::Millis;
 use onyxshed_pool::{
@@ -18,8 +18,8 @@
     desk.pool.record_peer_contact(at_ms(ms), PEER, None)
 }
 
-/// An entry host dies with a job under way. Its caller sends the job again 1,300 ms later, so its
-/// runs must be stopped well before: after 600 ms of silence.
+/// An entry host crashes with a running job. Its caller resubmits the job 1,300 ms later, so the runs must
+/// be stopped well before: after 600 ms without a heartbeat.
 #[test]
 fn a_silent_entry_hosts_runs_are_stopped() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -37,8 +37,8 @@
     );
 }
 
-/// An entry host freezes with a hand-over in its socket, and thaws when its caller's copy runs
-/// elsewhere. The hand-over names the session from before the silence and is refused.
+/// An entry host is paused with a submission in its socket, and resumes when the resubmitted job runs
+/// elsewhere. The delayed submission names the old session and must be rejected.
 #[test]
 fn a_hand_over_from_before_a_silence_is_refused() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -57,8 +57,8 @@
     assert_eq!(desk.starts().len(), 1);
 }
 
-/// The owner itself stands still for 500 ms; its entry hosts may have answered their callers. It
-/// starts nothing of theirs when it goes on, before anything else is looked at.
+/// The owner's process is paused for 500 ms, and entry hosts may have answered their callers meanwhile.
+/// When it resumes, it must end their jobs before it processes any other event.
 #[test]
 fn an_owner_that_stood_still_gives_up_its_entry_hosts_jobs() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -83,8 +83,8 @@
     );
 }
 
-/// A caller loses its answer and sends the job again, over another entry host, while it runs. One
-/// set of runs goes on and the second asker gets the answer.
+/// A caller loses its answer and resubmits the running job through another entry host. The runs continue,
+/// and the second entry host gets the answer.
 #[test]
 fn a_resubmission_joins_the_job_that_runs() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -104,7 +104,7 @@
         desk.ends(),
         [(JobId(9), JobEnd::Unknown(UnknownReason::Superseded))]
     );
-    // The first entry host's word no longer counts.
+    // The first entry host can't cancel the job any more.
     let cancelled = desk.pool.cancel(
         at_ms(51),
         PEER,
@@ -140,8 +140,8 @@
     assert_eq!(desk.starts().len(), 1);
 }
 
-/// What can't end before it is of no use to its caller is refused at once, with the time after
-/// which the queue is worked off, and never runs.
+/// A job that can't end while its answer is useful is rejected at once, with the time in which the queue is
+/// processed as the retry delay, and never runs.
 #[test]
 fn a_job_that_can_not_end_in_time_is_refused_at_once() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -166,8 +166,8 @@
     ));
 }
 
-/// A job that has begun is given up when its caller stops waiting: its runs would block others
-/// for nothing. Its fate is unknown, not "not run".
+/// A started job ends when its caller stops waiting, since its runs would block other jobs to no purpose.
+/// Its outcome is unknown, not "not run".
 #[test]
 fn a_job_ends_with_its_callers_patience() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
--- a/crates/onyxshed-pool/tests/pool/load.rs
+++ b/crates/onyxshed-pool/tests/pool/load.rs
@@ -1,8 +1,8 @@
-//! Plays loads on one pool and checks what callers get, class by class.
+//! Simulates loads on one pool and checks the share of jobs in time for each class.
 //!
-//! The pool is one zone of the users' smaller deployments: 16 executors of three speeds and two
-//! sizes. The classes are theirs: many short tasks, a few long ones, pairs of middling ones, with
-//! estimates off by half either way.
+//! The pool is a zone of the users' smaller deployments: 16 executors of three speeds and two sizes. The
+//! classes are the users' as well: jobs of many short tasks, jobs of a few long tasks, and pairs of medium
+//! tasks, with estimates off by half in either direction.
 
 use onyxshed_core::{Millis, Mono};
 use onyxshed_pool::{JobEnd, JobRequest, Resources};
@@ -11,12 +11,12 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::fixture::{job, room};
-use crate::world::{Patience, Trouble, World};
+use crate::simulation::{Patience, Trouble, World};
 
-/// Jobs begin here, when every executor has been taken over.
+/// Arrival of the first jobs, when every executor has been acquired.
 const BEGIN_MS: u64 = 2_000;
 
-/// How long jobs come.
+/// Duration of the load.
 const LENGTH_MS: u64 = 12_000;
 
 pub struct Class {
@@ -56,7 +56,7 @@
         .collect()
 }
 
-/// Draws a factor around 1, off by half either way.
+/// Draws a factor around 1, off by half in either direction.
 fn spread(rng: &mut SmallRng) -> f64 {
     let log: f64 = (0..4).map(|_| rng.random_range(-0.4..0.4)).sum();
     log.exp()
@@ -87,7 +87,7 @@
     (class, request, true_ms)
 }
 
-/// What is played.
+/// Parameters of a simulated load.
 #[derive(Debug, Clone, Copy)]
 struct Load {
     jobs_per_s: u64,
@@ -98,7 +98,7 @@
 }
 
 impl Load {
-    /// Jobs whose callers wait for long, with nothing wrong.
+    /// Creates a load without faults whose callers wait for long.
     fn calm(jobs_per_s: u64) -> Self {
         Load {
             jobs_per_s,
@@ -109,7 +109,7 @@
     }
 }
 
-/// Plays a load to its end.
+/// Simulates a load to its end and checks the answers.
 fn played(load: Load, seed: u64) -> World {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut world = World::new(seed, executors(), 2);
@@ -126,7 +126,7 @@
     world
 }
 
-/// Shares of each class's jobs that ended within their objective.
+/// Returns the share of each class's jobs that ended within their objectives.
 fn shares_in_time(load: Load, seed: u64) -> [f64; 3] {
     let world = played(load, seed);
     let mut counts = [(0_u32, 0_u32); 3];
@@ -144,7 +144,7 @@
     counts.map(|(asked, in_time)| f64::from(in_time) / f64::from(asked.max(1)))
 }
 
-/// Shares of each class's jobs that were refused after they had waited for over a span.
+/// Returns the share of each class's jobs that were rejected after waiting for longer than `span`.
 fn shares_held(load: Load, span: Millis, seed: u64) -> [f64; 3] {
     let world = played(load, seed);
     let mut counts = [(0_u32, 0_u32); 3];
@@ -161,12 +161,12 @@
     counts.map(|(asked, held)| f64::from(held) / f64::from(asked.max(1)))
 }
 
-/// Shares of each class in the mean of three seeds, with nothing wrong.
+/// Returns the share of each class's jobs in time without faults, as the mean of three seeds.
 fn mean_shares(jobs_per_s: u64) -> [f64; 3] {
     mean_of(3, |seed| shares_in_time(Load::calm(jobs_per_s), seed))
 }
 
-/// Gets the mean of some seeds, class by class.
+/// Returns the mean over some seeds, for each class.
 fn mean_of(seeds: u32, shares: impl Fn(u64) -> [f64; 3]) -> [f64; 3] {
     let mut sum = [0.0; 3];
     for seed in 0..seeds {
@@ -178,34 +178,34 @@
     sum
 }
 
-/// At 45% of what the pool can do, nearly every job is in time: 1.00, 0.91 and 1.00 by class.
-/// Long tasks miss their objective where their estimate was far too low.
+/// At 45% of the pool's capacity, nearly every job is in time: 1.00, 0.91 and 1.00 by class. Long tasks
+/// miss their objectives if their estimates are far too low.
 #[test]
 fn at_half_load_nearly_all_is_in_time() {
     let [short, long, pairs] = mean_shares(25);
     assert!(short > 0.97 && long > 0.85 && pairs > 0.97);
 }
 
-/// At 70%, about the users' ordinary load: 0.93, 0.84 and 0.99.
+/// At 70% of the pool's capacity, about the users' usual load: 0.93, 0.84 and 0.99.
 #[test]
 fn at_ordinary_load_most_is_in_time() {
     let [short, long, pairs] = mean_shares(38);
     assert!(short > 0.87 && long > 0.80 && pairs > 0.94);
 }
 
-/// At 1.4 times what the pool can do, every class is served: 0.51, 0.32 and 0.86. With late jobs
-/// behind all others, and judged by their callers' estimates alone, it was 0.47, 0.31 and 0.82; where
-/// whatever had begun went first even when it was late already, 0.18, 0.32 and 0.52.
+/// At 1.4 times the pool's capacity, every class is served: 0.51, 0.32 and 0.86. With late jobs behind all
+/// others and targets by the callers' estimates alone, the shares are 0.47, 0.31 and 0.82; with started
+/// jobs first even if they are late, 0.18, 0.32 and 0.52.
 #[test]
 fn overload_starves_no_class() {
     let [short, long, pairs] = mean_shares(76);
     assert!(short > 0.48 && long > 0.22 && pairs > 0.78);
 }
 
-/// Three orders in a hundred get no answer and are carried out seconds later. Callers of short jobs
-/// hear too late, because each of eight tasks may wait for its order to be sent again: sent again
-/// after 100 ms, and reports after 120, serves 0.63, 0.91 and 0.95 of the classes in time, after 40
-/// and 50 ms it is 0.75, 0.92 and 0.98 (mean of ten seeds).
+/// Three orders in a hundred get no answer and are executed seconds later. Short jobs are then late,
+/// because each of their eight tasks may wait for its order to be resent. With time-outs of 100 ms for
+/// orders and 120 ms for reports, 0.63, 0.91 and 0.95 of the classes are in time; with 40 and 50 ms, 0.75,
+/// 0.92 and 0.98 (mean of ten seeds).
 #[test]
 fn orders_without_answers_are_sent_again_in_time() {
     let trouble = Trouble {
@@ -227,9 +227,9 @@
     assert!(short > 0.68 && long > 0.87 && pairs > 0.94);
 }
 
-/// A burst of twice what the pool can do, from callers that wait for 2.5 s. Jobs that the others go
-/// before all the time were held for three targets before they were refused: 0.47 of the long ones and
-/// 0.13 of the pairs waited for over 900 ms in vain; now 0.08 and none.
+/// A burst of twice the pool's capacity, from callers that wait for 2.5 s. If jobs that others always
+/// overtake are kept for three targets before they are rejected, 0.47 of the long jobs and 0.13 of the pairs
+/// wait for over 900 ms without a result; with shedding, 0.08 and none.
 #[test]
 fn jobs_that_wait_in_vain_are_refused_soon() {
     let load = Load {
--- a/crates/onyxshed-pool/tests/pool/lost.rs
+++ b/crates/onyxshed-pool/tests/pool/lost.rs
@@ -1,12 +1,11 @@
-//! Pools whose executors are all lost at once.
+//! Pools that lose all their executors at once.
 
 use onyxshed_core::Millis;
 use onyxshed_pool::{ExecutorFacts, HoldAnswer, JobEnd, JobId, NotRunReason, UnknownReason};
 
 use crate::fixture::{Desk, at_ms, facts, id, job};
 
-/// Makes a pool with one job at work and one that waits, whose only executor has stopped answering at
-/// 200 ms.
+/// Creates a pool with one running and one queued job, whose only executor stops answering at 200 ms.
 fn desk_without_executors() -> Desk {
     let mut desk = Desk::with_executors(&[("a", 32)]);
     desk.run_one(0, job(1, 1, 900));
@@ -16,8 +15,8 @@
     desk
 }
 
-/// Guards against jobs that wait for their deadline in a zone that has gone dark, while other zones have
-/// room.
+/// A queued job must not wait for its deadline in a zone without executors while other zones have free
+/// executors.
 #[test]
 fn a_job_that_has_not_begun_is_handed_back() {
     let mut desk = desk_without_executors();
@@ -28,7 +27,7 @@
     assert!(desk.ends().contains(&(JobId(2), not_run)));
 }
 
-/// Guards against callers who hear at their deadline that a job is lost.
+/// Callers must learn that a job is lost before their deadlines.
 #[test]
 fn a_job_that_has_begun_ends_as_unknown() {
     let mut desk = desk_without_executors();
@@ -37,7 +36,7 @@
     assert!(desk.ends().contains(&(JobId(1), unknown)));
 }
 
-/// Guards against runs that are cut off on executors that leave and still work.
+/// Runs on a draining executor that still answers must not be ended.
 #[test]
 fn a_job_at_work_on_a_draining_executor_goes_on() {
     let mut desk = Desk::with_executors(&[("a", 32)]);
@@ -52,7 +51,7 @@
     assert_eq!(desk.ends(), []);
 }
 
-/// Guards against jobs that are given up because one report was late.
+/// A single late report must not end jobs.
 #[test]
 fn a_job_stays_when_its_executor_answers_again() {
     let mut desk = desk_without_executors();
--- a/crates/onyxshed-pool/tests/pool/main.rs
+++ b/crates/onyxshed-pool/tests/pool/main.rs
@@ -1,8 +1,7 @@
-//! Tests of a pool's decisions.
+//! Tests of the scheduling decisions of a pool.
 
 mod calls;
 mod candidate;
-mod division;
 mod evacuation;
 mod fixture;
 mod handover;
@@ -12,8 +11,9 @@
 mod order;
 mod parts;
 mod search;
+mod shard_layout;
+mod simulation;
 mod slow;
 mod successor;
 mod summary;
 mod taking;
-mod world;
--- a/crates/onyxshed-pool/tests/pool/order.rs
+++ b/crates/onyxshed-pool/tests/pool/order.rs
@@ -1,6 +1,6 @@
-//! Which of the jobs that wait goes next, and which is refused.
+//! The order of the queue and the shedding of queued jobs.
 //!
-//! Each pool has one executor with room for one task, so that every start shows what was chosen.
+//! Each pool has one executor with resources for one task, so that each start shows the selected job.
 
 use onyxshed_core::Millis;
 use onyxshed_pool::{JobEnd, JobId, JobRequest, NotRunReason, RunEnd, StartOrder, TaskId};
@@ -11,7 +11,7 @@
     Desk::with_executors(&[("a", 32)])
 }
 
-/// Ends the run under way, and gets the order that follows.
+/// Completes the running task and returns the next start order, if any.
 fn next(desk: &mut Desk, ms: u64, number: u64, order: &StartOrder) -> Option<StartOrder> {
     let task = TaskId {
         job: order.task.job,
@@ -21,9 +21,9 @@
     desk.starts().pop().map(|(_, order)| order)
 }
 
-/// A caller thinks that its tasks take 20 ms, so its job should end within 92. The first one takes 60,
-/// and the target that follows from that is 156 ms: the second task can still make it, and goes before
-/// a larger job. Judged by the estimate it was late already and starved with half of its work done.
+/// By its caller's estimate of 20 ms, a job should end within 92 ms. Its first task takes 60 ms, from which
+/// a target of 156 ms follows; the second task can still meet it and goes before a larger job. By the
+/// caller's estimate alone, the job would be late and starve with half of its work done.
 #[test]
 fn a_job_is_judged_by_what_its_tasks_have_shown() {
     let mut desk = one_place();
@@ -33,8 +33,8 @@
     assert_eq!(second.task.job, JobId(1));
 }
 
-/// A job can only be late and has one short task left; another can be in time and has ten times the
-/// work. An answer that is late is worth a fifth, so little work goes first.
+/// A late job has one short task left, and a job that can be in time has ten times the work. A late answer
+/// is worth a fifth, so the late job goes first.
 #[test]
 fn a_late_job_goes_on_if_little_is_left_of_it() {
     let mut desk = one_place();
@@ -44,7 +44,8 @@
     assert_eq!(second.task.job, JobId(1));
 }
 
-/// The same with a job of less than five times its work waiting: that one can be in time.
+/// A late job has one short task left, and a job that can be in time has less than five times the work. The
+/// job that can be in time goes first.
 #[test]
 fn a_late_job_waits_for_one_that_can_be_in_time() {
     let mut desk = one_place();
@@ -54,8 +55,8 @@
     assert_eq!(second.task.job, JobId(2));
 }
 
-/// The pool is full when two jobs come, and one can't be in time any more while the other can: it is
-/// refused then, with the promise that it has not run, and not after three targets.
+/// The pool is full, and one of two queued jobs can no longer be in time while the other can. The late job
+/// must end as not run at that time, not after three targets.
 #[test]
 fn a_job_that_can_only_be_late_is_refused_while_others_wait() {
     let mut desk = one_place();
@@ -73,7 +74,7 @@
     );
 }
 
-/// The same without another job: its turn may come, so it waits as long as an answer is of use.
+/// A late job without other queued jobs may still get its turn, so it waits while its answer is useful.
 #[test]
 fn a_job_that_can_only_be_late_waits_alone() {
     let mut desk = one_place();
@@ -85,9 +86,9 @@
     assert_eq!(second.task.job, JobId(2));
 }
 
-/// A pool's owner refuses a job after 80 ms of waiting, and its entry host hands it to another pool, which
-/// is full as well. The caller has waited since the beginning: it is refused there as soon as it can only
-/// be late, and not after as long again.
+/// An owner sheds a job after 80 ms, and the entry host submits it to another pool, which is full as well.
+/// The time with the first pool counts: the job is shed there as soon as it can only be late, not after
+/// another 80 ms.
 #[test]
 fn the_time_spent_with_other_pools_counts() {
     let mut desk = one_place();
@@ -105,8 +106,8 @@
     assert_eq!(ended, vec![JobId(2)]);
 }
 
-/// A short job can only be late, and long ones wait that can be in time. By the order of the queue the
-/// short one is next all the same, so it is not refused: its caller has an answer a moment later.
+/// A short job can only be late, while longer queued jobs can be in time. The short job is still next in
+/// the queue and must not be shed, since its caller gets an answer a moment later.
 #[test]
 fn a_late_job_that_is_next_is_not_refused() {
     let mut desk = one_place();
--- a/crates/onyxshed-pool/tests/pool/parts.rs
+++ b/crates/onyxshed-pool/tests/pool/parts.rs
@@ -1,4 +1,4 @@
-//! Small parts: ids, room, choice between pools.
+//! Identifiers, resources, slowdown estimates and the selection of pools.
 
 use onyxshed_core::{Micros, Millis, Mono};
 use onyxshed_pool::speed::Slowdown;
@@ -34,8 +34,8 @@
     assert!(!small.can_fit(large));
 }
 
-/// An executor that was slow gets no long task and can't show that it has recovered: what was
-/// learned of it fades by half in six seconds.
+/// A slow executor gets no long tasks and can't show that it has recovered, so its estimated slowdown decays
+/// with a half-life of six seconds.
 #[test]
 fn slowness_is_learned_fast_and_forgotten() {
     let mut slowdown = Slowdown::default();
@@ -99,9 +99,9 @@
     assert_eq!(order(&closing, &load(0, 60_000), 4), ["away"]);
 }
 
-/// A caller hears "not run" from a host whose pool has just got a new owner. The owner's sum was told
-/// a moment before it took over its first executor, so the host left the pool out until the next
-/// heartbeat. It is asked, behind those that show room.
+/// A new owner sends its load report a moment before it acquires its first executor. If the report made
+/// entry hosts leave the pool out, callers would get "not run" until the next heartbeat, so the pool comes
+/// last instead.
 #[test]
 fn a_pool_that_shows_no_capacity_yet_is_asked_last() {
     let taking_over = PoolLoad {
