--- a/crates/onyxshed-pool/tests/pool/search.rs
+++ b/crates/onyxshed-pool/tests/pool/search.rs
@@ -1,4 +1,4 @@
-//! Random faults, in series and overlapping, against what must always hold.
+//! Simulations with random faults, in sequence and overlapping, that check the invariants.
 
 use onyxshed_core::{Millis, Mono};
 use onyxshed_pool::{ExecutorId, JobEnd, JobId, JobRequest, Resources};
@@ -8,19 +8,19 @@
 use rstest::rstest;
 
 use crate::fixture::{job, room};
-use crate::world::{Fault, Patience, Trouble, World};
+use crate::simulation::{Fault, Patience, Trouble, World};
 
 const EXECUTORS: usize = 6;
 const ENTRIES: usize = 3;
 const JOBS: u64 = 220;
 
-/// Faults end here; callers may send for a while longer.
+/// No fault is injected after this time; callers may resubmit jobs for a while longer.
 const FAULTS_END: Mono = Mono(14_000_000);
 
-/// Everything has an answer by then.
+/// Every job has an answer by this time.
 const END: Mono = Mono(60_000_000);
 
-/// Seeds that each block plays; more by hand, with the variable `POOL_SEARCH_SEEDS`.
+/// Number of seeds in a block; the environment variable `POOL_SEARCH_SEEDS` sets another number.
 fn seeds_a_block() -> u64 {
     const SEEDS: u64 = 40;
     let told = std::env::var("POOL_SEARCH_SEEDS");
@@ -76,7 +76,7 @@
     (request, true_ms)
 }
 
-/// Makes a world in which jobs come, and in half of the seeds answers are lost and orders late.
+/// Creates a simulation with arriving jobs; for half of the seeds, answers are lost and orders late.
 fn some_world(seed: u64, rng: &mut SmallRng) -> World {
     let mut world = World::new(seed, executors(rng), ENTRIES);
     if rng.random_bool(0.5) {
@@ -94,7 +94,7 @@
     world
 }
 
-/// Plays a world to its end and checks its answers.
+/// Runs a simulation to its end and checks its answers.
 fn play_out(mut world: World) -> World {
     world.play(END);
     world.check_answers();
@@ -111,7 +111,7 @@
     play_out(world)
 }
 
-/// Plays a world of its own seeds in which pools change hands between owners that both live, beside
+/// Runs a simulation, with seeds of its own, in which handovers between running owners happen in addition to
 /// the other faults.
 fn play_handovers(seed: u64, patience: Patience) -> World {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x4a4d);
@@ -120,7 +120,7 @@
     for _ in 0..rng.random_range(1..8) {
         let at = Mono(rng.random_range(2_000_000..FAULTS_END.0));
         world.plan(at, Fault::HandOver);
-        // Half of them meet another fault while they last.
+        // Half of the handovers overlap with another fault.
         if rng.random_bool(0.5) {
             let at = Mono(at.0 + rng.random_range(0..600_000));
             world.plan(at, some_fault(&mut rng));
@@ -134,7 +134,7 @@
     ends.filter(|(_, end)| *end == JobEnd::Completed).count()
 }
 
-/// A quiet world first, so that a search which finds nothing is known to have run something.
+/// Without faults every job completes, which shows that the searches run jobs at all.
 #[test]
 fn a_quiet_world_completes_everything() {
     let mut world = World::new(1, executors(&mut SmallRng::seed_from_u64(1)), ENTRIES);
@@ -153,9 +153,9 @@
     assert!(world.calls.contains_key(&JobId(49)));
 }
 
-/// Owners and entry hosts die, freeze and are replaced; executors crash, are cut off, fail and
-/// stand still; orders lose their answers and are carried out late. No two runs of a task are at
-/// work at the same time, and what was answered "not run" has not run.
+/// Owners and entry hosts crash, are paused and are replaced; executors crash, are unreachable, fail tasks
+/// and hang; orders lose their answers and are executed late. Two runs of a task must never execute at the
+/// same time, and jobs answered with "not run" must not have run.
 #[rstest]
 fn no_task_runs_twice_at_a_time(#[values(0, 1, 2, 3, 4, 5, 6, 7, 8, 9)] block: u64) {
     let seeds = seeds_a_block();
@@ -163,14 +163,14 @@
     for seed in block * seeds..(block + 1) * seeds {
         served += completed(&play(seed));
     }
-    // Under such faults a good part must still be served, or the search would prove little.
+    // A quarter of the jobs must be served despite the faults, or the search would prove little.
     let jobs = usize::try_from(JOBS * seeds).expect("a count");
     assert!(served * 4 > jobs, "{served} of {jobs} jobs");
 }
 
-/// Pools change hands while both owners live, and either, an entry host or an executor fails while
-/// they do. An executor that changed hands too early would let the next owner start a task that the
-/// last one still runs; one whose orders the last owner still renews would run it twice.
+/// Pools are handed over between running owners, while an owner, an entry host or an executor fails. If an
+/// executor were released too early, the next owner could start a task that the previous owner still runs;
+/// if the previous owner still renewed leases there, the task would run twice.
 #[rstest]
 fn no_task_runs_twice_while_a_pool_changes_hands(
     #[values(0, 1, 2, 3, 4)] block: u64,
@@ -182,11 +182,11 @@
         served += completed(&play_handovers(seed, patience));
     }
     let jobs = usize::try_from(JOBS * seeds).expect("a count");
-    // The same worlds without a change of hands serve 0.48 to 0.51 of their jobs.
+    // The same simulations without handovers serve 0.48 to 0.51 of their jobs.
     assert!(served * 5 > jobs * 2, "{served} of {jobs} jobs");
 }
 
-/// A pool changes hands three times on a calm day: every caller is served.
+/// A pool is handed over three times without other faults: every job completes.
 #[test]
 fn changes_of_hands_on_a_calm_day_lose_no_job() {
     let mut world = World::new(2, executors(&mut SmallRng::seed_from_u64(2)), ENTRIES);
--- a/crates/onyxshed-pool/tests/pool/division.rs
+++ b/crates/onyxshed-pool/tests/pool/shard_layout.rs
@@ -1,4 +1,4 @@
-//! How a zone's executors are divided into pools.
+//! Sharding of a zone's executors into pools.
 
 use std::collections::BTreeSet;
 
@@ -19,7 +19,8 @@
     assert_eq!(found.pools, pools);
 }
 
-/// A change gives up every job of the zone: executors that come and go must not cause one.
+/// A change of layout loses every job of the zone, so small changes in the number of executors must not
+/// cause one.
 #[test]
 fn a_division_stays_while_it_does() {
     let three = ShardLayout {
@@ -33,8 +34,8 @@
     assert_eq!(three.resharded(600).map(|found| found.pools), Some(5));
 }
 
-/// An executor comes into another pool, whose group is at a lower generation. Its new owner's token
-/// must be higher all the same, or the executor would refuse it for good.
+/// An executor moves to a pool whose group has a lower generation. The token of its new owner must still
+/// be higher, or the executor would refuse that owner forever.
 #[test]
 fn tokens_rise_with_each_division() {
     let old = ShardLayout {
@@ -45,8 +46,8 @@
     assert!(new.token(&pool(7), 1) > old.token(&pool(0), 4_000_000));
 }
 
-/// Two owners that both take an executor for theirs: one must be refused there, or they would stop
-/// each other's runs for good.
+/// If two owners both use an executor, it must fence one of them off, or they would stop each other's
+/// runs forever.
 #[test]
 fn no_two_pools_have_a_token_in_common() {
     let division = ShardLayout {
--- a/crates/onyxshed-pool/tests/pool/world.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation.rs
@@ -1,8 +1,8 @@
-//! Owners, entry hosts, executors and callers in virtual time, with faults.
+//! Simulation of owners, entry hosts, executors and callers in virtual time, with faults.
 //!
-//! Every message takes a millisecond or so; orders may lose their answers and be carried out
-//! seconds later. The world checks at each start that no other run of the task is at work on an
-//! executor that is up, and at the end that what was answered "not run" has not run.
+//! Each message takes about a millisecond; orders may lose their answers and be executed seconds later.
+//! The simulation checks at each start that no other run of the task executes on an executor that is up,
+//! and at the end that jobs answered with "not run" have not run.
 
 mod callers;
 mod executors;
@@ -24,29 +24,29 @@
 
 pub use faults::Fault;
 
-/// Time until a caller sends a job again whose answer did not come.
+/// Time until a caller resubmits a job with an unknown outcome.
 const RESEND: Millis = Millis(1_300);
 
-/// Times that a caller sends a job.
+/// Maximum number of submissions of a job by its caller.
 const SENDS_MAX: u32 = 4;
 
-/// How long answers may take.
+/// Time-outs for answers.
 #[derive(Debug, Clone, Copy)]
 pub struct Patience {
-    /// To starts and stops.
+    /// For start and stop orders.
     pub order: Millis,
-    /// To reports, beyond the wait that was asked for.
+    /// For reports, in addition to the wait of the hold order.
     pub report: Millis,
 }
 
 impl Patience {
-    /// What hosts grant.
+    /// The hosts' time-outs.
     pub const OF_HOSTS: Patience = Patience {
         order: Millis(40),
         report: Millis(50),
     };
 
-    /// What the first searches played with, whose seeds stay as they are.
+    /// Longer time-outs, for which the seeds of the searches without handovers were chosen.
     pub const LONG: Patience = Patience {
         order: Millis(100),
         report: Millis(120),
@@ -58,7 +58,7 @@
 const TICK: Millis = Millis(20);
 const HANDOVER_MAX: Millis = Millis(4_000);
 
-/// Index of an owner; a new one for each change of ownership.
+/// Index of an owner. Each change of ownership adds an owner.
 type OwnerIndex = usize;
 
 #[derive(Debug, Clone)]
@@ -78,9 +78,9 @@
 #[derive(Debug, Clone)]
 enum Event {
     Tick(OwnerIndex),
-    /// An order reaches an executor; answered only if its number is still awaited.
+    /// An order arrives at an executor. An order with number 0 is not answered.
     Arrives(OwnerIndex, ExecutorId, Order, u64),
-    /// A hold's wait is over.
+    /// The wait of a hold order is over.
     WaitOver(OwnerIndex, ExecutorId, u64),
     Answered(OwnerIndex, ExecutorId, u64, Answer),
     TimedOut(OwnerIndex, ExecutorId, u64),
@@ -88,9 +88,9 @@
     Lapse(ExecutorId),
     Heartbeat(usize),
     Sent(JobId),
-    /// A new owner asks the last one which executors it still uses.
+    /// A new owner queries its predecessor for the executors that are still in use.
     Release(OwnerIndex, OwnerIndex, Mono),
-    /// It hears which.
+    /// The predecessor's answer to such a query arrives.
     Held(OwnerIndex, OwnerIndex, Mono, BTreeSet<ExecutorId>),
     Ended(usize, SubmissionNumber, JobId, JobEnd),
     Fault(Fault),
@@ -106,7 +106,7 @@
 struct Entry {
     life: PeerIncarnation,
     session: Session,
-    /// When each owner was last heard.
+    /// Time of the last contact with each owner.
     heard: BTreeMap<OwnerIndex, Mono>,
     frozen_until: Mono,
 }
@@ -119,7 +119,7 @@
     pub sent_first: Mono,
     pub sends: u32,
     pub entry: usize,
-    /// The owner that it was handed to.
+    /// Owner to which the job was last submitted.
     owner: OwnerIndex,
     pub submission: SubmissionNumber,
     pub is_open: bool,
@@ -128,14 +128,14 @@
     pub started: bool,
 }
 
-/// What can go wrong with messages, and when it ends.
+/// Faults of messages and their end.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Trouble {
-    /// Share of orders that are not answered and carried out 2 to 12 s later.
+    /// Share of orders that get no answer and are executed 2 to 12 s later.
     pub applied_late: f64,
-    /// Share of orders that are carried out but whose answers are lost.
+    /// Share of orders that are executed but whose answers are lost.
     pub answer_lost: f64,
-    /// When messages are sound again.
+    /// Time at which the faults end.
     pub until: Mono,
 }
 
@@ -160,7 +160,7 @@
     started_at: BTreeMap<TaskId, Mono>,
     rng: SmallRng,
     options: PoolOptions,
-    /// What concerns single tasks, in words, for a check that fails.
+    /// Events of each task, printed when a check fails.
     trace: Vec<(Mono, TaskId, String)>,
 }
 
@@ -230,12 +230,12 @@
         Micros(self.rng.random_range(400..1_600))
     }
 
-    /// Plans a fault.
+    /// Schedules a fault.
     pub fn plan(&mut self, at: Mono, fault: Fault) {
         self.at(at, Event::Fault(fault));
     }
 
-    /// Plans a caller's job.
+    /// Schedules a caller's job.
     pub fn plan_call(&mut self, at: Mono, class: usize, request: JobRequest, true_ms: Vec<u64>) {
         let job = request.job;
         let call = Call {
@@ -256,7 +256,7 @@
         self.at(at, Event::Sent(job));
     }
 
-    /// Plays until a time.
+    /// Runs the simulation until a time.
     pub fn play(&mut self, until: Mono) {
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
             if at > until {
@@ -297,7 +297,8 @@
         }
     }
 
-    /// Checks what must hold at the end.
+    /// Checks at the end that every job has an answer, that jobs answered with "not run" have not run, and
+    /// that no run executes any more.
     pub fn check_answers(&self) {
         for (job, call) in &self.calls {
             let (_, end) = call.ended.unwrap_or_else(|| panic!("{job} has no answer"));
--- a/crates/onyxshed-pool/tests/pool/world/callers.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/callers.rs
@@ -20,8 +20,8 @@
         self.after(HEARTBEAT, Event::Heartbeat(index));
     }
 
-    /// An entry host hears the present owner, and those that still end its jobs while another
-    /// takes over.
+    /// Exchanges a heartbeat between an entry host and an owner, if it is the current owner or one that still
+    /// completes jobs while another takes over.
     pub(super) fn hear(&mut self, index: usize, owner: OwnerIndex) {
         let is_current = owner == self.current();
         let held = &self.owners[owner];
@@ -45,8 +45,7 @@
         }
     }
 
-    /// The entry host gives up its link to an owner: its callers hear that their jobs' fate is
-    /// unknown.
+    /// Drops the link of an entry host to an owner: the open jobs end with an unknown outcome.
     pub(super) fn lose_link(&mut self, entry: usize, owner: OwnerIndex) {
         let lost = JobEnd::Unknown(UnknownReason::OwnerChanged);
         let open: Vec<(JobId, SubmissionNumber)> = self
@@ -89,7 +88,7 @@
                 Event::Ended(entry, submission, job, end),
             );
         }
-        // An owner that stands still reads it when it goes on, or never.
+        // A paused owner does not process the submission.
         if self.now >= self.owners[owner].frozen_until {
             let actions = self.owners[owner].pool.submit(self.now, session, request);
             self.act(owner, actions);
@@ -125,7 +124,7 @@
         let call = self.calls.get_mut(&job).expect("a caller's job");
         let is_handed_back = matches!(end, JobEnd::NotRun(NotRunReason::NotOwner, _));
         if is_handed_back && call.owner + 1 < self.owners.len() {
-            // The entry host hands it to the next owner.
+            // The entry host submits the job to the next owner.
             call.sends -= 1;
             return self.after(Millis(1), Event::Sent(job));
         }
--- a/crates/onyxshed-pool/tests/pool/world/executors.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/executors.rs
@@ -1,4 +1,4 @@
-//! Executors: what they do on orders, and whether a task is at work twice.
+//! Executors: execution of orders, and the check that no task runs twice at a time.
 
 use onyxshed_core::{Micros, Mono};
 use onyxshed_pool::{
@@ -56,7 +56,7 @@
         answer
     }
 
-    /// Plans the end of a run, at the executor's present speed.
+    /// Schedules the end of a run at the executor's current speed.
     pub(super) fn plan_end(&mut self, id: &ExecutorId, task: TaskId, run: RunNumber) {
         let executor = &self.executors[id];
         let over = Event::RunOver(id.clone(), task, run, executor.born);
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Checks that a task which starts is at work nowhere else.
+    /// Checks that a starting task executes on no other executor.
     pub(super) fn check_alone(&self, here: &ExecutorId, task: TaskId) {
         for (id, executor) in &self.executors {
             if id != here && executor.is_up && executor.runs.contains_key(&task) {
@@ -112,7 +112,7 @@
         self.answer(owner, id, number, Answer::Hold(HoldAnswer::Report(report)));
     }
 
-    /// Answers the holds that wait at an executor.
+    /// Answers the pending hold orders of an executor that has ended runs.
     pub(super) fn wake(&mut self, id: &ExecutorId) {
         if !self.executors[id].has_ends() {
             return;
@@ -149,7 +149,7 @@
         if executor.born != born || run.is_none_or(|run| run.number != number) {
             return;
         }
-        // Its executor turned slow meanwhile.
+        // The executor has become slower since this event was scheduled.
         if executor.ends_at(task).is_none_or(|at| at > self.now) {
             return;
         }
--- a/crates/onyxshed-pool/tests/pool/world/faults.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/faults.rs
@@ -1,38 +1,38 @@
-//! What goes wrong.
+//! Injected faults.
 
 use onyxshed_core::Millis;
 use onyxshed_pool::{ExecutorId, RunNumber, Session, TaskId};
 
 use super::{Event, World};
 
-/// What goes wrong.
+/// A fault to inject.
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// The owner is killed; another takes over after the store has noticed.
+    /// The owner is killed; another takes over once the store has detected it.
     KillOwner,
-    /// The owner stands still; another takes over meanwhile.
+    /// The owner's process is paused; another takes over meanwhile.
     FreezeOwner(Millis),
-    /// The store gives the pool to another host while the owner lives and can't be asked.
+    /// The store assigns the pool to another host while the owner runs but can't be reached.
     ReplaceOwner,
-    /// Another host takes the pool over from an owner that answers it.
+    /// Another host takes the pool over from an owner that answers.
     HandOver,
-    /// An entry host stands still.
+    /// An entry host's process is paused.
     FreezeEntry(usize, Millis),
-    /// An entry host is killed and starts anew.
+    /// An entry host is killed and restarts.
     KillEntry(usize),
-    /// An executor is not reached for a while, and runs on.
+    /// An executor is unreachable for a while, and its runs continue.
     CutExecutor(ExecutorId, Millis),
-    /// An executor crashes and starts anew.
+    /// An executor crashes and restarts.
     Crash(ExecutorId),
-    /// An executor fails all that it starts, for a while.
+    /// An executor fails all runs for a while.
     FailAll(ExecutorId, Millis),
-    /// Tasks on an executor stand still, for a while.
+    /// Runs on an executor make no progress for a while.
     Stick(ExecutorId, Millis),
-    /// An executor takes so many times longer for a while, also for what runs there.
+    /// An executor takes longer by a factor for a while, also for its current runs.
     Slow(ExecutorId, f64, Millis),
-    /// The end of a slow spell.
+    /// The end of [`Fault::Slow`].
     Recover(ExecutorId, f64),
-    /// The end of one of the others.
+    /// The end of [`Fault::FailAll`] or [`Fault::Stick`].
     Heal(ExecutorId),
 }
 
@@ -52,7 +52,7 @@
         match fault {
             Fault::KillOwner => {
                 self.owners[owner].is_dead = true;
-                // Connections break at once: every entry host knows.
+                // Connections break at once, so every entry host detects the loss.
                 for entry in 0..self.entries.len() {
                     self.lose_link(entry, owner);
                 }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Multiplies an executor's speed, and plans the ends of its runs anew.
+    /// Multiplies an executor's speed and reschedules the ends of its runs.
     fn change_speed(&mut self, id: &ExecutorId, factor: f64) {
         let now = self.now;
         let executor = self.executors.get_mut(id).expect("an executor");
--- a/crates/onyxshed-pool/tests/pool/world/owners.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/owners.rs
@@ -1,4 +1,4 @@
-//! Owners: what they decide, and what comes of their orders.
+//! Owners: their actions, and the answers to their orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
         self.begin_owner(None);
     }
 
-    /// Begins a new owner, which takes over from another if that one answers.
+    /// Adds a new owner, which takes over from the owner `last` if one is given.
     pub(super) fn begin_owner(&mut self, last: Option<OwnerIndex>) {
         self.token += 1;
         let token = FencingToken(self.token);
@@ -33,7 +33,7 @@
             self.owners[owner].pool.await_predecessor();
             let over_at = self.now + HANDOVER_MAX;
             self.after(Millis(1), Event::Release(last, owner, over_at));
-            // An entry host hands jobs over on a link that the owner has answered.
+            // An entry host submits jobs on a link only after the owner has answered on it.
             for entry in 0..self.entries.len() {
                 if self.now >= self.entries[entry].frozen_until {
                     self.hear(entry, owner);
@@ -158,7 +158,7 @@
         self.act(next, actions);
     }
 
-    /// Puts an event off that reaches an owner which stands still; drops it if the owner is dead.
+    /// Defers an event for a paused owner and drops it for a dead owner. Returns whether it did either.
     pub(super) fn owner_is_away(&mut self, owner: OwnerIndex, event: Event) -> bool {
         if self.owners[owner].is_dead {
             return true;
--- a/crates/onyxshed-pool/tests/pool/slow.rs
+++ b/crates/onyxshed-pool/tests/pool/slow.rs
@@ -1,4 +1,4 @@
-//! Plays loads on a pool of which some executors turn slow while the others have room.
+//! Simulates loads on a pool in which some executors become slow while the others have free resources.
 
 use onyxshed_core::{Millis, Mono};
 use onyxshed_pool::{JobEnd, RunEnd, TaskId};
@@ -7,9 +7,9 @@
 
 use crate::fixture::{Desk, job};
 use crate::load::{executors, some_job};
-use crate::world::{Fault, Patience, World};
+use crate::simulation::{Fault, Patience, World};
 
-/// How many times larger the pool is than that of the plain loads.
+/// Size of the pool as a multiple of the pool in the plain load tests.
 const POOL_FACTOR: usize = 3;
 
 const BEGIN_MS: u64 = 2_000;
@@ -19,7 +19,7 @@
 const SLOW_FACTOR: f64 = 8.0;
 const SEEDS: u64 = 3;
 
-/// What callers of one class got whose jobs came while executors were slow.
+/// Results of one class's jobs that arrived while executors were slow.
 #[derive(Debug, Clone, Copy, Default)]
 struct Served {
     asked: u32,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Plays a load while every `one_in`th executor is slow, if any; what each class's callers got.
+/// Simulates a load while every `one_in`th executor, if any, is slow, and returns the results of each class.
 fn served(jobs_per_s: u64, one_in: Option<usize>) -> [Served; 3] {
     let mut classes = [Served::default(); 3];
     for seed in 0..SEEDS {
@@ -78,7 +78,7 @@
     world
 }
 
-/// Guards against slow executors that draw tasks while sound ones have room.
+/// Slow executors must not get tasks while ordinary executors have free resources.
 #[test]
 fn callers_keep_most_of_what_they_get_when_a_third_of_the_executors_turns_slow() {
     let sound = served(60, None);
@@ -88,7 +88,7 @@
     }
 }
 
-/// Makes a pool of two executors, of which `x1` is known to be slow by a run that has just begun.
+/// Creates a pool of two executors, of which `x1` is known to be slow by the progress of its run.
 fn desk_with_a_slow_executor() -> (Desk, TaskId) {
     let mut desk = Desk::with_executors(&[("x1", 30), ("x2", 30)]);
     let (name, order) = desk.run_one(0, job(1, 1, 900));
@@ -98,7 +98,7 @@
     (desk, order.task)
 }
 
-/// Guards against a short task that is late on a slow executor while a sound one has room a moment later.
+/// A short task must not be late on a slow executor when an ordinary one is free a moment later.
 #[test]
 fn a_short_task_waits_for_a_sound_executor() {
     let (mut desk, _) = desk_with_a_slow_executor();
@@ -112,7 +112,7 @@
     assert_eq!(places, ["x2"]);
 }
 
-/// Guards against a long task that is left on an executor which has become too slow for it.
+/// A long task must not stay on an executor that has become too slow for it.
 #[test]
 fn a_long_task_begins_anew_where_it_ends_on_target() {
     let (mut desk, task) = desk_with_a_slow_executor();
--- a/crates/onyxshed-pool/tests/pool/successor.rs
+++ b/crates/onyxshed-pool/tests/pool/successor.rs
@@ -1,4 +1,4 @@
-//! A pool that its stopping owner gives to a successor, for want of the store.
+//! Transfer of a pool by its stopping owner to a successor while the store is unavailable.
 
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     SocketAddr::new([10, 0, 0, host].into(), 7_000)
 }
 
-/// Plays a heartbeat, and gets what its host is given.
+/// Processes a heartbeat and returns the transfer in its answer, if any.
 fn heartbeat(
     desk: &mut Desk,
     ms: u64,
@@ -39,7 +39,7 @@
         .transfer_ownership(at_ms(ms), life, vec![MEMBER.into()])
 }
 
-/// Makes an owner that is stopping and has heard two hosts, the second with more processor.
+/// Creates a stopping owner with offers of two hosts, the second with a larger processor share.
 fn stopping() -> Desk {
     let mut desk = Desk::with_executors(&[("a", 64), ("b", 64)]);
     assert_eq!(heartbeat(&mut desk, 0, PEER, Some(offer(2, 90))), None);
@@ -49,9 +49,9 @@
     desk
 }
 
-/// An owner is stopped while the store is away: nobody can join its group, and the zone's callers
-/// would be refused until the store is back. The host with the most processor is told that it owns the
-/// pool from now on, and of which executors, again with each heartbeat until it begins.
+/// An owner is stopped while the store is unavailable, so no host can join its group and callers would be
+/// rejected until the store is back. The pool and its list of executors are transferred to the host with the
+/// largest processor share, again with each heartbeat.
 #[test]
 fn the_best_host_is_made_the_successor() {
     let mut desk = stopping();
@@ -74,8 +74,8 @@
     assert_eq!(again, Some(told));
 }
 
-/// Only one host may hold the token that follows the owner's: whoever else is heard later, with
-/// however much processor, is given nothing.
+/// Only one host may get the token that follows the owner's. A host with a later offer gets nothing, however
+/// large its processor share is.
 #[test]
 fn there_is_one_successor() {
     let mut desk = stopping();
@@ -85,7 +85,7 @@
     }
 }
 
-/// The best host has died, or owns another pool by now: the next best one is made the successor.
+/// If the best host is unresponsive or has withdrawn its offer, the next best is selected.
 #[rstest]
 #[case::silent(700, false)]
 #[case::not_offered(30, true)]
@@ -97,8 +97,8 @@
     assert!(heartbeat(&mut desk, ms, PEER, Some(offer(2, 90))).is_some());
 }
 
-/// The store answers again before a successor was named: another host joins the group as usual, and no
-/// second one is made an owner beside it.
+/// The store answers again before a successor is selected. Another host can join the group as usual, so no
+/// second owner may be selected.
 #[test]
 fn nobody_is_made_the_successor_once_the_store_answers() {
     let mut desk = stopping();
@@ -107,8 +107,8 @@
     assert_eq!(told, None);
 }
 
-/// Callers' hosts are sent to the successor when it takes the pool over, and not before: it would answer
-/// that it owns nothing.
+/// Entry hosts get the successor's address only once it is taking over the pool. Before that, it would
+/// answer that it owns nothing.
 #[test]
 fn hosts_are_sent_to_the_successor_when_it_begins() {
     let mut desk = stopping();
@@ -119,8 +119,8 @@
     assert_eq!(desk.pool.load(at_ms(50)).successor, Some(address(3)));
 }
 
-/// The store gave the pool to a third host meanwhile. Its token is higher than the successor's, so callers
-/// are not sent to the successor.
+/// The store has assigned the pool to a third host, whose token is higher than the successor's. Entry hosts
+/// must not get the successor's address.
 #[test]
 fn an_owner_made_by_the_store_is_no_successor() {
     let mut desk = stopping();
@@ -129,8 +129,8 @@
     assert_eq!(desk.pool.load(at_ms(50)).successor, None);
 }
 
-/// Successors follow one another while the store is away, each of which an executor must obey after the
-/// one before; the owner that the store makes afterwards must be obeyed after all of them.
+/// While the store is unavailable, successors follow one another, and an executor must accept each of them
+/// after the one before. The next owner elected by the store must have a higher token than all of them.
 #[test]
 fn tokens_of_successors_lie_between_those_of_the_stores_owners() {
     let pool = PoolId {
@@ -149,8 +149,8 @@
     assert!(token < division.token(&pool, 6));
 }
 
-/// An owner that could not read which executors there are serves nobody: others must not leave its
-/// pool alone because it answers.
+/// An owner that could not read the list of executors can't run any job. Other hosts must not leave the pool
+/// to it because it answers.
 #[test]
 fn an_owner_without_a_list_of_executors_wants_to_be_replaced() {
     let mut desk = Desk::with_executors(&[]);
--- a/crates/onyxshed-pool/tests/pool/summary.rs
+++ b/crates/onyxshed-pool/tests/pool/summary.rs
@@ -1,9 +1,9 @@
-//! The line about a job's end.
+//! The logged summary of a job's outcome.
 
 use onyxshed_core::Millis;
 use onyxshed_pool::{JobEnd, JobSummary, NotRunReason, Resources, UnknownReason};
 
-/// What is written when a caller is answered is read again when somebody asks why.
+/// Every summary that an entry host logs must parse back to the same value.
 #[test]
 fn a_summary_is_read_as_it_was_written() {
     let not_run = NotRunReason::ALL.map(|reason| JobEnd::NotRun(reason, Millis(120)));
--- a/crates/onyxshed-pool/tests/pool/taking.rs
+++ b/crates/onyxshed-pool/tests/pool/taking.rs
@@ -1,4 +1,4 @@
-//! A new owner that takes executors over while callers' jobs arrive.
+//! A new owner that acquires executors while jobs arrive.
 
 use onyxshed_core::Millis;
 use onyxshed_pool::{HoldAnswer, JobEnd};
@@ -7,8 +7,8 @@
 
 const EXECUTORS: [&str; 8] = ["x0", "x1", "x2", "x3", "x4", "x5", "x6", "x7"];
 
-/// Makes an owner that has listed its executors and taken the first `taken` of them at 0 ms; the others'
-/// first reports have no answer.
+/// Creates an owner that has acquired the first `taken` of its executors at 0 ms; the first hold orders to
+/// the others got no answer.
 fn desk_that_takes(taken: usize) -> Desk {
     let mut desk = Desk::with_executors(&[]);
     for name in EXECUTORS {
@@ -24,7 +24,7 @@
     desk
 }
 
-/// Guards against callers who are refused while executors that would serve them are being taken over.
+/// Jobs must not be rejected while executors that could run them are being acquired.
 #[test]
 fn jobs_wait_for_executors_that_are_being_taken_over() {
     let mut desk = desk_that_takes(1);
@@ -40,7 +40,7 @@
     assert_eq!(begun + desk.starts().len(), 16, "every executor is full");
 }
 
-/// Guards against executors that are gone for good and keep callers waiting.
+/// Executors that never answer must not keep callers waiting.
 #[test]
 fn executors_that_never_answer_count_for_a_while_only() {
     let mut desk = desk_that_takes(0);
@@ -49,7 +49,7 @@
     assert!(matches!(ends[..], [(_, JobEnd::NotRun(..))]), "{ends:?}");
 }
 
-/// Guards against an owner short of processor time that drops connections on which reports are late.
+/// An owner short of processor time must not treat late first reports as missing.
 #[test]
 fn a_first_report_may_take_longer_than_a_renewal() {
     let mut desk = Desk::with_executors(&[("x1", 64)]);
@@ -61,7 +61,7 @@
     assert!(first.answer_within >= Millis(4 * next.answer_within.0));
 }
 
-/// Guards against a pool that refuses late jobs although it has room for all that waits.
+/// Late jobs must not be shed while the pool can process its whole backlog.
 #[test]
 fn late_jobs_are_kept_while_the_backlog_can_be_worked_off() {
     let mut desk = desk_that_takes(0);
@@ -75,7 +75,7 @@
     assert_eq!(desk.ends(), []);
 }
 
-/// Guards against late jobs that wait in overload until they are of no use.
+/// Under overload, late jobs must not wait until their answers are useless.
 #[test]
 fn late_jobs_are_shed_while_more_comes_than_the_pool_can_do() {
     let mut desk = desk_that_takes(0);
