--- a/crates/onyxshed-pool/src/candidate.rs
+++ b/crates/onyxshed-pool/src/candidate.rs
@@ -4,19 +4,19 @@
 
 /// How long an owner that answers keeps a pool that is vacant in the store. Outages of the store to
 /// single hosts last up to 9 s; executors are replaced over minutes, which is far longer.
-const PRESENT_OWNER_PATIENCE: Millis = Millis(10_000);
+const ACTIVE_OWNER_GRACE: Millis = Millis(10_000);
 
 /// How long no host takes over a pool after the store answers that host again. An owner that was also
 /// cut off from the store rejoins within 350 ms, and the query for it takes up to 100 ms.
-const REJOIN_PATIENCE: Millis = Millis(500);
+const REJOIN_GRACE: Millis = Millis(500);
 
 /// How long a pool stays vacant before a host that has had no contact with an owner takes it over. An
 /// owner whose membership expired during an outage of the store rejoins within 1,050 ms of the store's
 /// return: 350 ms between renewals, and 700 ms for a call that is still pending.
-const UNKNOWN_OWNER_PATIENCE: Millis = Millis(1_200);
+const UNKNOWN_OWNER_GRACE: Millis = Millis(1_200);
 
 /// Maximum random delay before a host joins for a vacant pool, so that two hosts rarely join at once.
-const JOIN_SPREAD: Millis = Millis(120);
+const JOIN_JITTER_MAX: Millis = Millis(120);
 
 /// Processor share that a host should have to own a pool, in thousandths of a core. An owner of a
 /// hundred executors needs half of it.
@@ -24,7 +24,7 @@
 
 /// Delay before a small host joins, for each time beyond the first that its processor share fits into
 /// [`OWNER_CPU_MILLIS`].
-const SMALL_HOST_PAUSE: Millis = Millis(200);
+const SMALL_HOST_DELAY: Millis = Millis(200);
 
 /// What a host does about a vacant pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -80,27 +80,27 @@
         draw: f64,
     ) -> CandidateStep {
         let since = *self.vacant_since.get_or_insert(now);
-        if store_back_at.is_some_and(|back_at| now.since(back_at) < REJOIN_PATIENCE.into()) {
+        if store_back_at.is_some_and(|back_at| now.since(back_at) < REJOIN_GRACE.into()) {
             return CandidateStep::Defer;
         }
         let patience = match last_owner {
-            LastOwner::Active => PRESENT_OWNER_PATIENCE,
-            LastOwner::Unknown => UNKNOWN_OWNER_PATIENCE,
+            LastOwner::Active => ACTIVE_OWNER_GRACE,
+            LastOwner::Unknown => UNKNOWN_OWNER_GRACE,
             LastOwner::Gone => Millis(0),
         };
         if now.since(since) < patience.into() {
             return CandidateStep::Defer;
         }
-        CandidateStep::JoinAfter(self.join_pause(draw))
+        CandidateStep::JoinAfter(self.join_delay(draw))
     }
 
     /// Returns the delay before this host joins for a vacant pool. The load of an owner grows with its pool,
     /// so hosts with a larger processor share go first.
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-    fn join_pause(&self, draw: f64) -> Millis {
+    fn join_delay(&self, draw: f64) -> Millis {
         let cpu_millis = self.cpu_millis.clamp(1, OWNER_CPU_MILLIS);
         let shortage = u64::from(OWNER_CPU_MILLIS / cpu_millis - 1);
-        let spread_ms = (draw.clamp(0.0, 1.0) * crate::speed::as_f64(JOIN_SPREAD.0)) as u64;
-        Millis(spread_ms + SMALL_HOST_PAUSE.0 * shortage)
+        let spread_ms = (draw.clamp(0.0, 1.0) * crate::speed::as_f64(JOIN_JITTER_MAX.0)) as u64;
+        Millis(spread_ms + SMALL_HOST_DELAY.0 * shortage)
     }
 }
--- a/crates/onyxshed-pool/src/executor.rs
+++ b/crates/onyxshed-pool/src/executor.rs
@@ -36,17 +36,17 @@
     /// The start order was sent, and the executor has not confirmed that the run executes.
     Ordered {
         /// Start orders sent so far.
-        tries: u32,
+        orders_sent: u32,
     },
     /// The executor has confirmed that the run executes.
-    AtWork {
+    Running {
         /// When the confirmation arrived.
         since: Mono,
     },
     /// A stop order was sent, and the run may still execute.
     Stopping {
         /// When the acceptance of the stop order arrived; `None` until then.
-        taken: Option<Mono>,
+        accepted_at: Option<Mono>,
     },
 }
 
@@ -64,9 +64,9 @@
 
 /// Relation of an incarnation to the one that is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Life {
+pub(crate) enum IncarnationMatch {
     /// The current incarnation.
-    Present,
+    Current,
     /// An incarnation that is known to have ended.
     Past,
     /// An incarnation that has not been seen before.
@@ -75,7 +75,7 @@
 
 /// Number of past incarnations remembered. Messages are late by seconds at most, and an executor that
 /// restarts more often than this within seconds runs nothing anyway.
-const PAST_LIVES_MAX: usize = 8;
+const PAST_INCARNATIONS_MAX: usize = 8;
 
 /// Progress of the takeover of an executor by this owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -83,9 +83,9 @@
     /// A previous owner that answers may still use the executor; it gets no orders.
     Withheld,
     /// Runs of an earlier owner may execute; no lease is renewed and no run started.
-    Taking,
+    Acquiring,
     /// Every run was started by this owner.
-    Held,
+    Acquired,
 }
 
 /// Failure record of an executor, which decides whether the executor is avoided.
@@ -93,7 +93,7 @@
 pub(crate) struct Health {
     /// Failures since the last completed run; failed runs of one job in succession count once. From the
     /// first failure on, the executor is on probation: it gets one task at a time.
-    pub strikes: u32,
+    pub failures: u32,
     /// Job of the most recently failed run.
     failed_job: Option<JobId>,
     /// Time until which the executor gets no tasks.
@@ -106,31 +106,31 @@
     /// A faulty job fails on every executor. Failed runs of one job therefore count as one failure, and an
     /// executor is avoided from the second failure on.
     pub fn run_failed(&mut self, now: Mono, job: JobId, options: &PoolOptions) -> Option<Millis> {
-        if self.strikes > 0 && self.failed_job == Some(job) {
+        if self.failures > 0 && self.failed_job == Some(job) {
             return None;
         }
         self.failed_job = Some(job);
-        if self.strikes == 0 {
-            self.strikes = 1;
+        if self.failures == 0 {
+            self.failures = 1;
             return None;
         }
-        Some(self.strike(now, options))
+        Some(self.record_failure(now, options))
     }
 
     /// Records a failure that is certainly caused by the executor, and returns how long it is avoided: twice
     /// as long with each failure, up to `avoid_max_ms`.
-    pub fn strike(&mut self, now: Mono, options: &PoolOptions) -> Millis {
-        let doublings = self.strikes.min(8);
-        self.strikes += 1;
+    pub fn record_failure(&mut self, now: Mono, options: &PoolOptions) -> Millis {
+        let doublings = self.failures.min(8);
+        self.failures += 1;
         let span = Millis((options.avoid_ms.0 << doublings).min(options.avoid_max_ms.0));
         self.avoided_until = now + span;
         span
     }
 
     /// Removes a failure that was caused by the job. Without failures the executor is no longer avoided.
-    pub fn exonerate(&mut self, now: Mono) {
-        self.strikes = self.strikes.saturating_sub(1);
-        if self.strikes == 0 {
+    pub fn clear_failure(&mut self, now: Mono) {
+        self.failures = self.failures.saturating_sub(1);
+        if self.failures == 0 {
             self.avoided_until = now;
         }
     }
@@ -146,17 +146,17 @@
     /// Lower bound of the executor's clock minus this host's clock, in milliseconds; `None` until a clock
     /// reading of the current incarnation has arrived.
     clock_offset: Option<i128>,
-    pub born: Option<UnixMs>,
+    pub started_at: Option<UnixMs>,
     /// Start times of past incarnations, the latest last.
-    past_lives: Vec<UnixMs>,
+    past_incarnations: Vec<UnixMs>,
     pub last_seen: u64,
     /// When the last report arrived.
     pub heard_at: Mono,
     /// When the last completion of a run was reported.
-    pub done_at: Mono,
-    pub is_silent: bool,
+    pub last_completed_at: Mono,
+    pub is_unresponsive: bool,
     /// When the leases of all runs will have expired, unless they are renewed.
-    pub lapses_at: Mono,
+    pub leases_expire_at: Mono,
     pub slowdown: Slowdown,
     pub health: Health,
     /// Since when the platform no longer lists the executor; `None` while it is listed.
@@ -171,17 +171,17 @@
     pub fn new(now: Mono, facts: ExecutorFacts) -> Self {
         Executor {
             free: facts.capacity,
-            born: facts.started_at,
+            started_at: facts.started_at,
             facts,
-            phase: Phase::Taking,
+            phase: Phase::Acquiring,
             runs: BTreeMap::new(),
             clock_offset: None,
-            past_lives: Vec::new(),
+            past_incarnations: Vec::new(),
             last_seen: 0,
             heard_at: now,
-            done_at: Mono(0),
-            is_silent: false,
-            lapses_at: now,
+            last_completed_at: Mono(0),
+            is_unresponsive: false,
+            leases_expire_at: now,
             slowdown: Slowdown::default(),
             health: Health::default(),
             unlisted_at: None,
@@ -208,17 +208,17 @@
     }
 
     /// Records that an order with a lease was sent.
-    pub fn lease_sent(&mut self, now: Mono, options: &PoolOptions) {
-        self.lapses_at = self.lapses_at.max(now + options.lease_bound());
+    pub fn record_lease(&mut self, now: Mono, options: &PoolOptions) {
+        self.leases_expire_at = self.leases_expire_at.max(now + options.lease_bound());
     }
 
     /// Returns whether new runs may be started on the executor.
-    pub fn takes_work(&self, now: Mono, options: &PoolOptions) -> bool {
+    pub fn can_accept_tasks(&self, now: Mono, options: &PoolOptions) -> bool {
         let is_avoided = now < self.health.avoided_until;
         // After a failure, the executor is probed with one task before it gets more.
-        let is_on_trial = self.health.strikes > 0 && !self.runs.is_empty();
-        self.counts(now, options)
-            && self.phase == Phase::Held
+        let is_on_trial = self.health.failures > 0 && !self.runs.is_empty();
+        self.is_usable(now, options)
+            && self.phase == Phase::Acquired
             && self.clock_offset.is_some()
             && !is_avoided
             && !is_on_trial
@@ -227,7 +227,7 @@
 
     /// Returns whether the executor counts towards the pool's capacity: it can run tasks now or is likely to
     /// soon.
-    pub fn counts(&self, now: Mono, options: &PoolOptions) -> bool {
+    pub fn is_usable(&self, now: Mono, options: &PoolOptions) -> bool {
         let is_known = match self.unlisted_at {
             Some(since) => now.since(since) < options.unlisted_grace_ms.into(),
             None => true,
@@ -238,9 +238,9 @@
     /// Returns whether the executor is unresponsive. An executor that is being acquired has
     /// `takeover_grace_ms`, because a new owner opens connections to all executors at once.
     fn is_lost(&self, now: Mono, options: &PoolOptions) -> bool {
-        let is_awaited = self.phase == Phase::Taking
-            && now.since(self.heard_at) < options.taking_patience_ms.into();
-        self.is_silent && !is_awaited
+        let is_awaited = self.phase == Phase::Acquiring
+            && now.since(self.heard_at) < options.takeover_grace_ms.into();
+        self.is_unresponsive && !is_awaited
     }
 
     /// Adds a run and reserves its resources.
@@ -253,12 +253,12 @@
     /// task.
     pub fn remove_run(&mut self, task: TaskId) -> Option<Run> {
         let run = self.runs.remove(&task)?;
-        self.recount();
+        self.recompute_free();
         Some(run)
     }
 
     /// Recomputes the free resources from the capacity and the runs.
-    fn recount(&mut self) {
+    fn recompute_free(&mut self) {
         let mut free = self.facts.capacity;
         for run in self.runs.values() {
             free -= run.demand;
@@ -267,16 +267,16 @@
     }
 
     /// Replaces the listed properties and marks the executor as listed.
-    pub fn list(&mut self, facts: ExecutorFacts) {
+    pub fn update_facts(&mut self, facts: ExecutorFacts) {
         self.facts = facts;
         self.unlisted_at = None;
-        self.recount();
+        self.recompute_free();
     }
 
     /// Returns the listed properties with the start time of the current incarnation.
-    pub fn present_facts(&self) -> ExecutorFacts {
+    pub fn current_facts(&self) -> ExecutorFacts {
         ExecutorFacts {
-            started_at: self.born,
+            started_at: self.started_at,
             ..self.facts.clone()
         }
     }
@@ -285,12 +285,12 @@
     ///
     /// Start times are compared with those seen before, not ordered: the executor's wall clock may jump
     /// back, and reports and lists may be late. An unknown start time counts as the current incarnation.
-    pub fn life_of(&self, born: Option<UnixMs>) -> Life {
-        match (self.born, born) {
-            (Some(known), Some(told)) if known == told => Life::Present,
-            (_, Some(told)) if self.past_lives.contains(&told) => Life::Past,
-            (Some(_), Some(_)) => Life::New,
-            _ => Life::Present,
+    pub fn match_incarnation(&self, born: Option<UnixMs>) -> IncarnationMatch {
+        match (self.started_at, born) {
+            (Some(known), Some(told)) if known == told => IncarnationMatch::Current,
+            (_, Some(told)) if self.past_incarnations.contains(&told) => IncarnationMatch::Past,
+            (Some(_), Some(_)) => IncarnationMatch::New,
+            _ => IncarnationMatch::Current,
         }
     }
 
@@ -298,11 +298,14 @@
     ///
     /// The runs stay until a report of the new incarnation shows which of them it has: the new incarnation
     /// executes orders that were in transit during the restart.
-    pub fn reborn(&mut self, born: Option<UnixMs>) {
-        if let Some(ended) = std::mem::replace(&mut self.born, born) {
-            self.past_lives.push(ended);
-            let surplus = self.past_lives.len().saturating_sub(PAST_LIVES_MAX);
-            self.past_lives.drain(..surplus);
+    pub fn record_restart(&mut self, born: Option<UnixMs>) {
+        if let Some(ended) = std::mem::replace(&mut self.started_at, born) {
+            self.past_incarnations.push(ended);
+            let surplus = self
+                .past_incarnations
+                .len()
+                .saturating_sub(PAST_INCARNATIONS_MAX);
+            self.past_incarnations.drain(..surplus);
         }
         self.last_seen = 0;
         self.clock_offset = None;
@@ -313,12 +316,12 @@
     /// Removes and returns every run, as when another executor answers at the address.
     pub fn take_runs(&mut self) -> Vec<(TaskId, Run)> {
         let runs = std::mem::take(&mut self.runs);
-        self.recount();
+        self.recompute_free();
         runs.into_iter().collect()
     }
 
     /// Returns how many tasks of a job run on the executor.
-    pub fn tasks_of(&self, job: JobId) -> usize {
+    pub fn task_count(&self, job: JobId) -> usize {
         self.runs.keys().filter(|task| task.job == job).count()
     }
 
--- a/crates/onyxshed-pool/src/id.rs
+++ b/crates/onyxshed-pool/src/id.rs
@@ -119,7 +119,7 @@
 impl FencingToken {
     /// Returns the token of this owner's successor: higher than this token, and lower than that of every
     /// owner that the store elects later. Returns `None` when the successor bits are used up.
-    pub fn of_successor(self) -> Option<FencingToken> {
+    pub fn successor(self) -> Option<FencingToken> {
         let successors_max = (1 << SUCCESSOR_BITS) - 1;
         (self.0 & successors_max < successors_max).then_some(FencingToken(self.0 + 1))
     }
--- a/crates/onyxshed-pool/src/job.rs
+++ b/crates/onyxshed-pool/src/job.rs
@@ -47,11 +47,11 @@
 impl JobRequest {
     /// Returns the time within which the job should end, according to the caller's estimate.
     pub fn target(&self) -> Micros {
-        self.target_of(self.estimate.into())
+        self.target_for(self.estimate.into())
     }
 
     /// Returns the time within which the job should end if each task takes `task`.
-    fn target_of(&self, task: Micros) -> Micros {
+    fn target_for(&self, task: Micros) -> Micros {
         let stretched_us = task.0 * u64::from(self.stretch_millis) / 1_000;
         Micros(stretched_us + Micros::from(self.objective).0)
     }
@@ -159,7 +159,7 @@
     /// Executors on which runs failed, one entry per failed run.
     pub failed_on: Vec<ExecutorId>,
     /// Number of runs that were stopped because they took too long, or moved off a slow executor.
-    pub stuck: u32,
+    pub stopped_runs: u32,
 }
 
 /// A job that is queued or running.
@@ -167,16 +167,16 @@
 pub(crate) struct Job {
     pub request: JobRequest,
     /// When the job arrived at its entry host.
-    pub arrived: Mono,
+    pub arrived_at: Mono,
     /// When the caller stops waiting.
-    pub gives_up_at: Mono,
+    pub caller_deadline: Mono,
     pub tasks: Vec<Task>,
     pub waiting: u16,
     pub done: u16,
     /// Whether any run was ordered.
     pub has_started: bool,
     /// Mean over the completed tasks of ln(actual / expected run time), and the number of these tasks.
-    pub ratio: (f64, u32),
+    pub log_ratio: (f64, u32),
     /// Estimated run time of a task on an ordinary executor, corrected by the completed tasks.
     estimate: Micros,
 }
@@ -187,16 +187,16 @@
             state: TaskState::Waiting,
             runs: 0,
             failed_on: Vec::new(),
-            stuck: 0,
+            stopped_runs: 0,
         };
         Job {
-            arrived: Mono(now.0.saturating_sub(Micros::from(request.elapsed).0)),
-            gives_up_at: now + request.time_left,
+            arrived_at: Mono(now.0.saturating_sub(Micros::from(request.elapsed).0)),
+            caller_deadline: now + request.time_left,
             tasks: vec![task; usize::from(request.tasks)],
             waiting: request.tasks,
             done: 0,
             has_started: false,
-            ratio: (0.0, 0),
+            log_ratio: (0.0, 0),
             estimate: request.estimate.into(),
             request,
         }
@@ -207,19 +207,19 @@
     /// With the caller's estimate alone, a job whose estimate is far too low would starve half done although
     /// its answer could still be useful.
     pub fn target(&self) -> Micros {
-        self.request.target_of(self.estimate())
+        self.request.target_for(self.estimate())
     }
 
     /// Returns when the job should end.
     pub fn target_at(&self) -> Mono {
-        self.arrived + self.target()
+        self.arrived_at + self.target()
     }
 
     /// Returns until when an answer is useful: until `late_factor` targets have passed or the caller stops
     /// waiting.
     pub fn useful_until(&self, late_factor: u64) -> Mono {
         let late = Micros(self.target().0 * late_factor);
-        self.gives_up_at.min(self.arrived + late)
+        self.caller_deadline.min(self.arrived_at + late)
     }
 
     /// Returns the estimated run time of a task on an ordinary executor, corrected by the completed tasks.
@@ -231,10 +231,10 @@
     /// executor, which includes the executor's slowdown.
     pub fn observe(&mut self, took: Micros, expected: Micros) {
         let log = (as_f64(took.0.max(1)) / as_f64(expected.0.max(1))).ln();
-        let (mean, count) = self.ratio;
+        let (mean, count) = self.log_ratio;
         let next = count + 1;
         let mean = mean + (log - mean) / f64::from(next);
-        self.ratio = (mean, next);
+        self.log_ratio = (mean, next);
         self.estimate = scaled(self.request.estimate.into(), mean.exp());
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// Returns the index of the first waiting task, if any.
-    pub fn next_waiting(&self) -> Option<u16> {
+    pub fn next_waiting_task(&self) -> Option<u16> {
         let mut tasks = self.tasks.iter();
         let index = tasks.position(|task| task.state == TaskState::Waiting)?;
         u16::try_from(index).ok()
@@ -261,7 +261,7 @@
     }
 
     /// Records that a run of a waiting task is ordered from an executor, and returns the number of the run.
-    pub fn run_ordered(&mut self, index: u16, executor: &ExecutorId) -> RunNumber {
+    pub fn record_run_ordered(&mut self, index: u16, executor: &ExecutorId) -> RunNumber {
         let task = &mut self.tasks[usize::from(index)];
         task.runs += 1;
         task.state = TaskState::Running(executor.clone());
@@ -271,14 +271,14 @@
     }
 
     /// Returns whether a run is the current run of its task.
-    pub fn awaits(&self, index: u16, run: RunNumber, executor: &ExecutorId) -> bool {
+    pub fn is_current_run(&self, index: u16, run: RunNumber, executor: &ExecutorId) -> bool {
         self.tasks.get(usize::from(index)).is_some_and(|task| {
             task.runs == run.0 && task.state == TaskState::Running(executor.clone())
         })
     }
 
     /// Makes a running task wait for an executor again.
-    pub fn wait_again(&mut self, index: u16) {
+    pub fn requeue_task(&mut self, index: u16) {
         self.tasks[usize::from(index)].state = TaskState::Waiting;
         self.waiting += 1;
     }
--- a/crates/onyxshed-pool/src/options.rs
+++ b/crates/onyxshed-pool/src/options.rs
@@ -17,7 +17,7 @@
     pub first_report_timeout_ms: Millis,
     /// How long an unresponsive executor that is being acquired still counts as capacity; default
     /// 1,000 ms.
-    pub taking_patience_ms: Millis,
+    pub takeover_grace_ms: Millis,
     /// How long an executor waits for a run to end before it answers a hold order; default 150 ms, a
     /// quarter of the lease.
     pub hold_wait_ms: Millis,
@@ -30,10 +30,10 @@
     /// Allowance for the transit time of an order in the bound on its lease; default 30 ms.
     pub lease_margin_ms: Millis,
     /// Maximum number of start orders for a run. If none is answered, the run is stopped; default 3.
-    pub start_tries_max: u32,
+    pub start_orders_max: u32,
     /// Time without a heartbeat after which an entry host is unresponsive; default 600 ms, which is
     /// four heartbeats, and 700 ms less than callers wait before they resubmit a job.
-    pub peer_silence_ms: Millis,
+    pub peer_timeout_ms: Millis,
     /// Pause of the owner's own process after which it ends the jobs of other entry hosts; default
     /// 400 ms. Those hosts may have given the jobs up after `peer_timeout_ms` less one heartbeat.
     pub pause_ms: Millis,
@@ -41,7 +41,7 @@
     /// After an outage of the store, entries return within about 2,000 ms.
     pub unlisted_grace_ms: Millis,
     /// Transit time of a job that is reserved in estimates of its end; default 15 ms.
-    pub overhead_ms: Millis,
+    pub transit_ms: Millis,
     /// Number of targets after which the answer to a job is useless; default 3.
     pub late_factor: u64,
     /// Factor on the expected run time after which a run counts as stuck, in thousandths; default
@@ -71,16 +71,16 @@
             lease_ms: Millis(600),
             report_timeout_ms: Millis(50),
             first_report_timeout_ms: Millis(300),
-            taking_patience_ms: Millis(1_000),
+            takeover_grace_ms: Millis(1_000),
             hold_wait_ms: Millis(150),
             idle_wait_ms: Millis(400),
             clock_drift_millis: 30,
             lease_margin_ms: Millis(30),
-            start_tries_max: 3,
-            peer_silence_ms: Millis(600),
+            start_orders_max: 3,
+            peer_timeout_ms: Millis(600),
             pause_ms: Millis(400),
             unlisted_grace_ms: Millis(2_500),
-            overhead_ms: Millis(15),
+            transit_ms: Millis(15),
             late_factor: 3,
             stuck_millis: 3_000,
             stuck_known_millis: 1_800,
--- a/crates/onyxshed-pool/src/peers.rs
+++ b/crates/onyxshed-pool/src/peers.rs
@@ -14,14 +14,14 @@
 struct Peer {
     session: Session,
     heard_at: Mono,
-    is_silent: bool,
+    is_unresponsive: bool,
 }
 
 /// Sessions of entry hosts, by their incarnations.
 #[derive(Debug, Default)]
 pub struct PeerSessions {
     peers: BTreeMap<PeerIncarnation, Peer>,
-    last: u64,
+    last_session: u64,
 }
 
 /// Time without contact after which a peer is removed.
@@ -30,7 +30,7 @@
 impl PeerSessions {
     /// Records contact with a peer and returns its session: a new one if the peer was unresponsive.
     pub fn heard(&mut self, now: Mono, life: PeerIncarnation) -> Session {
-        let last = &mut self.last;
+        let last = &mut self.last_session;
         let mut open = || {
             *last += 1;
             Session(*last)
@@ -38,11 +38,11 @@
         let peer = self.peers.entry(life).or_insert_with(|| Peer {
             session: open(),
             heard_at: now,
-            is_silent: false,
+            is_unresponsive: false,
         });
-        if peer.is_silent {
+        if peer.is_unresponsive {
             peer.session = open();
-            peer.is_silent = false;
+            peer.is_unresponsive = false;
         }
         peer.heard_at = now;
         peer.session
@@ -58,18 +58,20 @@
         silence: Millis,
     ) -> bool {
         self.peers.get(&life).is_some_and(|peer| {
-            !peer.is_silent && peer.session == session && now.since(peer.heard_at) < silence.into()
+            !peer.is_unresponsive
+                && peer.session == session
+                && now.since(peer.heard_at) < silence.into()
         })
     }
 
     /// Marks the peers without contact for `timeout` as unresponsive and returns those newly marked.
-    pub fn fall_silent(&mut self, now: Mono, silence: Millis) -> Vec<PeerIncarnation> {
+    pub fn mark_unresponsive(&mut self, now: Mono, silence: Millis) -> Vec<PeerIncarnation> {
         self.peers
             .retain(|_, peer| now.since(peer.heard_at) < FORGET_AFTER.into());
         let mut silent = Vec::new();
         for (life, peer) in &mut self.peers {
-            if !peer.is_silent && now.since(peer.heard_at) >= silence.into() {
-                peer.is_silent = true;
+            if !peer.is_unresponsive && now.since(peer.heard_at) >= silence.into() {
+                peer.is_unresponsive = true;
                 silent.push(*life);
             }
         }
@@ -77,9 +79,9 @@
     }
 
     /// Ends every session, as after a pause of this process.
-    pub fn end_all(&mut self) {
+    pub fn end_all_sessions(&mut self) {
         for peer in self.peers.values_mut() {
-            peer.is_silent = true;
+            peer.is_unresponsive = true;
         }
     }
 }
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -22,7 +22,7 @@
 
 use onyxshed_core::{Millis, Mono};
 
-use crate::executor::{Executor, ExecutorFacts, Executors, Life, Phase, RunState};
+use crate::executor::{Executor, ExecutorFacts, Executors, IncarnationMatch, Phase, RunState};
 use crate::id::{ExecutorId, FencingToken, JobId, PeerIncarnation, Session, TaskId};
 use crate::job::{Job, JobEnd, NotRunReason, UnknownReason};
 use crate::message::{Action, Decision, HoldOrder, StopOrder};
@@ -31,7 +31,7 @@
 use crate::peers::PeerSessions;
 use crate::pool_selector::PoolLoad;
 use crate::resources::Resources;
-use crate::successor::{SuccessorChoice, SuccessorOffer};
+use crate::successor::{SuccessorOffer, SuccessorSelection};
 use evacuation::ZoneStatus;
 use handover::{Predecessor, Stage};
 
@@ -40,21 +40,21 @@
     options: PoolOptions,
     token: FencingToken,
     /// Incarnation of the entry host in this process. Its jobs need no session.
-    own: PeerIncarnation,
+    own_incarnation: PeerIncarnation,
     executors: Executors,
     jobs: BTreeMap<JobId, Job>,
     offered: OfferedLoad,
     peers: PeerSessions,
-    ticked_at: Mono,
+    last_tick_at: Mono,
     stage: Stage,
     zone_status: ZoneStatus,
-    successor_choice: SuccessorChoice,
+    successor_selection: SuccessorSelection,
     /// Total capacity of the usable executors that are not slow, as of the last tick.
-    sound_room: Resources,
+    full_speed_capacity: Resources,
     /// Whether the list of executors has been read, from the store or from the previous owner.
-    has_executors_read: bool,
+    has_read_executors: bool,
     /// Whether this owner has stepped down; it sends no more orders then.
-    is_over: bool,
+    has_stepped_down: bool,
     predecessor: Predecessor,
     /// Jobs whose tasks were requeued since the last placement.
     requeued: Vec<JobId>,
@@ -69,18 +69,18 @@
         Pool {
             options,
             token,
-            own,
+            own_incarnation: own,
             executors: BTreeMap::new(),
             jobs: BTreeMap::new(),
             offered: OfferedLoad::default(),
             peers: PeerSessions::default(),
-            ticked_at: now,
+            last_tick_at: now,
             stage: Stage::Serving,
             zone_status: ZoneStatus::InService,
-            successor_choice: SuccessorChoice::default(),
-            sound_room: Resources::default(),
-            has_executors_read: false,
-            is_over: false,
+            successor_selection: SuccessorSelection::default(),
+            full_speed_capacity: Resources::default(),
+            has_read_executors: false,
+            has_stepped_down: false,
             predecessor: Predecessor::None,
             requeued: Vec::new(),
             stalled_since: BTreeMap::new(),
@@ -105,12 +105,12 @@
 
     /// Stops admitting jobs; each later submission ends as not run.
     pub fn close(&mut self) {
-        self.stage = self.stage.max(Stage::Closing);
+        self.stage = self.stage.max(Stage::Closed);
     }
 
     /// Returns whether the pool has stopped admitting jobs.
     pub fn is_closed(&self) -> bool {
-        self.stage >= Stage::Closing
+        self.stage >= Stage::Closed
     }
 
     /// Records a heartbeat of an entry host with its offer to own the pool, if any, and returns the
@@ -121,13 +121,13 @@
         life: PeerIncarnation,
         offer: Option<SuccessorOffer>,
     ) -> Session {
-        self.successor_choice.heard(now, life, offer);
+        self.successor_selection.record_offer(now, life, offer);
         self.peers.heard(now, life)
     }
 
     /// Records that the list of executors has been read, from the store or from the previous owner.
     pub fn mark_executors_read(&mut self) {
-        self.has_executors_read = true;
+        self.has_read_executors = true;
     }
 
     /// Returns the load report of the pool for entry hosts.
@@ -140,7 +140,7 @@
         let usable = self
             .executors
             .values()
-            .filter(|executor| is_in_service && executor.takes_work(now, &self.options));
+            .filter(|executor| is_in_service && executor.can_accept_tasks(now, &self.options));
         let (mut capacity, mut free) = (0, 0);
         for executor in usable {
             capacity += u64::from(executor.facts.capacity.cpu_millis);
@@ -150,9 +150,9 @@
             capacity_cpu_millis: capacity,
             free_cpu_millis: free,
             waiting_work: self.jobs.values().map(Job::waiting_work).sum(),
-            needs_replacement: self.stage >= Stage::Leaving || !self.has_executors_read,
+            needs_replacement: self.stage >= Stage::Draining || !self.has_read_executors,
             is_closed: self.is_closed(),
-            successor: self.successor_choice.successor_address(),
+            successor: self.successor_selection.successor_address(),
         }
     }
 
@@ -167,14 +167,14 @@
             Some(executor) => {
                 let born = facts.started_at;
                 let is_moved = born.is_none() && facts.address != executor.facts.address;
-                let life = executor.life_of(born);
-                if life == Life::Past {
+                let life = executor.match_incarnation(born);
+                if life == IncarnationMatch::Past {
                     return self.take_actions();
                 }
                 let drains = facts.is_draining && !executor.facts.is_draining;
-                executor.list(facts);
-                if life == Life::New || is_moved {
-                    executor.reborn(born);
+                executor.update_facts(facts);
+                if life == IncarnationMatch::New || is_moved {
+                    executor.record_restart(born);
                 }
                 if drains {
                     self.log(Decision::ExecutorDraining(id.clone()));
@@ -182,15 +182,15 @@
             }
             // The executor already belongs to the next owner.
             None if self.stage == Stage::Releasing => {}
-            None => self.take_in(now, id.clone(), facts),
+            None => self.add_executor(now, id.clone(), facts),
         }
         self.place_after_report(now, &id);
         self.take_actions()
     }
 
-    fn take_in(&mut self, now: Mono, id: ExecutorId, facts: ExecutorFacts) {
+    fn add_executor(&mut self, now: Mono, id: ExecutorId, facts: ExecutorFacts) {
         let mut executor = Executor::new(now, facts);
-        if self.predecessor.may_hold(&id) {
+        if self.predecessor.can_hold(&id) {
             executor.phase = Phase::Withheld;
             self.executors.insert(id, executor);
             return;
@@ -209,7 +209,7 @@
 
     /// Gives up the pool: every job ends with an unknown outcome, and no further order is sent.
     pub fn step_down(&mut self) -> Vec<Action> {
-        self.is_over = true;
+        self.has_stepped_down = true;
         let jobs: Vec<JobId> = self.jobs.keys().copied().collect();
         for job in jobs {
             self.end_job(job, JobEnd::Unknown(UnknownReason::OwnerChanged));
@@ -220,12 +220,12 @@
     }
 
     /// Handles that another executor answers at the address of `id`: none of its runs executes any more.
-    fn executor_replaced(&mut self, now: Mono, id: &ExecutorId) {
+    fn apply_replacement(&mut self, now: Mono, id: &ExecutorId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
         };
-        executor.reborn(None);
-        executor.phase = Phase::Taking;
+        executor.record_restart(None);
+        executor.phase = Phase::Acquiring;
         let runs = executor.take_runs();
         for (task, run) in runs {
             self.requeue_run(task, run.number, id, "another executor is there");
@@ -244,8 +244,8 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if job.awaits(task.index, number, id) {
-            job.wait_again(task.index);
+        if job.is_current_run(task.index, number, id) {
+            job.requeue_task(task.index);
             self.requeued.push(task.job);
             self.actions.push(Action::Log(Decision::RunEnded {
                 task,
@@ -275,7 +275,7 @@
         for (id, executor) in &mut self.executors {
             for (task, run) in &mut executor.runs {
                 if task.job == job && !matches!(run.state, RunState::Stopping { .. }) {
-                    run.state = RunState::Stopping { taken: None };
+                    run.state = RunState::Stopping { accepted_at: None };
                     stops.push((id.clone(), *task, run.number));
                 }
             }
@@ -306,7 +306,7 @@
         };
         // An unresponsive executor gets no renewal: its leases must expire before its tasks can run
         // elsewhere.
-        let is_renewed = executor.phase == Phase::Held && !executor.is_silent;
+        let is_renewed = executor.phase == Phase::Acquired && !executor.is_unresponsive;
         let is_idle = executor.runs.is_empty();
         let expires = match is_renewed && !is_idle {
             true => executor.lease_end(now, options.lease_ms),
@@ -318,7 +318,7 @@
             (false, _) => Millis(0),
         };
         if expires.is_some() {
-            executor.lease_sent(now, options);
+            executor.record_lease(now, options);
         }
         let order = HoldOrder {
             expires,
@@ -326,15 +326,15 @@
             last_seen: executor.last_seen,
             wait,
             answer_within: match executor.phase {
-                Phase::Held => options.report_timeout_ms,
-                Phase::Taking | Phase::Withheld => options.first_report_timeout_ms,
+                Phase::Acquired => options.report_timeout_ms,
+                Phase::Acquiring | Phase::Withheld => options.first_report_timeout_ms,
             },
         };
         self.actions.push(Action::Hold(id.clone(), order, pause));
     }
 
     /// Ends the jobs of which no task has started as not run, and returns how many these were.
-    fn hand_back_unstarted(&mut self, reason: NotRunReason) -> usize {
+    fn return_unstarted_jobs(&mut self, reason: NotRunReason) -> usize {
         let unstarted = self.jobs.iter().filter(|(_, job)| !job.has_started);
         let unstarted: Vec<JobId> = unstarted.map(|(id, _)| *id).collect();
         for job in &unstarted {
--- a/crates/onyxshed-pool/src/pool/admission.rs
+++ b/crates/onyxshed-pool/src/pool/admission.rs
@@ -16,10 +16,10 @@
 use crate::resources::Resources;
 
 /// Minimum retry delay suggested to a rejected caller: the duration of a typical task.
-const RETRY_LEAST: Millis = Millis(100);
+const RETRY_AFTER_MIN: Millis = Millis(100);
 
 /// Maximum retry delay suggested to a rejected caller: a burst has passed by then.
-pub(super) const RETRY_MOST: Millis = Millis(5_000);
+pub(super) const RETRY_AFTER_MAX: Millis = Millis(5_000);
 
 /// Backlog, as the time that the pool takes to process it, up to which no late job is shed. With a
 /// smaller value, small pools would reject jobs that they could run a moment later.
@@ -28,7 +28,7 @@
 /// Queued jobs that can still meet their targets, and the capacity that processes them.
 struct Backlog {
     /// Waiting work of each job in ascending order, in thousandths of a core times milliseconds.
-    works: Vec<u64>,
+    waiting_work: Vec<u64>,
     /// Processor capacity of the pool, in thousandths of a core.
     capacity: u64,
     /// Part of `capacity` that the offered load leaves free.
@@ -37,8 +37,11 @@
 
 impl Backlog {
     /// Returns the total work of the jobs that go before a job of `work`.
-    fn ahead_of(&self, work: u64) -> u64 {
-        self.works.iter().take_while(|held| **held <= work).sum()
+    fn work_ahead_of(&self, work: u64) -> u64 {
+        self.waiting_work
+            .iter()
+            .take_while(|held| **held <= work)
+            .sum()
     }
 }
 
@@ -48,10 +51,10 @@
     /// A resubmission of a job that is still queued or running joins that job; the earlier submission ends
     /// as superseded.
     pub fn submit(&mut self, now: Mono, session: Session, request: JobRequest) -> Vec<Action> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let id = request.job;
         let new = Job::new(now, request);
-        if let Some(refusal) = self.refusal(now, session, &new) {
+        if let Some(refusal) = self.rejection(now, session, &new) {
             self.actions.push(Action::End {
                 peer: new.request.peer,
                 submission: new.request.submission,
@@ -92,7 +95,7 @@
         job: JobId,
         reason: UnknownReason,
     ) -> Vec<Action> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let is_theirs = self
             .jobs
             .get(&job)
@@ -103,23 +106,25 @@
         self.take_actions()
     }
 
-    fn refusal(&self, now: Mono, session: Session, job: &Job) -> Option<JobEnd> {
+    fn rejection(&self, now: Mono, session: Session, job: &Job) -> Option<JobEnd> {
         let request = &job.request;
         let not_run = |reason| Some(JobEnd::NotRun(reason, self.retry_after(now)));
-        if self.is_over || self.is_closed() {
+        if self.has_stepped_down || self.is_closed() {
             return not_run(NotRunReason::NotOwner);
         }
-        let silence = self.options.peer_silence_ms;
-        if request.peer != self.own && !self.peers.is_current(now, request.peer, session, silence) {
+        let silence = self.options.peer_timeout_ms;
+        if request.peer != self.own_incarnation
+            && !self.peers.is_current(now, request.peer, session, silence)
+        {
             return not_run(NotRunReason::OldSession);
         }
         if self.jobs.contains_key(&request.job) {
             return None;
         }
         if self.zone_status != ZoneStatus::InService {
-            return Some(self.evacuation_refusal(now, request.job));
+            return Some(self.evacuation_rejection(now, request.job));
         }
-        if self.runs_of(request.job) {
+        if self.has_runs_of(request.job) {
             return None;
         }
         if !self.is_placeable(now, request) {
@@ -132,10 +137,10 @@
     }
 
     /// Returns the answer to a job that arrives while the zone is evacuated.
-    fn evacuation_refusal(&self, now: Mono, job: JobId) -> JobEnd {
+    fn evacuation_rejection(&self, now: Mono, job: JobId) -> JobEnd {
         // Runs of an earlier submission are still being stopped here. After "not run", another pool
         // could start the same tasks at once.
-        match self.runs_of(job) {
+        match self.has_runs_of(job) {
             true => JobEnd::Unknown(UnknownReason::ZoneEvacuated),
             false => JobEnd::NotRun(NotRunReason::ZoneEvacuated, self.retry_after(now)),
         }
@@ -157,9 +162,9 @@
         let on_target = waiting.filter(|job| self.feasibility(now, job) == Feasibility::OnTarget);
         let mut works: Vec<u64> = on_target.map(Job::waiting_work).collect();
         works.sort_unstable();
-        let capacity = u64::from(self.working_room(now).cpu_millis);
+        let capacity = u64::from(self.usable_capacity(now).cpu_millis);
         Backlog {
-            works,
+            waiting_work: works,
             capacity,
             spare: capacity.saturating_sub(self.offered.cpu_millis(now)),
         }
@@ -173,18 +178,18 @@
         let useful_until = job.useful_until(self.options.late_factor);
         let start_by = Mono(useful_until.0.saturating_sub(job.estimate().0));
         let drained = backlog.spare * start_by.since(now).as_millis().0;
-        let ahead = backlog.ahead_of(job.waiting_work().saturating_mul(LATE_WEIGHT));
+        let ahead = backlog.work_ahead_of(job.waiting_work().saturating_mul(LATE_WEIGHT));
         ahead > drained.max(SHED_BACKLOG.0 * backlog.capacity)
     }
 
-    fn runs_of(&self, job: JobId) -> bool {
+    fn has_runs_of(&self, job: JobId) -> bool {
         self.executors
             .values()
-            .any(|executor| executor.tasks_of(job) > 0)
+            .any(|executor| executor.task_count(job) > 0)
     }
 
-    fn could_run(&self, now: Mono, executor: &Executor, request: &JobRequest) -> bool {
-        executor.counts(now, &self.options)
+    fn is_eligible(&self, now: Mono, executor: &Executor, request: &JobRequest) -> bool {
+        executor.is_usable(now, &self.options)
             && executor.facts.upstream == request.upstream
             && executor.facts.capacity.can_fit(request.demand)
             && executor.has_label(request.label.as_ref())
@@ -202,14 +207,14 @@
             .filter(|job| job.waiting > 0 && (job.has_started || job.waiting_work() <= work))
             .map(Job::waiting_work)
             .sum();
-        let capacity = self.working_room(now).cpu_millis;
+        let capacity = self.usable_capacity(now).cpu_millis;
         Micros(ahead * 1_000 / u64::from(capacity.max(1)))
     }
 
-    fn working_room(&self, now: Mono) -> Resources {
+    fn usable_capacity(&self, now: Mono) -> Resources {
         let mut room = Resources::default();
         for executor in self.executors.values() {
-            if executor.counts(now, &self.options) {
+            if executor.is_usable(now, &self.options) {
                 room += executor.facts.capacity;
             }
         }
@@ -219,14 +224,14 @@
     /// Returns the retry delay for a rejected caller: the time that the pool takes to process its queue.
     pub(super) fn retry_after(&self, now: Mono) -> Millis {
         let waiting: u64 = self.jobs.values().map(Job::waiting_work).sum();
-        let capacity = u64::from(self.working_room(now).cpu_millis.max(1));
-        Millis((waiting / capacity).clamp(RETRY_LEAST.0, RETRY_MOST.0))
+        let capacity = u64::from(self.usable_capacity(now).cpu_millis.max(1));
+        Millis((waiting / capacity).clamp(RETRY_AFTER_MIN.0, RETRY_AFTER_MAX.0))
     }
 
     /// Returns whether a usable executor can run the tasks of a job, now or once it has free resources.
     pub(super) fn is_placeable(&self, now: Mono, request: &JobRequest) -> bool {
         let mut executors = self.executors.values();
-        executors.any(|executor| self.could_run(now, executor, request))
+        executors.any(|executor| self.is_eligible(now, executor, request))
     }
 
     /// Sheds queued jobs that can't end while their answers are useful, and ends jobs whose callers no
@@ -238,7 +243,7 @@
         let backlog = self.on_target_backlog(now);
         let mut ends = Vec::new();
         for (id, job) in &self.jobs {
-            if now >= job.gives_up_at {
+            if now >= job.caller_deadline {
                 ends.push((*id, JobEnd::Unknown(UnknownReason::TimeOut)));
                 continue;
             }
--- a/crates/onyxshed-pool/src/pool/evacuation.rs
+++ b/crates/onyxshed-pool/src/pool/evacuation.rs
@@ -20,7 +20,7 @@
     /// All tasks.
     InService,
     /// Only tasks of jobs that have started, until the given time.
-    Emptying(Mono),
+    Draining(Mono),
     /// No tasks.
     Evacuated,
 }
@@ -30,15 +30,15 @@
     pub fn set_evacuated(&mut self, now: Mono, is_evacuated: bool) -> Vec<Action> {
         match (self.zone_status, is_evacuated) {
             (ZoneStatus::InService, true) => self.begin_evacuation(now),
-            (ZoneStatus::Emptying(_) | ZoneStatus::Evacuated, false) => self.end_evacuation(now),
+            (ZoneStatus::Draining(_) | ZoneStatus::Evacuated, false) => self.end_evacuation(now),
             _ => {}
         }
         self.take_actions()
     }
 
     fn begin_evacuation(&mut self, now: Mono) {
-        self.zone_status = ZoneStatus::Emptying(now + self.options.evacuation_grace_ms);
-        let handed_back = self.hand_back_unstarted(NotRunReason::ZoneEvacuated);
+        self.zone_status = ZoneStatus::Draining(now + self.options.evacuation_grace_ms);
+        let handed_back = self.return_unstarted_jobs(NotRunReason::ZoneEvacuated);
         let kept = self.jobs.len();
         self.log(Decision::EvacuationBegun { handed_back, kept });
     }
@@ -50,7 +50,7 @@
         for (id, executor) in &mut self.executors {
             if std::mem::take(&mut executor.is_parked) {
                 // The executor gets no task before a report shows its clock and its runs.
-                executor.phase = Phase::Taking;
+                executor.phase = Phase::Acquiring;
                 executor.heard_at = now;
                 parked.push(id.clone());
             }
@@ -64,8 +64,8 @@
     pub(super) fn expire_evacuation_grace(&mut self, now: Mono) {
         match self.zone_status {
             ZoneStatus::InService => return,
-            ZoneStatus::Emptying(until) if now < until => return,
-            ZoneStatus::Emptying(_) => self.zone_status = ZoneStatus::Evacuated,
+            ZoneStatus::Draining(until) if now < until => return,
+            ZoneStatus::Draining(_) => self.zone_status = ZoneStatus::Evacuated,
             ZoneStatus::Evacuated => {}
         }
         let waiting = self.jobs.iter().filter(|(_, job)| job.waiting > 0);
@@ -77,7 +77,7 @@
 
     /// Parks an idle executor of an evacuated zone, so that it gets no more orders, and returns whether it
     /// did. An executor whose last report must be acknowledged (`has_entries`) is not parked.
-    pub(super) fn park_if_empty(&mut self, id: &ExecutorId, has_news: bool) -> bool {
+    pub(super) fn park_if_idle(&mut self, id: &ExecutorId, has_news: bool) -> bool {
         if self.zone_status != ZoneStatus::Evacuated || has_news {
             return false;
         }
--- a/crates/onyxshed-pool/src/pool/handover.rs
+++ b/crates/onyxshed-pool/src/pool/handover.rs
@@ -24,9 +24,9 @@
     /// The owner serves the pool.
     Serving,
     /// The owner is stopping and needs to be replaced, but still admits jobs.
-    Leaving,
+    Draining,
     /// The owner admits no new jobs.
-    Closing,
+    Closed,
     /// The next owner acquires each executor as it becomes idle.
     Releasing,
 }
@@ -38,17 +38,17 @@
     #[default]
     None,
     /// The previous owner answers, but has not yet named the executors that it uses.
-    Unheard,
+    Unknown,
     /// The previous owner uses these executors.
     Holds(BTreeSet<ExecutorId>),
 }
 
 impl Predecessor {
     /// Returns whether the previous owner may still use an executor.
-    pub fn may_hold(&self, id: &ExecutorId) -> bool {
+    pub fn can_hold(&self, id: &ExecutorId) -> bool {
         match self {
             Predecessor::None => false,
-            Predecessor::Unheard => true,
+            Predecessor::Unknown => true,
             Predecessor::Holds(held) => held.contains(id),
         }
     }
@@ -57,13 +57,13 @@
 impl Pool {
     /// Records that this owner is stopping. It serves the pool until another host takes over.
     pub fn begin_drain(&mut self) {
-        self.stage = self.stage.max(Stage::Leaving);
+        self.stage = self.stage.max(Stage::Draining);
     }
 
     /// Sets whether this owner has to select a successor among the hosts that offer themselves, because the
     /// store can't.
     pub fn set_successor_needed(&mut self, is_sought: bool) {
-        self.successor_choice.seek(is_sought);
+        self.successor_selection.set_needed(is_sought);
     }
 
     /// Selects a successor if one is needed, and returns the transfer for the host `life`, from which a
@@ -77,11 +77,11 @@
         life: PeerIncarnation,
         members: Vec<SmolStr>,
     ) -> Option<OwnershipTransfer> {
-        let token = self.token.of_successor()?;
-        if let Some(successor) = self.successor_choice.name(now, life) {
+        let token = self.token.successor()?;
+        if let Some(successor) = self.successor_selection.select(now, life) {
             self.log(Decision::OwnershipTransferred(successor));
         }
-        if self.is_over || !self.successor_choice.is_successor(life) {
+        if self.has_stepped_down || !self.successor_selection.is_successor(life) {
             return None;
         }
         let listed = self.executors.iter();
@@ -90,7 +90,7 @@
             token,
             past_members: members,
             executors: listed
-                .map(|(id, executor)| (id.clone(), executor.present_facts()))
+                .map(|(id, executor)| (id.clone(), executor.current_facts()))
                 .collect(),
         })
     }
@@ -105,13 +105,13 @@
     ///
     /// Jobs that have started are completed by this owner; the others end as not run.
     pub fn release(&mut self, now: Mono, next: FencingToken) -> (Vec<Action>, Vec<ExecutorId>) {
-        self.notice_pause(now);
-        if self.token.of_successor() == Some(next) {
-            self.successor_choice.begun();
+        self.detect_pause(now);
+        if self.token.successor() == Some(next) {
+            self.successor_selection.record_takeover();
         }
         if !self.is_releasing() {
             self.stage = Stage::Releasing;
-            let handed_back = self.hand_back_unstarted(NotRunReason::NotOwner);
+            let handed_back = self.return_unstarted_jobs(NotRunReason::NotOwner);
             let kept = self.jobs.len();
             self.log(Decision::HandoverBegun { handed_back, kept });
         }
@@ -128,7 +128,7 @@
     /// Makes this new owner wait for its predecessor, which still answers: no executor gets an order before
     /// [`Pool::apply_predecessor_executors`] names those that the predecessor uses.
     pub fn await_predecessor(&mut self) {
-        self.predecessor = Predecessor::Unheard;
+        self.predecessor = Predecessor::Unknown;
     }
 
     /// Applies the set of executors that the previous owner still uses, and takes over the others.
@@ -146,13 +146,13 @@
             .executors
             .iter()
             .filter(|(id, executor)| {
-                executor.phase == Phase::Withheld && !self.predecessor.may_hold(id)
+                executor.phase == Phase::Withheld && !self.predecessor.can_hold(id)
             })
             .map(|(id, _)| id.clone())
             .collect();
         for id in released {
             if let Some(executor) = self.executors.get_mut(&id) {
-                executor.phase = Phase::Taking;
+                executor.phase = Phase::Acquiring;
             }
             self.send_hold(now, &id, Millis(0));
         }
--- a/crates/onyxshed-pool/src/pool/orders.rs
+++ b/crates/onyxshed-pool/src/pool/orders.rs
@@ -9,17 +9,17 @@
 
 /// How long an executor that refused a task for lack of room gets no further task. A full executor ends
 /// its next run within about that time.
-const FULL_PAUSE: Millis = Millis(15);
+const FULL_BACKOFF: Millis = Millis(15);
 
 /// What happens to a run after the answer to its start order.
-enum Next {
+enum RunStep {
     /// Nothing: the run executes, or the answer is obsolete.
-    Nothing,
+    Keep,
     /// The run does not execute and never will, for the given reason: the task is requeued.
-    NotRunning(&'static str),
+    Requeue(&'static str),
     /// The state of the run is unknown: the same order is sent again, which has no effect if the executor
     /// already has the run.
-    Again,
+    Resend,
     /// The state of the run is unknown, and the run is stopped.
     Stop,
     /// The refusal counts as a failed run on this executor.
@@ -36,23 +36,23 @@
         number: RunNumber,
         answer: &StartAnswer,
     ) -> Vec<Action> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         if self.has_released(id) {
             return self.take_actions();
         }
         if *answer == StartAnswer::Refused(RefuseReason::Fenced) {
-            return self.fenced();
+            return self.step_down_fenced();
         }
         if *answer == StartAnswer::OtherIncarnation {
-            self.executor_replaced(now, id);
+            self.apply_replacement(now, id);
             return self.take_actions();
         }
-        match self.after_start(now, id, task, number, answer) {
-            Next::Nothing => {}
-            Next::NotRunning(why) => self.discard_run(id, task, number, why),
-            Next::Again => self.start_again(now, id, task, number),
-            Next::Stop => self.stop_run(id, task),
-            Next::Failed => self.run_failed(now, id, task, number),
+        match self.step_after_start(now, id, task, number, answer) {
+            RunStep::Keep => {}
+            RunStep::Requeue(why) => self.discard_run(id, task, number, why),
+            RunStep::Resend => self.resend_start(now, id, task, number),
+            RunStep::Stop => self.stop_run(id, task),
+            RunStep::Failed => self.apply_run_failed(now, id, task, number),
         }
         if !self.requeued.is_empty() {
             self.place_after_report(now, id);
@@ -60,75 +60,75 @@
         self.take_actions()
     }
 
-    fn after_start(
+    fn step_after_start(
         &mut self,
         now: Mono,
         id: &ExecutorId,
         task: TaskId,
         number: RunNumber,
         answer: &StartAnswer,
-    ) -> Next {
-        let tries_max = self.options.start_tries_max;
+    ) -> RunStep {
+        let tries_max = self.options.start_orders_max;
         let Some(executor) = self.executors.get_mut(id) else {
-            return Next::Nothing;
+            return RunStep::Keep;
         };
         if let StartAnswer::Started { clock: Some(clock) } = answer {
             executor.observe_clock(now, *clock);
         }
-        let is_silent = executor.is_silent;
+        let is_silent = executor.is_unresponsive;
         let Some(run) = executor.runs.get_mut(&task) else {
-            return Next::Nothing;
+            return RunStep::Keep;
         };
-        let RunState::Ordered { tries } = run.state else {
-            return Next::Nothing;
+        let RunState::Ordered { orders_sent: tries } = run.state else {
+            return RunStep::Keep;
         };
         if run.number != number {
-            return Next::Nothing;
+            return RunStep::Keep;
         }
         match answer {
             StartAnswer::Started { .. } => {
-                run.state = RunState::AtWork { since: now };
-                Next::Nothing
+                run.state = RunState::Running { since: now };
+                RunStep::Keep
             }
             // A resubmitted job may reuse run numbers of its earlier submission. The only order for this
             // run was refused, so it never started; the task's next run has a higher number.
             StartAnswer::Refused(RefuseReason::Ended) if tries == 1 => {
-                Next::NotRunning("an earlier run of that number ended there")
+                RunStep::Requeue("an earlier run of that number ended there")
             }
             // The run has already ended; its end is in the next report.
             StartAnswer::Refused(RefuseReason::Ended) => {
-                run.state = RunState::AtWork { since: now };
-                Next::Nothing
+                run.state = RunState::Running { since: now };
+                RunStep::Keep
             }
             StartAnswer::Refused(reason) if tries > 1 => match reason {
                 // An earlier order for this run may have been executed, or may still be.
-                RefuseReason::Other => Next::Failed,
-                _ => Next::Stop,
+                RefuseReason::Other => RunStep::Failed,
+                _ => RunStep::Stop,
             },
             StartAnswer::Refused(RefuseReason::NoRoom) => {
-                executor.full_until = now + FULL_PAUSE;
-                Next::NotRunning("no room")
+                executor.full_until = now + FULL_BACKOFF;
+                RunStep::Requeue("no room")
             }
             StartAnswer::Refused(RefuseReason::Unhealthy) => {
-                executor.health.strike(now, &self.options);
-                Next::NotRunning("the executor is unwell")
+                executor.health.record_failure(now, &self.options);
+                RunStep::Requeue("the executor is unwell")
             }
-            StartAnswer::Refused(RefuseReason::Expired) => Next::NotRunning("the order came late"),
-            StartAnswer::Refused(_) => Next::Failed,
+            StartAnswer::Refused(RefuseReason::Expired) => RunStep::Requeue("the order came late"),
+            StartAnswer::Refused(_) => RunStep::Failed,
             StartAnswer::NotSent if tries == 1 => {
-                executor.full_until = now + FULL_PAUSE;
-                Next::NotRunning("the executor can't be reached")
+                executor.full_until = now + FULL_BACKOFF;
+                RunStep::Requeue("the executor can't be reached")
             }
             StartAnswer::NotSent | StartAnswer::Unknown if tries < tries_max && !is_silent => {
-                Next::Again
+                RunStep::Resend
             }
-            StartAnswer::NotSent | StartAnswer::Unknown => Next::Stop,
-            StartAnswer::OtherIncarnation => Next::Nothing,
+            StartAnswer::NotSent | StartAnswer::Unknown => RunStep::Stop,
+            StartAnswer::OtherIncarnation => RunStep::Keep,
         }
     }
 
     /// Resends the start order of a run. It has no effect if the executor already has the run.
-    fn start_again(&mut self, now: Mono, id: &ExecutorId, task: TaskId, number: RunNumber) {
+    fn resend_start(&mut self, now: Mono, id: &ExecutorId, task: TaskId, number: RunNumber) {
         let lease = self.options.lease_ms;
         let Some(job) = self.jobs.get(&task.job) else {
             return self.stop_run(id, task);
@@ -138,11 +138,11 @@
             return;
         };
         let expires = executor.lease_end(now, lease);
-        executor.lease_sent(now, &self.options);
+        executor.record_lease(now, &self.options);
         let Some(run) = executor.runs.get_mut(&task) else {
             return;
         };
-        if let RunState::Ordered { tries } = &mut run.state {
+        if let RunState::Ordered { orders_sent: tries } = &mut run.state {
             *tries += 1;
         }
         let Some(expires) = expires else {
@@ -166,7 +166,7 @@
         let Some(run) = executor.runs.get_mut(&task) else {
             return;
         };
-        run.state = RunState::Stopping { taken: None };
+        run.state = RunState::Stopping { accepted_at: None };
         let number = run.number;
         self.send_stop(id, task, number);
     }
@@ -180,14 +180,14 @@
         number: RunNumber,
         answer: StopAnswer,
     ) -> Vec<Action> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         if self.has_released(id) {
             return self.take_actions();
         }
         match answer {
-            StopAnswer::Fenced => return self.fenced(),
-            StopAnswer::OtherIncarnation => self.executor_replaced(now, id),
-            StopAnswer::Accepted => self.stop_taken(now, id, task, number),
+            StopAnswer::Fenced => return self.step_down_fenced(),
+            StopAnswer::OtherIncarnation => self.apply_replacement(now, id),
+            StopAnswer::Accepted => self.record_stop_accepted(now, id, task, number),
             // The order is sent again after the executor's next report.
             StopAnswer::Unknown => {}
         }
@@ -202,12 +202,18 @@
         self.is_releasing() && !self.executors.contains_key(id)
     }
 
-    fn stop_taken(&mut self, now: Mono, id: &ExecutorId, task: TaskId, number: RunNumber) {
+    fn record_stop_accepted(
+        &mut self,
+        now: Mono,
+        id: &ExecutorId,
+        task: TaskId,
+        number: RunNumber,
+    ) {
         let executor = self.executors.get_mut(id);
         let run = executor.and_then(|executor| executor.runs.get_mut(&task));
         if let Some(run) = run
             && run.number == number
-            && let RunState::Stopping { taken } = &mut run.state
+            && let RunState::Stopping { accepted_at: taken } = &mut run.state
         {
             taken.get_or_insert(now);
         }
@@ -228,8 +234,8 @@
     }
 
     /// Steps down because an executor has seen a higher token: another host owns the pool.
-    pub(super) fn fenced(&mut self) -> Vec<Action> {
-        if self.is_over {
+    pub(super) fn step_down_fenced(&mut self) -> Vec<Action> {
+        if self.has_stepped_down {
             return self.take_actions();
         }
         let mut actions = self.step_down();
@@ -238,7 +244,7 @@
     }
 
     /// Records a failed run of a job against an executor's health.
-    pub(super) fn blame_for(&mut self, now: Mono, id: &ExecutorId, job: JobId) {
+    pub(super) fn record_run_failure(&mut self, now: Mono, id: &ExecutorId, job: JobId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
         };
@@ -248,11 +254,11 @@
     }
 
     /// Records a failure that no job can have caused against an executor's health.
-    pub(super) fn strike(&mut self, now: Mono, id: &ExecutorId) {
+    pub(super) fn record_failure(&mut self, now: Mono, id: &ExecutorId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
         };
-        let span = executor.health.strike(now, &self.options);
+        let span = executor.health.record_failure(now, &self.options);
         self.log(Decision::ExecutorAvoided(id.clone(), span));
     }
 }
--- a/crates/onyxshed-pool/src/pool/place.rs
+++ b/crates/onyxshed-pool/src/pool/place.rs
@@ -14,7 +14,7 @@
 
 use super::Pool;
 use super::evacuation::ZoneStatus;
-use super::fit::{Place, roomiest};
+use super::fit::{AvailableExecutor, max_free_cpu_millis};
 use crate::executor::{Run, RunState};
 use crate::id::{ExecutorId, JobId};
 use crate::job::Job;
@@ -45,15 +45,15 @@
     /// [`Pool::place_after_report`] and [`Pool::place_job`] are cheaper.
     pub(super) fn place(&mut self, now: Mono) {
         self.requeued.clear();
-        if !self.may_place() {
+        if !self.can_place() {
             return;
         }
         let waiting = self.jobs.values().filter(|job| job.waiting > 0);
         let Some(least) = waiting.map(|job| job.request.demand.cpu_millis).min() else {
             return;
         };
-        let mut places = self.places(now, least);
-        let Some(mut room_max) = roomiest(&places) else {
+        let mut places = self.available_executors(now, least);
+        let Some(mut room_max) = max_free_cpu_millis(&places) else {
             return;
         };
         let mut queue: BinaryHeap<Reverse<(Rank, JobId)>> = self
@@ -67,7 +67,7 @@
                 continue;
             }
             self.place_tasks_of(now, id, &mut places, least);
-            match roomiest(&places) {
+            match max_free_cpu_millis(&places) {
                 Some(left) => room_max = left,
                 None => return,
             }
@@ -78,7 +78,7 @@
     /// tasks of requeued jobs.
     pub(super) fn place_after_report(&mut self, now: Mono, id: &ExecutorId) {
         let requeued = std::mem::take(&mut self.requeued);
-        self.place_on(now, id);
+        self.place_on_executor(now, id);
         for job in requeued {
             self.place_job(now, job);
         }
@@ -90,30 +90,30 @@
         let Some(demand) = job.map(|job| job.request.demand.cpu_millis) else {
             return;
         };
-        if self.may_place() {
-            let mut places = self.places(now, demand);
+        if self.can_place() {
+            let mut places = self.available_executors(now, demand);
             self.place_tasks_of(now, id, &mut places, demand);
         }
     }
 
     /// Starts the tasks that can start on an executor, in queue order.
-    fn place_on(&mut self, now: Mono, id: &ExecutorId) {
-        while self.may_place()
-            && let Some(place) = self.place_of(now, id)
-            && let Some((job, index, expected)) = self.first_for(now, &place)
+    fn place_on_executor(&mut self, now: Mono, id: &ExecutorId) {
+        while self.can_place()
+            && let Some(place) = self.available_executor(now, id)
+            && let Some((job, index, expected)) = self.first_task_for(now, &place)
         {
-            self.start(now, job, index, id, expected);
+            self.start_run(now, job, index, id, expected);
         }
     }
 
     /// Returns the first task in queue order that may start on an executor, with its expected run time
     /// there.
-    fn first_for(&self, now: Mono, place: &Place) -> Option<(JobId, u16, Micros)> {
+    fn first_task_for(&self, now: Mono, place: &AvailableExecutor) -> Option<(JobId, u16, Micros)> {
         let candidates = self.jobs.iter().filter_map(|(id, job)| {
             if job.waiting == 0 || !place.free.can_fit(job.request.demand) {
                 return None;
             }
-            let index = job.next_waiting()?;
+            let index = job.next_waiting_task()?;
             let (expected, _) = self.fit(now, job, index, place)?;
             Some((self.rank(now, *id, job), *id, index, expected))
         });
@@ -121,13 +121,19 @@
         first.map(|(_, id, index, expected)| (id, index, expected))
     }
 
-    fn may_place(&self) -> bool {
-        !self.is_over && self.zone_status != ZoneStatus::Evacuated
+    fn can_place(&self) -> bool {
+        !self.has_stepped_down && self.zone_status != ZoneStatus::Evacuated
     }
 
-    fn place_tasks_of(&mut self, now: Mono, id: JobId, places: &mut Vec<Place>, least: u32) {
+    fn place_tasks_of(
+        &mut self,
+        now: Mono,
+        id: JobId,
+        places: &mut Vec<AvailableExecutor>,
+        least: u32,
+    ) {
         while let Some(taken) = self.place_next(now, id, places) {
-            self.renew_place(now, places, taken, least);
+            self.refresh_available(now, places, taken, least);
         }
     }
 
@@ -137,12 +143,12 @@
             Feasibility::Late => (false, LATE_WEIGHT),
             Feasibility::Expired => (true, LATE_WEIGHT),
         };
-        (is_in_vain, job.waiting_work() * weight, job.arrived, id)
+        (is_in_vain, job.waiting_work() * weight, job.arrived_at, id)
     }
 
     /// Returns the best outcome that a job can reach if its waiting tasks start now.
     pub(super) fn feasibility(&self, now: Mono, job: &Job) -> Feasibility {
-        let end_at = now + job.estimate() + Micros::from(self.options.overhead_ms);
+        let end_at = now + job.estimate() + Micros::from(self.options.transit_ms);
         // A caller's deadline may precede its target.
         if end_at > job.useful_until(self.options.late_factor) {
             Feasibility::Expired
@@ -155,16 +161,23 @@
 
     /// Starts the next waiting task of a job if one of the executors fits, and returns the index of that
     /// executor.
-    fn place_next(&mut self, now: Mono, id: JobId, places: &[Place]) -> Option<usize> {
+    fn place_next(&mut self, now: Mono, id: JobId, places: &[AvailableExecutor]) -> Option<usize> {
         let job = self.jobs.get(&id)?;
-        let index = job.next_waiting()?;
-        let (taken, expected) = self.choose(now, job, index, places)?;
+        let index = job.next_waiting_task()?;
+        let (taken, expected) = self.choose_executor(now, job, index, places)?;
         let executor = places[taken].id.clone();
-        self.start(now, id, index, &executor, expected);
+        self.start_run(now, id, index, &executor, expected);
         Some(taken)
     }
 
-    fn start(&mut self, now: Mono, id: JobId, index: u16, place: &ExecutorId, expected: Micros) {
+    fn start_run(
+        &mut self,
+        now: Mono,
+        id: JobId,
+        index: u16,
+        place: &ExecutorId,
+        expected: Micros,
+    ) {
         let (Some(job), Some(executor)) = (self.jobs.get_mut(&id), self.executors.get_mut(place))
         else {
             return;
@@ -172,18 +185,18 @@
         let Some(expires) = executor.lease_end(now, self.options.lease_ms) else {
             return;
         };
-        let number = job.run_ordered(index, place);
+        let number = job.record_run_ordered(index, place);
         let task = job.task_id(index);
         let run = Run {
             number,
             demand: job.request.demand,
-            state: RunState::Ordered { tries: 1 },
+            state: RunState::Ordered { orders_sent: 1 },
             ordered_at: now,
             expected,
             estimate: job.estimate(),
         };
         executor.add_run(task, run);
-        executor.lease_sent(now, &self.options);
+        executor.record_lease(now, &self.options);
         let order = StartOrder {
             task,
             run: number,
@@ -191,7 +204,7 @@
             expires,
             token: self.token,
         };
-        let waited = now.since(job.arrived);
+        let waited = now.since(job.arrived_at);
         self.actions.push(Action::Start(place.clone(), order));
         self.log(Decision::RunOrdered {
             task,
--- a/crates/onyxshed-pool/src/pool/progress.rs
+++ b/crates/onyxshed-pool/src/pool/progress.rs
@@ -14,13 +14,13 @@
 
 /// Minimum age of a run before its progress is used. Executors round progress down, so earlier values
 /// mean little.
-const PROGRESS_AFTER: Micros = Micros(40_000);
+const PROGRESS_MIN_AGE: Micros = Micros(40_000);
 
 /// Maximum number of stopped runs of a task before it is no longer moved off a slow executor.
 const MOVES_MAX: u32 = 2;
 
 /// Time from a stop order until the run is known to have ended.
-const MOVE_TIME: Millis = Millis(60);
+const STOP_CONFIRM_TIME: Millis = Millis(60);
 
 /// An executing run and the earliest time at which it can end.
 struct Forecast {
@@ -41,8 +41,8 @@
             let Some(run) = executor.runs.get(&row.task) else {
                 continue;
             };
-            let least = row.progress.and_then(|done| least_run_time(now, run, done));
-            let Some(least) = least.filter(|_| is_at_work(run, row)) else {
+            let least = row.progress.and_then(|done| min_run_time(now, run, done));
+            let Some(least) = least.filter(|_| is_running(run, row)) else {
                 continue;
             };
             executor
@@ -71,25 +71,25 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
         };
-        if job.tasks[usize::from(task.index)].stuck >= MOVES_MAX {
+        if job.tasks[usize::from(task.index)].stopped_runs >= MOVES_MAX {
             return false;
         }
-        let anew_ends_at = now + MOVE_TIME + job.estimate();
+        let anew_ends_at = now + STOP_CONFIRM_TIME + job.estimate();
         let meets = |limit: Mono| anew_ends_at <= limit && forecast.ends_at > limit;
         let useful_until = job.useful_until(self.options.late_factor);
         let is_better = meets(job.target_at()) || meets(useful_until);
-        is_better && self.has_sound_place(now, job.request.demand.cpu_millis)
+        is_better && self.has_full_speed_executor(now, job.request.demand.cpu_millis)
     }
 
-    fn has_sound_place(&self, now: Mono, cpu_millis: u32) -> bool {
-        let places = self.places(now, cpu_millis);
+    fn has_full_speed_executor(&self, now: Mono, cpu_millis: u32) -> bool {
+        let places = self.available_executors(now, cpu_millis);
         places.iter().any(|place| !place.is_slow)
     }
 
     fn move_run(&mut self, now: Mono, id: &ExecutorId, forecast: &Forecast) {
         let task = forecast.task;
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.tasks[usize::from(task.index)].stuck += 1;
+            job.tasks[usize::from(task.index)].stopped_runs += 1;
         }
         self.log(Decision::RunMoved {
             task,
@@ -103,12 +103,12 @@
 
 /// Returns the least total time of a run according to its progress, or `None` if the run is too young
 /// for its progress to count.
-fn least_run_time(now: Mono, run: &Run, done: Percent) -> Option<Micros> {
+fn min_run_time(now: Mono, run: &Run, done: Percent) -> Option<Micros> {
     let at_work = now.since(run.ordered_at);
     let done_at_most = u64::from(done.get()) + 1;
-    (at_work >= PROGRESS_AFTER).then(|| Micros(at_work.0 * 100 / done_at_most))
+    (at_work >= PROGRESS_MIN_AGE).then(|| Micros(at_work.0 * 100 / done_at_most))
 }
 
-fn is_at_work(run: &Run, row: &RunningRun) -> bool {
-    run.number == row.run && matches!(run.state, RunState::AtWork { .. })
+fn is_running(run: &Run, row: &RunningRun) -> bool {
+    run.number == row.run && matches!(run.state, RunState::Running { .. })
 }
--- a/crates/onyxshed-pool/src/pool/reports.rs
+++ b/crates/onyxshed-pool/src/pool/reports.rs
@@ -3,7 +3,7 @@
 use onyxshed_core::{Millis, Mono};
 
 use super::Pool;
-use crate::executor::{Life, Phase, RunState};
+use crate::executor::{IncarnationMatch, Phase, RunState};
 use crate::id::{ExecutorId, RunNumber, TaskId};
 use crate::job::{JobEnd, TaskState};
 use crate::message::{
@@ -11,14 +11,14 @@
 };
 
 /// Pause before the next hold order to an executor that did not answer.
-const SILENT_PAUSE: Millis = Millis(50);
+const UNRESPONSIVE_PAUSE: Millis = Millis(50);
 
 /// Pause after the first missing report. Usually only the answer was lost, and the executor gets no
 /// tasks until its next report.
-const FIRST_SILENT_PAUSE: Millis = Millis(5);
+const FIRST_MISSED_PAUSE: Millis = Millis(5);
 
 /// Pause between two hold orders to an executor that still runs tasks of an earlier owner.
-const TAKING_PAUSE: Millis = Millis(20);
+const ACQUIRING_PAUSE: Millis = Millis(20);
 
 impl Pool {
     /// Applies the answer to a hold order that was sent at `sent_at`.
@@ -29,33 +29,33 @@
         sent_at: Mono,
         answer: HoldAnswer,
     ) -> Vec<Action> {
-        self.notice_pause(now);
-        if self.is_over || !self.executors.contains_key(id) {
+        self.detect_pause(now);
+        if self.has_stepped_down || !self.executors.contains_key(id) {
             return self.take_actions();
         }
-        let has_news = has_news(&answer);
+        let has_news = has_entries(&answer);
         let pause = match answer {
-            HoldAnswer::Report(ExecutorReport::Fenced) => return self.fenced(),
+            HoldAnswer::Report(ExecutorReport::Fenced) => return self.step_down_fenced(),
             HoldAnswer::Report(ExecutorReport::OtherIncarnation) => {
-                self.executor_replaced(now, id);
-                SILENT_PAUSE
+                self.apply_replacement(now, id);
+                UNRESPONSIVE_PAUSE
             }
             HoldAnswer::Report(ExecutorReport::Lists(lists)) => {
-                self.report(now, id, sent_at, &lists)
+                self.apply_report(now, id, sent_at, &lists)
             }
             HoldAnswer::Unknown => match self.mark_unresponsive(id) {
-                true => FIRST_SILENT_PAUSE,
-                false => SILENT_PAUSE,
+                true => FIRST_MISSED_PAUSE,
+                false => UNRESPONSIVE_PAUSE,
             },
         };
         self.place_after_report(now, id);
-        if !self.park_if_empty(id, has_news) {
+        if !self.park_if_idle(id, has_news) {
             self.send_hold(now, id, pause);
         }
         self.take_actions()
     }
 
-    fn report(
+    fn apply_report(
         &mut self,
         now: Mono,
         id: &ExecutorId,
@@ -66,18 +66,18 @@
         let Some(executor) = self.executors.get_mut(id) else {
             return Millis(0);
         };
-        match executor.life_of(born) {
-            Life::Past => return Millis(0),
-            Life::New => executor.reborn(born),
-            Life::Present => {}
+        match executor.match_incarnation(born) {
+            IncarnationMatch::Past => return Millis(0),
+            IncarnationMatch::New => executor.record_restart(born),
+            IncarnationMatch::Current => {}
         }
-        executor.born = born.or(executor.born);
+        executor.started_at = born.or(executor.started_at);
         executor.observe_clock(now, lists.clock);
         // Acknowledges every listed end, known or not. An end that stays listed would make the
         // executor answer each hold order at once instead of waiting for news.
         executor.last_seen = executor.last_seen.max(lists.listed_to);
         executor.heard_at = now;
-        let was_silent = std::mem::take(&mut executor.is_silent);
+        let was_silent = std::mem::take(&mut executor.is_unresponsive);
         if was_silent {
             self.log(Decision::ExecutorRecovered(id.clone()));
         }
@@ -90,13 +90,13 @@
         let Some(executor) = self.executors.get_mut(id) else {
             return Millis(0);
         };
-        if executor.phase == Phase::Held {
+        if executor.phase == Phase::Acquired {
             return Millis(0);
         }
         if !lists.running.is_empty() {
-            return TAKING_PAUSE;
+            return ACQUIRING_PAUSE;
         }
-        executor.phase = Phase::Held;
+        executor.phase = Phase::Acquired;
         self.log(Decision::ExecutorAcquired(id.clone()));
         Millis(0)
     }
@@ -114,13 +114,13 @@
             return;
         }
         match end.end {
-            RunEnd::Done => self.run_done(now, id, end.task, end.run),
-            RunEnd::Failed => self.run_failed(now, id, end.task, end.run),
+            RunEnd::Done => self.apply_run_completed(now, id, end.task, end.run),
+            RunEnd::Failed => self.apply_run_failed(now, id, end.task, end.run),
             RunEnd::Stopped => self.discard_run(id, end.task, end.run, "stopped or lapsed"),
         }
     }
 
-    fn run_done(&mut self, now: Mono, id: &ExecutorId, task: TaskId, number: RunNumber) {
+    fn apply_run_completed(&mut self, now: Mono, id: &ExecutorId, task: TaskId, number: RunNumber) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
         };
@@ -133,11 +133,11 @@
             executor.slowdown.observe(now, took, run.estimate);
         }
         executor.health = Default::default();
-        executor.done_at = now;
+        executor.last_completed_at = now;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if !job.awaits(task.index, number, id) {
+        if !job.is_current_run(task.index, number, id) {
             return;
         }
         job.observe(took, run.expected);
@@ -148,7 +148,7 @@
         }
     }
 
-    pub(super) fn run_failed(
+    pub(super) fn apply_run_failed(
         &mut self,
         now: Mono,
         id: &ExecutorId,
@@ -158,11 +158,11 @@
         if let Some(executor) = self.executors.get_mut(id) {
             executor.remove_run(task);
         }
-        self.blame_for(now, id, task.job);
+        self.record_run_failure(now, id, task.job);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if !job.awaits(task.index, number, id) {
+        if !job.is_current_run(task.index, number, id) {
             return;
         }
         let held = &mut job.tasks[usize::from(task.index)];
@@ -174,17 +174,17 @@
         // A task that fails on several executors is faulty itself, so its failures no longer count
         // against these executors.
         if failures > 1 {
-            self.exonerate(now, &failed_on);
+            self.clear_failure(now, &failed_on);
         }
         if is_over {
             self.end_job(task.job, JobEnd::Failed);
         }
     }
 
-    fn exonerate(&mut self, now: Mono, executors: &[ExecutorId]) {
+    fn clear_failure(&mut self, now: Mono, executors: &[ExecutorId]) {
         for id in executors {
             if let Some(executor) = self.executors.get_mut(id) {
-                executor.health.exonerate(now);
+                executor.health.clear_failure(now);
             }
         }
     }
@@ -202,16 +202,18 @@
                 .any(|row| row.task == *task && row.run == run.number);
             match run.state {
                 RunState::Ordered { .. } if is_running => {
-                    run.state = RunState::AtWork { since: now };
+                    run.state = RunState::Running { since: now };
                 }
                 // The run executed before the report was requested and is in neither list.
-                RunState::AtWork { since } if !is_running && since < sent_at => {
+                RunState::Running { since } if !is_running && since < sent_at => {
                     gone.push((*task, run.number));
                 }
-                RunState::Stopping { taken: Some(at) } if !is_running && at < sent_at => {
+                RunState::Stopping {
+                    accepted_at: Some(at),
+                } if !is_running && at < sent_at => {
                     gone.push((*task, run.number));
                 }
-                RunState::Stopping { taken: None } => stops.push((*task, run.number)),
+                RunState::Stopping { accepted_at: None } => stops.push((*task, run.number)),
                 _ => {}
             }
         }
@@ -251,7 +253,7 @@
         let Some(executor) = self.executors.get_mut(id) else {
             return false;
         };
-        let is_news = !std::mem::replace(&mut executor.is_silent, true);
+        let is_news = !std::mem::replace(&mut executor.is_unresponsive, true);
         if is_news {
             self.log(Decision::ExecutorUnresponsive(id.clone()));
         }
@@ -261,7 +263,7 @@
 
 /// Returns whether a report lists a run, executing or ended, that the next hold order has to renew or
 /// acknowledge.
-fn has_news(answer: &HoldAnswer) -> bool {
+fn has_entries(answer: &HoldAnswer) -> bool {
     match answer {
         HoldAnswer::Report(ExecutorReport::Lists(lists)) => {
             !lists.running.is_empty() || !lists.finished.is_empty()
--- a/crates/onyxshed-pool/src/pool/stalled.rs
+++ b/crates/onyxshed-pool/src/pool/stalled.rs
@@ -9,13 +9,13 @@
 use onyxshed_core::{Millis, Mono};
 
 use super::Pool;
-use super::admission::RETRY_MOST;
+use super::admission::RETRY_AFTER_MAX;
 use crate::id::{ExecutorId, JobId};
 use crate::job::{Job, JobEnd, NotRunReason, TaskState, UnknownReason};
 
 /// How long a job may be stalled before it ends. A shorter time would end jobs because of a single late
 /// report, which makes its executor unresponsive for a moment.
-const STALLED_PATIENCE: Millis = Millis(100);
+const STALLED_GRACE: Millis = Millis(100);
 
 impl Pool {
     /// Ends the jobs that have been stalled for [`STALLED_GRACE`].
@@ -27,7 +27,7 @@
             .filter(|(_, job)| !self.is_placeable(now, &job.request) && self.awaits_executor(job))
             .map(|(id, _)| (*id, before.get(id).copied().unwrap_or(now)));
         let (ended, kept): (BTreeMap<JobId, Mono>, _) =
-            stalled.partition(|(_, since)| now.since(*since) >= STALLED_PATIENCE.into());
+            stalled.partition(|(_, since)| now.since(*since) >= STALLED_GRACE.into());
         self.stalled_since = kept;
         for id in ended.into_keys() {
             self.end_stalled_job(id);
@@ -39,7 +39,7 @@
     fn end_stalled_job(&mut self, id: JobId) {
         let end = match self.jobs[&id].has_started {
             true => JobEnd::Unknown(UnknownReason::ExecutorsLost),
-            false => JobEnd::NotRun(NotRunReason::NoExecutor, RETRY_MOST),
+            false => JobEnd::NotRun(NotRunReason::NoExecutor, RETRY_AFTER_MAX),
         };
         self.end_job(id, end);
     }
@@ -49,7 +49,7 @@
     fn awaits_executor(&self, job: &Job) -> bool {
         let is_unresponsive = |id: &ExecutorId| {
             let executor = self.executors.get(id);
-            executor.is_none_or(|executor| executor.is_silent)
+            executor.is_none_or(|executor| executor.is_unresponsive)
         };
         job.waiting > 0
             || job.tasks.iter().any(|task| match &task.state {
--- a/crates/onyxshed-pool/src/pool/watch.rs
+++ b/crates/onyxshed-pool/src/pool/watch.rs
@@ -17,26 +17,26 @@
 impl Pool {
     /// Processes everything that is due. The host calls this every few hundredths of a second.
     pub fn tick(&mut self, now: Mono) -> Vec<Action> {
-        self.notice_pause(now);
-        self.ticked_at = now;
-        self.update_sound_room(now);
-        self.drop_silent_peers(now);
+        self.detect_pause(now);
+        self.last_tick_at = now;
+        self.update_full_speed_capacity(now);
+        self.expire_peers(now);
         self.expire_evacuation_grace(now);
         self.end_stalled_jobs(now);
         self.shed_late_jobs(now);
-        self.give_up_silent_runs(now);
-        self.stop_stuck(now);
-        self.forget_gone(now);
+        self.requeue_expired_runs(now);
+        self.stop_stuck_runs(now);
+        self.forget_unlisted_executors(now);
         self.place(now);
         self.take_actions()
     }
 
     /// Detects whether this process was paused. Every event handler calls this first.
-    pub(super) fn notice_pause(&mut self, now: Mono) {
-        let stood_still = now.since(self.ticked_at);
+    pub(super) fn detect_pause(&mut self, now: Mono) {
+        let stood_still = now.since(self.last_tick_at);
         if stood_still >= self.options.pause_ms.into() {
-            self.ticked_at = now;
-            self.give_up_after_pause(stood_still);
+            self.last_tick_at = now;
+            self.end_jobs_after_pause(stood_still);
         }
     }
 
@@ -45,25 +45,28 @@
     /// The entry hosts may have answered their callers during the pause, and resubmitted jobs may run
     /// elsewhere; starting their remaining tasks here would run them twice. Jobs of this host's own callers
     /// end at their deadlines, which include the pause.
-    fn give_up_after_pause(&mut self, stood_still: Micros) {
+    fn end_jobs_after_pause(&mut self, stood_still: Micros) {
         let jobs: Vec<JobId> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.request.peer != self.own)
+            .filter(|(_, job)| job.request.peer != self.own_incarnation)
             .map(|(id, _)| *id)
             .collect();
         self.log(Decision::Paused(stood_still, jobs.len()));
         for job in jobs {
             self.end_job(job, JobEnd::Unknown(UnknownReason::OwnerPaused));
         }
-        self.peers.end_all();
+        self.peers.end_all_sessions();
     }
 
-    fn drop_silent_peers(&mut self, now: Mono) {
-        for peer in self.peers.fall_silent(now, self.options.peer_silence_ms) {
+    fn expire_peers(&mut self, now: Mono) {
+        for peer in self
+            .peers
+            .mark_unresponsive(now, self.options.peer_timeout_ms)
+        {
             // Without this, the offer of a host that is gone would be kept for as long as this owner
             // serves the pool.
-            self.successor_choice.heard(now, peer, None);
+            self.successor_selection.record_offer(now, peer, None);
             let jobs: Vec<JobId> = self
                 .jobs
                 .iter()
@@ -81,10 +84,13 @@
     }
 
     /// Requeues the tasks of unresponsive executors whose leases have expired.
-    fn give_up_silent_runs(&mut self, now: Mono) {
+    fn requeue_expired_runs(&mut self, now: Mono) {
         let mut lapsed = Vec::new();
         for (id, executor) in &mut self.executors {
-            if executor.is_silent && now >= executor.lapses_at && !executor.runs.is_empty() {
+            if executor.is_unresponsive
+                && now >= executor.leases_expire_at
+                && !executor.runs.is_empty()
+            {
                 let tasks: Vec<TaskId> = executor.runs.keys().copied().collect();
                 for task in tasks {
                     if let Some(run) = executor.remove_run(task) {
@@ -99,7 +105,7 @@
     }
 
     /// Stops runs that take far longer than expected, so that their tasks run elsewhere.
-    fn stop_stuck(&mut self, now: Mono) {
+    fn stop_stuck_runs(&mut self, now: Mono) {
         let mut stuck = Vec::new();
         for (id, executor) in &self.executors {
             for (task, run) in &executor.runs {
@@ -110,9 +116,9 @@
         }
         for (id, task) in stuck {
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                job.tasks[usize::from(task.index)].stuck += 1;
+                job.tasks[usize::from(task.index)].stopped_runs += 1;
             }
-            self.strike(now, &id);
+            self.record_failure(now, &id);
             self.stop_run(&id, task);
         }
     }
@@ -125,10 +131,10 @@
         let Some(job) = self.jobs.get(&task.job) else {
             return false;
         };
-        if executor.is_silent || !matches!(run.state, RunState::AtWork { .. }) {
+        if executor.is_unresponsive || !matches!(run.state, RunState::Running { .. }) {
             return false;
         }
-        let (ratio, siblings) = job.ratio;
+        let (ratio, siblings) = job.log_ratio;
         let (most, expected) = match siblings {
             0 => (self.options.stuck_millis, run.expected),
             _ => (
@@ -136,23 +142,23 @@
                 crate::speed::scaled(run.expected, ratio.exp()),
             ),
         };
-        if executor.done_at > run.ordered_at {
+        if executor.last_completed_at > run.ordered_at {
             return false;
         }
         let doublings = job.tasks[usize::from(task.index)]
-            .stuck
+            .stopped_runs
             .min(STUCK_DOUBLINGS_MAX);
         let limit = (expected.0 * most / 1_000) << doublings;
         now.since(run.ordered_at).0 > limit + Micros::from(self.options.stuck_slack_ms).0
     }
 
-    fn forget_gone(&mut self, now: Mono) {
+    fn forget_unlisted_executors(&mut self, now: Mono) {
         let gone: Vec<ExecutorId> = self
             .executors
             .iter()
             .filter(|(_, executor)| {
                 executor.unlisted_at.is_some()
-                    && (executor.is_silent || executor.is_parked)
+                    && (executor.is_unresponsive || executor.is_parked)
                     && executor.runs.is_empty()
                     && now.since(executor.heard_at) > FORGET_AFTER.into()
             })
--- a/crates/onyxshed-pool/src/pool_selector.rs
+++ b/crates/onyxshed-pool/src/pool_selector.rs
@@ -32,11 +32,11 @@
 
 /// Advantage in waiting time from which another zone's pool is preferred. This is ten times the round
 /// trip, so that small differences between reports half a heartbeat old move no jobs.
-const AWAY_MARGIN: Millis = Millis(20);
+const REMOTE_ZONE_MARGIN: Millis = Millis(20);
 
 /// Advantage in waiting time from which another pool of the host's own zone is preferred. The load
 /// reports of a pool to which the host submits no jobs are infrequent.
-const NEIGHBOUR_MARGIN: Millis = Millis(10);
+const SAME_ZONE_MARGIN: Millis = Millis(10);
 
 /// Latest load reports of the pools, adjusted for the jobs submitted since.
 #[derive(Debug, Default)]
@@ -116,8 +116,8 @@
 fn margin(home: &PoolId, pool: &PoolId) -> Millis {
     match (pool == home, pool.zone == home.zone) {
         (true, _) => Millis(0),
-        (false, true) => NEIGHBOUR_MARGIN,
-        (false, false) => AWAY_MARGIN,
+        (false, true) => SAME_ZONE_MARGIN,
+        (false, false) => REMOTE_ZONE_MARGIN,
     }
 }
 
--- a/crates/onyxshed-pool/src/speed.rs
+++ b/crates/onyxshed-pool/src/speed.rs
@@ -13,11 +13,11 @@
 const CHANGED_ALPHA: f64 = 0.7;
 
 /// Logarithm of the slowdown above which an executor is slow: a factor of three.
-const SLOW_LOG: f64 = 1.1;
+const SLOW_LOG_RATIO: f64 = 1.1;
 
 /// Logarithm of the ratio above which an unfinished run shows that its executor has become slow: a
 /// factor of five, since the estimate of a single run may be far too low.
-const UNFINISHED_LOG: f64 = 1.6;
+const UNFINISHED_LOG_RATIO: f64 = 1.6;
 
 /// Half-life of the estimate, in seconds. A slow executor gets no long tasks and could not show that it
 /// has recovered; the decay lets it get tasks again.
@@ -31,48 +31,48 @@
 pub struct Slowdown {
     log: f64,
     samples: u32,
-    at: Mono,
+    updated_at: Mono,
 }
 
 impl Slowdown {
     /// Updates the estimate by a completed run.
     pub fn observe(&mut self, now: Mono, took: Micros, estimate: Micros) {
         let log = log_ratio(took, estimate);
-        let held = self.decayed(now);
+        let held = self.decayed_log_ratio(now);
         self.samples = self.samples.saturating_add(1);
-        let has_recovered = held > SLOW_LOG && log < held - SLOW_LOG;
+        let has_recovered = held > SLOW_LOG_RATIO && log < held - SLOW_LOG_RATIO;
         let alpha = match has_recovered {
             true => CHANGED_ALPHA,
             false => ALPHA.max(1.0 / f64::from(self.samples + 1)),
         };
         self.log = held + alpha * (log - held);
-        self.at = now;
+        self.updated_at = now;
     }
 
     /// Updates the estimate by the least total time of an unfinished run, if that time shows that the
     /// executor has become slow.
     pub fn observe_unfinished(&mut self, now: Mono, least: Micros, estimate: Micros) {
         let log = log_ratio(least, estimate);
-        let held = self.decayed(now);
-        if log > held.max(0.0) + UNFINISHED_LOG {
+        let held = self.decayed_log_ratio(now);
+        if log > held.max(0.0) + UNFINISHED_LOG_RATIO {
             self.log = held + CHANGED_ALPHA * (log - held);
-            self.at = now;
+            self.updated_at = now;
         }
     }
 
     /// Returns whether the executor is slow beyond what wrong estimates and the usual differences between
     /// executors explain.
     pub fn is_slow(&self, now: Mono) -> bool {
-        self.decayed(now) > SLOW_LOG
+        self.decayed_log_ratio(now) > SLOW_LOG_RATIO
     }
 
     /// Returns the factor on run times: 1 for an ordinary executor, 2 if runs take twice as long.
     pub fn factor(&self, now: Mono) -> f64 {
-        self.decayed(now).exp()
+        self.decayed_log_ratio(now).exp()
     }
 
-    fn decayed(&self, now: Mono) -> f64 {
-        let age_s = as_f64(now.since(self.at).0) / 1e6;
+    fn decayed_log_ratio(&self, now: Mono) -> f64 {
+        let age_s = as_f64(now.since(self.updated_at).0) / 1e6;
         self.log * (-age_s / HALF_LIFE_S).exp2()
     }
 }
--- a/crates/onyxshed-pool/src/successor.rs
+++ b/crates/onyxshed-pool/src/successor.rs
@@ -18,7 +18,7 @@
 use crate::id::{ExecutorId, FencingToken, PeerIncarnation};
 
 /// Time after a heartbeat in which its host can be selected: four heartbeats of 150 ms.
-const HEARD_WITHIN: Millis = Millis(600);
+const OFFER_TTL: Millis = Millis(600);
 
 /// Offer of a host to own the pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,23 +49,28 @@
 
 /// Offers of hosts to own the pool, and the selected successor.
 #[derive(Debug, Default)]
-pub(crate) struct SuccessorChoice {
+pub(crate) struct SuccessorSelection {
     offers: BTreeMap<PeerIncarnation, Offer>,
-    is_sought: bool,
+    is_needed: bool,
     successor: Option<Successor>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Successor {
-    life: PeerIncarnation,
+    incarnation: PeerIncarnation,
     address: SocketAddr,
     /// Whether the successor has requested the executors.
-    has_begun: bool,
+    has_taken_over: bool,
 }
 
-impl SuccessorChoice {
+impl SuccessorSelection {
     /// Records the offer from a host's heartbeat; `None` withdraws an earlier offer.
-    pub fn heard(&mut self, now: Mono, life: PeerIncarnation, offer: Option<SuccessorOffer>) {
+    pub fn record_offer(
+        &mut self,
+        now: Mono,
+        life: PeerIncarnation,
+        offer: Option<SuccessorOffer>,
+    ) {
         match offer {
             Some(offer) => {
                 let heard_at = now;
@@ -78,22 +83,22 @@
     }
 
     /// Sets whether a successor is needed. A successor that was already selected stays selected.
-    pub fn seek(&mut self, is_sought: bool) {
-        self.is_sought = is_sought;
+    pub fn set_needed(&mut self, is_sought: bool) {
+        self.is_needed = is_sought;
     }
 
     /// Selects the host `life`, from which a heartbeat just arrived, as the successor and returns its
     /// address. Returns `None` if no successor is needed, one was selected before, or another host is
     /// better.
-    pub fn name(&mut self, now: Mono, life: PeerIncarnation) -> Option<SocketAddr> {
-        if self.successor.is_some() || !self.is_sought || self.best(now) != Some(life) {
+    pub fn select(&mut self, now: Mono, life: PeerIncarnation) -> Option<SocketAddr> {
+        if self.successor.is_some() || !self.is_needed || self.best_candidate(now) != Some(life) {
             return None;
         }
         let address = self.offers.get(&life)?.offer.address;
         self.successor = Some(Successor {
-            life,
+            incarnation: life,
             address,
-            has_begun: false,
+            has_taken_over: false,
         });
         Some(address)
     }
@@ -102,16 +107,16 @@
     /// an answer may be lost.
     pub fn is_successor(&self, life: PeerIncarnation) -> bool {
         self.successor
-            .is_some_and(|successor| successor.life == life)
+            .is_some_and(|successor| successor.incarnation == life)
     }
 
     /// Returns the best host with a recent offer. The load of an owner grows with its pool, so hosts with a
     /// sufficient processor share are preferred to smaller ones.
-    fn best(&self, now: Mono) -> Option<PeerIncarnation> {
+    fn best_candidate(&self, now: Mono) -> Option<PeerIncarnation> {
         let heard = self
             .offers
             .iter()
-            .filter(|(_, held)| now.since(held.heard_at) < HEARD_WITHIN.into());
+            .filter(|(_, held)| now.since(held.heard_at) < OFFER_TTL.into());
         let best = heard.max_by_key(|(life, held)| {
             let cpu_millis = held.offer.cpu_millis.min(OWNER_CPU_MILLIS);
             (cpu_millis, held.heard_at, **life)
@@ -120,16 +125,16 @@
     }
 
     /// Records that the successor is taking over the pool.
-    pub fn begun(&mut self) {
+    pub fn record_takeover(&mut self) {
         if let Some(successor) = &mut self.successor {
-            successor.has_begun = true;
+            successor.has_taken_over = true;
         }
     }
 
     /// Returns the address of the successor once it is taking over the pool, otherwise `None`.
     pub fn successor_address(&self) -> Option<SocketAddr> {
         self.successor
-            .filter(|successor| successor.has_begun)
+            .filter(|successor| successor.has_taken_over)
             .map(|successor| successor.address)
     }
 }
--- a/crates/onyxshed-pool/src/summary.rs
+++ b/crates/onyxshed-pool/src/summary.rs
@@ -52,7 +52,7 @@
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
-        read_summary(text).ok_or_else(|| Error::Id {
+        parse_summary(text).ok_or_else(|| Error::Id {
             kind: "job's summary",
             text: text.into(),
             allowed: "what an entry host writes when it answers",
@@ -60,7 +60,7 @@
     }
 }
 
-fn read_summary(text: &str) -> Option<JobSummary> {
+fn parse_summary(text: &str) -> Option<JobSummary> {
     let (end, rest) = text.split_once(" after ")?;
     let (took, rest) = rest.split_once(", target ")?;
     let (target, rest) = rest.split_once(", ")?;
@@ -69,22 +69,22 @@
     let (demand, rest) = rest.split_once(", pool ")?;
     let (pool, manifest) = rest.split_once(", manifest ")?;
     Some(JobSummary {
-        end: read_end(end)?,
-        took: read_millis(took)?,
-        target: read_millis(target)?,
+        end: parse_end(end)?,
+        took: parse_millis(took)?,
+        target: parse_millis(target)?,
         tasks: tasks.parse().ok()?,
-        estimate: read_millis(estimate)?,
-        demand: read_room(demand)?,
+        estimate: parse_millis(estimate)?,
+        demand: parse_resources(demand)?,
         pool: pool.into(),
         manifest: manifest.parse().ok()?,
     })
 }
 
-fn read_millis(text: &str) -> Option<Millis> {
+fn parse_millis(text: &str) -> Option<Millis> {
     text.strip_suffix("ms")?.parse().ok().map(Millis)
 }
 
-fn read_room(text: &str) -> Option<Resources> {
+fn parse_resources(text: &str) -> Option<Resources> {
     let mut parts = text.split(' ');
     let mut next = |unit| -> Option<u32> { parts.next()?.strip_suffix(unit)?.parse().ok() };
     Some(Resources {
@@ -105,7 +105,7 @@
     }
 }
 
-fn read_end(text: &str) -> Option<JobEnd> {
+fn parse_end(text: &str) -> Option<JobEnd> {
     match text {
         "Completed" => return Some(JobEnd::Completed),
         "Failed" => return Some(JobEnd::Failed),
@@ -117,7 +117,7 @@
             let (reason, retry_after) = inner.split_once(", ")?;
             let mut reasons = NotRunReason::ALL.into_iter();
             let reason = reasons.find(|known| format!("{known:?}") == reason)?;
-            Some(JobEnd::NotRun(reason, read_millis(retry_after)?))
+            Some(JobEnd::NotRun(reason, parse_millis(retry_after)?))
         }
         "Unknown" => {
             let mut reasons = UnknownReason::ALL.into_iter();
--- a/crates/onyxshed-pool/tests/pool/successor.rs
+++ b/crates/onyxshed-pool/tests/pool/successor.rs
@@ -140,7 +140,7 @@
     let division = ShardLayout::default();
     let mut token = division.token(&pool, 5);
     let mut successors = 0;
-    while let Some(next) = token.of_successor() {
+    while let Some(next) = token.successor() {
         assert!(next > token);
         token = next;
         successors += 1;
