--- a/crates/onyxshed-pool/src/executor.rs
+++ b/crates/onyxshed-pool/src/executor.rs
@@ -95,7 +95,7 @@
     /// first failure on, the executor is on probation: it gets one task at a time.
     pub failures: u32,
     /// Job of the most recently failed run.
-    failed_job: Option<JobId>,
+    last_failed_job: Option<JobId>,
     /// Time until which the executor gets no tasks.
     pub avoided_until: Mono,
 }
@@ -105,11 +105,16 @@
     ///
     /// A faulty job fails on every executor. Failed runs of one job therefore count as one failure, and an
     /// executor is avoided from the second failure on.
-    pub fn run_failed(&mut self, now: Mono, job: JobId, options: &PoolOptions) -> Option<Millis> {
-        if self.failures > 0 && self.failed_job == Some(job) {
+    pub fn record_run_failure(
+        &mut self,
+        now: Mono,
+        job: JobId,
+        options: &PoolOptions,
+    ) -> Option<Millis> {
+        if self.failures > 0 && self.last_failed_job == Some(job) {
             return None;
         }
-        self.failed_job = Some(job);
+        self.last_failed_job = Some(job);
         if self.failures == 0 {
             self.failures = 1;
             return None;
@@ -151,7 +156,7 @@
     past_incarnations: Vec<UnixMs>,
     pub last_seen: u64,
     /// When the last report arrived.
-    pub heard_at: Mono,
+    pub last_report_at: Mono,
     /// When the last completion of a run was reported.
     pub last_completed_at: Mono,
     pub is_unresponsive: bool,
@@ -178,7 +183,7 @@
             clock_offset: None,
             past_incarnations: Vec::new(),
             last_seen: 0,
-            heard_at: now,
+            last_report_at: now,
             last_completed_at: Mono(0),
             is_unresponsive: false,
             leases_expire_at: now,
@@ -239,7 +244,7 @@
     /// `takeover_grace_ms`, because a new owner opens connections to all executors at once.
     fn is_lost(&self, now: Mono, options: &PoolOptions) -> bool {
         let is_awaited = self.phase == Phase::Acquiring
-            && now.since(self.heard_at) < options.takeover_grace_ms.into();
+            && now.since(self.last_report_at) < options.takeover_grace_ms.into();
         self.is_unresponsive && !is_awaited
     }
 
--- a/crates/onyxshed-pool/src/offered_load.rs
+++ b/crates/onyxshed-pool/src/offered_load.rs
@@ -14,14 +14,14 @@
 #[derive(Debug, Default)]
 pub struct OfferedLoad {
     buckets: [u64; BUCKETS],
-    newest: u64,
+    newest_bucket: u64,
 }
 
 impl OfferedLoad {
     /// Records the work of an arriving job.
     pub fn record(&mut self, now: Mono, work: u64) {
         self.advance(now);
-        self.buckets[bucket_of(self.newest)] += work;
+        self.buckets[slot_of(self.newest_bucket)] += work;
     }
 
     /// Returns the offered load in thousandths of a core.
@@ -29,9 +29,9 @@
         let newest = now.0 / BUCKET_US;
         let kept = BUCKETS as u64;
         let work: u64 = (0..kept)
-            .filter_map(|age| self.newest.checked_sub(age))
+            .filter_map(|age| self.newest_bucket.checked_sub(age))
             .filter(|number| number + kept > newest)
-            .map(|number| self.buckets[bucket_of(number)])
+            .map(|number| self.buckets[slot_of(number)])
             .sum();
         work * 1_000 / (kept * BUCKET_US)
     }
@@ -39,14 +39,16 @@
     /// Clears the buckets that began since the last recorded work.
     fn advance(&mut self, now: Mono) {
         let newest = now.0 / BUCKET_US;
-        let passed = newest.saturating_sub(self.newest).min(BUCKETS as u64);
+        let passed = newest
+            .saturating_sub(self.newest_bucket)
+            .min(BUCKETS as u64);
         for age in 0..passed {
-            self.buckets[bucket_of(newest - age)] = 0;
+            self.buckets[slot_of(newest - age)] = 0;
         }
-        self.newest = self.newest.max(newest);
+        self.newest_bucket = self.newest_bucket.max(newest);
     }
 }
 
-fn bucket_of(number: u64) -> usize {
+fn slot_of(number: u64) -> usize {
     usize::try_from(number % BUCKETS as u64).unwrap_or_default()
 }
--- a/crates/onyxshed-pool/src/peers.rs
+++ b/crates/onyxshed-pool/src/peers.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Peer {
     session: Session,
-    heard_at: Mono,
+    last_contact_at: Mono,
     is_unresponsive: bool,
 }
 
@@ -29,7 +29,7 @@
 
 impl PeerSessions {
     /// Records contact with a peer and returns its session: a new one if the peer was unresponsive.
-    pub fn heard(&mut self, now: Mono, life: PeerIncarnation) -> Session {
+    pub fn record_contact(&mut self, now: Mono, life: PeerIncarnation) -> Session {
         let last = &mut self.last_session;
         let mut open = || {
             *last += 1;
@@ -37,14 +37,14 @@
         };
         let peer = self.peers.entry(life).or_insert_with(|| Peer {
             session: open(),
-            heard_at: now,
+            last_contact_at: now,
             is_unresponsive: false,
         });
         if peer.is_unresponsive {
             peer.session = open();
             peer.is_unresponsive = false;
         }
-        peer.heard_at = now;
+        peer.last_contact_at = now;
         peer.session
     }
 
@@ -60,17 +60,17 @@
         self.peers.get(&life).is_some_and(|peer| {
             !peer.is_unresponsive
                 && peer.session == session
-                && now.since(peer.heard_at) < silence.into()
+                && now.since(peer.last_contact_at) < silence.into()
         })
     }
 
     /// Marks the peers without contact for `timeout` as unresponsive and returns those newly marked.
     pub fn mark_unresponsive(&mut self, now: Mono, silence: Millis) -> Vec<PeerIncarnation> {
         self.peers
-            .retain(|_, peer| now.since(peer.heard_at) < FORGET_AFTER.into());
+            .retain(|_, peer| now.since(peer.last_contact_at) < FORGET_AFTER.into());
         let mut silent = Vec::new();
         for (life, peer) in &mut self.peers {
-            if !peer.is_unresponsive && now.since(peer.heard_at) >= silence.into() {
+            if !peer.is_unresponsive && now.since(peer.last_contact_at) >= silence.into() {
                 peer.is_unresponsive = true;
                 silent.push(*life);
             }
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -122,7 +122,7 @@
         offer: Option<SuccessorOffer>,
     ) -> Session {
         self.successor_selection.record_offer(now, life, offer);
-        self.peers.heard(now, life)
+        self.peers.record_contact(now, life)
     }
 
     /// Records that the list of executors has been read, from the store or from the previous owner.
--- a/crates/onyxshed-pool/src/pool/admission.rs
+++ b/crates/onyxshed-pool/src/pool/admission.rs
@@ -23,7 +23,7 @@
 
 /// Backlog, as the time that the pool takes to process it, up to which no late job is shed. With a
 /// smaller value, small pools would reject jobs that they could run a moment later.
-const SHED_BACKLOG: Millis = Millis(60);
+const SHED_BACKLOG_MIN: Millis = Millis(60);
 
 /// Queued jobs that can still meet their targets, and the capacity that processes them.
 struct Backlog {
@@ -179,7 +179,7 @@
         let start_by = Mono(useful_until.0.saturating_sub(job.estimate().0));
         let drained = backlog.spare * start_by.since(now).as_millis().0;
         let ahead = backlog.work_ahead_of(job.waiting_work().saturating_mul(LATE_WEIGHT));
-        ahead > drained.max(SHED_BACKLOG.0 * backlog.capacity)
+        ahead > drained.max(SHED_BACKLOG_MIN.0 * backlog.capacity)
     }
 
     fn has_runs_of(&self, job: JobId) -> bool {
--- a/crates/onyxshed-pool/src/pool/evacuation.rs
+++ b/crates/onyxshed-pool/src/pool/evacuation.rs
@@ -51,7 +51,7 @@
             if std::mem::take(&mut executor.is_parked) {
                 // The executor gets no task before a report shows its clock and its runs.
                 executor.phase = Phase::Acquiring;
-                executor.heard_at = now;
+                executor.last_report_at = now;
                 parked.push(id.clone());
             }
         }
--- a/crates/onyxshed-pool/src/pool/orders.rs
+++ b/crates/onyxshed-pool/src/pool/orders.rs
@@ -248,7 +248,7 @@
         let Some(executor) = self.executors.get_mut(id) else {
             return;
         };
-        if let Some(span) = executor.health.run_failed(now, job, &self.options) {
+        if let Some(span) = executor.health.record_run_failure(now, job, &self.options) {
             self.log(Decision::ExecutorAvoided(id.clone(), span));
         }
     }
--- a/crates/onyxshed-pool/src/pool/reports.rs
+++ b/crates/onyxshed-pool/src/pool/reports.rs
@@ -76,7 +76,7 @@
         // Acknowledges every listed end, known or not. An end that stays listed would make the
         // executor answer each hold order at once instead of waiting for news.
         executor.last_seen = executor.last_seen.max(lists.listed_to);
-        executor.heard_at = now;
+        executor.last_report_at = now;
         let was_silent = std::mem::take(&mut executor.is_unresponsive);
         if was_silent {
             self.log(Decision::ExecutorRecovered(id.clone()));
--- a/crates/onyxshed-pool/src/pool/watch.rs
+++ b/crates/onyxshed-pool/src/pool/watch.rs
@@ -160,7 +160,7 @@
                 executor.unlisted_at.is_some()
                     && (executor.is_unresponsive || executor.is_parked)
                     && executor.runs.is_empty()
-                    && now.since(executor.heard_at) > FORGET_AFTER.into()
+                    && now.since(executor.last_report_at) > FORGET_AFTER.into()
             })
             .map(|(id, _)| id.clone())
             .collect();
--- a/crates/onyxshed-pool/src/shard_layout.rs
+++ b/crates/onyxshed-pool/src/shard_layout.rs
@@ -17,7 +17,7 @@
 const POOL_EXECUTORS_MAX: usize = 180;
 
 /// Target number of executors per pool in a zone with several pools.
-const POOL_EXECUTORS: usize = 128;
+const POOL_EXECUTORS_TARGET: usize = 128;
 
 /// Maximum number of pools of a zone. The store permits 100 topics in total, and each pool takes one.
 const POOLS_MAX: usize = 16;
@@ -89,12 +89,12 @@
     pub fn resharded(self, executors: usize) -> Option<ShardLayout> {
         let wanted = match executors {
             0..=POOL_EXECUTORS_MAX => 1,
-            more => more.div_ceil(POOL_EXECUTORS).min(POOLS_MAX),
+            more => more.div_ceil(POOL_EXECUTORS_TARGET).min(POOLS_MAX),
         };
         let pools = usize::try_from(self.pools.max(1)).unwrap_or(usize::MAX);
         let each = executors / pools;
         let is_crowded = each > POOL_EXECUTORS_MAX;
-        let is_sparse = pools > 1 && each < POOL_EXECUTORS / 3;
+        let is_sparse = pools > 1 && each < POOL_EXECUTORS_TARGET / 3;
         let pools = u32::try_from(wanted).unwrap_or(1);
         ((is_crowded || is_sparse) && pools != self.pools).then_some(ShardLayout {
             version: self.version + 1,
--- a/crates/onyxshed-pool/src/speed.rs
+++ b/crates/onyxshed-pool/src/speed.rs
@@ -29,7 +29,7 @@
 /// Exponentially decaying estimate of an executor's slowdown.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Slowdown {
-    log: f64,
+    log_ratio: f64,
     samples: u32,
     updated_at: Mono,
 }
@@ -45,7 +45,7 @@
             true => CHANGED_ALPHA,
             false => ALPHA.max(1.0 / f64::from(self.samples + 1)),
         };
-        self.log = held + alpha * (log - held);
+        self.log_ratio = held + alpha * (log - held);
         self.updated_at = now;
     }
 
@@ -55,7 +55,7 @@
         let log = log_ratio(least, estimate);
         let held = self.decayed_log_ratio(now);
         if log > held.max(0.0) + UNFINISHED_LOG_RATIO {
-            self.log = held + CHANGED_ALPHA * (log - held);
+            self.log_ratio = held + CHANGED_ALPHA * (log - held);
             self.updated_at = now;
         }
     }
@@ -73,7 +73,7 @@
 
     fn decayed_log_ratio(&self, now: Mono) -> f64 {
         let age_s = as_f64(now.since(self.updated_at).0) / 1e6;
-        self.log * (-age_s / HALF_LIFE_S).exp2()
+        self.log_ratio * (-age_s / HALF_LIFE_S).exp2()
     }
 }
 
--- a/crates/onyxshed-pool/src/successor.rs
+++ b/crates/onyxshed-pool/src/successor.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Offer {
     offer: SuccessorOffer,
-    heard_at: Mono,
+    received_at: Mono,
 }
 
 /// Offers of hosts to own the pool, and the selected successor.
@@ -74,7 +74,13 @@
         match offer {
             Some(offer) => {
                 let heard_at = now;
-                self.offers.insert(life, Offer { offer, heard_at });
+                self.offers.insert(
+                    life,
+                    Offer {
+                        offer,
+                        received_at: heard_at,
+                    },
+                );
             }
             None => {
                 self.offers.remove(&life);
@@ -116,10 +122,10 @@
         let heard = self
             .offers
             .iter()
-            .filter(|(_, held)| now.since(held.heard_at) < OFFER_TTL.into());
+            .filter(|(_, held)| now.since(held.received_at) < OFFER_TTL.into());
         let best = heard.max_by_key(|(life, held)| {
             let cpu_millis = held.offer.cpu_millis.min(OWNER_CPU_MILLIS);
-            (cpu_millis, held.heard_at, **life)
+            (cpu_millis, held.received_at, **life)
         });
         best.map(|(life, _)| *life)
     }
