--- a/crates/onyxshed-pool/src/candidate.rs
+++ b/crates/onyxshed-pool/src/candidate.rs
@@ -83,12 +83,12 @@
         if store_back_at.is_some_and(|back_at| now.since(back_at) < REJOIN_GRACE.into()) {
             return CandidateStep::Defer;
         }
-        let patience = match last_owner {
+        let grace = match last_owner {
             LastOwner::Active => ACTIVE_OWNER_GRACE,
             LastOwner::Unknown => UNKNOWN_OWNER_GRACE,
             LastOwner::Gone => Millis(0),
         };
-        if now.since(since) < patience.into() {
+        if now.since(since) < grace.into() {
             return CandidateStep::Defer;
         }
         CandidateStep::JoinAfter(self.join_delay(draw))
--- a/crates/onyxshed-pool/src/evacuation.rs
+++ b/crates/onyxshed-pool/src/evacuation.rs
@@ -95,11 +95,11 @@
             position,
             is_evacuated,
         } = record;
-        let held = self.zones.get(&zone).copied();
-        if held.is_some_and(|held| held.position >= position) {
+        let known = self.zones.get(&zone).copied();
+        if known.is_some_and(|known| known.position >= position) {
             return EvacuationChange::Unchanged;
         }
-        let was_evacuated = held.is_some_and(|held| held.is_evacuated);
+        let was_evacuated = known.is_some_and(|known| known.is_evacuated);
         let state = ZoneState {
             position,
             is_evacuated,
--- a/crates/onyxshed-pool/src/executor.rs
+++ b/crates/onyxshed-pool/src/executor.rs
@@ -207,8 +207,8 @@
     /// Returns when a lease granted now expires on the executor's clock, or `None` while that clock is
     /// unknown.
     pub fn lease_end(&self, now: Mono, lease: Millis) -> Option<UnixMs> {
-        let there_ms = i128::from(now.0 / 1_000) + self.clock_offset?;
-        let end_ms = there_ms + i128::from(lease.0);
+        let remote_ms = i128::from(now.0 / 1_000) + self.clock_offset?;
+        let end_ms = remote_ms + i128::from(lease.0);
         u64::try_from(end_ms).ok().map(UnixMs)
     }
 
@@ -221,31 +221,31 @@
     pub fn can_accept_tasks(&self, now: Mono, options: &PoolOptions) -> bool {
         let is_avoided = now < self.health.avoided_until;
         // After a failure, the executor is probed with one task before it gets more.
-        let is_on_trial = self.health.failures > 0 && !self.runs.is_empty();
+        let is_on_probation = self.health.failures > 0 && !self.runs.is_empty();
         self.is_usable(now, options)
             && self.phase == Phase::Acquired
             && self.clock_offset.is_some()
             && !is_avoided
-            && !is_on_trial
+            && !is_on_probation
             && now >= self.full_until
     }
 
     /// Returns whether the executor counts towards the pool's capacity: it can run tasks now or is likely to
     /// soon.
     pub fn is_usable(&self, now: Mono, options: &PoolOptions) -> bool {
-        let is_known = match self.unlisted_at {
+        let is_listed = match self.unlisted_at {
             Some(since) => now.since(since) < options.unlisted_grace_ms.into(),
             None => true,
         };
-        !self.facts.is_draining && !self.is_lost(now, options) && is_known
+        !self.facts.is_draining && !self.is_lost(now, options) && is_listed
     }
 
     /// Returns whether the executor is unresponsive. An executor that is being acquired has
     /// `takeover_grace_ms`, because a new owner opens connections to all executors at once.
     fn is_lost(&self, now: Mono, options: &PoolOptions) -> bool {
-        let is_awaited = self.phase == Phase::Acquiring
+        let is_in_grace = self.phase == Phase::Acquiring
             && now.since(self.last_report_at) < options.takeover_grace_ms.into();
-        self.is_unresponsive && !is_awaited
+        self.is_unresponsive && !is_in_grace
     }
 
     /// Adds a run and reserves its resources.
@@ -290,10 +290,12 @@
     ///
     /// Start times are compared with those seen before, not ordered: the executor's wall clock may jump
     /// back, and reports and lists may be late. An unknown start time counts as the current incarnation.
-    pub fn match_incarnation(&self, born: Option<UnixMs>) -> IncarnationMatch {
-        match (self.started_at, born) {
-            (Some(known), Some(told)) if known == told => IncarnationMatch::Current,
-            (_, Some(told)) if self.past_incarnations.contains(&told) => IncarnationMatch::Past,
+    pub fn match_incarnation(&self, started_at: Option<UnixMs>) -> IncarnationMatch {
+        match (self.started_at, started_at) {
+            (Some(known), Some(reported)) if known == reported => IncarnationMatch::Current,
+            (_, Some(reported)) if self.past_incarnations.contains(&reported) => {
+                IncarnationMatch::Past
+            }
             (Some(_), Some(_)) => IncarnationMatch::New,
             _ => IncarnationMatch::Current,
         }
@@ -303,14 +305,14 @@
     ///
     /// The runs stay until a report of the new incarnation shows which of them it has: the new incarnation
     /// executes orders that were in transit during the restart.
-    pub fn record_restart(&mut self, born: Option<UnixMs>) {
-        if let Some(ended) = std::mem::replace(&mut self.started_at, born) {
-            self.past_incarnations.push(ended);
-            let surplus = self
+    pub fn record_restart(&mut self, started_at: Option<UnixMs>) {
+        if let Some(previous) = std::mem::replace(&mut self.started_at, started_at) {
+            self.past_incarnations.push(previous);
+            let excess = self
                 .past_incarnations
                 .len()
                 .saturating_sub(PAST_INCARNATIONS_MAX);
-            self.past_incarnations.drain(..surplus);
+            self.past_incarnations.drain(..excess);
         }
         self.last_seen = 0;
         self.clock_offset = None;
--- a/crates/onyxshed-pool/src/id.rs
+++ b/crates/onyxshed-pool/src/id.rs
@@ -30,10 +30,10 @@
             allowed: "16 lower-case hexadecimal digits",
         };
         // With upper-case digits, a job would have several text forms.
-        let is_plain = text
+        let is_lower_hex = text
             .bytes()
             .all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte));
-        if text.len() != JOB_DIGITS || !is_plain {
+        if text.len() != JOB_DIGITS || !is_lower_hex {
             return Err(error());
         }
         u64::from_str_radix(text, 16)
--- a/crates/onyxshed-pool/src/job.rs
+++ b/crates/onyxshed-pool/src/job.rs
@@ -229,11 +229,11 @@
 
     /// Updates the estimate by the run time of a completed task and the time that was expected on its
     /// executor, which includes the executor's slowdown.
-    pub fn observe(&mut self, took: Micros, expected: Micros) {
-        let log = (as_f64(took.0.max(1)) / as_f64(expected.0.max(1))).ln();
+    pub fn observe_run_time(&mut self, took: Micros, expected: Micros) {
+        let sample = (as_f64(took.0.max(1)) / as_f64(expected.0.max(1))).ln();
         let (mean, count) = self.log_ratio;
         let next = count + 1;
-        let mean = mean + (log - mean) / f64::from(next);
+        let mean = mean + (sample - mean) / f64::from(next);
         self.log_ratio = (mean, next);
         self.estimate = scaled(self.request.estimate.into(), mean.exp());
     }
--- a/crates/onyxshed-pool/src/peers.rs
+++ b/crates/onyxshed-pool/src/peers.rs
@@ -29,19 +29,19 @@
 
 impl PeerSessions {
     /// Records contact with a peer and returns its session: a new one if the peer was unresponsive.
-    pub fn record_contact(&mut self, now: Mono, life: PeerIncarnation) -> Session {
-        let last = &mut self.last_session;
-        let mut open = || {
-            *last += 1;
-            Session(*last)
+    pub fn record_contact(&mut self, now: Mono, incarnation: PeerIncarnation) -> Session {
+        let last_session = &mut self.last_session;
+        let mut open_session = || {
+            *last_session += 1;
+            Session(*last_session)
         };
-        let peer = self.peers.entry(life).or_insert_with(|| Peer {
-            session: open(),
+        let peer = self.peers.entry(incarnation).or_insert_with(|| Peer {
+            session: open_session(),
             last_contact_at: now,
             is_unresponsive: false,
         });
         if peer.is_unresponsive {
-            peer.session = open();
+            peer.session = open_session();
             peer.is_unresponsive = false;
         }
         peer.last_contact_at = now;
@@ -53,29 +53,29 @@
     pub fn is_current(
         &self,
         now: Mono,
-        life: PeerIncarnation,
+        incarnation: PeerIncarnation,
         session: Session,
-        silence: Millis,
+        timeout: Millis,
     ) -> bool {
-        self.peers.get(&life).is_some_and(|peer| {
+        self.peers.get(&incarnation).is_some_and(|peer| {
             !peer.is_unresponsive
                 && peer.session == session
-                && now.since(peer.last_contact_at) < silence.into()
+                && now.since(peer.last_contact_at) < timeout.into()
         })
     }
 
     /// Marks the peers without contact for `timeout` as unresponsive and returns those newly marked.
-    pub fn mark_unresponsive(&mut self, now: Mono, silence: Millis) -> Vec<PeerIncarnation> {
+    pub fn mark_unresponsive(&mut self, now: Mono, timeout: Millis) -> Vec<PeerIncarnation> {
         self.peers
             .retain(|_, peer| now.since(peer.last_contact_at) < FORGET_AFTER.into());
-        let mut silent = Vec::new();
-        for (life, peer) in &mut self.peers {
-            if !peer.is_unresponsive && now.since(peer.last_contact_at) >= silence.into() {
+        let mut unresponsive = Vec::new();
+        for (incarnation, peer) in &mut self.peers {
+            if !peer.is_unresponsive && now.since(peer.last_contact_at) >= timeout.into() {
                 peer.is_unresponsive = true;
-                silent.push(*life);
+                unresponsive.push(*incarnation);
             }
         }
-        silent
+        unresponsive
     }
 
     /// Ends every session, as after a pause of this process.
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -118,11 +118,12 @@
     pub fn record_peer_contact(
         &mut self,
         now: Mono,
-        life: PeerIncarnation,
+        incarnation: PeerIncarnation,
         offer: Option<SuccessorOffer>,
     ) -> Session {
-        self.successor_selection.record_offer(now, life, offer);
-        self.peers.record_contact(now, life)
+        self.successor_selection
+            .record_offer(now, incarnation, offer);
+        self.peers.record_contact(now, incarnation)
     }
 
     /// Records that the list of executors has been read, from the store or from the previous owner.
@@ -165,18 +166,18 @@
     ) -> Vec<Action> {
         match self.executors.get_mut(&id) {
             Some(executor) => {
-                let born = facts.started_at;
-                let is_moved = born.is_none() && facts.address != executor.facts.address;
-                let life = executor.match_incarnation(born);
-                if life == IncarnationMatch::Past {
+                let started_at = facts.started_at;
+                let has_moved = started_at.is_none() && facts.address != executor.facts.address;
+                let incarnation = executor.match_incarnation(started_at);
+                if incarnation == IncarnationMatch::Past {
                     return self.take_actions();
                 }
-                let drains = facts.is_draining && !executor.facts.is_draining;
+                let starts_draining = facts.is_draining && !executor.facts.is_draining;
                 executor.update_facts(facts);
-                if life == IncarnationMatch::New || is_moved {
-                    executor.record_restart(born);
+                if incarnation == IncarnationMatch::New || has_moved {
+                    executor.record_restart(started_at);
                 }
-                if drains {
+                if starts_draining {
                     self.log(Decision::ExecutorDraining(id.clone()));
                 }
             }
@@ -228,7 +229,12 @@
         executor.phase = Phase::Acquiring;
         let runs = executor.take_runs();
         for (task, run) in runs {
-            self.requeue_run(task, run.number, id, "another executor is there");
+            self.requeue_run(
+                task,
+                run.number,
+                id,
+                "another executor answered at its address",
+            );
         }
         self.place_after_report(now, id);
     }
@@ -239,7 +245,7 @@
         task: TaskId,
         number: crate::id::RunNumber,
         id: &ExecutorId,
-        why: &'static str,
+        reason: &'static str,
     ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -251,7 +257,7 @@
                 task,
                 run: number,
                 executor: id.clone(),
-                reason: why,
+                reason,
             }));
         }
     }
--- a/crates/onyxshed-pool/src/pool/admission.rs
+++ b/crates/onyxshed-pool/src/pool/admission.rs
@@ -40,7 +40,7 @@
     fn work_ahead_of(&self, work: u64) -> u64 {
         self.waiting_work
             .iter()
-            .take_while(|held| **held <= work)
+            .take_while(|other| **other <= work)
             .sum()
     }
 }
@@ -53,13 +53,13 @@
     pub fn submit(&mut self, now: Mono, session: Session, request: JobRequest) -> Vec<Action> {
         self.detect_pause(now);
         let id = request.job;
-        let new = Job::new(now, request);
-        if let Some(refusal) = self.rejection(now, session, &new) {
+        let new_job = Job::new(now, request);
+        if let Some(rejection) = self.rejection(now, session, &new_job) {
             self.actions.push(Action::End {
-                peer: new.request.peer,
-                submission: new.request.submission,
+                peer: new_job.request.peer,
+                submission: new_job.request.submission,
                 job: id,
-                end: refusal,
+                end: rejection,
             });
             return self.take_actions();
         }
@@ -68,8 +68,8 @@
             // the latest submission gets the answer.
             Some(job) => {
                 let (peer, submission) = (job.request.peer, job.request.submission);
-                job.request.peer = new.request.peer;
-                job.request.submission = new.request.submission;
+                job.request.peer = new_job.request.peer;
+                job.request.submission = new_job.request.submission;
                 self.actions.push(Action::End {
                     peer,
                     submission,
@@ -78,8 +78,8 @@
                 });
             }
             None => {
-                self.offered.record(now, new.request.work());
-                self.jobs.insert(id, new);
+                self.offered.record(now, new_job.request.work());
+                self.jobs.insert(id, new_job);
                 self.place_job(now, id);
             }
         }
@@ -96,11 +96,10 @@
         reason: UnknownReason,
     ) -> Vec<Action> {
         self.detect_pause(now);
-        let is_theirs = self
-            .jobs
-            .get(&job)
-            .is_some_and(|held| held.request.peer == peer && held.request.submission == submission);
-        if is_theirs {
+        let is_current_submission = self.jobs.get(&job).is_some_and(|active| {
+            active.request.peer == peer && active.request.submission == submission
+        });
+        if is_current_submission {
             self.end_job(job, JobEnd::Unknown(reason));
         }
         self.take_actions()
@@ -112,9 +111,9 @@
         if self.has_stepped_down || self.is_closed() {
             return not_run(NotRunReason::NotOwner);
         }
-        let silence = self.options.peer_timeout_ms;
+        let timeout = self.options.peer_timeout_ms;
         if request.peer != self.own_incarnation
-            && !self.peers.is_current(now, request.peer, session, silence)
+            && !self.peers.is_current(now, request.peer, session, timeout)
         {
             return not_run(NotRunReason::OldSession);
         }
@@ -152,19 +151,19 @@
     /// The expected wait counts jobs that will be shed before their turn. It therefore shows which jobs
     /// expire, but not which jobs miss their targets.
     fn is_feasible(&self, now: Mono, job: &Job) -> bool {
-        let begins_at = now + self.expected_wait(now, &job.request);
-        self.feasibility(begins_at, job) != Feasibility::Expired
+        let starts_at = now + self.expected_wait(now, &job.request);
+        self.feasibility(starts_at, job) != Feasibility::Expired
     }
 
     /// Returns the backlog of jobs that can meet their targets; late jobs queue behind it.
     fn on_target_backlog(&self, now: Mono) -> Backlog {
         let waiting = self.jobs.values().filter(|job| job.waiting > 0);
         let on_target = waiting.filter(|job| self.feasibility(now, job) == Feasibility::OnTarget);
-        let mut works: Vec<u64> = on_target.map(Job::waiting_work).collect();
-        works.sort_unstable();
+        let mut amounts: Vec<u64> = on_target.map(Job::waiting_work).collect();
+        amounts.sort_unstable();
         let capacity = u64::from(self.usable_capacity(now).cpu_millis);
         Backlog {
-            waiting_work: works,
+            waiting_work: amounts,
             capacity,
             spare: capacity.saturating_sub(self.offered.cpu_millis(now)),
         }
@@ -212,13 +211,13 @@
     }
 
     fn usable_capacity(&self, now: Mono) -> Resources {
-        let mut room = Resources::default();
+        let mut capacity = Resources::default();
         for executor in self.executors.values() {
             if executor.is_usable(now, &self.options) {
-                room += executor.facts.capacity;
+                capacity += executor.facts.capacity;
             }
         }
-        room
+        capacity
     }
 
     /// Returns the retry delay for a rejected caller: the time that the pool takes to process its queue.
@@ -253,8 +252,8 @@
                 Feasibility::Expired => false,
             };
             if !job.has_started && !is_feasible {
-                let retry = self.retry_after(now);
-                ends.push((*id, JobEnd::NotRun(NotRunReason::NoTime, retry)));
+                let retry_after = self.retry_after(now);
+                ends.push((*id, JobEnd::NotRun(NotRunReason::NoTime, retry_after)));
             }
         }
         for (id, end) in ends {
--- a/crates/onyxshed-pool/src/pool/evacuation.rs
+++ b/crates/onyxshed-pool/src/pool/evacuation.rs
@@ -77,8 +77,8 @@
 
     /// Parks an idle executor of an evacuated zone, so that it gets no more orders, and returns whether it
     /// did. An executor whose last report must be acknowledged (`has_entries`) is not parked.
-    pub(super) fn park_if_idle(&mut self, id: &ExecutorId, has_news: bool) -> bool {
-        if self.zone_status != ZoneStatus::Evacuated || has_news {
+    pub(super) fn park_if_idle(&mut self, id: &ExecutorId, has_entries: bool) -> bool {
+        if self.zone_status != ZoneStatus::Evacuated || has_entries {
             return false;
         }
         let executor = self.executors.get_mut(id);
--- a/crates/onyxshed-pool/src/pool/fit.rs
+++ b/crates/onyxshed-pool/src/pool/fit.rs
@@ -40,8 +40,11 @@
 
 /// Returns the largest free processor share of an executor, in thousandths of a core. Returns `None` if
 /// the slice is empty.
-pub(super) fn max_free_cpu_millis(places: &[AvailableExecutor]) -> Option<u32> {
-    places.iter().map(|place| place.free.cpu_millis).max()
+pub(super) fn max_free_cpu_millis(available: &[AvailableExecutor]) -> Option<u32> {
+    available
+        .iter()
+        .map(|candidate| candidate.free.cpu_millis)
+        .max()
 }
 
 impl Pool {
@@ -66,8 +69,8 @@
         id: &ExecutorId,
     ) -> Option<AvailableExecutor> {
         let executor = self.executors.get(id)?;
-        let takes_work = executor.can_accept_tasks(now, &self.options);
-        takes_work.then(|| AvailableExecutor::of(now, id, executor))
+        let can_accept = executor.can_accept_tasks(now, &self.options);
+        can_accept.then(|| AvailableExecutor::of(now, id, executor))
     }
 
     /// Updates a candidate after a task was started on it, and removes it if it has less than `least`
@@ -75,14 +78,16 @@
     pub(super) fn refresh_available(
         &self,
         now: Mono,
-        places: &mut Vec<AvailableExecutor>,
-        taken: usize,
-        least: u32,
+        available: &mut Vec<AvailableExecutor>,
+        chosen: usize,
+        min_cpu_millis: u32,
     ) {
-        match self.available_executor(now, &places[taken].id) {
-            Some(place) if place.free.cpu_millis >= least => places[taken] = place,
+        match self.available_executor(now, &available[chosen].id) {
+            Some(candidate) if candidate.free.cpu_millis >= min_cpu_millis => {
+                available[chosen] = candidate
+            }
             _ => {
-                places.swap_remove(taken);
+                available.swap_remove(chosen);
             }
         }
     }
@@ -94,18 +99,18 @@
         now: Mono,
         job: &Job,
         index: u16,
-        places: &[AvailableExecutor],
+        available: &[AvailableExecutor],
     ) -> Option<(usize, Micros)> {
         let mut best: Option<(Fit, usize)> = None;
-        for (number, place) in places.iter().enumerate() {
-            let Some(fit) = self.fit(now, job, index, place) else {
+        for (position, candidate) in available.iter().enumerate() {
+            let Some(fit) = self.fit(now, job, index, candidate) else {
                 continue;
             };
-            if best.is_none_or(|(least, _)| fit < least) {
-                best = Some((fit, number));
+            if best.is_none_or(|(best_fit, _)| fit < best_fit) {
+                best = Some((fit, position));
             }
         }
-        best.map(|((expected, _), number)| (number, expected))
+        best.map(|((expected, _), position)| (position, expected))
     }
 
     /// Returns the score of a candidate for a task, or `None` if the task must not start there.
@@ -114,29 +119,29 @@
         now: Mono,
         job: &Job,
         index: u16,
-        place: &AvailableExecutor,
+        candidate: &AvailableExecutor,
     ) -> Option<Fit> {
-        if !place.free.can_fit(job.request.demand) {
+        if !candidate.free.can_fit(job.request.demand) {
             return None;
         }
-        let executor = self.executors.get(&place.id)?;
+        let executor = self.executors.get(&candidate.id)?;
         let failed_on = &job.tasks[usize::from(index)].failed_on;
-        if !can_run(executor, job) || failed_on.contains(&place.id) {
+        if !can_run(executor, job) || failed_on.contains(&candidate.id) {
             return None;
         }
         let expected = scaled(
             job.estimate(),
-            place.slowdown * self.remote_factor(executor, job),
+            candidate.slowdown * self.remote_factor(executor, job),
         );
         let ends_too_late = || {
             let deadline = self.slow_deadline(now, job);
             deadline.is_some_and(|limit| now + expected > limit)
         };
-        if place.is_slow && ends_too_late() {
+        if candidate.is_slow && ends_too_late() {
             return None;
         }
-        let room_left = place.free.saturating_sub(job.request.demand).cpu_millis;
-        Some((expected, room_left))
+        let cpu_left = candidate.free.saturating_sub(job.request.demand).cpu_millis;
+        Some((expected, cpu_left))
     }
 
     /// Returns the time by which a task must end on a slow executor to be placed there. Returns `None` if
@@ -155,20 +160,20 @@
 
     /// Recomputes the total capacity of the usable executors that are not slow.
     pub(super) fn update_full_speed_capacity(&mut self, now: Mono) {
-        let mut room = Resources::default();
+        let mut capacity = Resources::default();
         for executor in self.executors.values() {
             if executor.is_usable(now, &self.options) && !executor.slowdown.is_slow(now) {
-                room += executor.facts.capacity;
+                capacity += executor.facts.capacity;
             }
         }
-        self.full_speed_capacity = room;
+        self.full_speed_capacity = capacity;
     }
 
     /// Returns the factor by which the tasks of a job take longer on an executor outside the rack that
     /// holds their data, or 1.
     fn remote_factor(&self, executor: &Executor, job: &Job) -> f64 {
-        let wanted = job.request.data_rack.as_ref();
-        let is_remote = wanted.is_some() && wanted != executor.facts.rack.as_ref();
+        let data_rack = job.request.data_rack.as_ref();
+        let is_remote = data_rack.is_some() && data_rack != executor.facts.rack.as_ref();
         match is_remote {
             true => f64::from(self.options.remote_millis) / 1_000.0,
             false => 1.0,
@@ -180,11 +185,11 @@
 /// the executor.
 fn can_run(executor: &Executor, job: &Job) -> bool {
     let request = &job.request;
-    let has_place = match request.per_executor_max {
-        Some(most) => executor.task_count(request.job) < usize::from(most),
+    let is_below_limit = match request.per_executor_max {
+        Some(limit) => executor.task_count(request.job) < usize::from(limit),
         None => true,
     };
     executor.facts.upstream == request.upstream
         && executor.has_label(request.label.as_ref())
-        && has_place
+        && is_below_limit
 }
--- a/crates/onyxshed-pool/src/pool/handover.rs
+++ b/crates/onyxshed-pool/src/pool/handover.rs
@@ -49,7 +49,7 @@
         match self {
             Predecessor::None => false,
             Predecessor::Unknown => true,
-            Predecessor::Holds(held) => held.contains(id),
+            Predecessor::Holds(in_use) => in_use.contains(id),
         }
     }
 }
@@ -62,11 +62,11 @@
 
     /// Sets whether this owner has to select a successor among the hosts that offer themselves, because the
     /// store can't.
-    pub fn set_successor_needed(&mut self, is_sought: bool) {
-        self.successor_selection.set_needed(is_sought);
+    pub fn set_successor_needed(&mut self, is_needed: bool) {
+        self.successor_selection.set_needed(is_needed);
     }
 
-    /// Selects a successor if one is needed, and returns the transfer for the host `life`, from which a
+    /// Selects a successor if one is needed, and returns the transfer for the host `incarnation`, from which a
     /// heartbeat just arrived. Returns `None` if that host is not the successor.
     ///
     /// `members` are the names in the pool's group of this owner and of the owners before it that the store
@@ -74,14 +74,14 @@
     pub fn transfer_ownership(
         &mut self,
         now: Mono,
-        life: PeerIncarnation,
+        incarnation: PeerIncarnation,
         members: Vec<SmolStr>,
     ) -> Option<OwnershipTransfer> {
         let token = self.token.successor()?;
-        if let Some(successor) = self.successor_selection.select(now, life) {
+        if let Some(successor) = self.successor_selection.select(now, incarnation) {
             self.log(Decision::OwnershipTransferred(successor));
         }
-        if self.has_stepped_down || !self.successor_selection.is_successor(life) {
+        if self.has_stepped_down || !self.successor_selection.is_successor(incarnation) {
             return None;
         }
         let listed = self.executors.iter();
@@ -121,8 +121,8 @@
             self.executors
                 .retain(|_, executor| !executor.runs.is_empty());
         }
-        let held = self.executors.keys().cloned().collect();
-        (self.take_actions(), held)
+        let in_use = self.executors.keys().cloned().collect();
+        (self.take_actions(), in_use)
     }
 
     /// Makes this new owner wait for its predecessor, which still answers: no executor gets an order before
@@ -135,13 +135,13 @@
     pub fn apply_predecessor_executors(
         &mut self,
         now: Mono,
-        held: BTreeSet<ExecutorId>,
+        in_use: BTreeSet<ExecutorId>,
     ) -> Vec<Action> {
         if self.predecessor == Predecessor::None {
             return self.take_actions();
         }
-        let is_done = held.is_empty();
-        self.predecessor = Predecessor::Holds(held);
+        let is_done = in_use.is_empty();
+        self.predecessor = Predecessor::Holds(in_use);
         let released: Vec<ExecutorId> = self
             .executors
             .iter()
--- a/crates/onyxshed-pool/src/pool/orders.rs
+++ b/crates/onyxshed-pool/src/pool/orders.rs
@@ -49,7 +49,7 @@
         }
         match self.step_after_start(now, id, task, number, answer) {
             RunStep::Keep => {}
-            RunStep::Requeue(why) => self.discard_run(id, task, number, why),
+            RunStep::Requeue(reason) => self.discard_run(id, task, number, reason),
             RunStep::Resend => self.resend_start(now, id, task, number),
             RunStep::Stop => self.stop_run(id, task),
             RunStep::Failed => self.apply_run_failed(now, id, task, number),
@@ -68,18 +68,18 @@
         number: RunNumber,
         answer: &StartAnswer,
     ) -> RunStep {
-        let tries_max = self.options.start_orders_max;
+        let orders_max = self.options.start_orders_max;
         let Some(executor) = self.executors.get_mut(id) else {
             return RunStep::Keep;
         };
         if let StartAnswer::Started { clock: Some(clock) } = answer {
             executor.observe_clock(now, *clock);
         }
-        let is_silent = executor.is_unresponsive;
+        let is_unresponsive = executor.is_unresponsive;
         let Some(run) = executor.runs.get_mut(&task) else {
             return RunStep::Keep;
         };
-        let RunState::Ordered { orders_sent: tries } = run.state else {
+        let RunState::Ordered { orders_sent } = run.state else {
             return RunStep::Keep;
         };
         if run.number != number {
@@ -92,34 +92,38 @@
             }
             // A resubmitted job may reuse run numbers of its earlier submission. The only order for this
             // run was refused, so it never started; the task's next run has a higher number.
-            StartAnswer::Refused(RefuseReason::Ended) if tries == 1 => {
-                RunStep::Requeue("an earlier run of that number ended there")
+            StartAnswer::Refused(RefuseReason::Ended) if orders_sent == 1 => {
+                RunStep::Requeue("run number already used on the executor")
             }
             // The run has already ended; its end is in the next report.
             StartAnswer::Refused(RefuseReason::Ended) => {
                 run.state = RunState::Running { since: now };
                 RunStep::Keep
             }
-            StartAnswer::Refused(reason) if tries > 1 => match reason {
+            StartAnswer::Refused(reason) if orders_sent > 1 => match reason {
                 // An earlier order for this run may have been executed, or may still be.
                 RefuseReason::Other => RunStep::Failed,
                 _ => RunStep::Stop,
             },
             StartAnswer::Refused(RefuseReason::NoRoom) => {
                 executor.full_until = now + FULL_BACKOFF;
-                RunStep::Requeue("no room")
+                RunStep::Requeue("executor lacks free resources")
             }
             StartAnswer::Refused(RefuseReason::Unhealthy) => {
                 executor.health.record_failure(now, &self.options);
-                RunStep::Requeue("the executor is unwell")
+                RunStep::Requeue("executor is unhealthy")
+            }
+            StartAnswer::Refused(RefuseReason::Expired) => {
+                RunStep::Requeue("lease expired before the order arrived")
             }
-            StartAnswer::Refused(RefuseReason::Expired) => RunStep::Requeue("the order came late"),
             StartAnswer::Refused(_) => RunStep::Failed,
-            StartAnswer::NotSent if tries == 1 => {
+            StartAnswer::NotSent if orders_sent == 1 => {
                 executor.full_until = now + FULL_BACKOFF;
-                RunStep::Requeue("the executor can't be reached")
+                RunStep::Requeue("executor is unreachable")
             }
-            StartAnswer::NotSent | StartAnswer::Unknown if tries < tries_max && !is_silent => {
+            StartAnswer::NotSent | StartAnswer::Unknown
+                if orders_sent < orders_max && !is_unresponsive =>
+            {
                 RunStep::Resend
             }
             StartAnswer::NotSent | StartAnswer::Unknown => RunStep::Stop,
@@ -142,8 +146,8 @@
         let Some(run) = executor.runs.get_mut(&task) else {
             return;
         };
-        if let RunState::Ordered { orders_sent: tries } = &mut run.state {
-            *tries += 1;
+        if let RunState::Ordered { orders_sent } = &mut run.state {
+            *orders_sent += 1;
         }
         let Some(expires) = expires else {
             return self.stop_run(id, task);
@@ -213,9 +217,9 @@
         let run = executor.and_then(|executor| executor.runs.get_mut(&task));
         if let Some(run) = run
             && run.number == number
-            && let RunState::Stopping { accepted_at: taken } = &mut run.state
+            && let RunState::Stopping { accepted_at } = &mut run.state
         {
-            taken.get_or_insert(now);
+            accepted_at.get_or_insert(now);
         }
     }
 
@@ -225,12 +229,12 @@
         id: &ExecutorId,
         task: TaskId,
         number: RunNumber,
-        why: &'static str,
+        reason: &'static str,
     ) {
         if let Some(executor) = self.executors.get_mut(id) {
             executor.remove_run(task);
         }
-        self.requeue_run(task, number, id, why);
+        self.requeue_run(task, number, id, reason);
     }
 
     /// Steps down because an executor has seen a higher token: another host owns the pool.
--- a/crates/onyxshed-pool/src/pool/place.rs
+++ b/crates/onyxshed-pool/src/pool/place.rs
@@ -49,26 +49,26 @@
             return;
         }
         let waiting = self.jobs.values().filter(|job| job.waiting > 0);
-        let Some(least) = waiting.map(|job| job.request.demand.cpu_millis).min() else {
+        let Some(min_cpu_millis) = waiting.map(|job| job.request.demand.cpu_millis).min() else {
             return;
         };
-        let mut places = self.available_executors(now, least);
-        let Some(mut room_max) = max_free_cpu_millis(&places) else {
+        let mut available = self.available_executors(now, min_cpu_millis);
+        let Some(mut free_max) = max_free_cpu_millis(&available) else {
             return;
         };
         let mut queue: BinaryHeap<Reverse<(Rank, JobId)>> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.waiting > 0 && job.request.demand.cpu_millis <= room_max)
+            .filter(|(_, job)| job.waiting > 0 && job.request.demand.cpu_millis <= free_max)
             .map(|(id, job)| Reverse((self.rank(now, *id, job), *id)))
             .collect();
         while let Some(Reverse((_, id))) = queue.pop() {
-            if self.jobs[&id].request.demand.cpu_millis > room_max {
+            if self.jobs[&id].request.demand.cpu_millis > free_max {
                 continue;
             }
-            self.place_tasks_of(now, id, &mut places, least);
-            match max_free_cpu_millis(&places) {
-                Some(left) => room_max = left,
+            self.place_tasks_of(now, id, &mut available, min_cpu_millis);
+            match max_free_cpu_millis(&available) {
+                Some(free) => free_max = free,
                 None => return,
             }
         }
@@ -91,16 +91,16 @@
             return;
         };
         if self.can_place() {
-            let mut places = self.available_executors(now, demand);
-            self.place_tasks_of(now, id, &mut places, demand);
+            let mut available = self.available_executors(now, demand);
+            self.place_tasks_of(now, id, &mut available, demand);
         }
     }
 
     /// Starts the tasks that can start on an executor, in queue order.
     fn place_on_executor(&mut self, now: Mono, id: &ExecutorId) {
         while self.can_place()
-            && let Some(place) = self.available_executor(now, id)
-            && let Some((job, index, expected)) = self.first_task_for(now, &place)
+            && let Some(candidate) = self.available_executor(now, id)
+            && let Some((job, index, expected)) = self.first_task_for(now, &candidate)
         {
             self.start_run(now, job, index, id, expected);
         }
@@ -108,13 +108,17 @@
 
     /// Returns the first task in queue order that may start on an executor, with its expected run time
     /// there.
-    fn first_task_for(&self, now: Mono, place: &AvailableExecutor) -> Option<(JobId, u16, Micros)> {
+    fn first_task_for(
+        &self,
+        now: Mono,
+        candidate: &AvailableExecutor,
+    ) -> Option<(JobId, u16, Micros)> {
         let candidates = self.jobs.iter().filter_map(|(id, job)| {
-            if job.waiting == 0 || !place.free.can_fit(job.request.demand) {
+            if job.waiting == 0 || !candidate.free.can_fit(job.request.demand) {
                 return None;
             }
             let index = job.next_waiting_task()?;
-            let (expected, _) = self.fit(now, job, index, place)?;
+            let (expected, _) = self.fit(now, job, index, candidate)?;
             Some((self.rank(now, *id, job), *id, index, expected))
         });
         let first = candidates.min_by_key(|(rank, ..)| *rank);
@@ -129,21 +133,21 @@
         &mut self,
         now: Mono,
         id: JobId,
-        places: &mut Vec<AvailableExecutor>,
-        least: u32,
+        available: &mut Vec<AvailableExecutor>,
+        min_cpu_millis: u32,
     ) {
-        while let Some(taken) = self.place_next(now, id, places) {
-            self.refresh_available(now, places, taken, least);
+        while let Some(chosen) = self.place_next(now, id, available) {
+            self.refresh_available(now, available, chosen, min_cpu_millis);
         }
     }
 
     fn rank(&self, now: Mono, id: JobId, job: &Job) -> Rank {
-        let (is_in_vain, weight) = match self.feasibility(now, job) {
+        let (is_expired, weight) = match self.feasibility(now, job) {
             Feasibility::OnTarget => (false, 1),
             Feasibility::Late => (false, LATE_WEIGHT),
             Feasibility::Expired => (true, LATE_WEIGHT),
         };
-        (is_in_vain, job.waiting_work() * weight, job.arrived_at, id)
+        (is_expired, job.waiting_work() * weight, job.arrived_at, id)
     }
 
     /// Returns the best outcome that a job can reach if its waiting tasks start now.
@@ -161,13 +165,18 @@
 
     /// Starts the next waiting task of a job if one of the executors fits, and returns the index of that
     /// executor.
-    fn place_next(&mut self, now: Mono, id: JobId, places: &[AvailableExecutor]) -> Option<usize> {
+    fn place_next(
+        &mut self,
+        now: Mono,
+        id: JobId,
+        available: &[AvailableExecutor],
+    ) -> Option<usize> {
         let job = self.jobs.get(&id)?;
         let index = job.next_waiting_task()?;
-        let (taken, expected) = self.choose_executor(now, job, index, places)?;
-        let executor = places[taken].id.clone();
+        let (chosen, expected) = self.choose_executor(now, job, index, available)?;
+        let executor = available[chosen].id.clone();
         self.start_run(now, id, index, &executor, expected);
-        Some(taken)
+        Some(chosen)
     }
 
     fn start_run(
@@ -175,17 +184,18 @@
         now: Mono,
         id: JobId,
         index: u16,
-        place: &ExecutorId,
+        executor_id: &ExecutorId,
         expected: Micros,
     ) {
-        let (Some(job), Some(executor)) = (self.jobs.get_mut(&id), self.executors.get_mut(place))
+        let (Some(job), Some(executor)) =
+            (self.jobs.get_mut(&id), self.executors.get_mut(executor_id))
         else {
             return;
         };
         let Some(expires) = executor.lease_end(now, self.options.lease_ms) else {
             return;
         };
-        let number = job.record_run_ordered(index, place);
+        let number = job.record_run_ordered(index, executor_id);
         let task = job.task_id(index);
         let run = Run {
             number,
@@ -205,11 +215,11 @@
             token: self.token,
         };
         let waited = now.since(job.arrived_at);
-        self.actions.push(Action::Start(place.clone(), order));
+        self.actions.push(Action::Start(executor_id.clone(), order));
         self.log(Decision::RunOrdered {
             task,
             run: number,
-            executor: place.clone(),
+            executor: executor_id.clone(),
             expected,
             waited,
         });
--- a/crates/onyxshed-pool/src/pool/progress.rs
+++ b/crates/onyxshed-pool/src/pool/progress.rs
@@ -37,21 +37,23 @@
             return;
         };
         let mut forecasts = Vec::new();
-        for row in running {
-            let Some(run) = executor.runs.get(&row.task) else {
+        for reported in running {
+            let Some(run) = executor.runs.get(&reported.task) else {
                 continue;
             };
-            let least = row.progress.and_then(|done| min_run_time(now, run, done));
-            let Some(least) = least.filter(|_| is_running(run, row)) else {
+            let min_total = reported
+                .progress
+                .and_then(|progress| min_run_time(now, run, progress));
+            let Some(min_total) = min_total.filter(|_| is_running(run, reported)) else {
                 continue;
             };
             executor
                 .slowdown
-                .observe_unfinished(now, least, run.estimate);
+                .observe_unfinished(now, min_total, run.estimate);
             forecasts.push(Forecast {
-                task: row.task,
-                run: row.run,
-                ends_at: run.ordered_at + least,
+                task: reported.task,
+                run: reported.run,
+                ends_at: run.ordered_at + min_total,
             });
         }
         if !executor.slowdown.is_slow(now) {
@@ -74,10 +76,10 @@
         if job.tasks[usize::from(task.index)].stopped_runs >= MOVES_MAX {
             return false;
         }
-        let anew_ends_at = now + STOP_CONFIRM_TIME + job.estimate();
-        let meets = |limit: Mono| anew_ends_at <= limit && forecast.ends_at > limit;
+        let restart_ends_at = now + STOP_CONFIRM_TIME + job.estimate();
+        let only_restart_meets = |limit: Mono| restart_ends_at <= limit && forecast.ends_at > limit;
         let useful_until = job.useful_until(self.options.late_factor);
-        let is_better = meets(job.target_at()) || meets(useful_until);
+        let is_better = only_restart_meets(job.target_at()) || only_restart_meets(useful_until);
         is_better && self.has_full_speed_executor(now, job.request.demand.cpu_millis)
     }
 
@@ -103,12 +105,12 @@
 
 /// Returns the least total time of a run according to its progress, or `None` if the run is too young
 /// for its progress to count.
-fn min_run_time(now: Mono, run: &Run, done: Percent) -> Option<Micros> {
-    let at_work = now.since(run.ordered_at);
-    let done_at_most = u64::from(done.get()) + 1;
-    (at_work >= PROGRESS_MIN_AGE).then(|| Micros(at_work.0 * 100 / done_at_most))
+fn min_run_time(now: Mono, run: &Run, progress: Percent) -> Option<Micros> {
+    let age = now.since(run.ordered_at);
+    let progress_max = u64::from(progress.get()) + 1;
+    (age >= PROGRESS_MIN_AGE).then(|| Micros(age.0 * 100 / progress_max))
 }
 
-fn is_running(run: &Run, row: &RunningRun) -> bool {
-    run.number == row.run && matches!(run.state, RunState::Running { .. })
+fn is_running(run: &Run, reported: &RunningRun) -> bool {
+    run.number == reported.run && matches!(run.state, RunState::Running { .. })
 }
--- a/crates/onyxshed-pool/src/pool/reports.rs
+++ b/crates/onyxshed-pool/src/pool/reports.rs
@@ -33,7 +33,7 @@
         if self.has_stepped_down || !self.executors.contains_key(id) {
             return self.take_actions();
         }
-        let has_news = has_entries(&answer);
+        let has_entries = has_entries(&answer);
         let pause = match answer {
             HoldAnswer::Report(ExecutorReport::Fenced) => return self.step_down_fenced(),
             HoldAnswer::Report(ExecutorReport::OtherIncarnation) => {
@@ -49,7 +49,7 @@
             },
         };
         self.place_after_report(now, id);
-        if !self.park_if_idle(id, has_news) {
+        if !self.park_if_idle(id, has_entries) {
             self.send_hold(now, id, pause);
         }
         self.take_actions()
@@ -62,23 +62,23 @@
         sent_at: Mono,
         lists: &ExecutorLists,
     ) -> Millis {
-        let born = lists.started_at;
+        let started_at = lists.started_at;
         let Some(executor) = self.executors.get_mut(id) else {
             return Millis(0);
         };
-        match executor.match_incarnation(born) {
+        match executor.match_incarnation(started_at) {
             IncarnationMatch::Past => return Millis(0),
-            IncarnationMatch::New => executor.record_restart(born),
+            IncarnationMatch::New => executor.record_restart(started_at),
             IncarnationMatch::Current => {}
         }
-        executor.started_at = born.or(executor.started_at);
+        executor.started_at = started_at.or(executor.started_at);
         executor.observe_clock(now, lists.clock);
         // Acknowledges every listed end, known or not. An end that stays listed would make the
         // executor answer each hold order at once instead of waiting for news.
         executor.last_seen = executor.last_seen.max(lists.listed_to);
         executor.last_report_at = now;
-        let was_silent = std::mem::take(&mut executor.is_unresponsive);
-        if was_silent {
+        let was_unresponsive = std::mem::take(&mut executor.is_unresponsive);
+        if was_unresponsive {
             self.log(Decision::ExecutorRecovered(id.clone()));
         }
         for end in &lists.finished {
@@ -128,8 +128,8 @@
             return;
         };
         let took = now.since(run.ordered_at);
-        let is_remote_start = matches!(run.state, RunState::Stopping { .. });
-        if !is_remote_start {
+        let was_stopping = matches!(run.state, RunState::Stopping { .. });
+        if !was_stopping {
             executor.slowdown.observe(now, took, run.estimate);
         }
         executor.health = Default::default();
@@ -140,7 +140,7 @@
         if !job.is_current_run(task.index, number, id) {
             return;
         }
-        job.observe(took, run.expected);
+        job.observe_run_time(took, run.expected);
         job.tasks[usize::from(task.index)].state = TaskState::Done;
         job.done += 1;
         if job.done == job.request.tasks {
@@ -165,23 +165,23 @@
         if !job.is_current_run(task.index, number, id) {
             return;
         }
-        let held = &mut job.tasks[usize::from(task.index)];
-        held.failed_on.push(id.clone());
-        let failed_on = held.failed_on.clone();
+        let failed_task = &mut job.tasks[usize::from(task.index)];
+        failed_task.failed_on.push(id.clone());
+        let failed_on = failed_task.failed_on.clone();
         let failures = u32::try_from(failed_on.len()).unwrap_or(u32::MAX);
-        let is_over = failures >= job.request.attempts_max;
+        let is_job_failed = failures >= job.request.attempts_max;
         self.requeue_run(task, number, id, "failed");
         // A task that fails on several executors is faulty itself, so its failures no longer count
         // against these executors.
         if failures > 1 {
-            self.clear_failure(now, &failed_on);
+            self.clear_failures(now, &failed_on);
         }
-        if is_over {
+        if is_job_failed {
             self.end_job(task.job, JobEnd::Failed);
         }
     }
 
-    fn clear_failure(&mut self, now: Mono, executors: &[ExecutorId]) {
+    fn clear_failures(&mut self, now: Mono, executors: &[ExecutorId]) {
         for id in executors {
             if let Some(executor) = self.executors.get_mut(id) {
                 executor.health.clear_failure(now);
@@ -199,7 +199,7 @@
         for (task, run) in &mut executor.runs {
             let is_running = running
                 .iter()
-                .any(|row| row.task == *task && row.run == run.number);
+                .any(|reported| reported.task == *task && reported.run == run.number);
             match run.state {
                 RunState::Ordered { .. } if is_running => {
                     run.state = RunState::Running { since: now };
@@ -218,7 +218,7 @@
             }
         }
         for (task, number) in gone {
-            self.discard_run(id, task, number, "no longer at work");
+            self.discard_run(id, task, number, "missing from the executor's report");
         }
         for (task, number) in stops {
             self.send_stop(id, task, number);
@@ -230,19 +230,19 @@
         let Some(executor) = self.executors.get(id) else {
             return;
         };
-        let strays: Vec<RunningRun> = running
+        let orphans: Vec<RunningRun> = running
             .iter()
-            .filter(|row| {
-                let ours = executor.runs.get(&row.task);
-                ours.is_none_or(|run| run.number != row.run)
+            .filter(|reported| {
+                let tracked = executor.runs.get(&reported.task);
+                tracked.is_none_or(|run| run.number != reported.run)
             })
             .copied()
             .collect();
-        for stray in strays {
-            self.send_stop(id, stray.task, stray.run);
+        for orphan in orphans {
+            self.send_stop(id, orphan.task, orphan.run);
             self.log(Decision::OrphanStopped {
-                task: stray.task,
-                run: stray.run,
+                task: orphan.task,
+                run: orphan.run,
                 executor: id.clone(),
             });
         }
@@ -253,11 +253,11 @@
         let Some(executor) = self.executors.get_mut(id) else {
             return false;
         };
-        let is_news = !std::mem::replace(&mut executor.is_unresponsive, true);
-        if is_news {
+        let is_change = !std::mem::replace(&mut executor.is_unresponsive, true);
+        if is_change {
             self.log(Decision::ExecutorUnresponsive(id.clone()));
         }
-        is_news
+        is_change
     }
 }
 
--- a/crates/onyxshed-pool/src/pool/watch.rs
+++ b/crates/onyxshed-pool/src/pool/watch.rs
@@ -33,10 +33,10 @@
 
     /// Detects whether this process was paused. Every event handler calls this first.
     pub(super) fn detect_pause(&mut self, now: Mono) {
-        let stood_still = now.since(self.last_tick_at);
-        if stood_still >= self.options.pause_ms.into() {
+        let paused_for = now.since(self.last_tick_at);
+        if paused_for >= self.options.pause_ms.into() {
             self.last_tick_at = now;
-            self.end_jobs_after_pause(stood_still);
+            self.end_jobs_after_pause(paused_for);
         }
     }
 
@@ -45,14 +45,14 @@
     /// The entry hosts may have answered their callers during the pause, and resubmitted jobs may run
     /// elsewhere; starting their remaining tasks here would run them twice. Jobs of this host's own callers
     /// end at their deadlines, which include the pause.
-    fn end_jobs_after_pause(&mut self, stood_still: Micros) {
+    fn end_jobs_after_pause(&mut self, paused_for: Micros) {
         let jobs: Vec<JobId> = self
             .jobs
             .iter()
             .filter(|(_, job)| job.request.peer != self.own_incarnation)
             .map(|(id, _)| *id)
             .collect();
-        self.log(Decision::Paused(stood_still, jobs.len()));
+        self.log(Decision::Paused(paused_for, jobs.len()));
         for job in jobs {
             self.end_job(job, JobEnd::Unknown(UnknownReason::OwnerPaused));
         }
@@ -85,7 +85,7 @@
 
     /// Requeues the tasks of unresponsive executors whose leases have expired.
     fn requeue_expired_runs(&mut self, now: Mono) {
-        let mut lapsed = Vec::new();
+        let mut expired = Vec::new();
         for (id, executor) in &mut self.executors {
             if executor.is_unresponsive
                 && now >= executor.leases_expire_at
@@ -94,12 +94,12 @@
                 let tasks: Vec<TaskId> = executor.runs.keys().copied().collect();
                 for task in tasks {
                     if let Some(run) = executor.remove_run(task) {
-                        lapsed.push((id.clone(), task, run.number));
+                        expired.push((id.clone(), task, run.number));
                     }
                 }
             }
         }
-        for (id, task, number) in lapsed {
+        for (id, task, number) in expired {
             self.requeue_run(task, number, &id, "its lease ended in silence");
         }
     }
@@ -134,12 +134,12 @@
         if executor.is_unresponsive || !matches!(run.state, RunState::Running { .. }) {
             return false;
         }
-        let (ratio, siblings) = job.log_ratio;
-        let (most, expected) = match siblings {
+        let (log_ratio, completed) = job.log_ratio;
+        let (factor_millis, expected) = match completed {
             0 => (self.options.stuck_millis, run.expected),
             _ => (
                 self.options.stuck_known_millis,
-                crate::speed::scaled(run.expected, ratio.exp()),
+                crate::speed::scaled(run.expected, log_ratio.exp()),
             ),
         };
         if executor.last_completed_at > run.ordered_at {
@@ -148,12 +148,12 @@
         let doublings = job.tasks[usize::from(task.index)]
             .stopped_runs
             .min(STUCK_DOUBLINGS_MAX);
-        let limit = (expected.0 * most / 1_000) << doublings;
+        let limit = (expected.0 * factor_millis / 1_000) << doublings;
         now.since(run.ordered_at).0 > limit + Micros::from(self.options.stuck_slack_ms).0
     }
 
     fn forget_unlisted_executors(&mut self, now: Mono) {
-        let gone: Vec<ExecutorId> = self
+        let unlisted: Vec<ExecutorId> = self
             .executors
             .iter()
             .filter(|(_, executor)| {
@@ -164,7 +164,7 @@
             })
             .map(|(id, _)| id.clone())
             .collect();
-        for id in gone {
+        for id in unlisted {
             self.executors.remove(&id);
             self.log(Decision::ExecutorForgotten(id));
         }
--- a/crates/onyxshed-pool/src/pool_selector.rs
+++ b/crates/onyxshed-pool/src/pool_selector.rs
@@ -78,10 +78,10 @@
         let Some(load) = self.loads.get_mut(pool) else {
             return;
         };
-        let one = u64::from(demand.cpu_millis.max(1));
-        let fits = (load.free_cpu_millis / one).min(u64::from(tasks));
-        load.free_cpu_millis -= fits * one;
-        load.waiting_work += (u64::from(tasks) - fits) * one * estimate.0;
+        let task_cpu_millis = u64::from(demand.cpu_millis.max(1));
+        let fitting_tasks = (load.free_cpu_millis / task_cpu_millis).min(u64::from(tasks));
+        load.free_cpu_millis -= fitting_tasks * task_cpu_millis;
+        load.waiting_work += (u64::from(tasks) - fitting_tasks) * task_cpu_millis * estimate.0;
     }
 
     /// Returns the pools in the order in which the job should be submitted to them. Closed pools and pools
@@ -134,8 +134,8 @@
     if load.capacity_cpu_millis == 0 {
         return u64::MAX;
     }
-    let one = u64::from(demand.cpu_millis.max(1));
-    let fits = (load.free_cpu_millis / one).min(u64::from(tasks));
-    let unplaced = (u64::from(tasks) - fits) * one * SHORT_TASK_MS;
+    let task_cpu_millis = u64::from(demand.cpu_millis.max(1));
+    let fitting_tasks = (load.free_cpu_millis / task_cpu_millis).min(u64::from(tasks));
+    let unplaced = (u64::from(tasks) - fitting_tasks) * task_cpu_millis * SHORT_TASK_MS;
     (load.waiting_work + unplaced) / load.capacity_cpu_millis
 }
--- a/crates/onyxshed-pool/src/shard_layout.rs
+++ b/crates/onyxshed-pool/src/shard_layout.rs
@@ -49,13 +49,13 @@
 
     fn from_str(text: &str) -> Result<Self, Error> {
         let parts = text.rsplit_once('/');
-        let read = parts.and_then(|(zone, index)| {
+        let parsed = parts.and_then(|(zone, index)| {
             Some(PoolId {
                 zone: zone.into(),
                 index: index.parse().ok()?,
             })
         });
-        read.ok_or_else(|| Error::Id {
+        parsed.ok_or_else(|| Error::Id {
             kind: "pool",
             text: text.into(),
             allowed: "a zone, a slash and a number",
@@ -87,15 +87,15 @@
     /// The layout changes only when pools have grown by two fifths or shrunk to a third, because every job
     /// of the zone is lost in a change.
     pub fn resharded(self, executors: usize) -> Option<ShardLayout> {
-        let wanted = match executors {
+        let target_pools = match executors {
             0..=POOL_EXECUTORS_MAX => 1,
-            more => more.div_ceil(POOL_EXECUTORS_TARGET).min(POOLS_MAX),
+            count => count.div_ceil(POOL_EXECUTORS_TARGET).min(POOLS_MAX),
         };
         let pools = usize::try_from(self.pools.max(1)).unwrap_or(usize::MAX);
-        let each = executors / pools;
-        let is_crowded = each > POOL_EXECUTORS_MAX;
-        let is_sparse = pools > 1 && each < POOL_EXECUTORS_TARGET / 3;
-        let pools = u32::try_from(wanted).unwrap_or(1);
+        let executors_per_pool = executors / pools;
+        let is_crowded = executors_per_pool > POOL_EXECUTORS_MAX;
+        let is_sparse = pools > 1 && executors_per_pool < POOL_EXECUTORS_TARGET / 3;
+        let pools = u32::try_from(target_pools).unwrap_or(1);
         ((is_crowded || is_sparse) && pools != self.pools).then_some(ShardLayout {
             version: self.version + 1,
             pools,
--- a/crates/onyxshed-pool/src/speed.rs
+++ b/crates/onyxshed-pool/src/speed.rs
@@ -37,25 +37,25 @@
 impl Slowdown {
     /// Updates the estimate by a completed run.
     pub fn observe(&mut self, now: Mono, took: Micros, estimate: Micros) {
-        let log = log_ratio(took, estimate);
-        let held = self.decayed_log_ratio(now);
+        let sample = log_ratio(took, estimate);
+        let current = self.decayed_log_ratio(now);
         self.samples = self.samples.saturating_add(1);
-        let has_recovered = held > SLOW_LOG_RATIO && log < held - SLOW_LOG_RATIO;
+        let has_recovered = current > SLOW_LOG_RATIO && sample < current - SLOW_LOG_RATIO;
         let alpha = match has_recovered {
             true => CHANGED_ALPHA,
             false => ALPHA.max(1.0 / f64::from(self.samples + 1)),
         };
-        self.log_ratio = held + alpha * (log - held);
+        self.log_ratio = current + alpha * (sample - current);
         self.updated_at = now;
     }
 
     /// Updates the estimate by the least total time of an unfinished run, if that time shows that the
     /// executor has become slow.
     pub fn observe_unfinished(&mut self, now: Mono, least: Micros, estimate: Micros) {
-        let log = log_ratio(least, estimate);
-        let held = self.decayed_log_ratio(now);
-        if log > held.max(0.0) + UNFINISHED_LOG_RATIO {
-            self.log_ratio = held + CHANGED_ALPHA * (log - held);
+        let sample = log_ratio(least, estimate);
+        let current = self.decayed_log_ratio(now);
+        if sample > current.max(0.0) + UNFINISHED_LOG_RATIO {
+            self.log_ratio = current + CHANGED_ALPHA * (sample - current);
             self.updated_at = now;
         }
     }
--- a/crates/onyxshed-pool/src/successor.rs
+++ b/crates/onyxshed-pool/src/successor.rs
@@ -68,14 +68,14 @@
     pub fn record_offer(
         &mut self,
         now: Mono,
-        life: PeerIncarnation,
+        incarnation: PeerIncarnation,
         offer: Option<SuccessorOffer>,
     ) {
         match offer {
             Some(offer) => {
                 let heard_at = now;
                 self.offers.insert(
-                    life,
+                    incarnation,
                     Offer {
                         offer,
                         received_at: heard_at,
@@ -83,26 +83,29 @@
                 );
             }
             None => {
-                self.offers.remove(&life);
+                self.offers.remove(&incarnation);
             }
         }
     }
 
     /// Sets whether a successor is needed. A successor that was already selected stays selected.
-    pub fn set_needed(&mut self, is_sought: bool) {
-        self.is_needed = is_sought;
+    pub fn set_needed(&mut self, is_needed: bool) {
+        self.is_needed = is_needed;
     }
 
-    /// Selects the host `life`, from which a heartbeat just arrived, as the successor and returns its
+    /// Selects the host `incarnation`, from which a heartbeat just arrived, as the successor and returns its
     /// address. Returns `None` if no successor is needed, one was selected before, or another host is
     /// better.
-    pub fn select(&mut self, now: Mono, life: PeerIncarnation) -> Option<SocketAddr> {
-        if self.successor.is_some() || !self.is_needed || self.best_candidate(now) != Some(life) {
+    pub fn select(&mut self, now: Mono, incarnation: PeerIncarnation) -> Option<SocketAddr> {
+        if self.successor.is_some()
+            || !self.is_needed
+            || self.best_candidate(now) != Some(incarnation)
+        {
             return None;
         }
-        let address = self.offers.get(&life)?.offer.address;
+        let address = self.offers.get(&incarnation)?.offer.address;
         self.successor = Some(Successor {
-            incarnation: life,
+            incarnation,
             address,
             has_taken_over: false,
         });
@@ -111,23 +114,23 @@
 
     /// Returns whether a host is the successor. The transfer is repeated with each of its heartbeats, since
     /// an answer may be lost.
-    pub fn is_successor(&self, life: PeerIncarnation) -> bool {
+    pub fn is_successor(&self, incarnation: PeerIncarnation) -> bool {
         self.successor
-            .is_some_and(|successor| successor.incarnation == life)
+            .is_some_and(|successor| successor.incarnation == incarnation)
     }
 
     /// Returns the best host with a recent offer. The load of an owner grows with its pool, so hosts with a
     /// sufficient processor share are preferred to smaller ones.
     fn best_candidate(&self, now: Mono) -> Option<PeerIncarnation> {
-        let heard = self
+        let recent = self
             .offers
             .iter()
-            .filter(|(_, held)| now.since(held.received_at) < OFFER_TTL.into());
-        let best = heard.max_by_key(|(life, held)| {
-            let cpu_millis = held.offer.cpu_millis.min(OWNER_CPU_MILLIS);
-            (cpu_millis, held.received_at, **life)
+            .filter(|(_, entry)| now.since(entry.received_at) < OFFER_TTL.into());
+        let best = recent.max_by_key(|(incarnation, entry)| {
+            let cpu_millis = entry.offer.cpu_millis.min(OWNER_CPU_MILLIS);
+            (cpu_millis, entry.received_at, **incarnation)
         });
-        best.map(|(life, _)| *life)
+        best.map(|(incarnation, _)| *incarnation)
     }
 
     /// Records that the successor is taking over the pool.
