--- a/crates/onyxshed-pool/src/summary.rs
+++ b/crates/onyxshed-pool/src/summary.rs
@@ -53,9 +53,9 @@
 
     fn from_str(text: &str) -> Result<Self> {
         parse_summary(text).ok_or_else(|| Error::Id {
-            kind: "job's summary",
+            kind: "job summary",
             text: text.into(),
-            allowed: "what an entry host writes when it answers",
+            allowed: "a summary line logged by an entry host",
         })
     }
 }
