--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -65,11 +65,16 @@
 
 impl Pool {
     /// Creates the state of a new owner, which holds `token` and knows no executors or jobs yet.
-    pub fn new(now: Mono, token: FencingToken, own: PeerIncarnation, options: PoolOptions) -> Self {
+    pub fn new(
+        now: Mono,
+        token: FencingToken,
+        own_incarnation: PeerIncarnation,
+        options: PoolOptions,
+    ) -> Self {
         Pool {
             options,
             token,
-            own_incarnation: own,
+            own_incarnation,
             executors: BTreeMap::new(),
             jobs: BTreeMap::new(),
             offered: OfferedLoad::default(),
--- a/crates/onyxshed-pool/src/pool/fit.rs
+++ b/crates/onyxshed-pool/src/pool/fit.rs
@@ -48,15 +48,15 @@
 }
 
 impl Pool {
-    /// Returns the executors that accept tasks and have at least `least_cpu_millis` free.
+    /// Returns the executors that accept tasks and have at least `min_cpu_millis` free.
     pub(super) fn available_executors(
         &self,
         now: Mono,
-        least_cpu_millis: u32,
+        min_cpu_millis: u32,
     ) -> Vec<AvailableExecutor> {
         self.executors
             .iter()
-            .filter(|(_, executor)| executor.free.cpu_millis >= least_cpu_millis)
+            .filter(|(_, executor)| executor.free.cpu_millis >= min_cpu_millis)
             .filter(|(_, executor)| executor.can_accept_tasks(now, &self.options))
             .map(|(id, executor)| AvailableExecutor::of(now, id, executor))
             .collect()
@@ -73,8 +73,8 @@
         can_accept.then(|| AvailableExecutor::of(now, id, executor))
     }
 
-    /// Updates a candidate after a task was started on it, and removes it if it has less than `least`
-    /// processor free.
+    /// Updates a candidate after a task was started on it, and removes it if less than `min_cpu_millis` is
+    /// free on it.
     pub(super) fn refresh_available(
         &self,
         now: Mono,
--- a/crates/onyxshed-pool/src/pool/orders.rs
+++ b/crates/onyxshed-pool/src/pool/orders.rs
@@ -7,7 +7,7 @@
 use crate::id::{ExecutorId, JobId, RunNumber, TaskId};
 use crate::message::{Action, Decision, RefuseReason, StartAnswer, StartOrder, StopAnswer};
 
-/// How long an executor that refused a task for lack of room gets no further task. A full executor ends
+/// How long an executor that refused a task for lack of resources gets no further task. A full executor ends
 /// its next run within about that time.
 const FULL_BACKOFF: Millis = Millis(15);
 
--- a/crates/onyxshed-pool/src/pool/progress.rs
+++ b/crates/onyxshed-pool/src/pool/progress.rs
@@ -84,8 +84,8 @@
     }
 
     fn has_full_speed_executor(&self, now: Mono, cpu_millis: u32) -> bool {
-        let places = self.available_executors(now, cpu_millis);
-        places.iter().any(|place| !place.is_slow)
+        let available = self.available_executors(now, cpu_millis);
+        available.iter().any(|candidate| !candidate.is_slow)
     }
 
     fn move_run(&mut self, now: Mono, id: &ExecutorId, forecast: &Forecast) {
--- a/crates/onyxshed-pool/src/pool/reports.rs
+++ b/crates/onyxshed-pool/src/pool/reports.rs
@@ -74,7 +74,7 @@
         executor.started_at = started_at.or(executor.started_at);
         executor.observe_clock(now, lists.clock);
         // Acknowledges every listed end, known or not. An end that stays listed would make the
-        // executor answer each hold order at once instead of waiting for news.
+        // executor answer each hold order at once instead of waiting for the next end.
         executor.last_seen = executor.last_seen.max(lists.listed_to);
         executor.last_report_at = now;
         let was_unresponsive = std::mem::take(&mut executor.is_unresponsive);
@@ -106,11 +106,11 @@
         let Some(executor) = self.executors.get_mut(id) else {
             return;
         };
-        let is_ours = executor
+        let is_tracked = executor
             .runs
             .get(&end.task)
             .is_some_and(|run| run.number == end.run);
-        if !is_ours {
+        if !is_tracked {
             return;
         }
         match end.end {
--- a/crates/onyxshed-pool/src/successor.rs
+++ b/crates/onyxshed-pool/src/successor.rs
@@ -60,7 +60,7 @@
     incarnation: PeerIncarnation,
     address: SocketAddr,
     /// Whether the successor has requested the executors.
-    has_taken_over: bool,
+    has_begun_takeover: bool,
 }
 
 impl SuccessorSelection {
@@ -73,14 +73,9 @@
     ) {
         match offer {
             Some(offer) => {
-                let heard_at = now;
-                self.offers.insert(
-                    incarnation,
-                    Offer {
-                        offer,
-                        received_at: heard_at,
-                    },
-                );
+                let received_at = now;
+                self.offers
+                    .insert(incarnation, Offer { offer, received_at });
             }
             None => {
                 self.offers.remove(&incarnation);
@@ -107,7 +102,7 @@
         self.successor = Some(Successor {
             incarnation,
             address,
-            has_taken_over: false,
+            has_begun_takeover: false,
         });
         Some(address)
     }
@@ -136,14 +131,14 @@
     /// Records that the successor is taking over the pool.
     pub fn record_takeover(&mut self) {
         if let Some(successor) = &mut self.successor {
-            successor.has_taken_over = true;
+            successor.has_begun_takeover = true;
         }
     }
 
     /// Returns the address of the successor once it is taking over the pool, otherwise `None`.
     pub fn successor_address(&self) -> Option<SocketAddr> {
         self.successor
-            .filter(|successor| successor.has_taken_over)
+            .filter(|successor| successor.has_begun_takeover)
             .map(|successor| successor.address)
     }
 }
