--- a/crates/onyxshed-pool/examples/decision-cost.rs
+++ b/crates/onyxshed-pool/examples/decision-cost.rs
@@ -28,25 +28,25 @@
 const TICK_US: u64 = 20_000;
 
 /// A pool and its executing runs.
-struct Desk {
+struct Harness {
     pool: Pool,
     rng: SmallRng,
     now: Mono,
     next_job: u64,
-    at_work: VecDeque<(ExecutorId, StartOrder)>,
+    running: VecDeque<(ExecutorId, StartOrder)>,
     ends: u64,
 }
 
-impl Desk {
+impl Harness {
     fn new(executors: u64) -> Self {
         let now = Mono(1_000_000);
         let pool = Pool::new(now, FencingToken(16), OWN, PoolOptions::default());
-        let mut desk = Desk {
+        let mut desk = Harness {
             pool,
             rng: SmallRng::seed_from_u64(executors),
             now,
             next_job: 0,
-            at_work: VecDeque::new(),
+            running: VecDeque::new(),
             ends: 0,
         };
         for number in 0..executors {
@@ -67,8 +67,8 @@
     }
 
     /// Completes the run that has executed longest.
-    fn end_one(&mut self) {
-        let Some((id, order)) = self.at_work.pop_front() else {
+    fn complete_oldest(&mut self) {
+        let Some((id, order)) = self.running.pop_front() else {
             return;
         };
         self.ends += 1;
@@ -78,7 +78,7 @@
             run: order.run,
             end: RunEnd::Done,
         };
-        let same = self.at_work.iter().filter(|(other, _)| *other == id);
+        let same = self.running.iter().filter(|(other, _)| *other == id);
         let running = same.map(|(_, order)| RunningRun {
             task: order.task,
             run: order.run,
@@ -109,7 +109,7 @@
                 let next = self
                     .pool
                     .apply_start_answer(self.now, &id, task, run, &answer);
-                self.at_work.push_back((id, order));
+                self.running.push_back((id, order));
                 self.take(next);
             }
         }
@@ -170,7 +170,7 @@
 
 /// Returns the mean time per event in microseconds, with `jobs` jobs in the pool.
 fn measure(executors: u64, jobs: usize) -> f64 {
-    let mut desk = Desk::new(executors);
+    let mut desk = Harness::new(executors);
     while desk.pool.job_count() < jobs {
         desk.submit();
     }
@@ -178,7 +178,7 @@
     for _ in 0..EVENTS {
         match desk.pool.job_count() < jobs {
             true => desk.submit(),
-            false => desk.end_one(),
+            false => desk.complete_oldest(),
         }
         desk.pool.load(desk.now);
         desk.pass();
--- a/crates/onyxshed-pool/tests/pool/evacuation.rs
+++ b/crates/onyxshed-pool/tests/pool/evacuation.rs
@@ -7,7 +7,7 @@
 };
 use rstest::rstest;
 
-use crate::fixture::{Desk, at_ms, job, room};
+use crate::fixture::{Harness, at_ms, job, resources};
 
 fn record(zone: &str, position: u64, is_evacuated: bool) -> EvacuationRecord {
     EvacuationRecord {
@@ -17,9 +17,9 @@
     }
 }
 
-fn set_evacuated(desk: &mut Desk, ms: u64, is_evacuated: bool) {
+fn set_evacuated(desk: &mut Harness, ms: u64, is_evacuated: bool) {
     let actions = desk.pool.set_evacuated(at_ms(ms), is_evacuated);
-    desk.asked.extend(actions);
+    desk.actions.extend(actions);
 }
 
 /// A late record must not undo a newer one.
@@ -72,77 +72,77 @@
 /// Callers must not wait or lose their answers because their jobs were queued in the zone.
 #[test]
 fn jobs_that_have_not_begun_are_handed_back_at_once() {
-    let mut desk = Desk::with_executors(&[("a", 32)]);
-    desk.run_one(0, job(1, 1, 900));
+    let mut desk = Harness::with_executors(&[("a", 32)]);
+    desk.submit_and_start(0, job(1, 1, 900));
     desk.submit(1, job(2, 1, 100));
     set_evacuated(&mut desk, 10, true);
     let not_run = JobEnd::NotRun(NotRunReason::ZoneEvacuated, Millis(0));
-    assert_eq!(desk.ends(), [(JobId(2), not_run)]);
+    assert_eq!(desk.take_ends(), [(JobId(2), not_run)]);
     desk.submit(11, job(3, 1, 100));
     let refused = JobEnd::NotRun(NotRunReason::ZoneEvacuated, Millis(100));
-    assert_eq!(desk.ends(), [(JobId(3), refused)]);
-    assert_eq!(desk.starts(), []);
+    assert_eq!(desk.take_ends(), [(JobId(3), refused)]);
+    assert_eq!(desk.take_starts(), []);
 }
 
 /// A job with half of its tasks started in the zone must be completed there, since no other pool can.
 #[test]
 fn a_job_that_has_begun_ends_within_the_grace() {
-    let mut desk = Desk::with_executors(&[("a", 32)]);
-    let (_, first) = desk.run_one(0, job(1, 2, 100));
+    let mut desk = Harness::with_executors(&[("a", 32)]);
+    let (_, first) = desk.submit_and_start(0, job(1, 2, 100));
     set_evacuated(&mut desk, 10, true);
     desk.report(100, "a", &[], &[(1, first.task, 1, RunEnd::Done)]);
-    let (_, second) = desk.starts().pop().expect("the second task");
-    desk.start_answer(105, "a", &second, &StartAnswer::Started { clock: None });
+    let (_, second) = desk.take_starts().pop().expect("the second task");
+    desk.answer_start(105, "a", &second, &StartAnswer::Started { clock: None });
     desk.report(200, "a", &[], &[(2, second.task, 1, RunEnd::Done)]);
-    assert_eq!(desk.ends(), [(JobId(1), JobEnd::Completed)]);
+    assert_eq!(desk.take_ends(), [(JobId(1), JobEnd::Completed)]);
 }
 
 /// No task may start in the zone seconds after its evacuation was confirmed.
 #[test]
 fn nothing_starts_when_the_grace_is_over() {
-    let mut desk = Desk::with_executors(&[("a", 32)]);
-    let (_, first) = desk.run_one(0, job(1, 2, 800));
+    let mut desk = Harness::with_executors(&[("a", 32)]);
+    let (_, first) = desk.submit_and_start(0, job(1, 2, 800));
     set_evacuated(&mut desk, 10, true);
-    desk.pass(10, 1_100);
+    desk.advance(10, 1_100);
     let unknown = JobEnd::Unknown(UnknownReason::ZoneEvacuated);
-    assert_eq!(desk.ends(), [(JobId(1), unknown)]);
+    assert_eq!(desk.take_ends(), [(JobId(1), unknown)]);
     desk.report(1_110, "a", &[], &[(1, first.task, 1, RunEnd::Done)]);
-    desk.pass(1_110, 1_200);
-    assert_eq!(desk.starts(), []);
+    desk.advance(1_110, 1_200);
+    assert_eq!(desk.take_starts(), []);
 }
 
 /// A resubmitted job must not go to another zone while runs of it still execute here, or its tasks would
 /// run twice.
 #[test]
 fn a_copy_is_not_called_not_run_while_runs_of_it_are_stopped() {
-    let mut desk = Desk::with_executors(&[("a", 32)]);
-    desk.run_one(0, job(1, 2, 1_200));
+    let mut desk = Harness::with_executors(&[("a", 32)]);
+    desk.submit_and_start(0, job(1, 2, 1_200));
     set_evacuated(&mut desk, 10, true);
-    desk.pass(10, 1_100);
-    desk.ends();
+    desk.advance(10, 1_100);
+    desk.take_ends();
     desk.submit(1_110, job(1, 2, 1_200));
     let unknown = JobEnd::Unknown(UnknownReason::ZoneEvacuated);
-    assert_eq!(desk.ends(), [(JobId(1), unknown)]);
+    assert_eq!(desk.take_ends(), [(JobId(1), unknown)]);
 }
 
 /// Idle executors of an evacuated zone must get no orders, except to acknowledge their last ends.
 #[test]
 fn an_empty_executor_is_called_again_only_when_its_zone_is_restored() {
-    let mut desk = Desk::with_executors(&[("a", 32)]);
-    let (_, order) = desk.run_one(0, job(1, 1, 900));
+    let mut desk = Harness::with_executors(&[("a", 32)]);
+    let (_, order) = desk.submit_and_start(0, job(1, 1, 900));
     set_evacuated(&mut desk, 10, true);
-    desk.pass(10, 1_100);
+    desk.advance(10, 1_100);
     desk.report(1_110, "a", &[], &[(1, order.task, 1, RunEnd::Done)]);
-    let acknowledging = desk.holds().pop().expect("a hold").1;
+    let acknowledging = desk.take_holds().pop().expect("a hold").1;
     assert_eq!(acknowledging.last_seen, 1);
     desk.report(1_120, "a", &[], &[]);
-    assert_eq!(desk.holds(), []);
+    assert_eq!(desk.take_holds(), []);
     set_evacuated(&mut desk, 9_000, false);
     desk.submit(9_001, job(2, 1, 100));
-    assert_eq!(desk.starts(), [], "its clock is not known yet");
-    assert_eq!(desk.holds().len(), 1);
+    assert_eq!(desk.take_starts(), [], "its clock is not known yet");
+    assert_eq!(desk.take_holds().len(), 1);
     desk.report(9_005, "a", &[], &[]);
-    assert_eq!(desk.starts().len(), 1);
+    assert_eq!(desk.take_starts().len(), 1);
 }
 
 /// The callers of an evacuated zone must not all go to the pool whose name sorts first.
@@ -165,8 +165,8 @@
     evacuations.apply(record("home", 1, true));
     let mut first = Vec::new();
     for _ in 0..6 {
-        let order = chooser.rank_pools(&pool("home"), room(100), 1, &evacuations);
-        chooser.record_dispatch(&order[0], room(100), 1, Millis(100));
+        let order = chooser.rank_pools(&pool("home"), resources(100), 1, &evacuations);
+        chooser.record_dispatch(&order[0], resources(100), 1, Millis(100));
         first.push(order[0].zone.to_string());
     }
     assert_eq!(first, ["b", "b", "b", "b", "a", "b"]);
--- a/crates/onyxshed-pool/tests/pool/fixture.rs
+++ b/crates/onyxshed-pool/tests/pool/fixture.rs
@@ -15,7 +15,7 @@
 pub const PEER: PeerIncarnation = PeerIncarnation(2);
 
 /// How far the executors' clocks are ahead of the clock of the host under test.
-pub const AHEAD_MS: u64 = 5_000;
+pub const CLOCK_AHEAD_MS: u64 = 5_000;
 
 pub fn at_ms(ms: u64) -> Mono {
     Mono(ms * 1_000)
@@ -25,7 +25,7 @@
     ExecutorId(name.into())
 }
 
-pub fn room(cores: u32) -> Resources {
+pub fn resources(cores: u32) -> Resources {
     Resources {
         cpu_millis: cores * 1_000,
         memory_mb: 64,
@@ -39,7 +39,7 @@
         upstream: "desk".into(),
         capacity: Resources {
             memory_mb: 1_000_000,
-            ..room(cores)
+            ..resources(cores)
         },
         labels: vec!["a".into()],
         rack: None,
@@ -56,7 +56,7 @@
         upstream: "desk".into(),
         spec: "spec".into(),
         tasks,
-        demand: room(27),
+        demand: resources(27),
         estimate: Millis(estimate_ms),
         attempts_max: 2,
         stretch_millis: 1_600,
@@ -70,7 +70,7 @@
 }
 
 /// Creates the report of an executor's incarnation with the given clock reading and start time.
-fn lists(
+fn executor_report(
     clock_ms: u64,
     born: u64,
     running: &[(TaskId, u32)],
@@ -101,40 +101,40 @@
 }
 
 /// A pool under test and the actions that it has returned so far.
-pub struct Desk {
+pub struct Harness {
     pub pool: Pool,
-    pub asked: Vec<Action>,
+    pub actions: Vec<Action>,
 }
 
-impl Desk {
+impl Harness {
     /// Creates a pool whose executors are all acquired at 0 ms.
     pub fn with_executors(executors: &[(&str, u32)]) -> Self {
         let pool = Pool::new(at_ms(0), FencingToken(7), OWN, PoolOptions::default());
-        let mut desk = Desk {
+        let mut desk = Harness {
             pool,
-            asked: Vec::new(),
+            actions: Vec::new(),
         };
         for (name, cores) in executors {
-            desk.asked
+            desk.actions
                 .extend(desk.pool.list_executor(at_ms(0), id(name), facts(*cores)));
             desk.report(0, name, &[], &[]);
         }
-        desk.asked.clear();
+        desk.actions.clear();
         desk
     }
 
     pub fn submit(&mut self, ms: u64, job: JobRequest) {
         let actions = self.pool.submit(at_ms(ms), Session(0), job);
-        self.asked.extend(actions);
+        self.actions.extend(actions);
     }
 
     pub fn tick(&mut self, ms: u64) {
         let actions = self.pool.tick(at_ms(ms));
-        self.asked.extend(actions);
+        self.actions.extend(actions);
     }
 
     /// Advances the time with the regular ticks of a process that is not paused.
-    pub fn pass(&mut self, from_ms: u64, to_ms: u64) {
+    pub fn advance(&mut self, from_ms: u64, to_ms: u64) {
         let mut ms = from_ms;
         while ms < to_ms {
             ms = (ms + 20).min(to_ms);
@@ -149,77 +149,83 @@
         running: &[(TaskId, u32)],
         finished: &[(u64, TaskId, u32, RunEnd)],
     ) {
-        let report = lists(ms + AHEAD_MS, 1, running, finished);
-        self.hold_answer(ms, name, HoldAnswer::Report(report));
+        let report = executor_report(ms + CLOCK_AHEAD_MS, 1, running, finished);
+        self.answer_hold(ms, name, HoldAnswer::Report(report));
     }
 
     /// Applies a report of executing runs and their progress in percent.
     pub fn report_progress(&mut self, ms: u64, name: &str, running: &[(TaskId, u32, u64)]) {
         let rows: Vec<(TaskId, u32)> = running.iter().map(|row| (row.0, row.1)).collect();
-        let mut report = lists(ms + AHEAD_MS, 1, &rows, &[]);
+        let mut report = executor_report(ms + CLOCK_AHEAD_MS, 1, &rows, &[]);
         if let ExecutorReport::Lists(lists) = &mut report {
             for (row, told) in lists.running.iter_mut().zip(running) {
                 row.progress = Some(Percent::new(told.2));
             }
         }
-        self.hold_answer(ms, name, HoldAnswer::Report(report));
+        self.answer_hold(ms, name, HoldAnswer::Report(report));
     }
 
     /// Applies a report of the executor's incarnation that started at the given time, without ended runs.
-    pub fn report_of_life(&mut self, born: u64, ms: u64, name: &str, running: &[(TaskId, u32)]) {
-        let report = lists(ms, born, running, &[]);
-        self.hold_answer(ms, name, HoldAnswer::Report(report));
+    pub fn report_of_incarnation(
+        &mut self,
+        born: u64,
+        ms: u64,
+        name: &str,
+        running: &[(TaskId, u32)],
+    ) {
+        let report = executor_report(ms, born, running, &[]);
+        self.answer_hold(ms, name, HoldAnswer::Report(report));
     }
 
-    pub fn hold_answer(&mut self, ms: u64, name: &str, answer: HoldAnswer) {
+    pub fn answer_hold(&mut self, ms: u64, name: &str, answer: HoldAnswer) {
         let actions = self
             .pool
             .apply_hold_answer(at_ms(ms), &id(name), at_ms(ms), answer);
-        self.asked.extend(actions);
+        self.actions.extend(actions);
     }
 
-    pub fn start_answer(&mut self, ms: u64, name: &str, order: &StartOrder, answer: &StartAnswer) {
+    pub fn answer_start(&mut self, ms: u64, name: &str, order: &StartOrder, answer: &StartAnswer) {
         let actions =
             self.pool
                 .apply_start_answer(at_ms(ms), &id(name), order.task, order.run, answer);
-        self.asked.extend(actions);
+        self.actions.extend(actions);
     }
 
     /// Removes and returns the start orders, with their executors' names.
-    pub fn starts(&mut self) -> Vec<(String, StartOrder)> {
-        self.take(|action| match action {
+    pub fn take_starts(&mut self) -> Vec<(String, StartOrder)> {
+        self.take_matching(|action| match action {
             Action::Start(id, order) => Some((id.to_string(), order.clone())),
             _ => None,
         })
     }
 
     /// Removes and returns the stop orders.
-    pub fn stops(&mut self) -> Vec<(String, StopOrder)> {
-        self.take(|action| match action {
+    pub fn take_stops(&mut self) -> Vec<(String, StopOrder)> {
+        self.take_matching(|action| match action {
             Action::Stop(id, order) => Some((id.to_string(), order.clone())),
             _ => None,
         })
     }
 
     /// Removes and returns the hold orders.
-    pub fn holds(&mut self) -> Vec<(String, HoldOrder)> {
-        self.take(|action| match action {
+    pub fn take_holds(&mut self) -> Vec<(String, HoldOrder)> {
+        self.take_matching(|action| match action {
             Action::Hold(id, order, _) => Some((id.to_string(), order.clone())),
             _ => None,
         })
     }
 
     /// Removes and returns the outcomes of jobs.
-    pub fn ends(&mut self) -> Vec<(JobId, JobEnd)> {
-        self.take(|action| match action {
+    pub fn take_ends(&mut self) -> Vec<(JobId, JobEnd)> {
+        self.take_matching(|action| match action {
             Action::End { job, end, .. } => Some((*job, *end)),
             _ => None,
         })
     }
 
-    fn take<T>(&mut self, pick: impl Fn(&Action) -> Option<T>) -> Vec<T> {
+    fn take_matching<T>(&mut self, pick: impl Fn(&Action) -> Option<T>) -> Vec<T> {
         let mut taken = Vec::new();
-        self.asked.retain(|action| match pick(action) {
+        self.actions.retain(|action| match pick(action) {
             Some(found) => {
                 taken.push(found);
                 false
@@ -230,10 +236,10 @@
     }
 
     /// Submits a job, and confirms the start of its last started task to the pool.
-    pub fn run_one(&mut self, ms: u64, job: JobRequest) -> (String, StartOrder) {
+    pub fn submit_and_start(&mut self, ms: u64, job: JobRequest) -> (String, StartOrder) {
         self.submit(ms, job);
-        let (name, order) = self.starts().pop().expect("a start");
-        self.start_answer(ms, &name, &order, &StartAnswer::Started { clock: None });
+        let (name, order) = self.take_starts().pop().expect("a start");
+        self.answer_start(ms, &name, &order, &StartAnswer::Started { clock: None });
         (name, order)
     }
 }
--- a/crates/onyxshed-pool/tests/pool/load.rs
+++ b/crates/onyxshed-pool/tests/pool/load.rs
@@ -10,8 +10,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::fixture::{job, room};
-use crate::simulation::{Patience, Trouble, World};
+use crate::fixture::{job, resources};
+use crate::simulation::{MessageFaults, Simulation, Timeouts};
 
 /// Arrival of the first jobs, when every executor has been acquired.
 const BEGIN_MS: u64 = 2_000;
@@ -48,7 +48,7 @@
         .map(|index| {
             let capacity = Resources {
                 memory_mb: 100_000,
-                ..room(if index % 3 == 2 { 96 } else { 64 })
+                ..resources(if index % 3 == 2 { 96 } else { 64 })
             };
             let speed = [0.6, 1.0, 1.6][index / 2 % 3];
             RunBook::new(capacity, speed, 0, 0)
@@ -57,7 +57,7 @@
 }
 
 /// Draws a factor around 1, off by half in either direction.
-fn spread(rng: &mut SmallRng) -> f64 {
+fn random_factor(rng: &mut SmallRng) -> f64 {
     let log: f64 = (0..4).map(|_| rng.random_range(-0.4..0.4)).sum();
     log.exp()
 }
@@ -67,7 +67,7 @@
     clippy::cast_sign_loss,
     clippy::cast_precision_loss
 )]
-pub fn some_job(rng: &mut SmallRng, number: u64) -> (usize, JobRequest, Vec<u64>) {
+pub fn random_job(rng: &mut SmallRng, number: u64) -> (usize, JobRequest, Vec<u64>) {
     let draw: f64 = rng.random();
     let class = match draw {
         draw if draw < CLASSES[0].share => 0,
@@ -75,14 +75,16 @@
         _ => 2,
     };
     let kind = &CLASSES[class];
-    let tasks = (kind.tasks as f64 * spread(rng)).round().clamp(1.0, 32.0) as u16;
-    let mean_ms = kind.work_ms as f64 * spread(rng);
+    let tasks = (kind.tasks as f64 * random_factor(rng))
+        .round()
+        .clamp(1.0, 32.0) as u16;
+    let mean_ms = kind.work_ms as f64 * random_factor(rng);
     let true_ms = (0..tasks)
         .map(|_| (mean_ms * rng.random_range(0.8..1.2)) as u64 + 1)
         .collect();
     let request = JobRequest {
         time_left: Millis(8_000),
-        ..job(number, tasks, (mean_ms * spread(rng)) as u64 + 1)
+        ..job(number, tasks, (mean_ms * random_factor(rng)) as u64 + 1)
     };
     (class, request, true_ms)
 }
@@ -91,44 +93,44 @@
 #[derive(Debug, Clone, Copy)]
 struct Load {
     jobs_per_s: u64,
-    trouble: Trouble,
-    patience: Patience,
+    trouble: MessageFaults,
+    patience: Timeouts,
     /// How long callers wait.
     deadline: Millis,
 }
 
 impl Load {
     /// Creates a load without faults whose callers wait for long.
-    fn calm(jobs_per_s: u64) -> Self {
+    fn without_faults(jobs_per_s: u64) -> Self {
         Load {
             jobs_per_s,
-            trouble: Trouble::default(),
-            patience: Patience::LONG,
+            trouble: MessageFaults::default(),
+            patience: Timeouts::LONG,
             deadline: Millis(8_000),
         }
     }
 }
 
 /// Simulates a load to its end and checks the answers.
-fn played(load: Load, seed: u64) -> World {
+fn simulate(load: Load, seed: u64) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world = World::new(seed, executors(), 2);
-    world.trouble = load.trouble;
-    world.patience = load.patience;
+    let mut world = Simulation::new(seed, executors(), 2);
+    world.message_faults = load.trouble;
+    world.timeouts = load.patience;
     for number in 0..load.jobs_per_s * LENGTH_MS / 1_000 {
         let at_ms = BEGIN_MS + rng.random_range(0..LENGTH_MS);
-        let (class, mut request, true_ms) = some_job(&mut rng, number);
+        let (class, mut request, true_ms) = random_job(&mut rng, number);
         request.time_left = load.deadline;
-        world.plan_call(Mono(at_ms * 1_000), class, request, true_ms);
+        world.schedule_call(Mono(at_ms * 1_000), class, request, true_ms);
     }
-    world.play(Mono((BEGIN_MS + LENGTH_MS + 20_000) * 1_000));
+    world.run_until(Mono((BEGIN_MS + LENGTH_MS + 20_000) * 1_000));
     world.check_answers();
     world
 }
 
 /// Returns the share of each class's jobs that ended within their objectives.
 fn shares_in_time(load: Load, seed: u64) -> [f64; 3] {
-    let world = played(load, seed);
+    let world = simulate(load, seed);
     let mut counts = [(0_u32, 0_u32); 3];
     for call in world.calls.values() {
         let longest_ms = call.true_ms.iter().max().copied().unwrap_or_default();
@@ -136,7 +138,7 @@
         let (asked, in_time) = &mut counts[call.class];
         *asked += 1;
         if let Some((at, JobEnd::Completed)) = call.ended
-            && at.since(call.sent_first).as_millis() <= Millis(objective_ms)
+            && at.since(call.first_sent_at).as_millis() <= Millis(objective_ms)
         {
             *in_time += 1;
         }
@@ -145,15 +147,15 @@
 }
 
 /// Returns the share of each class's jobs that were rejected after waiting for longer than `span`.
-fn shares_held(load: Load, span: Millis, seed: u64) -> [f64; 3] {
-    let world = played(load, seed);
+fn shares_rejected_after(load: Load, span: Millis, seed: u64) -> [f64; 3] {
+    let world = simulate(load, seed);
     let mut counts = [(0_u32, 0_u32); 3];
     for call in world.calls.values() {
         let (asked, held) = &mut counts[call.class];
         *asked += 1;
         if let Some((at, JobEnd::NotRun(..))) = call.ended
-            && call.sends == 1
-            && at.since(call.sent_first).as_millis() > span
+            && call.submissions == 1
+            && at.since(call.first_sent_at).as_millis() > span
         {
             *held += 1;
         }
@@ -163,7 +165,9 @@
 
 /// Returns the share of each class's jobs in time without faults, as the mean of three seeds.
 fn mean_shares(jobs_per_s: u64) -> [f64; 3] {
-    mean_of(3, |seed| shares_in_time(Load::calm(jobs_per_s), seed))
+    mean_of(3, |seed| {
+        shares_in_time(Load::without_faults(jobs_per_s), seed)
+    })
 }
 
 /// Returns the mean over some seeds, for each class.
@@ -208,17 +212,17 @@
 /// 0.92 and 0.98 (mean of ten seeds).
 #[test]
 fn orders_without_answers_are_sent_again_in_time() {
-    let trouble = Trouble {
-        applied_late: 0.03,
+    let trouble = MessageFaults {
+        late_share: 0.03,
         until: Mono(60_000_000),
-        ..Trouble::default()
+        ..MessageFaults::default()
     };
     let before = Load {
         trouble,
-        ..Load::calm(25)
+        ..Load::without_faults(25)
     };
     let after = Load {
-        patience: Patience::OF_HOSTS,
+        patience: Timeouts::HOST,
         ..before
     };
     let [short_before, ..] = mean_of(10, |seed| shares_in_time(before, seed));
@@ -233,11 +237,11 @@
 #[test]
 fn jobs_that_wait_in_vain_are_refused_soon() {
     let load = Load {
-        patience: Patience::OF_HOSTS,
+        patience: Timeouts::HOST,
         deadline: Millis(2_500),
-        ..Load::calm(110)
+        ..Load::without_faults(110)
     };
-    let [short, long, pairs] = mean_of(4, |seed| shares_held(load, Millis(900), seed));
+    let [short, long, pairs] = mean_of(4, |seed| shares_rejected_after(load, Millis(900), seed));
     assert!(short < 0.02 && long < 0.20 && pairs < 0.02);
     let [short, _, pairs] = mean_of(4, |seed| shares_in_time(load, seed));
     assert!(short > 0.48 && pairs > 0.74);
--- a/crates/onyxshed-pool/tests/pool/order.rs
+++ b/crates/onyxshed-pool/tests/pool/order.rs
@@ -5,20 +5,25 @@
 use onyxshed_core::Millis;
 use onyxshed_pool::{JobEnd, JobId, JobRequest, NotRunReason, RunEnd, StartOrder, TaskId};
 
-use crate::fixture::{Desk, job};
+use crate::fixture::{Harness, job};
 
-fn one_place() -> Desk {
-    Desk::with_executors(&[("a", 32)])
+fn harness_with_one_task_slot() -> Harness {
+    Harness::with_executors(&[("a", 32)])
 }
 
 /// Completes the running task and returns the next start order, if any.
-fn next(desk: &mut Desk, ms: u64, number: u64, order: &StartOrder) -> Option<StartOrder> {
+fn complete_and_take_next(
+    desk: &mut Harness,
+    ms: u64,
+    number: u64,
+    order: &StartOrder,
+) -> Option<StartOrder> {
     let task = TaskId {
         job: order.task.job,
         index: order.task.index,
     };
     desk.report(ms, "a", &[], &[(number, task, order.run.0, RunEnd::Done)]);
-    desk.starts().pop().map(|(_, order)| order)
+    desk.take_starts().pop().map(|(_, order)| order)
 }
 
 /// By its caller's estimate of 20 ms, a job should end within 92 ms. Its first task takes 60 ms, from which
@@ -26,10 +31,10 @@
 /// caller's estimate alone, the job would be late and starve with half of its work done.
 #[test]
 fn a_job_is_judged_by_what_its_tasks_have_shown() {
-    let mut desk = one_place();
-    let (_, first) = desk.run_one(0, job(1, 2, 20));
+    let mut desk = harness_with_one_task_slot();
+    let (_, first) = desk.submit_and_start(0, job(1, 2, 20));
     desk.submit(1, job(2, 1, 100));
-    let second = next(&mut desk, 60, 1, &first).expect("a start");
+    let second = complete_and_take_next(&mut desk, 60, 1, &first).expect("a start");
     assert_eq!(second.task.job, JobId(1));
 }
 
@@ -37,10 +42,10 @@
 /// is worth a fifth, so the late job goes first.
 #[test]
 fn a_late_job_goes_on_if_little_is_left_of_it() {
-    let mut desk = one_place();
-    let (_, first) = desk.run_one(0, job(1, 2, 50));
+    let mut desk = harness_with_one_task_slot();
+    let (_, first) = desk.submit_and_start(0, job(1, 2, 50));
     desk.submit(110, job(2, 1, 600));
-    let second = next(&mut desk, 120, 1, &first).expect("a start");
+    let second = complete_and_take_next(&mut desk, 120, 1, &first).expect("a start");
     assert_eq!(second.task.job, JobId(1));
 }
 
@@ -48,10 +53,10 @@
 /// job that can be in time goes first.
 #[test]
 fn a_late_job_waits_for_one_that_can_be_in_time() {
-    let mut desk = one_place();
-    let (_, first) = desk.run_one(0, job(1, 2, 50));
+    let mut desk = harness_with_one_task_slot();
+    let (_, first) = desk.submit_and_start(0, job(1, 2, 50));
     desk.submit(110, job(2, 1, 200));
-    let second = next(&mut desk, 240, 1, &first).expect("a start");
+    let second = complete_and_take_next(&mut desk, 240, 1, &first).expect("a start");
     assert_eq!(second.task.job, JobId(2));
 }
 
@@ -59,14 +64,14 @@
 /// must end as not run at that time, not after three targets.
 #[test]
 fn a_job_that_can_only_be_late_is_refused_while_others_wait() {
-    let mut desk = one_place();
-    desk.run_one(0, job(1, 1, 900));
+    let mut desk = harness_with_one_task_slot();
+    desk.submit_and_start(0, job(1, 1, 900));
     desk.submit(0, job(2, 1, 60));
-    desk.pass(0, 60);
+    desk.advance(0, 60);
     desk.submit(60, job(3, 1, 200));
-    assert_eq!(desk.ends(), vec![]);
-    desk.pass(60, 100);
-    let ends = desk.ends();
+    assert_eq!(desk.take_ends(), vec![]);
+    desk.advance(60, 100);
+    let ends = desk.take_ends();
     let not_run = |end| matches!(end, JobEnd::NotRun(NotRunReason::NoTime, Millis(1..)));
     assert!(
         matches!(ends[..], [(JobId(2), end)] if not_run(end)),
@@ -77,12 +82,12 @@
 /// A late job without other queued jobs may still get its turn, so it waits while its answer is useful.
 #[test]
 fn a_job_that_can_only_be_late_waits_alone() {
-    let mut desk = one_place();
-    let (_, first) = desk.run_one(0, job(1, 1, 200));
+    let mut desk = harness_with_one_task_slot();
+    let (_, first) = desk.submit_and_start(0, job(1, 1, 200));
     desk.submit(0, job(2, 1, 60));
-    desk.pass(0, 300);
-    assert_eq!(desk.ends(), vec![]);
-    let second = next(&mut desk, 300, 1, &first).expect("a start");
+    desk.advance(0, 300);
+    assert_eq!(desk.take_ends(), vec![]);
+    let second = complete_and_take_next(&mut desk, 300, 1, &first).expect("a start");
     assert_eq!(second.task.job, JobId(2));
 }
 
@@ -91,8 +96,8 @@
 /// another 80 ms.
 #[test]
 fn the_time_spent_with_other_pools_counts() {
-    let mut desk = one_place();
-    desk.run_one(100, job(1, 1, 900));
+    let mut desk = harness_with_one_task_slot();
+    desk.submit_and_start(100, job(1, 1, 900));
     desk.submit(
         100,
         JobRequest {
@@ -101,8 +106,8 @@
         },
     );
     desk.submit(100, job(3, 1, 200));
-    desk.pass(100, 120);
-    let ended: Vec<JobId> = desk.ends().into_iter().map(|(job, _)| job).collect();
+    desk.advance(100, 120);
+    let ended: Vec<JobId> = desk.take_ends().into_iter().map(|(job, _)| job).collect();
     assert_eq!(ended, vec![JobId(2)]);
 }
 
@@ -110,12 +115,12 @@
 /// the queue and must not be shed, since its caller gets an answer a moment later.
 #[test]
 fn a_late_job_that_is_next_is_not_refused() {
-    let mut desk = one_place();
-    let (_, first) = desk.run_one(0, job(1, 1, 200));
+    let mut desk = harness_with_one_task_slot();
+    let (_, first) = desk.submit_and_start(0, job(1, 1, 200));
     desk.submit(0, job(2, 1, 35));
     desk.submit(0, job(3, 4, 900));
-    desk.pass(0, 200);
-    assert_eq!(desk.ends(), vec![]);
-    let second = next(&mut desk, 200, 1, &first).expect("a start");
+    desk.advance(0, 200);
+    assert_eq!(desk.take_ends(), vec![]);
+    let second = complete_and_take_next(&mut desk, 200, 1, &first).expect("a start");
     assert_eq!(second.task.job, JobId(2));
 }
--- a/crates/onyxshed-pool/tests/pool/search.rs
+++ b/crates/onyxshed-pool/tests/pool/search.rs
@@ -7,8 +7,8 @@
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
 
-use crate::fixture::{job, room};
-use crate::simulation::{Fault, Patience, Trouble, World};
+use crate::fixture::{job, resources};
+use crate::simulation::{Fault, MessageFaults, Simulation, Timeouts};
 
 const EXECUTORS: usize = 6;
 const ENTRIES: usize = 3;
@@ -21,7 +21,7 @@
 const END: Mono = Mono(60_000_000);
 
 /// Number of seeds in a block; the environment variable `POOL_SEARCH_SEEDS` sets another number.
-fn seeds_a_block() -> u64 {
+fn seeds_per_block() -> u64 {
     const SEEDS: u64 = 40;
     let told = std::env::var("POOL_SEARCH_SEEDS");
     told.ok()
@@ -34,7 +34,7 @@
         .map(|_| {
             let capacity = Resources {
                 memory_mb: 100_000,
-                ..room(if rng.random_bool(0.3) { 96 } else { 64 })
+                ..resources(if rng.random_bool(0.3) { 96 } else { 64 })
             };
             let speed = [0.6, 1.0, 1.6][rng.random_range(0..3)];
             let (ahead_ms, slow_millis) = (rng.random_range(0..9_000), rng.random_range(0..20));
@@ -43,26 +43,26 @@
         .collect()
 }
 
-fn some_executor(rng: &mut SmallRng) -> ExecutorId {
+fn random_executor(rng: &mut SmallRng) -> ExecutorId {
     ExecutorId(format!("x{}", rng.random_range(0..EXECUTORS)).into())
 }
 
-fn some_fault(rng: &mut SmallRng) -> Fault {
+fn random_fault(rng: &mut SmallRng) -> Fault {
     let span = Millis(rng.random_range(100..5_000));
     match rng.random_range(0..9) {
         0 => Fault::KillOwner,
-        1 => Fault::FreezeOwner(span),
+        1 => Fault::PauseOwner(span),
         2 => Fault::ReplaceOwner,
-        3 => Fault::FreezeEntry(rng.random_range(0..ENTRIES), span),
+        3 => Fault::PauseEntry(rng.random_range(0..ENTRIES), span),
         4 => Fault::KillEntry(rng.random_range(0..ENTRIES)),
-        5 => Fault::CutExecutor(some_executor(rng), span),
-        6 => Fault::Crash(some_executor(rng)),
-        7 => Fault::FailAll(some_executor(rng), span),
-        _ => Fault::Stick(some_executor(rng), span),
+        5 => Fault::IsolateExecutor(random_executor(rng), span),
+        6 => Fault::CrashExecutor(random_executor(rng)),
+        7 => Fault::FailAll(random_executor(rng), span),
+        _ => Fault::Hang(random_executor(rng), span),
     }
 }
 
-fn some_job(rng: &mut SmallRng, number: u64) -> (JobRequest, Vec<u64>) {
+fn random_job(rng: &mut SmallRng, number: u64) -> (JobRequest, Vec<u64>) {
     let tasks = rng.random_range(1..7);
     let mean_ms = [60, 200, 900][rng.random_range(0..3)];
     let true_ms = (0..tasks)
@@ -70,66 +70,66 @@
         .collect();
     let request = JobRequest {
         time_left: Millis(rng.random_range(1_500..4_000)),
-        demand: room(rng.random_range(20..35)),
+        demand: resources(rng.random_range(20..35)),
         ..job(number, tasks, mean_ms * rng.random_range(40..250) / 100)
     };
     (request, true_ms)
 }
 
 /// Creates a simulation with arriving jobs; for half of the seeds, answers are lost and orders late.
-fn some_world(seed: u64, rng: &mut SmallRng) -> World {
-    let mut world = World::new(seed, executors(rng), ENTRIES);
+fn random_simulation(seed: u64, rng: &mut SmallRng) -> Simulation {
+    let mut world = Simulation::new(seed, executors(rng), ENTRIES);
     if rng.random_bool(0.5) {
-        world.trouble = Trouble {
-            applied_late: 0.06,
-            answer_lost: 0.06,
+        world.message_faults = MessageFaults {
+            late_share: 0.06,
+            lost_answer_share: 0.06,
             until: FAULTS_END,
         };
     }
     for number in 0..JOBS {
         let at = Mono(1_500_000 + rng.random_range(0..14_000_000));
-        let (request, true_ms) = some_job(rng, number);
-        world.plan_call(at, 0, request, true_ms);
+        let (request, true_ms) = random_job(rng, number);
+        world.schedule_call(at, 0, request, true_ms);
     }
     world
 }
 
 /// Runs a simulation to its end and checks its answers.
-fn play_out(mut world: World) -> World {
-    world.play(END);
+fn run_to_end(mut world: Simulation) -> Simulation {
+    world.run_until(END);
     world.check_answers();
     world
 }
 
-fn play(seed: u64) -> World {
+fn play(seed: u64) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world = some_world(seed, &mut rng);
+    let mut world = random_simulation(seed, &mut rng);
     for _ in 0..rng.random_range(2..14) {
         let at = Mono(rng.random_range(2_000_000..FAULTS_END.0));
-        world.plan(at, some_fault(&mut rng));
+        world.schedule_fault(at, random_fault(&mut rng));
     }
-    play_out(world)
+    run_to_end(world)
 }
 
 /// Runs a simulation, with seeds of its own, in which handovers between running owners happen in addition to
 /// the other faults.
-fn play_handovers(seed: u64, patience: Patience) -> World {
+fn run_with_handovers(seed: u64, patience: Timeouts) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x4a4d);
-    let mut world = some_world(seed, &mut rng);
-    world.patience = patience;
+    let mut world = random_simulation(seed, &mut rng);
+    world.timeouts = patience;
     for _ in 0..rng.random_range(1..8) {
         let at = Mono(rng.random_range(2_000_000..FAULTS_END.0));
-        world.plan(at, Fault::HandOver);
+        world.schedule_fault(at, Fault::HandOver);
         // Half of the handovers overlap with another fault.
         if rng.random_bool(0.5) {
             let at = Mono(at.0 + rng.random_range(0..600_000));
-            world.plan(at, some_fault(&mut rng));
+            world.schedule_fault(at, random_fault(&mut rng));
         }
     }
-    play_out(world)
+    run_to_end(world)
 }
 
-fn completed(world: &World) -> usize {
+fn completed_jobs(world: &Simulation) -> usize {
     let ends = world.calls.values().filter_map(|call| call.ended);
     ends.filter(|(_, end)| *end == JobEnd::Completed).count()
 }
@@ -137,19 +137,19 @@
 /// Without faults every job completes, which shows that the searches run jobs at all.
 #[test]
 fn a_quiet_world_completes_everything() {
-    let mut world = World::new(1, executors(&mut SmallRng::seed_from_u64(1)), ENTRIES);
+    let mut world = Simulation::new(1, executors(&mut SmallRng::seed_from_u64(1)), ENTRIES);
     for number in 0..50 {
         let (request, _) = (job(number, 3, 100), ());
-        world.plan_call(
+        world.schedule_call(
             Mono(1_500_000 + number * 100_000),
             0,
             request,
             vec![100, 90, 110],
         );
     }
-    world.play(END);
+    world.run_until(END);
     world.check_answers();
-    assert_eq!(completed(&world), 50);
+    assert_eq!(completed_jobs(&world), 50);
     assert!(world.calls.contains_key(&JobId(49)));
 }
 
@@ -158,10 +158,10 @@
 /// same time, and jobs answered with "not run" must not have run.
 #[rstest]
 fn no_task_runs_twice_at_a_time(#[values(0, 1, 2, 3, 4, 5, 6, 7, 8, 9)] block: u64) {
-    let seeds = seeds_a_block();
+    let seeds = seeds_per_block();
     let mut served = 0;
     for seed in block * seeds..(block + 1) * seeds {
-        served += completed(&play(seed));
+        served += completed_jobs(&play(seed));
     }
     // A quarter of the jobs must be served despite the faults, or the search would prove little.
     let jobs = usize::try_from(JOBS * seeds).expect("a count");
@@ -174,12 +174,12 @@
 #[rstest]
 fn no_task_runs_twice_while_a_pool_changes_hands(
     #[values(0, 1, 2, 3, 4)] block: u64,
-    #[values(Patience::LONG, Patience::OF_HOSTS)] patience: Patience,
+    #[values(Timeouts::LONG, Timeouts::HOST)] patience: Timeouts,
 ) {
-    let seeds = seeds_a_block();
+    let seeds = seeds_per_block();
     let mut served = 0;
     for seed in block * seeds..(block + 1) * seeds {
-        served += completed(&play_handovers(seed, patience));
+        served += completed_jobs(&run_with_handovers(seed, patience));
     }
     let jobs = usize::try_from(JOBS * seeds).expect("a count");
     // The same simulations without handovers serve 0.48 to 0.51 of their jobs.
@@ -189,15 +189,15 @@
 /// A pool is handed over three times without other faults: every job completes.
 #[test]
 fn changes_of_hands_on_a_calm_day_lose_no_job() {
-    let mut world = World::new(2, executors(&mut SmallRng::seed_from_u64(2)), ENTRIES);
+    let mut world = Simulation::new(2, executors(&mut SmallRng::seed_from_u64(2)), ENTRIES);
     for number in 0..100 {
         let at = Mono(1_500_000 + number * 50_000);
-        world.plan_call(at, 0, job(number, 3, 100), vec![100, 90, 110]);
+        world.schedule_call(at, 0, job(number, 3, 100), vec![100, 90, 110]);
     }
     for at_us in [2_000_000, 3_300_000, 5_010_000] {
-        world.plan(Mono(at_us), Fault::HandOver);
+        world.schedule_fault(Mono(at_us), Fault::HandOver);
     }
-    world.play(END);
+    world.run_until(END);
     world.check_answers();
-    assert_eq!(completed(&world), 100);
+    assert_eq!(completed_jobs(&world), 100);
 }
--- a/crates/onyxshed-pool/tests/pool/simulation.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation.rs
@@ -25,29 +25,29 @@
 pub use faults::Fault;
 
 /// Time until a caller resubmits a job with an unknown outcome.
-const RESEND: Millis = Millis(1_300);
+const RESUBMIT_AFTER: Millis = Millis(1_300);
 
 /// Maximum number of submissions of a job by its caller.
-const SENDS_MAX: u32 = 4;
+const SUBMISSIONS_MAX: u32 = 4;
 
 /// Time-outs for answers.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct Timeouts {
     /// For start and stop orders.
     pub order: Millis,
     /// For reports, in addition to the wait of the hold order.
     pub report: Millis,
 }
 
-impl Patience {
+impl Timeouts {
     /// The hosts' time-outs.
-    pub const OF_HOSTS: Patience = Patience {
+    pub const HOST: Timeouts = Timeouts {
         order: Millis(40),
         report: Millis(50),
     };
 
     /// Longer time-outs, for which the seeds of the searches without handovers were chosen.
-    pub const LONG: Patience = Patience {
+    pub const LONG: Timeouts = Timeouts {
         order: Millis(100),
         report: Millis(120),
     };
@@ -79,19 +79,19 @@
 enum Event {
     Tick(OwnerIndex),
     /// An order arrives at an executor. An order with number 0 is not answered.
-    Arrives(OwnerIndex, ExecutorId, Order, u64),
+    OrderArrived(OwnerIndex, ExecutorId, Order, u64),
     /// The wait of a hold order is over.
-    WaitOver(OwnerIndex, ExecutorId, u64),
-    Answered(OwnerIndex, ExecutorId, u64, Answer),
-    TimedOut(OwnerIndex, ExecutorId, u64),
-    RunOver(ExecutorId, TaskId, RunNumber, u64),
-    Lapse(ExecutorId),
+    HoldWaitOver(OwnerIndex, ExecutorId, u64),
+    AnswerArrived(OwnerIndex, ExecutorId, u64, Answer),
+    OrderTimedOut(OwnerIndex, ExecutorId, u64),
+    RunEnded(ExecutorId, TaskId, RunNumber, u64),
+    LeaseExpired(ExecutorId),
     Heartbeat(usize),
-    Sent(JobId),
+    Submitted(JobId),
     /// A new owner queries its predecessor for the executors that are still in use.
-    Release(OwnerIndex, OwnerIndex, Mono),
+    ReleaseRequested(OwnerIndex, OwnerIndex, Mono),
     /// The predecessor's answer to such a query arrives.
-    Held(OwnerIndex, OwnerIndex, Mono, BTreeSet<ExecutorId>),
+    HeldExecutors(OwnerIndex, OwnerIndex, Mono, BTreeSet<ExecutorId>),
     Ended(usize, SubmissionNumber, JobId, JobEnd),
     Fault(Fault),
 }
@@ -99,15 +99,15 @@
 struct Owner {
     pool: Pool,
     frozen_until: Mono,
-    is_dead: bool,
-    awaited: BTreeMap<u64, (ExecutorId, Order, Mono)>,
+    is_stopped: bool,
+    pending_orders: BTreeMap<u64, (ExecutorId, Order, Mono)>,
 }
 
 struct Entry {
-    life: PeerIncarnation,
+    incarnation: PeerIncarnation,
     session: Session,
     /// Time of the last contact with each owner.
-    heard: BTreeMap<OwnerIndex, Mono>,
+    last_contact: BTreeMap<OwnerIndex, Mono>,
     frozen_until: Mono,
 }
 
@@ -116,8 +116,8 @@
     pub request: JobRequest,
     pub class: usize,
     pub true_ms: Vec<u64>,
-    pub sent_first: Mono,
-    pub sends: u32,
+    pub first_sent_at: Mono,
+    pub submissions: u32,
     pub entry: usize,
     /// Owner to which the job was last submitted.
     owner: OwnerIndex,
@@ -130,33 +130,33 @@
 
 /// Faults of messages and their end.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Trouble {
+pub struct MessageFaults {
     /// Share of orders that get no answer and are executed 2 to 12 s later.
-    pub applied_late: f64,
+    pub late_share: f64,
     /// Share of orders that are executed but whose answers are lost.
-    pub answer_lost: f64,
+    pub lost_answer_share: f64,
     /// Time at which the faults end.
     pub until: Mono,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Mono,
     pub calls: BTreeMap<JobId, Call>,
     pub executors: BTreeMap<ExecutorId, RunBook>,
-    pub trouble: Trouble,
-    pub patience: Patience,
-    pub thrown_away: Micros,
+    pub message_faults: MessageFaults,
+    pub timeouts: Timeouts,
+    pub wasted_run_time: Micros,
     queue: BinaryHeap<Reverse<(Mono, u64)>>,
     events: BTreeMap<u64, Event>,
     last_event: u64,
     last_order: u64,
     last_submission: u64,
-    last_life: u64,
+    last_incarnation: u64,
     token: u64,
     owners: Vec<Owner>,
     entries: Vec<Entry>,
-    cut_until: BTreeMap<ExecutorId, Mono>,
-    holding: BTreeMap<(ExecutorId, u64), OwnerIndex>,
+    unreachable_until: BTreeMap<ExecutorId, Mono>,
+    pending_holds: BTreeMap<(ExecutorId, u64), OwnerIndex>,
     started_at: BTreeMap<TaskId, Mono>,
     rng: SmallRng,
     options: PoolOptions,
@@ -164,86 +164,92 @@
     trace: Vec<(Mono, TaskId, String)>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, executors: Vec<RunBook>, entries: usize) -> Self {
         let named = executors
             .into_iter()
             .enumerate()
             .map(|(index, executor)| (ExecutorId(format!("x{index}").into()), executor));
-        let mut world = World {
+        let mut world = Simulation {
             now: Mono(1_000_000),
             calls: BTreeMap::new(),
             executors: named.collect(),
-            trouble: Trouble::default(),
-            patience: Patience::LONG,
-            thrown_away: Micros(0),
+            message_faults: MessageFaults::default(),
+            timeouts: Timeouts::LONG,
+            wasted_run_time: Micros(0),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             last_event: 0,
             last_order: 0,
             last_submission: 0,
-            last_life: 100,
+            last_incarnation: 100,
             token: 0,
             owners: Vec::new(),
             entries: Vec::new(),
-            cut_until: BTreeMap::new(),
-            holding: BTreeMap::new(),
+            unreachable_until: BTreeMap::new(),
+            pending_holds: BTreeMap::new(),
             started_at: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(seed),
             options: PoolOptions::default(),
             trace: Vec::new(),
         };
         for index in 0..entries {
-            let life = world.new_life();
+            let life = world.new_incarnation();
             world.entries.push(Entry {
-                life,
+                incarnation: life,
                 session: Session(0),
-                heard: BTreeMap::new(),
+                last_contact: BTreeMap::new(),
                 frozen_until: Mono(0),
             });
-            world.after(Millis(0), Event::Heartbeat(index));
+            world.schedule_after(Millis(0), Event::Heartbeat(index));
         }
         world.new_owner();
         world
     }
 
-    fn new_life(&mut self) -> PeerIncarnation {
-        self.last_life += 1;
-        PeerIncarnation(self.last_life)
+    fn new_incarnation(&mut self) -> PeerIncarnation {
+        self.last_incarnation += 1;
+        PeerIncarnation(self.last_incarnation)
     }
 
     fn log(&mut self, task: TaskId, words: String) {
         self.trace.push((self.now, task, words));
     }
 
-    fn after(&mut self, span: Millis, event: Event) {
-        self.at(self.now + span, event);
+    fn schedule_after(&mut self, span: Millis, event: Event) {
+        self.schedule_at(self.now + span, event);
     }
 
-    fn at(&mut self, at: Mono, event: Event) {
+    fn schedule_at(&mut self, schedule_at: Mono, event: Event) {
         self.last_event += 1;
         self.events.insert(self.last_event, event);
-        self.queue.push(Reverse((at, self.last_event)));
+        self.queue.push(Reverse((schedule_at, self.last_event)));
     }
 
-    fn travel(&mut self) -> Micros {
+    fn transit_time(&mut self) -> Micros {
         Micros(self.rng.random_range(400..1_600))
     }
 
     /// Schedules a fault.
-    pub fn plan(&mut self, at: Mono, fault: Fault) {
-        self.at(at, Event::Fault(fault));
+    pub fn schedule_fault(&mut self, at: Mono, fault: Fault) {
+        self.schedule_at(at, Event::Fault(fault));
     }
 
     /// Schedules a caller's job.
-    pub fn plan_call(&mut self, at: Mono, class: usize, request: JobRequest, true_ms: Vec<u64>) {
+    pub fn schedule_call(
+        &mut self,
+        at: Mono,
+        class: usize,
+        request: JobRequest,
+        true_ms: Vec<u64>,
+    ) {
         let job = request.job;
         let call = Call {
             request,
             class,
             true_ms,
-            sent_first: at,
-            sends: 0,
+            first_sent_at: at,
+            submissions: 0,
             entry: 0,
             owner: 0,
             submission: SubmissionNumber(0),
@@ -253,11 +259,11 @@
             started: false,
         };
         self.calls.insert(job, call);
-        self.at(at, Event::Sent(job));
+        self.schedule_at(at, Event::Submitted(job));
     }
 
     /// Runs the simulation until a time.
-    pub fn play(&mut self, until: Mono) {
+    pub fn run_until(&mut self, until: Mono) {
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
             if at > until {
                 break;
@@ -271,29 +277,39 @@
         self.now = until;
     }
 
-    fn current(&self) -> OwnerIndex {
+    fn current_owner(&self) -> OwnerIndex {
         self.owners.len() - 1
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Tick(owner) => self.tick(owner),
-            Event::Arrives(owner, id, order, number) => self.arrives(owner, id, order, number),
-            Event::WaitOver(owner, id, number) => {
-                if self.holding.remove(&(id.clone(), number)).is_some() {
+            Event::OrderArrived(owner, id, order, number) => {
+                self.apply_order(owner, id, order, number)
+            }
+            Event::HoldWaitOver(owner, id, number) => {
+                if self.pending_holds.remove(&(id.clone(), number)).is_some() {
                     self.report(owner, id, number);
                 }
             }
-            Event::Answered(owner, id, number, answer) => self.answered(owner, id, number, answer),
-            Event::TimedOut(owner, id, number) => self.timed_out(owner, id, number),
-            Event::RunOver(id, task, number, born) => self.run_over(&id, task, number, born),
-            Event::Lapse(id) => self.lapse(&id),
+            Event::AnswerArrived(owner, id, number, answer) => {
+                self.apply_answer(owner, id, number, answer)
+            }
+            Event::OrderTimedOut(owner, id, number) => self.time_out_order(owner, id, number),
+            Event::RunEnded(id, task, number, born) => self.end_run(&id, task, number, born),
+            Event::LeaseExpired(id) => self.expire_leases(&id),
             Event::Heartbeat(entry) => self.heartbeat(entry),
-            Event::Sent(job) => self.sent(job),
-            Event::Release(last, next, over_at) => self.release(last, next, over_at),
-            Event::Held(last, next, over_at, held) => self.held(last, next, over_at, held),
-            Event::Ended(entry, submission, job, end) => self.ended(entry, submission, job, end),
-            Event::Fault(fault) => self.fault(fault),
+            Event::Submitted(job) => self.submit_call(job),
+            Event::ReleaseRequested(last, next, over_at) => {
+                self.request_release(last, next, over_at)
+            }
+            Event::HeldExecutors(last, next, over_at, held) => {
+                self.apply_held_executors(last, next, over_at, held)
+            }
+            Event::Ended(entry, submission, job, end) => {
+                self.apply_end(entry, submission, job, end)
+            }
+            Event::Fault(fault) => self.inject_fault(fault),
         }
     }
 
--- a/crates/onyxshed-pool/tests/pool/simulation/callers.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/callers.rs
@@ -6,47 +6,49 @@
 };
 use rand::RngExt;
 
-use super::{Event, HEARTBEAT, LINK_SILENCE, OwnerIndex, RESEND, SENDS_MAX, World};
+use super::{
+    Event, HEARTBEAT, LINK_SILENCE, OwnerIndex, RESUBMIT_AFTER, SUBMISSIONS_MAX, Simulation,
+};
 
-impl World {
+impl Simulation {
     pub(super) fn heartbeat(&mut self, index: usize) {
         let until = self.entries[index].frozen_until;
         if self.now < until {
-            return self.at(until, Event::Heartbeat(index));
+            return self.schedule_at(until, Event::Heartbeat(index));
         }
         for owner in 0..self.owners.len() {
-            self.hear(index, owner);
+            self.exchange_heartbeat(index, owner);
         }
-        self.after(HEARTBEAT, Event::Heartbeat(index));
+        self.schedule_after(HEARTBEAT, Event::Heartbeat(index));
     }
 
     /// Exchanges a heartbeat between an entry host and an owner, if it is the current owner or one that still
     /// completes jobs while another takes over.
-    pub(super) fn hear(&mut self, index: usize, owner: OwnerIndex) {
-        let is_current = owner == self.current();
+    pub(super) fn exchange_heartbeat(&mut self, index: usize, owner: OwnerIndex) {
+        let is_current = owner == self.current_owner();
         let held = &self.owners[owner];
         if !is_current && !held.pool.is_releasing() {
             return;
         }
-        let life = self.entries[index].life;
-        let is_away = held.is_dead || self.now < held.frozen_until;
-        let heard = self.entries[index].heard.get(&owner);
+        let life = self.entries[index].incarnation;
+        let is_away = held.is_stopped || self.now < held.frozen_until;
+        let heard = self.entries[index].last_contact.get(&owner);
         let last = heard.copied().unwrap_or(Mono(1_000_000));
         if !is_away {
             let session = self.owners[owner]
                 .pool
                 .record_peer_contact(self.now, life, None);
-            self.entries[index].heard.insert(owner, self.now);
+            self.entries[index].last_contact.insert(owner, self.now);
             if is_current {
                 self.entries[index].session = session;
             }
         } else if self.now.since(last) > LINK_SILENCE.into() {
-            self.lose_link(index, owner);
+            self.drop_link(index, owner);
         }
     }
 
     /// Drops the link of an entry host to an owner: the open jobs end with an unknown outcome.
-    pub(super) fn lose_link(&mut self, entry: usize, owner: OwnerIndex) {
+    pub(super) fn drop_link(&mut self, entry: usize, owner: OwnerIndex) {
         let lost = JobEnd::Unknown(UnknownReason::OwnerChanged);
         let open: Vec<(JobId, SubmissionNumber)> = self
             .calls
@@ -55,21 +57,21 @@
             .map(|(job, call)| (*job, call.submission))
             .collect();
         for (job, submission) in open {
-            self.ended(entry, submission, job, lost);
+            self.apply_end(entry, submission, job, lost);
         }
     }
 
-    pub(super) fn sent(&mut self, job: JobId) {
-        let owner = self.current();
+    pub(super) fn submit_call(&mut self, job: JobId) {
+        let owner = self.current_owner();
         let entry = self.rng.random_range(0..self.entries.len());
         self.last_submission += 1;
         let submission = SubmissionNumber(self.last_submission);
-        let (life, session) = (self.entries[entry].life, self.entries[entry].session);
+        let (life, session) = (self.entries[entry].incarnation, self.entries[entry].session);
         let call = self.calls.get_mut(&job).expect("a caller's job");
         if call.ended.is_some() {
             return;
         }
-        call.sends += 1;
+        call.submissions += 1;
         call.entry = entry;
         call.owner = owner;
         call.submission = submission;
@@ -80,10 +82,10 @@
             ..call.request.clone()
         };
         let patience = request.time_left;
-        let owner_is_dead = self.owners[owner].is_dead;
+        let owner_is_dead = self.owners[owner].is_stopped;
         if self.now < self.entries[entry].frozen_until || owner_is_dead {
             let end = JobEnd::Unknown(UnknownReason::TimeOut);
-            return self.at(
+            return self.schedule_at(
                 self.now + patience,
                 Event::Ended(entry, submission, job, end),
             );
@@ -91,14 +93,14 @@
         // A paused owner does not process the submission.
         if self.now >= self.owners[owner].frozen_until {
             let actions = self.owners[owner].pool.submit(self.now, session, request);
-            self.act(owner, actions);
+            self.apply_actions(owner, actions);
         }
         let over = JobEnd::Unknown(UnknownReason::TimeOut);
         let late = Millis(patience.0 + 20);
-        self.after(late, Event::Ended(entry, submission, job, over));
+        self.schedule_after(late, Event::Ended(entry, submission, job, over));
     }
 
-    pub(super) fn ended(
+    pub(super) fn apply_end(
         &mut self,
         entry: usize,
         submission: SubmissionNumber,
@@ -112,7 +114,7 @@
             return;
         }
         if now < until {
-            return self.at(until, Event::Ended(entry, submission, job, end));
+            return self.schedule_at(until, Event::Ended(entry, submission, job, end));
         }
         call.is_open = false;
         let tasks = call.request.tasks;
@@ -125,13 +127,13 @@
         let is_handed_back = matches!(end, JobEnd::NotRun(NotRunReason::NotOwner, _));
         if is_handed_back && call.owner + 1 < self.owners.len() {
             // The entry host submits the job to the next owner.
-            call.sends -= 1;
-            return self.after(Millis(1), Event::Sent(job));
+            call.submissions -= 1;
+            return self.schedule_after(Millis(1), Event::Submitted(job));
         }
         if matches!(end, JobEnd::Unknown(_)) {
             call.all_not_run = false;
-            if call.sends < SENDS_MAX {
-                return self.after(RESEND, Event::Sent(job));
+            if call.submissions < SUBMISSIONS_MAX {
+                return self.schedule_after(RESUBMIT_AFTER, Event::Submitted(job));
             }
         }
         call.ended = Some((now, end));
--- a/crates/onyxshed-pool/tests/pool/simulation/executors.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/executors.rs
@@ -5,30 +5,36 @@
     ExecutorId, HoldAnswer, HoldOrder, RunEnd, RunNumber, StartAnswer, StartOrder, TaskId,
 };
 
-use super::{Answer, Event, Order, OwnerIndex, World};
+use super::{Answer, Event, Order, OwnerIndex, Simulation};
 
-impl World {
-    pub(super) fn is_cut(&self, id: &ExecutorId) -> bool {
-        let until = self.cut_until.get(id).copied().unwrap_or(Mono(0));
+impl Simulation {
+    pub(super) fn is_unreachable(&self, id: &ExecutorId) -> bool {
+        let until = self.unreachable_until.get(id).copied().unwrap_or(Mono(0));
         self.now < until || !self.executors[id].is_up
     }
 
-    pub(super) fn arrives(&mut self, owner: OwnerIndex, id: ExecutorId, order: Order, number: u64) {
-        if self.is_cut(&id) {
+    pub(super) fn apply_order(
+        &mut self,
+        owner: OwnerIndex,
+        id: ExecutorId,
+        order: Order,
+        number: u64,
+    ) {
+        if self.is_unreachable(&id) {
             return;
         }
-        self.lapse(&id);
+        self.expire_leases(&id);
         match order {
             Order::Start(order) => {
                 let answer = self.start(&id, &order);
                 self.answer(owner, id, number, Answer::Start(answer));
             }
             Order::Stop(order) => {
-                self.throw_away(&id, order.task);
+                self.record_wasted_run(&id, order.task);
                 let executor = self.executors.get_mut(&id).expect("an executor");
                 let answer = executor.stop(&order);
                 self.answer(owner, id.clone(), number, Answer::Stop(answer));
-                self.wake(&id);
+                self.answer_pending_holds(&id);
             }
             Order::Hold(order) => self.hold(owner, id, &order, number),
         }
@@ -48,25 +54,25 @@
         let call = self.calls.get_mut(&order.task.job).expect("a caller's job");
         call.started = true;
         self.log(order.task, format!("run {} starts on {id}", order.run));
-        self.check_alone(id, order.task);
+        self.check_runs_nowhere_else(id, order.task);
         self.started_at.insert(order.task, now);
-        self.plan_end(id, order.task, order.run);
+        self.schedule_run_end(id, order.task, order.run);
         let lapses_at = self.executors[id].lapses_at();
-        self.at(lapses_at, Event::Lapse(id.clone()));
+        self.schedule_at(lapses_at, Event::LeaseExpired(id.clone()));
         answer
     }
 
     /// Schedules the end of a run at the executor's current speed.
-    pub(super) fn plan_end(&mut self, id: &ExecutorId, task: TaskId, run: RunNumber) {
+    pub(super) fn schedule_run_end(&mut self, id: &ExecutorId, task: TaskId, run: RunNumber) {
         let executor = &self.executors[id];
-        let over = Event::RunOver(id.clone(), task, run, executor.born);
+        let over = Event::RunEnded(id.clone(), task, run, executor.born);
         if let Some(ends_at) = executor.ends_at(task) {
-            self.at(ends_at.max(self.now + Micros(1)), over);
+            self.schedule_at(ends_at.max(self.now + Micros(1)), over);
         }
     }
 
     /// Checks that a starting task executes on no other executor.
-    pub(super) fn check_alone(&self, here: &ExecutorId, task: TaskId) {
+    pub(super) fn check_runs_nowhere_else(&self, here: &ExecutorId, task: TaskId) {
         for (id, executor) in &self.executors {
             if id != here && executor.is_up && executor.runs.contains_key(&task) {
                 let lapsed = executor.is_lapsed(self.now);
@@ -95,17 +101,17 @@
         }
         let lapses_at = executor.lapses_at();
         let has_ends = executor.has_ends();
-        self.at(lapses_at, Event::Lapse(id.clone()));
+        self.schedule_at(lapses_at, Event::LeaseExpired(id.clone()));
         if has_ends || order.wait.0 == 0 {
             self.report(owner, id, number);
         } else if number != 0 {
-            self.holding.insert((id.clone(), number), owner);
-            self.after(order.wait, Event::WaitOver(owner, id, number));
+            self.pending_holds.insert((id.clone(), number), owner);
+            self.schedule_after(order.wait, Event::HoldWaitOver(owner, id, number));
         }
     }
 
     pub(super) fn report(&mut self, owner: OwnerIndex, id: ExecutorId, number: u64) {
-        if self.is_cut(&id) {
+        if self.is_unreachable(&id) {
             return;
         }
         let report = self.executors[&id].report(self.now);
@@ -113,18 +119,18 @@
     }
 
     /// Answers the pending hold orders of an executor that has ended runs.
-    pub(super) fn wake(&mut self, id: &ExecutorId) {
+    pub(super) fn answer_pending_holds(&mut self, id: &ExecutorId) {
         if !self.executors[id].has_ends() {
             return;
         }
         let waiting: Vec<(u64, OwnerIndex)> = self
-            .holding
+            .pending_holds
             .iter()
             .filter(|((at, _), _)| at == id)
             .map(|((_, number), owner)| (*number, *owner))
             .collect();
         for (number, owner) in waiting {
-            self.holding.remove(&(id.clone(), number));
+            self.pending_holds.remove(&(id.clone(), number));
             self.report(owner, id.clone(), number);
         }
     }
@@ -136,14 +142,17 @@
         number: u64,
         answer: Answer,
     ) {
-        if number != 0 && !self.is_cut(&id) {
-            let way = self.travel();
-            self.at(self.now + way, Event::Answered(owner, id, number, answer));
+        if number != 0 && !self.is_unreachable(&id) {
+            let way = self.transit_time();
+            self.schedule_at(
+                self.now + way,
+                Event::AnswerArrived(owner, id, number, answer),
+            );
         }
     }
 
-    pub(super) fn run_over(&mut self, id: &ExecutorId, task: TaskId, number: RunNumber, born: u64) {
-        self.lapse(id);
+    pub(super) fn end_run(&mut self, id: &ExecutorId, task: TaskId, number: RunNumber, born: u64) {
+        self.expire_leases(id);
         let executor = self.executors.get_mut(id).expect("an executor");
         let run = executor.runs.get(&task);
         if executor.born != born || run.is_none_or(|run| run.number != number) {
@@ -158,10 +167,10 @@
             false => RunEnd::Done,
         };
         executor.end(task, end);
-        self.wake(id);
+        self.answer_pending_holds(id);
     }
 
-    pub(super) fn lapse(&mut self, id: &ExecutorId) {
+    pub(super) fn expire_leases(&mut self, id: &ExecutorId) {
         let now = self.now;
         let executor = &self.executors[id];
         if executor.runs.is_empty() || !executor.is_lapsed(now) {
@@ -169,18 +178,18 @@
         }
         let tasks: Vec<TaskId> = executor.runs.keys().copied().collect();
         for task in tasks {
-            self.throw_away(id, task);
+            self.record_wasted_run(id, task);
         }
         let executor = self.executors.get_mut(id).expect("an executor");
         executor.lapse();
-        self.wake(id);
+        self.answer_pending_holds(id);
     }
 
-    pub(super) fn throw_away(&mut self, id: &ExecutorId, task: TaskId) {
+    pub(super) fn record_wasted_run(&mut self, id: &ExecutorId, task: TaskId) {
         if self.executors[id].runs.contains_key(&task)
             && let Some(since) = self.started_at.get(&task)
         {
-            self.thrown_away.0 += self.now.since(*since).0;
+            self.wasted_run_time.0 += self.now.since(*since).0;
         }
     }
 }
--- a/crates/onyxshed-pool/tests/pool/simulation/faults.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/faults.rs
@@ -3,7 +3,7 @@
 use onyxshed_core::Millis;
 use onyxshed_pool::{ExecutorId, RunNumber, Session, TaskId};
 
-use super::{Event, World};
+use super::{Event, Simulation};
 
 /// A fault to inject.
 #[derive(Debug, Clone)]
@@ -11,34 +11,34 @@
     /// The owner is killed; another takes over once the store has detected it.
     KillOwner,
     /// The owner's process is paused; another takes over meanwhile.
-    FreezeOwner(Millis),
+    PauseOwner(Millis),
     /// The store assigns the pool to another host while the owner runs but can't be reached.
     ReplaceOwner,
     /// Another host takes the pool over from an owner that answers.
     HandOver,
     /// An entry host's process is paused.
-    FreezeEntry(usize, Millis),
+    PauseEntry(usize, Millis),
     /// An entry host is killed and restarts.
     KillEntry(usize),
     /// An executor is unreachable for a while, and its runs continue.
-    CutExecutor(ExecutorId, Millis),
+    IsolateExecutor(ExecutorId, Millis),
     /// An executor crashes and restarts.
-    Crash(ExecutorId),
+    CrashExecutor(ExecutorId),
     /// An executor fails all runs for a while.
     FailAll(ExecutorId, Millis),
     /// Runs on an executor make no progress for a while.
-    Stick(ExecutorId, Millis),
+    Hang(ExecutorId, Millis),
     /// An executor takes longer by a factor for a while, also for its current runs.
     Slow(ExecutorId, f64, Millis),
     /// The end of [`Fault::Slow`].
-    Recover(ExecutorId, f64),
+    RestoreSpeed(ExecutorId, f64),
     /// The end of [`Fault::FailAll`] or [`Fault::Stick`].
-    Heal(ExecutorId),
+    StopFault(ExecutorId),
 }
 
-impl World {
-    pub(super) fn fault(&mut self, fault: Fault) {
-        let owner = self.current();
+impl Simulation {
+    pub(super) fn inject_fault(&mut self, inject_fault: Fault) {
+        let owner = self.current_owner();
         let open: Vec<TaskId> = self
             .calls
             .iter()
@@ -47,60 +47,60 @@
             .map(|(job, index)| TaskId { job, index })
             .collect();
         for task in open {
-            self.log(task, format!("{fault:?}"));
+            self.log(task, format!("{inject_fault:?}"));
         }
-        match fault {
+        match inject_fault {
             Fault::KillOwner => {
-                self.owners[owner].is_dead = true;
+                self.owners[owner].is_stopped = true;
                 // Connections break at once, so every entry host detects the loss.
                 for entry in 0..self.entries.len() {
-                    self.lose_link(entry, owner);
+                    self.drop_link(entry, owner);
                 }
-                self.after(Millis(1_500), Event::Fault(Fault::ReplaceOwner));
+                self.schedule_after(Millis(1_500), Event::Fault(Fault::ReplaceOwner));
             }
-            Fault::FreezeOwner(span) => {
+            Fault::PauseOwner(span) => {
                 self.owners[owner].frozen_until = self.now + span;
-                self.after(Millis(1_700), Event::Fault(Fault::ReplaceOwner));
+                self.schedule_after(Millis(1_700), Event::Fault(Fault::ReplaceOwner));
             }
             Fault::ReplaceOwner => self.new_owner(),
             Fault::HandOver => {
                 let held = &self.owners[owner];
-                let answers = !held.is_dead && self.now >= held.frozen_until;
-                self.begin_owner(answers.then_some(owner));
+                let answers = !held.is_stopped && self.now >= held.frozen_until;
+                self.add_owner(answers.then_some(owner));
             }
-            Fault::FreezeEntry(entry, span) => {
+            Fault::PauseEntry(entry, span) => {
                 let entry = entry % self.entries.len();
                 self.entries[entry].frozen_until = self.now + span;
             }
             Fault::KillEntry(entry) => {
                 let entry = entry % self.entries.len();
                 for owner in 0..self.owners.len() {
-                    self.lose_link(entry, owner);
+                    self.drop_link(entry, owner);
                 }
-                self.entries[entry].life = self.new_life();
+                self.entries[entry].incarnation = self.new_incarnation();
                 self.entries[entry].session = Session(0);
             }
-            Fault::CutExecutor(id, span) => {
-                self.cut_until.insert(id, self.now + span);
+            Fault::IsolateExecutor(id, span) => {
+                self.unreachable_until.insert(id, self.now + span);
             }
-            Fault::Crash(id) => {
+            Fault::CrashExecutor(id) => {
                 self.executors.get_mut(&id).expect("an executor").restart();
-                self.holding.retain(|(at, _), _| *at != id);
+                self.pending_holds.retain(|(at, _), _| *at != id);
             }
             Fault::FailAll(id, span) => {
                 self.executors.get_mut(&id).expect("an executor").fails_all = true;
-                self.after(span, Event::Fault(Fault::Heal(id)));
+                self.schedule_after(span, Event::Fault(Fault::StopFault(id)));
             }
-            Fault::Stick(id, span) => {
+            Fault::Hang(id, span) => {
                 self.executors.get_mut(&id).expect("an executor").is_stuck = true;
-                self.after(span, Event::Fault(Fault::Heal(id)));
+                self.schedule_after(span, Event::Fault(Fault::StopFault(id)));
             }
             Fault::Slow(id, factor, span) => {
                 self.change_speed(&id, 1.0 / factor);
-                self.after(span, Event::Fault(Fault::Recover(id, factor)));
+                self.schedule_after(span, Event::Fault(Fault::RestoreSpeed(id, factor)));
             }
-            Fault::Recover(id, factor) => self.change_speed(&id, factor),
-            Fault::Heal(id) => {
+            Fault::RestoreSpeed(id, factor) => self.change_speed(&id, factor),
+            Fault::StopFault(id) => {
                 let executor = self.executors.get_mut(&id).expect("an executor");
                 executor.fails_all = false;
                 executor.is_stuck = false;
@@ -119,7 +119,7 @@
             .map(|(task, run)| (*task, run.number))
             .collect();
         for (task, run) in runs {
-            self.plan_end(id, task, run);
+            self.schedule_run_end(id, task, run);
         }
     }
 }
--- a/crates/onyxshed-pool/tests/pool/simulation/owners.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/owners.rs
@@ -10,33 +10,35 @@
 use onyxshed_standins::fleet::RunBook;
 use rand::RngExt;
 
-use super::{Answer, Event, HANDOVER_MAX, LINK_SILENCE, Order, Owner, OwnerIndex, TICK, World};
+use super::{
+    Answer, Event, HANDOVER_MAX, LINK_SILENCE, Order, Owner, OwnerIndex, Simulation, TICK,
+};
 
-impl World {
+impl Simulation {
     pub(super) fn new_owner(&mut self) {
-        self.begin_owner(None);
+        self.add_owner(None);
     }
 
     /// Adds a new owner, which takes over from the owner `last` if one is given.
-    pub(super) fn begin_owner(&mut self, last: Option<OwnerIndex>) {
+    pub(super) fn add_owner(&mut self, last: Option<OwnerIndex>) {
         self.token += 1;
         let token = FencingToken(self.token);
-        let life = self.new_life();
+        let life = self.new_incarnation();
         self.owners.push(Owner {
             pool: Pool::new(self.now, token, life, self.options.clone()),
             frozen_until: Mono(0),
-            is_dead: false,
-            awaited: BTreeMap::new(),
+            is_stopped: false,
+            pending_orders: BTreeMap::new(),
         });
-        let owner = self.current();
+        let owner = self.current_owner();
         if let Some(last) = last {
             self.owners[owner].pool.await_predecessor();
             let over_at = self.now + HANDOVER_MAX;
-            self.after(Millis(1), Event::Release(last, owner, over_at));
+            self.schedule_after(Millis(1), Event::ReleaseRequested(last, owner, over_at));
             // An entry host submits jobs on a link only after the owner has answered on it.
             for entry in 0..self.entries.len() {
                 if self.now >= self.entries[entry].frozen_until {
-                    self.hear(entry, owner);
+                    self.exchange_heartbeat(entry, owner);
                 }
             }
         }
@@ -47,30 +49,39 @@
             .collect();
         for (id, facts) in listed {
             let actions = self.owners[owner].pool.list_executor(self.now, id, facts);
-            self.act(owner, actions);
+            self.apply_actions(owner, actions);
         }
-        self.after(TICK, Event::Tick(owner));
+        self.schedule_after(TICK, Event::Tick(owner));
     }
 
-    pub(super) fn act(&mut self, owner: OwnerIndex, actions: Vec<Action>) {
+    pub(super) fn apply_actions(&mut self, owner: OwnerIndex, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Start(id, order) => self.send(owner, id, Order::Start(order), Millis(0)),
-                Action::Stop(id, order) => self.send(owner, id, Order::Stop(order), Millis(0)),
-                Action::Hold(id, order, pause) => self.send(owner, id, Order::Hold(order), pause),
+                Action::Start(id, order) => {
+                    self.send_order(owner, id, Order::Start(order), Millis(0))
+                }
+                Action::Stop(id, order) => {
+                    self.send_order(owner, id, Order::Stop(order), Millis(0))
+                }
+                Action::Hold(id, order, pause) => {
+                    self.send_order(owner, id, Order::Hold(order), pause)
+                }
                 Action::End {
                     peer,
                     submission,
                     job,
                     end,
                 } => {
-                    let entry = self.entries.iter().position(|entry| entry.life == peer);
+                    let entry = self
+                        .entries
+                        .iter()
+                        .position(|entry| entry.incarnation == peer);
                     if let Some(entry) = entry {
-                        let way = self.travel();
-                        self.at(self.now + way, Event::Ended(entry, submission, job, end));
+                        let way = self.transit_time();
+                        self.schedule_at(self.now + way, Event::Ended(entry, submission, job, end));
                     }
                 }
-                Action::StepDown => self.owners[owner].is_dead = true,
+                Action::StepDown => self.owners[owner].is_stopped = true,
                 Action::Log(Decision::RunEnded {
                     task,
                     run,
@@ -82,12 +93,18 @@
         }
     }
 
-    pub(super) fn send(&mut self, owner: OwnerIndex, id: ExecutorId, order: Order, pause: Millis) {
+    pub(super) fn send_order(
+        &mut self,
+        owner: OwnerIndex,
+        id: ExecutorId,
+        order: Order,
+        pause: Millis,
+    ) {
         self.last_order += 1;
         let number = self.last_order;
         let timeout = match &order {
-            Order::Hold(hold) => Millis(pause.0 + hold.wait.0 + self.patience.report.0),
-            _ => self.patience.order,
+            Order::Hold(hold) => Millis(pause.0 + hold.wait.0 + self.timeouts.report.0),
+            _ => self.timeouts.order,
         };
         let sent_at = self.now + pause;
         match &order {
@@ -102,106 +119,113 @@
             Order::Hold(_) => {}
         }
         self.owners[owner]
-            .awaited
+            .pending_orders
             .insert(number, (id.clone(), order.clone(), sent_at));
-        self.after(timeout, Event::TimedOut(owner, id.clone(), number));
-        let way = self.travel();
-        let is_troubled = self.now < self.trouble.until;
-        if is_troubled && self.rng.random_bool(self.trouble.applied_late) {
+        self.schedule_after(timeout, Event::OrderTimedOut(owner, id.clone(), number));
+        let way = self.transit_time();
+        let is_troubled = self.now < self.message_faults.until;
+        if is_troubled && self.rng.random_bool(self.message_faults.late_share) {
             let late = Millis(self.rng.random_range(2_000..12_000));
-            self.at(self.now + late, Event::Arrives(owner, id, order, 0));
+            self.schedule_at(self.now + late, Event::OrderArrived(owner, id, order, 0));
             return;
         }
-        let answered = !(is_troubled && self.rng.random_bool(self.trouble.answer_lost));
+        let answered =
+            !(is_troubled && self.rng.random_bool(self.message_faults.lost_answer_share));
         let number = if answered { number } else { 0 };
-        self.at(sent_at + way, Event::Arrives(owner, id, order, number));
+        self.schedule_at(sent_at + way, Event::OrderArrived(owner, id, order, number));
     }
 
-    pub(super) fn release(&mut self, last: OwnerIndex, next: OwnerIndex, over_at: Mono) {
-        if self.owner_is_away(next, Event::Release(last, next, over_at)) {
+    pub(super) fn request_release(&mut self, last: OwnerIndex, next: OwnerIndex, over_at: Mono) {
+        if self.defer_if_away(next, Event::ReleaseRequested(last, next, over_at)) {
             return;
         }
-        if self.owners[last].is_dead || self.now >= over_at {
-            return self.held(last, next, over_at, BTreeSet::new());
+        if self.owners[last].is_stopped || self.now >= over_at {
+            return self.apply_held_executors(last, next, over_at, BTreeSet::new());
         }
         if self.now < self.owners[last].frozen_until {
-            let gone = Event::Held(last, next, over_at, BTreeSet::new());
-            return self.after(LINK_SILENCE, gone);
+            let gone = Event::HeldExecutors(last, next, over_at, BTreeSet::new());
+            return self.schedule_after(LINK_SILENCE, gone);
         }
         let token = self.owners[next].pool.token();
         let (actions, held) = self.owners[last].pool.release(self.now, token);
-        self.act(last, actions);
-        let way = self.travel();
+        self.apply_actions(last, actions);
+        let way = self.transit_time();
         let held = held.into_iter().collect();
-        self.at(self.now + way, Event::Held(last, next, over_at, held));
+        self.schedule_at(
+            self.now + way,
+            Event::HeldExecutors(last, next, over_at, held),
+        );
         if self.owners[last].pool.job_count() == 0 {
-            self.owners[last].is_dead = true;
+            self.owners[last].is_stopped = true;
         }
     }
 
-    pub(super) fn held(
+    pub(super) fn apply_held_executors(
         &mut self,
         last: OwnerIndex,
         next: OwnerIndex,
         over_at: Mono,
         held: BTreeSet<ExecutorId>,
     ) {
-        if self.owner_is_away(next, Event::Held(last, next, over_at, held.clone())) {
+        if self.defer_if_away(
+            next,
+            Event::HeldExecutors(last, next, over_at, held.clone()),
+        ) {
             return;
         }
         if !held.is_empty() {
-            self.after(TICK, Event::Release(last, next, over_at));
+            self.schedule_after(TICK, Event::ReleaseRequested(last, next, over_at));
         }
         let actions = self.owners[next]
             .pool
             .apply_predecessor_executors(self.now, held);
-        self.act(next, actions);
+        self.apply_actions(next, actions);
     }
 
     /// Defers an event for a paused owner and drops it for a dead owner. Returns whether it did either.
-    pub(super) fn owner_is_away(&mut self, owner: OwnerIndex, event: Event) -> bool {
-        if self.owners[owner].is_dead {
+    pub(super) fn defer_if_away(&mut self, owner: OwnerIndex, event: Event) -> bool {
+        if self.owners[owner].is_stopped {
             return true;
         }
         let until = self.owners[owner].frozen_until;
         if self.now < until {
-            self.at(until, event);
+            self.schedule_at(until, event);
             return true;
         }
         false
     }
 
     pub(super) fn tick(&mut self, owner: OwnerIndex) {
-        if self.owner_is_away(owner, Event::Tick(owner)) {
+        if self.defer_if_away(owner, Event::Tick(owner)) {
             return;
         }
         let actions = self.owners[owner].pool.tick(self.now);
-        self.act(owner, actions);
-        self.after(TICK, Event::Tick(owner));
+        self.apply_actions(owner, actions);
+        self.schedule_after(TICK, Event::Tick(owner));
     }
 
-    pub(super) fn answered(
+    pub(super) fn apply_answer(
         &mut self,
         owner: OwnerIndex,
         id: ExecutorId,
         number: u64,
         answer: Answer,
     ) {
-        let event = Event::Answered(owner, id.clone(), number, answer.clone());
-        if self.owner_is_away(owner, event) {
+        let event = Event::AnswerArrived(owner, id.clone(), number, answer.clone());
+        if self.defer_if_away(owner, event) {
             return;
         }
-        let Some((_, order, sent_at)) = self.owners[owner].awaited.remove(&number) else {
+        let Some((_, order, sent_at)) = self.owners[owner].pending_orders.remove(&number) else {
             return;
         };
-        self.dispatch_event(owner, &id, &order, sent_at, answer);
+        self.dispatch_answer(owner, &id, &order, sent_at, answer);
     }
 
-    pub(super) fn timed_out(&mut self, owner: OwnerIndex, id: ExecutorId, number: u64) {
-        if self.owner_is_away(owner, Event::TimedOut(owner, id.clone(), number)) {
+    pub(super) fn time_out_order(&mut self, owner: OwnerIndex, id: ExecutorId, number: u64) {
+        if self.defer_if_away(owner, Event::OrderTimedOut(owner, id.clone(), number)) {
             return;
         }
-        let Some((_, order, sent_at)) = self.owners[owner].awaited.remove(&number) else {
+        let Some((_, order, sent_at)) = self.owners[owner].pending_orders.remove(&number) else {
             return;
         };
         let answer = match &order {
@@ -209,10 +233,10 @@
             Order::Stop(_) => Answer::Stop(StopAnswer::Unknown),
             Order::Hold(_) => Answer::Hold(HoldAnswer::Unknown),
         };
-        self.dispatch_event(owner, &id, &order, sent_at, answer);
+        self.dispatch_answer(owner, &id, &order, sent_at, answer);
     }
 
-    pub(super) fn dispatch_event(
+    pub(super) fn dispatch_answer(
         &mut self,
         owner: OwnerIndex,
         id: &ExecutorId,
@@ -234,7 +258,7 @@
             }
             (order, answer) => panic!("{answer:?} answers {order:?}"),
         };
-        self.act(owner, actions);
+        self.apply_actions(owner, actions);
     }
 }
 
--- a/crates/onyxshed-pool/tests/pool/slow.rs
+++ b/crates/onyxshed-pool/tests/pool/slow.rs
@@ -5,9 +5,9 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::fixture::{Desk, job};
-use crate::load::{executors, some_job};
-use crate::simulation::{Fault, Patience, World};
+use crate::fixture::{Harness, job};
+use crate::load::{executors, random_job};
+use crate::simulation::{Fault, Simulation, Timeouts};
 
 /// Size of the pool as a multiple of the pool in the plain load tests.
 const POOL_FACTOR: usize = 3;
@@ -36,9 +36,9 @@
 fn served(jobs_per_s: u64, one_in: Option<usize>) -> [Served; 3] {
     let mut classes = [Served::default(); 3];
     for seed in 0..SEEDS {
-        let world = played(jobs_per_s, one_in, seed);
+        let world = simulate(jobs_per_s, one_in, seed);
         for call in world.calls.values() {
-            if call.sent_first < Mono(SLOW_FROM_MS * 1_000) {
+            if call.first_sent_at < Mono(SLOW_FROM_MS * 1_000) {
                 continue;
             }
             let longest_ms = call.true_ms.iter().max().copied().unwrap_or_default();
@@ -46,7 +46,7 @@
             let served = &mut classes[call.class];
             served.asked += 1;
             if let Some((at, JobEnd::Completed)) = call.ended
-                && at.since(call.sent_first) <= objective.into()
+                && at.since(call.first_sent_at) <= objective.into()
             {
                 served.in_time += 1;
             }
@@ -56,24 +56,24 @@
     classes
 }
 
-fn played(jobs_per_s: u64, one_in: Option<usize>, seed: u64) -> World {
+fn simulate(jobs_per_s: u64, one_in: Option<usize>, seed: u64) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
     let executors = (0..POOL_FACTOR).flat_map(|_| executors()).collect();
-    let mut world = World::new(seed, executors, 2);
-    world.patience = Patience::OF_HOSTS;
+    let mut world = Simulation::new(seed, executors, 2);
+    world.timeouts = Timeouts::HOST;
     let ids: Vec<_> = world.executors.keys().cloned().collect();
     let slow_ids = one_in.map(|one_in| ids.into_iter().step_by(one_in));
     for id in slow_ids.into_iter().flatten() {
         let slow = Fault::Slow(id, SLOW_FACTOR, Millis(SLOW_FOR_MS));
-        world.plan(Mono(SLOW_FROM_MS * 1_000), slow);
+        world.schedule_fault(Mono(SLOW_FROM_MS * 1_000), slow);
     }
     for number in 0..jobs_per_s * LENGTH_MS / 1_000 {
         let at_ms = BEGIN_MS + rng.random_range(0..LENGTH_MS);
-        let (class, mut request, true_ms) = some_job(&mut rng, number);
+        let (class, mut request, true_ms) = random_job(&mut rng, number);
         request.time_left = Millis(2_500);
-        world.plan_call(Mono(at_ms * 1_000), class, request, true_ms);
+        world.schedule_call(Mono(at_ms * 1_000), class, request, true_ms);
     }
-    world.play(Mono((BEGIN_MS + LENGTH_MS + 20_000) * 1_000));
+    world.run_until(Mono((BEGIN_MS + LENGTH_MS + 20_000) * 1_000));
     world.check_answers();
     world
 }
@@ -89,9 +89,9 @@
 }
 
 /// Creates a pool of two executors, of which `x1` is known to be slow by the progress of its run.
-fn desk_with_a_slow_executor() -> (Desk, TaskId) {
-    let mut desk = Desk::with_executors(&[("x1", 30), ("x2", 30)]);
-    let (name, order) = desk.run_one(0, job(1, 1, 900));
+fn harness_with_slow_executor() -> (Harness, TaskId) {
+    let mut desk = Harness::with_executors(&[("x1", 30), ("x2", 30)]);
+    let (name, order) = desk.submit_and_start(0, job(1, 1, 900));
     assert_eq!(name, "x1");
     desk.report_progress(200, "x1", &[(order.task, 1, 2)]);
     desk.tick(200);
@@ -101,25 +101,36 @@
 /// A short task must not be late on a slow executor when an ordinary one is free a moment later.
 #[test]
 fn a_short_task_waits_for_a_sound_executor() {
-    let (mut desk, _) = desk_with_a_slow_executor();
-    desk.starts();
-    let (_, long) = desk.run_one(201, job(2, 1, 100));
+    let (mut desk, _) = harness_with_slow_executor();
+    desk.take_starts();
+    let (_, long) = desk.submit_and_start(201, job(2, 1, 100));
     desk.submit(202, job(3, 1, 60));
     desk.report(203, "x1", &[], &[]);
-    assert!(desk.starts().is_empty(), "x1 is slow, x2 is full");
+    assert!(desk.take_starts().is_empty(), "x1 is slow, x2 is full");
     desk.report(210, "x2", &[], &[(1, long.task, 1, RunEnd::Done)]);
-    let places: Vec<String> = desk.starts().into_iter().map(|start| start.0).collect();
+    let places: Vec<String> = desk
+        .take_starts()
+        .into_iter()
+        .map(|start| start.0)
+        .collect();
     assert_eq!(places, ["x2"]);
 }
 
 /// A long task must not stay on an executor that has become too slow for it.
 #[test]
 fn a_long_task_begins_anew_where_it_ends_on_target() {
-    let (mut desk, task) = desk_with_a_slow_executor();
-    let stops = desk.stops();
+    let (mut desk, task) = harness_with_slow_executor();
+    let stops = desk.take_stops();
     assert_eq!(stops.len(), 1, "the run on x1 is stopped");
-    assert!(desk.starts().is_empty(), "it may still be at work on x1");
+    assert!(
+        desk.take_starts().is_empty(),
+        "it may still be at work on x1"
+    );
     desk.report(210, "x1", &[], &[(1, task, 1, RunEnd::Stopped)]);
-    let places: Vec<String> = desk.starts().into_iter().map(|start| start.0).collect();
+    let places: Vec<String> = desk
+        .take_starts()
+        .into_iter()
+        .map(|start| start.0)
+        .collect();
     assert_eq!(places, ["x2"]);
 }
--- a/crates/onyxshed-pool/tests/pool/successor.rs
+++ b/crates/onyxshed-pool/tests/pool/successor.rs
@@ -9,7 +9,7 @@
 };
 use rstest::rstest;
 
-use crate::fixture::{Desk, PEER, at_ms, facts, id};
+use crate::fixture::{Harness, PEER, at_ms, facts, id};
 
 const OTHER: PeerIncarnation = PeerIncarnation(3);
 
@@ -29,7 +29,7 @@
 
 /// Processes a heartbeat and returns the transfer in its answer, if any.
 fn heartbeat(
-    desk: &mut Desk,
+    desk: &mut Harness,
     ms: u64,
     life: PeerIncarnation,
     offer: Option<SuccessorOffer>,
@@ -40,8 +40,8 @@
 }
 
 /// Creates a stopping owner with offers of two hosts, the second with a larger processor share.
-fn stopping() -> Desk {
-    let mut desk = Desk::with_executors(&[("a", 64), ("b", 64)]);
+fn stopping_owner() -> Harness {
+    let mut desk = Harness::with_executors(&[("a", 64), ("b", 64)]);
     assert_eq!(heartbeat(&mut desk, 0, PEER, Some(offer(2, 90))), None);
     assert_eq!(heartbeat(&mut desk, 0, OTHER, Some(offer(3, 500))), None);
     desk.pool.begin_drain();
@@ -54,7 +54,7 @@
 /// largest processor share, again with each heartbeat.
 #[test]
 fn the_best_host_is_made_the_successor() {
-    let mut desk = stopping();
+    let mut desk = stopping_owner();
     assert_eq!(heartbeat(&mut desk, 10, PEER, Some(offer(2, 90))), None);
     let told = heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500)));
     let told = told.expect("a transfer");
@@ -78,7 +78,7 @@
 /// large its processor share is.
 #[test]
 fn there_is_one_successor() {
-    let mut desk = stopping();
+    let mut desk = stopping_owner();
     assert!(heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500))).is_some());
     for ms in [700, 1_400] {
         assert_eq!(heartbeat(&mut desk, ms, PEER, Some(offer(2, 900))), None);
@@ -90,7 +90,7 @@
 #[case::silent(700, false)]
 #[case::not_offered(30, true)]
 fn a_host_that_can_not_own_the_pool_is_passed_over(#[case] ms: u64, #[case] takes_back: bool) {
-    let mut desk = stopping();
+    let mut desk = stopping_owner();
     if takes_back {
         assert_eq!(heartbeat(&mut desk, 20, OTHER, None), None);
     }
@@ -101,7 +101,7 @@
 /// second owner may be selected.
 #[test]
 fn nobody_is_made_the_successor_once_the_store_answers() {
-    let mut desk = stopping();
+    let mut desk = stopping_owner();
     desk.pool.set_successor_needed(false);
     let told = heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500)));
     assert_eq!(told, None);
@@ -111,7 +111,7 @@
 /// answer that it owns nothing.
 #[test]
 fn hosts_are_sent_to_the_successor_when_it_begins() {
-    let mut desk = stopping();
+    let mut desk = stopping_owner();
     let told = heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500)));
     let token = told.expect("a transfer").token;
     assert_eq!(desk.pool.load(at_ms(30)).successor, None);
@@ -123,7 +123,7 @@
 /// must not get the successor's address.
 #[test]
 fn an_owner_made_by_the_store_is_no_successor() {
-    let mut desk = stopping();
+    let mut desk = stopping_owner();
     assert!(heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500))).is_some());
     desk.pool.release(at_ms(40), FencingToken(32));
     assert_eq!(desk.pool.load(at_ms(50)).successor, None);
@@ -153,7 +153,7 @@
 /// to it because it answers.
 #[test]
 fn an_owner_without_a_list_of_executors_wants_to_be_replaced() {
-    let mut desk = Desk::with_executors(&[]);
+    let mut desk = Harness::with_executors(&[]);
     assert!(desk.pool.load(at_ms(1)).needs_replacement);
     desk.pool.mark_executors_read();
     assert!(!desk.pool.load(at_ms(2)).needs_replacement);
