--- a/crates/onyxshed-pool/examples/decision-cost.rs
+++ b/crates/onyxshed-pool/examples/decision-cost.rs
@@ -41,7 +41,7 @@
     fn new(executors: u64) -> Self {
         let now = Mono(1_000_000);
         let pool = Pool::new(now, FencingToken(16), OWN, PoolOptions::default());
-        let mut desk = Harness {
+        let mut harness = Harness {
             pool,
             rng: SmallRng::seed_from_u64(executors),
             now,
@@ -51,10 +51,10 @@
         };
         for number in 0..executors {
             let id = ExecutorId(format!("i-{number:010x}").into());
-            desk.pool.list_executor(now, id.clone(), facts(number));
-            desk.report(&id, Vec::new(), Vec::new());
+            harness.pool.list_executor(now, id.clone(), facts(number));
+            harness.report(&id, Vec::new(), Vec::new());
         }
-        desk
+        harness
     }
 
     fn submit(&mut self) {
@@ -170,20 +170,20 @@
 
 /// Returns the mean time per event in microseconds, with `jobs` jobs in the pool.
 fn measure(executors: u64, jobs: usize) -> f64 {
-    let mut desk = Harness::new(executors);
-    while desk.pool.job_count() < jobs {
-        desk.submit();
+    let mut harness = Harness::new(executors);
+    while harness.pool.job_count() < jobs {
+        harness.submit();
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for _ in 0..EVENTS {
-        match desk.pool.job_count() < jobs {
-            true => desk.submit(),
-            false => desk.complete_oldest(),
+        match harness.pool.job_count() < jobs {
+            true => harness.submit(),
+            false => harness.complete_oldest(),
         }
-        desk.pool.load(desk.now);
-        desk.pass();
+        harness.pool.load(harness.now);
+        harness.pass();
     }
-    begun.elapsed().as_secs_f64() * 1e6 / f64::from(EVENTS)
+    started_at.elapsed().as_secs_f64() * 1e6 / f64::from(EVENTS)
 }
 
 fn main() {
--- a/crates/onyxshed-pool/tests/pool/candidate.rs
+++ b/crates/onyxshed-pool/tests/pool/candidate.rs
@@ -9,7 +9,7 @@
 /// the owner must not take over, or every job of the pool would be lost. An owner that can't rejoin for
 /// ten seconds is replaced.
 #[test]
-fn an_owner_that_answers_is_left_alone_for_a_while() {
+fn responsive_owner_keeps_vacant_pool_for_grace_period() {
     let mut candidate = Candidate::new(400);
     assert_eq!(
         candidate.evaluate_vacancy(at_ms(0), LastOwner::Active, None, 0.0),
@@ -19,21 +19,21 @@
         candidate.evaluate_vacancy(at_ms(9_900), LastOwner::Active, None, 0.0),
         CandidateStep::Defer
     );
-    let taken = CandidateStep::JoinAfter(Millis(0));
+    let join_now = CandidateStep::JoinAfter(Millis(0));
     assert_eq!(
         candidate.evaluate_vacancy(at_ms(10_000), LastOwner::Active, None, 0.0),
-        taken
+        join_now
     );
 }
 
 /// Waiting gains nothing when the owner is gone.
 #[test]
-fn a_dead_owner_is_replaced_at_once() {
+fn gone_owner_is_replaced_at_once() {
     let mut candidate = Candidate::new(400);
-    let taken = CandidateStep::JoinAfter(Millis(0));
+    let join_now = CandidateStep::JoinAfter(Millis(0));
     assert_eq!(
         candidate.evaluate_vacancy(at_ms(0), LastOwner::Gone, None, 0.0),
-        taken
+        join_now
     );
 }
 
@@ -41,7 +41,7 @@
 /// answers again, the owner's membership has expired. A host that joined at once would take the pool from
 /// an owner that serves it, and every job would be lost.
 #[test]
-fn an_owner_has_time_to_join_again_when_the_store_is_back() {
+fn owner_has_time_to_rejoin_after_store_outage() {
     let mut candidate = Candidate::new(400);
     let back_at = Some(at_ms(5_000));
     let step = candidate.evaluate_vacancy(at_ms(5_480), LastOwner::Gone, back_at, 0.0);
@@ -54,7 +54,7 @@
 /// and sees a vacant pool. If it joined before the owner that still serves the pool rejoined, every job
 /// would be lost.
 #[test]
-fn a_host_that_has_just_started_leaves_an_owner_time_to_join_again() {
+fn new_host_leaves_unknown_owner_time_to_rejoin() {
     let mut candidate = Candidate::new(400);
     let mut at = |ms| candidate.evaluate_vacancy(at_ms(ms), LastOwner::Unknown, None, 0.0);
     assert_eq!(at(0), CandidateStep::Defer);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_wait_begins_anew_with_each_vacancy() {
+fn each_vacancy_restarts_grace_period() {
     let mut candidate = Candidate::new(400);
     candidate.evaluate_vacancy(at_ms(0), LastOwner::Active, None, 0.0);
     // The pool has an owner in between, so the host drops the candidate and its vacancy.
@@ -77,7 +77,7 @@
 /// An owner of a large pool needs several times the processor share of the smallest hosts, so these join
 /// last.
 #[test]
-fn hosts_with_more_processor_go_first() {
+fn hosts_with_more_processor_join_first() {
     let pause = |cpu_millis, draw| {
         Candidate::new(cpu_millis).evaluate_vacancy(at_ms(0), LastOwner::Gone, None, draw)
     };
--- a/crates/onyxshed-pool/tests/pool/evacuation.rs
+++ b/crates/onyxshed-pool/tests/pool/evacuation.rs
@@ -17,9 +17,9 @@
     }
 }
 
-fn set_evacuated(desk: &mut Harness, ms: u64, is_evacuated: bool) {
-    let actions = desk.pool.set_evacuated(at_ms(ms), is_evacuated);
-    desk.actions.extend(actions);
+fn set_evacuated(harness: &mut Harness, ms: u64, is_evacuated: bool) {
+    let actions = harness.pool.set_evacuated(at_ms(ms), is_evacuated);
+    harness.actions.extend(actions);
 }
 
 /// A late record must not undo a newer one.
@@ -28,7 +28,7 @@
 #[case(&[9, 7, 3])]
 #[case(&[7, 9, 3, 7])]
 #[case(&[3, 9, 9])]
-fn the_newest_record_holds_in_any_order(#[case] positions: &[u64]) {
+fn newest_record_wins_in_any_order(#[case] positions: &[u64]) {
     let mut known = Evacuations::default();
     for position in positions {
         known.apply(record("a", *position, *position == 9));
@@ -38,7 +38,7 @@
 
 /// A zone must not stay evacuated because its restore record was dropped from the history.
 #[test]
-fn a_zone_missing_from_a_newer_snapshot_is_restored() {
+fn zone_missing_from_newer_snapshot_is_restored() {
     let mut known = Evacuations::default();
     known.apply(record("a", 3, true));
     let changes = known.apply_snapshot(vec![record("b", 5, true)], LogPosition(6));
@@ -48,7 +48,7 @@
 
 /// A read of an older state must not restore an evacuated zone.
 #[test]
-fn a_snapshot_of_the_past_restores_nothing() {
+fn older_snapshot_restores_nothing() {
     let mut known = Evacuations::default();
     known.apply(record("a", 8, true));
     assert_eq!(known.apply_snapshot(Vec::new(), LogPosition(6)), []);
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn what_is_known_is_told_with_its_position() {
+fn records_carry_state_and_position() {
     let mut known = Evacuations::default();
     known.apply(record("a", 8, true));
     known.apply(record("b", 2, true));
     known.apply(record("b", 4, false));
     let mut other = Evacuations::default();
-    for told in known.records() {
-        other.apply(told);
+    for record in known.records() {
+        other.apply(record);
     }
     assert_eq!(other, known);
     assert_eq!(other.evacuated_zones().collect::<Vec<_>>(), ["a"]);
@@ -71,83 +71,83 @@
 
 /// Callers must not wait or lose their answers because their jobs were queued in the zone.
 #[test]
-fn jobs_that_have_not_begun_are_handed_back_at_once() {
-    let mut desk = Harness::with_executors(&[("a", 32)]);
-    desk.submit_and_start(0, job(1, 1, 900));
-    desk.submit(1, job(2, 1, 100));
-    set_evacuated(&mut desk, 10, true);
+fn evacuation_returns_unstarted_jobs_at_once() {
+    let mut harness = Harness::with_executors(&[("a", 32)]);
+    harness.submit_and_start(0, job(1, 1, 900));
+    harness.submit(1, job(2, 1, 100));
+    set_evacuated(&mut harness, 10, true);
     let not_run = JobEnd::NotRun(NotRunReason::ZoneEvacuated, Millis(0));
-    assert_eq!(desk.take_ends(), [(JobId(2), not_run)]);
-    desk.submit(11, job(3, 1, 100));
+    assert_eq!(harness.take_ends(), [(JobId(2), not_run)]);
+    harness.submit(11, job(3, 1, 100));
     let refused = JobEnd::NotRun(NotRunReason::ZoneEvacuated, Millis(100));
-    assert_eq!(desk.take_ends(), [(JobId(3), refused)]);
-    assert_eq!(desk.take_starts(), []);
+    assert_eq!(harness.take_ends(), [(JobId(3), refused)]);
+    assert_eq!(harness.take_starts(), []);
 }
 
 /// A job with half of its tasks started in the zone must be completed there, since no other pool can.
 #[test]
-fn a_job_that_has_begun_ends_within_the_grace() {
-    let mut desk = Harness::with_executors(&[("a", 32)]);
-    let (_, first) = desk.submit_and_start(0, job(1, 2, 100));
-    set_evacuated(&mut desk, 10, true);
-    desk.report(100, "a", &[], &[(1, first.task, 1, RunEnd::Done)]);
-    let (_, second) = desk.take_starts().pop().expect("the second task");
-    desk.answer_start(105, "a", &second, &StartAnswer::Started { clock: None });
-    desk.report(200, "a", &[], &[(2, second.task, 1, RunEnd::Done)]);
-    assert_eq!(desk.take_ends(), [(JobId(1), JobEnd::Completed)]);
+fn started_job_completes_within_grace_period() {
+    let mut harness = Harness::with_executors(&[("a", 32)]);
+    let (_, first) = harness.submit_and_start(0, job(1, 2, 100));
+    set_evacuated(&mut harness, 10, true);
+    harness.report(100, "a", &[], &[(1, first.task, 1, RunEnd::Done)]);
+    let (_, second) = harness.take_starts().pop().expect("the second task");
+    harness.answer_start(105, "a", &second, &StartAnswer::Started { clock: None });
+    harness.report(200, "a", &[], &[(2, second.task, 1, RunEnd::Done)]);
+    assert_eq!(harness.take_ends(), [(JobId(1), JobEnd::Completed)]);
 }
 
 /// No task may start in the zone seconds after its evacuation was confirmed.
 #[test]
-fn nothing_starts_when_the_grace_is_over() {
-    let mut desk = Harness::with_executors(&[("a", 32)]);
-    let (_, first) = desk.submit_and_start(0, job(1, 2, 800));
-    set_evacuated(&mut desk, 10, true);
-    desk.advance(10, 1_100);
+fn no_task_starts_after_grace_period() {
+    let mut harness = Harness::with_executors(&[("a", 32)]);
+    let (_, first) = harness.submit_and_start(0, job(1, 2, 800));
+    set_evacuated(&mut harness, 10, true);
+    harness.advance(10, 1_100);
     let unknown = JobEnd::Unknown(UnknownReason::ZoneEvacuated);
-    assert_eq!(desk.take_ends(), [(JobId(1), unknown)]);
-    desk.report(1_110, "a", &[], &[(1, first.task, 1, RunEnd::Done)]);
-    desk.advance(1_110, 1_200);
-    assert_eq!(desk.take_starts(), []);
+    assert_eq!(harness.take_ends(), [(JobId(1), unknown)]);
+    harness.report(1_110, "a", &[], &[(1, first.task, 1, RunEnd::Done)]);
+    harness.advance(1_110, 1_200);
+    assert_eq!(harness.take_starts(), []);
 }
 
 /// A resubmitted job must not go to another zone while runs of it still execute here, or its tasks would
 /// run twice.
 #[test]
-fn a_copy_is_not_called_not_run_while_runs_of_it_are_stopped() {
-    let mut desk = Harness::with_executors(&[("a", 32)]);
-    desk.submit_and_start(0, job(1, 2, 1_200));
-    set_evacuated(&mut desk, 10, true);
-    desk.advance(10, 1_100);
-    desk.take_ends();
-    desk.submit(1_110, job(1, 2, 1_200));
+fn resubmitted_job_is_unknown_while_its_runs_are_stopped() {
+    let mut harness = Harness::with_executors(&[("a", 32)]);
+    harness.submit_and_start(0, job(1, 2, 1_200));
+    set_evacuated(&mut harness, 10, true);
+    harness.advance(10, 1_100);
+    harness.take_ends();
+    harness.submit(1_110, job(1, 2, 1_200));
     let unknown = JobEnd::Unknown(UnknownReason::ZoneEvacuated);
-    assert_eq!(desk.take_ends(), [(JobId(1), unknown)]);
+    assert_eq!(harness.take_ends(), [(JobId(1), unknown)]);
 }
 
 /// Idle executors of an evacuated zone must get no orders, except to acknowledge their last ends.
 #[test]
-fn an_empty_executor_is_called_again_only_when_its_zone_is_restored() {
-    let mut desk = Harness::with_executors(&[("a", 32)]);
-    let (_, order) = desk.submit_and_start(0, job(1, 1, 900));
-    set_evacuated(&mut desk, 10, true);
-    desk.advance(10, 1_100);
-    desk.report(1_110, "a", &[], &[(1, order.task, 1, RunEnd::Done)]);
-    let acknowledging = desk.take_holds().pop().expect("a hold").1;
+fn idle_executor_gets_orders_again_only_after_restore() {
+    let mut harness = Harness::with_executors(&[("a", 32)]);
+    let (_, order) = harness.submit_and_start(0, job(1, 1, 900));
+    set_evacuated(&mut harness, 10, true);
+    harness.advance(10, 1_100);
+    harness.report(1_110, "a", &[], &[(1, order.task, 1, RunEnd::Done)]);
+    let acknowledging = harness.take_holds().pop().expect("a hold").1;
     assert_eq!(acknowledging.last_seen, 1);
-    desk.report(1_120, "a", &[], &[]);
-    assert_eq!(desk.take_holds(), []);
-    set_evacuated(&mut desk, 9_000, false);
-    desk.submit(9_001, job(2, 1, 100));
-    assert_eq!(desk.take_starts(), [], "its clock is not known yet");
-    assert_eq!(desk.take_holds().len(), 1);
-    desk.report(9_005, "a", &[], &[]);
-    assert_eq!(desk.take_starts().len(), 1);
+    harness.report(1_120, "a", &[], &[]);
+    assert_eq!(harness.take_holds(), []);
+    set_evacuated(&mut harness, 9_000, false);
+    harness.submit(9_001, job(2, 1, 100));
+    assert_eq!(harness.take_starts(), [], "its clock is not known yet");
+    assert_eq!(harness.take_holds().len(), 1);
+    harness.report(9_005, "a", &[], &[]);
+    assert_eq!(harness.take_starts().len(), 1);
 }
 
 /// The callers of an evacuated zone must not all go to the pool whose name sorts first.
 #[test]
-fn an_evacuated_zones_callers_go_where_most_room_is_free() {
+fn callers_of_evacuated_zone_prefer_most_free_pool() {
     let pool = |zone: &str| PoolId {
         zone: zone.into(),
         index: 0,
@@ -157,16 +157,16 @@
         free_cpu_millis,
         ..PoolLoad::default()
     };
-    let mut chooser = PoolSelector::default();
-    chooser.update_load(&pool("a"), load(500_000));
-    chooser.update_load(&pool("b"), load(900_000));
-    chooser.update_load(&pool("home"), load(1_000_000));
+    let mut selector = PoolSelector::default();
+    selector.update_load(&pool("a"), load(500_000));
+    selector.update_load(&pool("b"), load(900_000));
+    selector.update_load(&pool("home"), load(1_000_000));
     let mut evacuations = Evacuations::default();
     evacuations.apply(record("home", 1, true));
     let mut first = Vec::new();
     for _ in 0..6 {
-        let order = chooser.rank_pools(&pool("home"), resources(100), 1, &evacuations);
-        chooser.record_dispatch(&order[0], resources(100), 1, Millis(100));
+        let order = selector.rank_pools(&pool("home"), resources(100), 1, &evacuations);
+        selector.record_dispatch(&order[0], resources(100), 1, Millis(100));
         first.push(order[0].zone.to_string());
     }
     assert_eq!(first, ["b", "b", "b", "b", "a", "b"]);
--- a/crates/onyxshed-pool/tests/pool/fixture.rs
+++ b/crates/onyxshed-pool/tests/pool/fixture.rs
@@ -110,17 +110,20 @@
     /// Creates a pool whose executors are all acquired at 0 ms.
     pub fn with_executors(executors: &[(&str, u32)]) -> Self {
         let pool = Pool::new(at_ms(0), FencingToken(7), OWN, PoolOptions::default());
-        let mut desk = Harness {
+        let mut harness = Harness {
             pool,
             actions: Vec::new(),
         };
         for (name, cores) in executors {
-            desk.actions
-                .extend(desk.pool.list_executor(at_ms(0), id(name), facts(*cores)));
-            desk.report(0, name, &[], &[]);
+            harness.actions.extend(
+                harness
+                    .pool
+                    .list_executor(at_ms(0), id(name), facts(*cores)),
+            );
+            harness.report(0, name, &[], &[]);
         }
-        desk.actions.clear();
-        desk
+        harness.actions.clear();
+        harness
     }
 
     pub fn submit(&mut self, ms: u64, job: JobRequest) {
@@ -158,8 +161,8 @@
         let rows: Vec<(TaskId, u32)> = running.iter().map(|row| (row.0, row.1)).collect();
         let mut report = executor_report(ms + CLOCK_AHEAD_MS, 1, &rows, &[]);
         if let ExecutorReport::Lists(lists) = &mut report {
-            for (row, told) in lists.running.iter_mut().zip(running) {
-                row.progress = Some(Percent::new(told.2));
+            for (row, reported) in lists.running.iter_mut().zip(running) {
+                row.progress = Some(Percent::new(reported.2));
             }
         }
         self.answer_hold(ms, name, HoldAnswer::Report(report));
@@ -223,16 +226,16 @@
         })
     }
 
-    fn take_matching<T>(&mut self, pick: impl Fn(&Action) -> Option<T>) -> Vec<T> {
-        let mut taken = Vec::new();
-        self.actions.retain(|action| match pick(action) {
+    fn take_matching<T>(&mut self, select: impl Fn(&Action) -> Option<T>) -> Vec<T> {
+        let mut matching = Vec::new();
+        self.actions.retain(|action| match select(action) {
             Some(found) => {
-                taken.push(found);
+                matching.push(found);
                 false
             }
             None => true,
         });
-        taken
+        matching
     }
 
     /// Submits a job, and confirms the start of its last started task to the pool.
--- a/crates/onyxshed-pool/tests/pool/load.rs
+++ b/crates/onyxshed-pool/tests/pool/load.rs
@@ -114,53 +114,53 @@
 /// Simulates a load to its end and checks the answers.
 fn simulate(load: Load, seed: u64) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world = Simulation::new(seed, executors(), 2);
-    world.message_faults = load.trouble;
-    world.timeouts = load.patience;
+    let mut simulation = Simulation::new(seed, executors(), 2);
+    simulation.message_faults = load.trouble;
+    simulation.timeouts = load.patience;
     for number in 0..load.jobs_per_s * LENGTH_MS / 1_000 {
         let at_ms = BEGIN_MS + rng.random_range(0..LENGTH_MS);
         let (class, mut request, true_ms) = random_job(&mut rng, number);
         request.time_left = load.deadline;
-        world.schedule_call(Mono(at_ms * 1_000), class, request, true_ms);
+        simulation.schedule_call(Mono(at_ms * 1_000), class, request, true_ms);
     }
-    world.run_until(Mono((BEGIN_MS + LENGTH_MS + 20_000) * 1_000));
-    world.check_answers();
-    world
+    simulation.run_until(Mono((BEGIN_MS + LENGTH_MS + 20_000) * 1_000));
+    simulation.check_answers();
+    simulation
 }
 
 /// Returns the share of each class's jobs that ended within their objectives.
 fn shares_in_time(load: Load, seed: u64) -> [f64; 3] {
-    let world = simulate(load, seed);
+    let simulation = simulate(load, seed);
     let mut counts = [(0_u32, 0_u32); 3];
-    for call in world.calls.values() {
+    for call in simulation.calls.values() {
         let longest_ms = call.true_ms.iter().max().copied().unwrap_or_default();
         let objective_ms = longest_ms * 16 / 10 + 60;
-        let (asked, in_time) = &mut counts[call.class];
-        *asked += 1;
+        let (total, in_time) = &mut counts[call.class];
+        *total += 1;
         if let Some((at, JobEnd::Completed)) = call.ended
             && at.since(call.first_sent_at).as_millis() <= Millis(objective_ms)
         {
             *in_time += 1;
         }
     }
-    counts.map(|(asked, in_time)| f64::from(in_time) / f64::from(asked.max(1)))
+    counts.map(|(total, in_time)| f64::from(in_time) / f64::from(total.max(1)))
 }
 
 /// Returns the share of each class's jobs that were rejected after waiting for longer than `span`.
 fn shares_rejected_after(load: Load, span: Millis, seed: u64) -> [f64; 3] {
-    let world = simulate(load, seed);
+    let simulation = simulate(load, seed);
     let mut counts = [(0_u32, 0_u32); 3];
-    for call in world.calls.values() {
-        let (asked, held) = &mut counts[call.class];
-        *asked += 1;
+    for call in simulation.calls.values() {
+        let (total, rejected) = &mut counts[call.class];
+        *total += 1;
         if let Some((at, JobEnd::NotRun(..))) = call.ended
             && call.submissions == 1
             && at.since(call.first_sent_at).as_millis() > span
         {
-            *held += 1;
+            *rejected += 1;
         }
     }
-    counts.map(|(asked, held)| f64::from(held) / f64::from(asked.max(1)))
+    counts.map(|(total, rejected)| f64::from(rejected) / f64::from(total.max(1)))
 }
 
 /// Returns the share of each class's jobs in time without faults, as the mean of three seeds.
@@ -185,14 +185,14 @@
 /// At 45% of the pool's capacity, nearly every job is in time: 1.00, 0.91 and 1.00 by class. Long tasks
 /// miss their objectives if their estimates are far too low.
 #[test]
-fn at_half_load_nearly_all_is_in_time() {
+fn half_load_serves_nearly_all_jobs_in_time() {
     let [short, long, pairs] = mean_shares(25);
     assert!(short > 0.97 && long > 0.85 && pairs > 0.97);
 }
 
 /// At 70% of the pool's capacity, about the users' usual load: 0.93, 0.84 and 0.99.
 #[test]
-fn at_ordinary_load_most_is_in_time() {
+fn usual_load_serves_most_jobs_in_time() {
     let [short, long, pairs] = mean_shares(38);
     assert!(short > 0.87 && long > 0.80 && pairs > 0.94);
 }
@@ -211,7 +211,7 @@
 /// orders and 120 ms for reports, 0.63, 0.91 and 0.95 of the classes are in time; with 40 and 50 ms, 0.75,
 /// 0.92 and 0.98 (mean of ten seeds).
 #[test]
-fn orders_without_answers_are_sent_again_in_time() {
+fn short_timeouts_resend_lost_orders_in_time() {
     let trouble = MessageFaults {
         late_share: 0.03,
         until: Mono(60_000_000),
@@ -235,7 +235,7 @@
 /// overtake are kept for three targets before they are rejected, 0.47 of the long jobs and 0.13 of the pairs
 /// wait for over 900 ms without a result; with shedding, 0.08 and none.
 #[test]
-fn jobs_that_wait_in_vain_are_refused_soon() {
+fn hopeless_jobs_are_shed_early() {
     let load = Load {
         patience: Timeouts::HOST,
         deadline: Millis(2_500),
--- a/crates/onyxshed-pool/tests/pool/order.rs
+++ b/crates/onyxshed-pool/tests/pool/order.rs
@@ -13,7 +13,7 @@
 
 /// Completes the running task and returns the next start order, if any.
 fn complete_and_take_next(
-    desk: &mut Harness,
+    harness: &mut Harness,
     ms: u64,
     number: u64,
     order: &StartOrder,
@@ -22,56 +22,56 @@
         job: order.task.job,
         index: order.task.index,
     };
-    desk.report(ms, "a", &[], &[(number, task, order.run.0, RunEnd::Done)]);
-    desk.take_starts().pop().map(|(_, order)| order)
+    harness.report(ms, "a", &[], &[(number, task, order.run.0, RunEnd::Done)]);
+    harness.take_starts().pop().map(|(_, order)| order)
 }
 
 /// By its caller's estimate of 20 ms, a job should end within 92 ms. Its first task takes 60 ms, from which
 /// a target of 156 ms follows; the second task can still meet it and goes before a larger job. By the
 /// caller's estimate alone, the job would be late and starve with half of its work done.
 #[test]
-fn a_job_is_judged_by_what_its_tasks_have_shown() {
-    let mut desk = harness_with_one_task_slot();
-    let (_, first) = desk.submit_and_start(0, job(1, 2, 20));
-    desk.submit(1, job(2, 1, 100));
-    let second = complete_and_take_next(&mut desk, 60, 1, &first).expect("a start");
+fn target_follows_run_times_of_completed_tasks() {
+    let mut harness = harness_with_one_task_slot();
+    let (_, first) = harness.submit_and_start(0, job(1, 2, 20));
+    harness.submit(1, job(2, 1, 100));
+    let second = complete_and_take_next(&mut harness, 60, 1, &first).expect("a start");
     assert_eq!(second.task.job, JobId(1));
 }
 
 /// A late job has one short task left, and a job that can be in time has ten times the work. A late answer
 /// is worth a fifth, so the late job goes first.
 #[test]
-fn a_late_job_goes_on_if_little_is_left_of_it() {
-    let mut desk = harness_with_one_task_slot();
-    let (_, first) = desk.submit_and_start(0, job(1, 2, 50));
-    desk.submit(110, job(2, 1, 600));
-    let second = complete_and_take_next(&mut desk, 120, 1, &first).expect("a start");
+fn late_job_with_little_work_left_goes_first() {
+    let mut harness = harness_with_one_task_slot();
+    let (_, first) = harness.submit_and_start(0, job(1, 2, 50));
+    harness.submit(110, job(2, 1, 600));
+    let second = complete_and_take_next(&mut harness, 120, 1, &first).expect("a start");
     assert_eq!(second.task.job, JobId(1));
 }
 
 /// A late job has one short task left, and a job that can be in time has less than five times the work. The
 /// job that can be in time goes first.
 #[test]
-fn a_late_job_waits_for_one_that_can_be_in_time() {
-    let mut desk = harness_with_one_task_slot();
-    let (_, first) = desk.submit_and_start(0, job(1, 2, 50));
-    desk.submit(110, job(2, 1, 200));
-    let second = complete_and_take_next(&mut desk, 240, 1, &first).expect("a start");
+fn late_job_waits_for_job_that_can_be_in_time() {
+    let mut harness = harness_with_one_task_slot();
+    let (_, first) = harness.submit_and_start(0, job(1, 2, 50));
+    harness.submit(110, job(2, 1, 200));
+    let second = complete_and_take_next(&mut harness, 240, 1, &first).expect("a start");
     assert_eq!(second.task.job, JobId(2));
 }
 
 /// The pool is full, and one of two queued jobs can no longer be in time while the other can. The late job
 /// must end as not run at that time, not after three targets.
 #[test]
-fn a_job_that_can_only_be_late_is_refused_while_others_wait() {
-    let mut desk = harness_with_one_task_slot();
-    desk.submit_and_start(0, job(1, 1, 900));
-    desk.submit(0, job(2, 1, 60));
-    desk.advance(0, 60);
-    desk.submit(60, job(3, 1, 200));
-    assert_eq!(desk.take_ends(), vec![]);
-    desk.advance(60, 100);
-    let ends = desk.take_ends();
+fn late_job_is_shed_while_others_wait() {
+    let mut harness = harness_with_one_task_slot();
+    harness.submit_and_start(0, job(1, 1, 900));
+    harness.submit(0, job(2, 1, 60));
+    harness.advance(0, 60);
+    harness.submit(60, job(3, 1, 200));
+    assert_eq!(harness.take_ends(), vec![]);
+    harness.advance(60, 100);
+    let ends = harness.take_ends();
     let not_run = |end| matches!(end, JobEnd::NotRun(NotRunReason::NoTime, Millis(1..)));
     assert!(
         matches!(ends[..], [(JobId(2), end)] if not_run(end)),
@@ -81,13 +81,13 @@
 
 /// A late job without other queued jobs may still get its turn, so it waits while its answer is useful.
 #[test]
-fn a_job_that_can_only_be_late_waits_alone() {
-    let mut desk = harness_with_one_task_slot();
-    let (_, first) = desk.submit_and_start(0, job(1, 1, 200));
-    desk.submit(0, job(2, 1, 60));
-    desk.advance(0, 300);
-    assert_eq!(desk.take_ends(), vec![]);
-    let second = complete_and_take_next(&mut desk, 300, 1, &first).expect("a start");
+fn late_job_waits_when_queue_is_empty() {
+    let mut harness = harness_with_one_task_slot();
+    let (_, first) = harness.submit_and_start(0, job(1, 1, 200));
+    harness.submit(0, job(2, 1, 60));
+    harness.advance(0, 300);
+    assert_eq!(harness.take_ends(), vec![]);
+    let second = complete_and_take_next(&mut harness, 300, 1, &first).expect("a start");
     assert_eq!(second.task.job, JobId(2));
 }
 
@@ -95,32 +95,36 @@
 /// The time with the first pool counts: the job is shed there as soon as it can only be late, not after
 /// another 80 ms.
 #[test]
-fn the_time_spent_with_other_pools_counts() {
-    let mut desk = harness_with_one_task_slot();
-    desk.submit_and_start(100, job(1, 1, 900));
-    desk.submit(
+fn time_with_other_pools_counts() {
+    let mut harness = harness_with_one_task_slot();
+    harness.submit_and_start(100, job(1, 1, 900));
+    harness.submit(
         100,
         JobRequest {
             elapsed: Millis(80),
             ..job(2, 1, 60)
         },
     );
-    desk.submit(100, job(3, 1, 200));
-    desk.advance(100, 120);
-    let ended: Vec<JobId> = desk.take_ends().into_iter().map(|(job, _)| job).collect();
+    harness.submit(100, job(3, 1, 200));
+    harness.advance(100, 120);
+    let ended: Vec<JobId> = harness
+        .take_ends()
+        .into_iter()
+        .map(|(job, _)| job)
+        .collect();
     assert_eq!(ended, vec![JobId(2)]);
 }
 
 /// A short job can only be late, while longer queued jobs can be in time. The short job is still next in
 /// the queue and must not be shed, since its caller gets an answer a moment later.
 #[test]
-fn a_late_job_that_is_next_is_not_refused() {
-    let mut desk = harness_with_one_task_slot();
-    let (_, first) = desk.submit_and_start(0, job(1, 1, 200));
-    desk.submit(0, job(2, 1, 35));
-    desk.submit(0, job(3, 4, 900));
-    desk.advance(0, 200);
-    assert_eq!(desk.take_ends(), vec![]);
-    let second = complete_and_take_next(&mut desk, 200, 1, &first).expect("a start");
+fn late_job_that_is_next_is_not_shed() {
+    let mut harness = harness_with_one_task_slot();
+    let (_, first) = harness.submit_and_start(0, job(1, 1, 200));
+    harness.submit(0, job(2, 1, 35));
+    harness.submit(0, job(3, 4, 900));
+    harness.advance(0, 200);
+    assert_eq!(harness.take_ends(), vec![]);
+    let second = complete_and_take_next(&mut harness, 200, 1, &first).expect("a start");
     assert_eq!(second.task.job, JobId(2));
 }
--- a/crates/onyxshed-pool/tests/pool/parts.rs
+++ b/crates/onyxshed-pool/tests/pool/parts.rs
@@ -12,14 +12,14 @@
 #[case("5c0e7a21d94b36f80", false)]
 #[case("+c0e7a21d94b36f8", false)]
 #[case("", false)]
-fn job_ids_have_sixteen_lower_case_digits(#[case] text: &str, #[case] is_id: bool) {
+fn job_id_has_sixteen_lower_case_digits(#[case] text: &str, #[case] is_id: bool) {
     let read: Option<JobId> = text.parse().ok();
     assert_eq!(read.is_some(), is_id);
     assert!(read.is_none_or(|id| id.to_string() == text));
 }
 
 #[test]
-fn room_never_goes_below_zero() {
+fn resources_never_go_below_zero() {
     let small = Resources {
         cpu_millis: 10,
         memory_mb: 5,
@@ -37,7 +37,7 @@
 /// A slow executor gets no long tasks and can't show that it has recovered, so its estimated slowdown decays
 /// with a half-life of six seconds.
 #[test]
-fn slowness_is_learned_fast_and_forgotten() {
+fn slowdown_rises_fast_and_decays() {
     let mut slowdown = Slowdown::default();
     for step in 0..10_u64 {
         slowdown.observe(Mono(step * 100_000), Micros(600_000), Micros(100_000));
@@ -67,31 +67,31 @@
 }
 
 fn order(home: &PoolLoad, away: &PoolLoad, tasks: u16) -> Vec<String> {
-    let mut chooser = PoolSelector::default();
-    chooser.update_load(&pool("home"), home.clone());
-    chooser.update_load(&pool("away"), away.clone());
+    let mut selector = PoolSelector::default();
+    selector.update_load(&pool("home"), home.clone());
+    selector.update_load(&pool("away"), away.clone());
     let demand = Resources {
         cpu_millis: 27_000,
         memory_mb: 64,
         accelerators: 0,
     };
-    let pools = chooser.rank_pools(&pool("home"), demand, tasks, &Evacuations::default());
+    let pools = selector.rank_pools(&pool("home"), demand, tasks, &Evacuations::default());
     pools.iter().map(|pool| pool.zone.to_string()).collect()
 }
 
 #[test]
-fn a_job_stays_in_its_zone_while_there_is_room() {
+fn job_stays_in_home_zone_with_free_capacity() {
     assert_eq!(order(&load(300, 0), &load(1_000, 0), 8), ["home", "away"]);
 }
 
 #[test]
-fn a_job_goes_to_another_zone_past_a_queue() {
+fn job_leaves_home_zone_with_backlog() {
     let waiting = load(0, 60_000);
     assert_eq!(order(&waiting, &load(600, 0), 4), ["away", "home"]);
 }
 
 #[test]
-fn a_closing_pool_is_not_asked() {
+fn closed_pool_is_left_out() {
     let closing = PoolLoad {
         is_closed: true,
         ..load(1_000, 0)
@@ -103,7 +103,7 @@
 /// entry hosts leave the pool out, callers would get "not run" until the next heartbeat, so the pool comes
 /// last instead.
 #[test]
-fn a_pool_that_shows_no_capacity_yet_is_asked_last() {
+fn pool_without_capacity_comes_last() {
     let taking_over = PoolLoad {
         capacity_cpu_millis: 0,
         ..load(0, 0)
@@ -112,22 +112,22 @@
 }
 
 #[test]
-fn jobs_handed_over_count_before_the_owner_says_so() {
-    let mut chooser = PoolSelector::default();
-    chooser.update_load(&pool("home"), load(270, 0));
-    chooser.update_load(&pool("away"), load(270, 0));
+fn dispatched_job_counts_before_next_report() {
+    let mut selector = PoolSelector::default();
+    selector.update_load(&pool("home"), load(270, 0));
+    selector.update_load(&pool("away"), load(270, 0));
     let demand = Resources {
         cpu_millis: 27_000,
         memory_mb: 64,
         accelerators: 0,
     };
-    chooser.record_dispatch(&pool("home"), demand, 32, Millis(1_000));
-    let pools = chooser.rank_pools(&pool("home"), demand, 1, &Evacuations::default());
+    selector.record_dispatch(&pool("home"), demand, 32, Millis(1_000));
+    let pools = selector.rank_pools(&pool("home"), demand, 1, &Evacuations::default());
     assert_eq!(pools[0], pool("away"));
 }
 
 #[test]
-fn a_share_of_work_is_read_as_written() {
+fn percent_round_trips() {
     let share = Percent::new(41);
     assert_eq!(share.to_string().parse::<Percent>(), Ok(share));
     assert_eq!(Percent::new(250), Percent::ALL);
--- a/crates/onyxshed-pool/tests/pool/search.rs
+++ b/crates/onyxshed-pool/tests/pool/search.rs
@@ -23,8 +23,9 @@
 /// Number of seeds in a block; the environment variable `POOL_SEARCH_SEEDS` sets another number.
 fn seeds_per_block() -> u64 {
     const SEEDS: u64 = 40;
-    let told = std::env::var("POOL_SEARCH_SEEDS");
-    told.ok()
+    let variable = std::env::var("POOL_SEARCH_SEEDS");
+    variable
+        .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(SEEDS)
 }
@@ -78,9 +79,9 @@
 
 /// Creates a simulation with arriving jobs; for half of the seeds, answers are lost and orders late.
 fn random_simulation(seed: u64, rng: &mut SmallRng) -> Simulation {
-    let mut world = Simulation::new(seed, executors(rng), ENTRIES);
+    let mut simulation = Simulation::new(seed, executors(rng), ENTRIES);
     if rng.random_bool(0.5) {
-        world.message_faults = MessageFaults {
+        simulation.message_faults = MessageFaults {
             late_share: 0.06,
             lost_answer_share: 0.06,
             until: FAULTS_END,
@@ -89,68 +90,68 @@
     for number in 0..JOBS {
         let at = Mono(1_500_000 + rng.random_range(0..14_000_000));
         let (request, true_ms) = random_job(rng, number);
-        world.schedule_call(at, 0, request, true_ms);
+        simulation.schedule_call(at, 0, request, true_ms);
     }
-    world
+    simulation
 }
 
 /// Runs a simulation to its end and checks its answers.
-fn run_to_end(mut world: Simulation) -> Simulation {
-    world.run_until(END);
-    world.check_answers();
-    world
+fn run_to_end(mut simulation: Simulation) -> Simulation {
+    simulation.run_until(END);
+    simulation.check_answers();
+    simulation
 }
 
 fn play(seed: u64) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut world = random_simulation(seed, &mut rng);
+    let mut simulation = random_simulation(seed, &mut rng);
     for _ in 0..rng.random_range(2..14) {
         let at = Mono(rng.random_range(2_000_000..FAULTS_END.0));
-        world.schedule_fault(at, random_fault(&mut rng));
+        simulation.schedule_fault(at, random_fault(&mut rng));
     }
-    run_to_end(world)
+    run_to_end(simulation)
 }
 
 /// Runs a simulation, with seeds of its own, in which handovers between running owners happen in addition to
 /// the other faults.
 fn run_with_handovers(seed: u64, patience: Timeouts) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x4a4d);
-    let mut world = random_simulation(seed, &mut rng);
-    world.timeouts = patience;
+    let mut simulation = random_simulation(seed, &mut rng);
+    simulation.timeouts = patience;
     for _ in 0..rng.random_range(1..8) {
         let at = Mono(rng.random_range(2_000_000..FAULTS_END.0));
-        world.schedule_fault(at, Fault::HandOver);
+        simulation.schedule_fault(at, Fault::HandOver);
         // Half of the handovers overlap with another fault.
         if rng.random_bool(0.5) {
             let at = Mono(at.0 + rng.random_range(0..600_000));
-            world.schedule_fault(at, random_fault(&mut rng));
+            simulation.schedule_fault(at, random_fault(&mut rng));
         }
     }
-    run_to_end(world)
+    run_to_end(simulation)
 }
 
-fn completed_jobs(world: &Simulation) -> usize {
-    let ends = world.calls.values().filter_map(|call| call.ended);
+fn completed_jobs(simulation: &Simulation) -> usize {
+    let ends = simulation.calls.values().filter_map(|call| call.ended);
     ends.filter(|(_, end)| *end == JobEnd::Completed).count()
 }
 
 /// Without faults every job completes, which shows that the searches run jobs at all.
 #[test]
-fn a_quiet_world_completes_everything() {
-    let mut world = Simulation::new(1, executors(&mut SmallRng::seed_from_u64(1)), ENTRIES);
+fn simulation_without_faults_completes_every_job() {
+    let mut simulation = Simulation::new(1, executors(&mut SmallRng::seed_from_u64(1)), ENTRIES);
     for number in 0..50 {
         let (request, _) = (job(number, 3, 100), ());
-        world.schedule_call(
+        simulation.schedule_call(
             Mono(1_500_000 + number * 100_000),
             0,
             request,
             vec![100, 90, 110],
         );
     }
-    world.run_until(END);
-    world.check_answers();
-    assert_eq!(completed_jobs(&world), 50);
-    assert!(world.calls.contains_key(&JobId(49)));
+    simulation.run_until(END);
+    simulation.check_answers();
+    assert_eq!(completed_jobs(&simulation), 50);
+    assert!(simulation.calls.contains_key(&JobId(49)));
 }
 
 /// Owners and entry hosts crash, are paused and are replaced; executors crash, are unreachable, fail tasks
@@ -172,7 +173,7 @@
 /// executor were released too early, the next owner could start a task that the previous owner still runs;
 /// if the previous owner still renewed leases there, the task would run twice.
 #[rstest]
-fn no_task_runs_twice_while_a_pool_changes_hands(
+fn no_task_runs_twice_during_handover(
     #[values(0, 1, 2, 3, 4)] block: u64,
     #[values(Timeouts::LONG, Timeouts::HOST)] patience: Timeouts,
 ) {
@@ -188,16 +189,16 @@
 
 /// A pool is handed over three times without other faults: every job completes.
 #[test]
-fn changes_of_hands_on_a_calm_day_lose_no_job() {
-    let mut world = Simulation::new(2, executors(&mut SmallRng::seed_from_u64(2)), ENTRIES);
+fn handovers_without_other_faults_lose_no_job() {
+    let mut simulation = Simulation::new(2, executors(&mut SmallRng::seed_from_u64(2)), ENTRIES);
     for number in 0..100 {
         let at = Mono(1_500_000 + number * 50_000);
-        world.schedule_call(at, 0, job(number, 3, 100), vec![100, 90, 110]);
+        simulation.schedule_call(at, 0, job(number, 3, 100), vec![100, 90, 110]);
     }
     for at_us in [2_000_000, 3_300_000, 5_010_000] {
-        world.schedule_fault(Mono(at_us), Fault::HandOver);
+        simulation.schedule_fault(Mono(at_us), Fault::HandOver);
     }
-    world.run_until(END);
-    world.check_answers();
-    assert_eq!(completed_jobs(&world), 100);
+    simulation.run_until(END);
+    simulation.check_answers();
+    assert_eq!(completed_jobs(&simulation), 100);
 }
--- a/crates/onyxshed-pool/tests/pool/shard_layout.rs
+++ b/crates/onyxshed-pool/tests/pool/shard_layout.rs
@@ -13,16 +13,16 @@
 #[case(333, 3)]
 #[case(1_000, 8)]
 #[case(100_000, 16)]
-fn a_zone_has_as_many_pools_as_its_executors_need(#[case] executors: usize, #[case] pools: u32) {
-    let division = ShardLayout::default();
-    let found = division.resharded(executors).unwrap_or(division);
+fn pool_count_follows_executor_count(#[case] executors: usize, #[case] pools: u32) {
+    let layout = ShardLayout::default();
+    let found = layout.resharded(executors).unwrap_or(layout);
     assert_eq!(found.pools, pools);
 }
 
 /// A change of layout loses every job of the zone, so small changes in the number of executors must not
 /// cause one.
 #[test]
-fn a_division_stays_while_it_does() {
+fn layout_is_kept_within_bounds() {
     let three = ShardLayout {
         version: 4,
         pools: 3,
@@ -37,7 +37,7 @@
 /// An executor moves to a pool whose group has a lower generation. The token of its new owner must still
 /// be higher, or the executor would refuse that owner forever.
 #[test]
-fn tokens_rise_with_each_division() {
+fn new_layout_raises_tokens() {
     let old = ShardLayout {
         version: 1,
         pools: 1,
@@ -49,14 +49,14 @@
 /// If two owners both use an executor, it must fence one of them off, or they would stop each other's
 /// runs forever.
 #[test]
-fn no_two_pools_have_a_token_in_common() {
-    let division = ShardLayout {
+fn tokens_of_different_pools_differ() {
+    let layout = ShardLayout {
         version: 1,
         pools: 16,
     };
     let tokens: BTreeSet<_> = (0..16)
         .flat_map(|index| (1..50).map(move |generation| (index, generation)))
-        .map(|(index, generation)| division.token(&pool(index), generation))
+        .map(|(index, generation)| layout.token(&pool(index), generation))
         .collect();
     assert_eq!(tokens.len(), 16 * 49);
 }
@@ -69,15 +69,15 @@
 }
 
 #[test]
-fn every_pool_gets_its_share() {
-    let division = ShardLayout {
+fn executors_are_spread_evenly_over_pools() {
+    let layout = ShardLayout {
         version: 1,
         pools: 8,
     };
     let mut counts = [0; 8];
     for number in 0..1_000 {
         let id = ExecutorId(format!("i-{number:010x}").into());
-        counts[usize::try_from(division.index_of(&id)).unwrap()] += 1;
+        counts[usize::try_from(layout.index_of(&id)).unwrap()] += 1;
     }
     assert!(
         counts.iter().all(|count| (90..165).contains(count)),
@@ -88,18 +88,18 @@
 #[rstest]
 #[case("kigali-a/0")]
 #[case("z/with/slash/12")]
-fn pools_are_read_as_written(#[case] text: &str) {
+fn pool_id_round_trips(#[case] text: &str) {
     let id: PoolId = text.parse().expect("an id");
     assert_eq!(id.to_string(), text);
 }
 
 #[test]
-fn a_division_is_read_as_written() {
-    let division = ShardLayout {
+fn layout_round_trips() {
+    let layout = ShardLayout {
         version: 7,
         pools: 3,
     };
-    assert_eq!(ShardLayout::from_text(&division.to_text()), Some(division));
+    assert_eq!(ShardLayout::from_text(&layout.to_text()), Some(layout));
     assert_eq!(ShardLayout::from_text("7 0"), None);
     assert_eq!(ShardLayout::from_text(""), None);
 }
--- a/crates/onyxshed-pool/tests/pool/simulation.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation.rs
@@ -170,7 +170,7 @@
             .into_iter()
             .enumerate()
             .map(|(index, executor)| (ExecutorId(format!("x{index}").into()), executor));
-        let mut world = Simulation {
+        let mut simulation = Simulation {
             now: Mono(1_000_000),
             calls: BTreeMap::new(),
             executors: named.collect(),
@@ -194,17 +194,17 @@
             trace: Vec::new(),
         };
         for index in 0..entries {
-            let life = world.new_incarnation();
-            world.entries.push(Entry {
-                incarnation: life,
+            let incarnation = simulation.new_incarnation();
+            simulation.entries.push(Entry {
+                incarnation,
                 session: Session(0),
                 last_contact: BTreeMap::new(),
                 frozen_until: Mono(0),
             });
-            world.schedule_after(Millis(0), Event::Heartbeat(index));
+            simulation.schedule_after(Millis(0), Event::Heartbeat(index));
         }
-        world.new_owner();
-        world
+        simulation.new_owner();
+        simulation
     }
 
     fn new_incarnation(&mut self) -> PeerIncarnation {
--- a/crates/onyxshed-pool/tests/pool/simulation/callers.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/callers.rs
@@ -30,14 +30,14 @@
         if !is_current && !held.pool.is_releasing() {
             return;
         }
-        let life = self.entries[index].incarnation;
-        let is_away = held.is_stopped || self.now < held.frozen_until;
-        let heard = self.entries[index].last_contact.get(&owner);
-        let last = heard.copied().unwrap_or(Mono(1_000_000));
-        if !is_away {
+        let incarnation = self.entries[index].incarnation;
+        let is_unreachable = held.is_stopped || self.now < held.frozen_until;
+        let last_contact = self.entries[index].last_contact.get(&owner);
+        let last = last_contact.copied().unwrap_or(Mono(1_000_000));
+        if !is_unreachable {
             let session = self.owners[owner]
                 .pool
-                .record_peer_contact(self.now, life, None);
+                .record_peer_contact(self.now, incarnation, None);
             self.entries[index].last_contact.insert(owner, self.now);
             if is_current {
                 self.entries[index].session = session;
@@ -66,7 +66,7 @@
         let entry = self.rng.random_range(0..self.entries.len());
         self.last_submission += 1;
         let submission = SubmissionNumber(self.last_submission);
-        let (life, session) = (self.entries[entry].incarnation, self.entries[entry].session);
+        let (incarnation, session) = (self.entries[entry].incarnation, self.entries[entry].session);
         let call = self.calls.get_mut(&job).expect("a caller's job");
         if call.ended.is_some() {
             return;
@@ -77,7 +77,7 @@
         call.submission = submission;
         call.is_open = true;
         let request = JobRequest {
-            peer: life,
+            peer: incarnation,
             submission,
             ..call.request.clone()
         };
--- a/crates/onyxshed-pool/tests/pool/simulation/executors.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/executors.rs
@@ -72,14 +72,14 @@
     }
 
     /// Checks that a starting task executes on no other executor.
-    pub(super) fn check_runs_nowhere_else(&self, here: &ExecutorId, task: TaskId) {
+    pub(super) fn check_runs_nowhere_else(&self, executor_id: &ExecutorId, task: TaskId) {
         for (id, executor) in &self.executors {
-            if id != here && executor.is_up && executor.runs.contains_key(&task) {
+            if id != executor_id && executor.is_up && executor.runs.contains_key(&task) {
                 let lapsed = executor.is_lapsed(self.now);
-                let told: Vec<_> = self.trace.iter().filter(|row| row.1 == task).collect();
+                let events: Vec<_> = self.trace.iter().filter(|row| row.1 == task).collect();
                 assert!(
                     lapsed,
-                    "{task} starts on {here} at {:?} while at work on {id}: {told:#?}",
+                    "{task} starts on {executor_id} at {:?} while it runs on {id}: {events:#?}",
                     self.now
                 );
             }
--- a/crates/onyxshed-pool/tests/pool/simulation/owners.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/owners.rs
@@ -23,9 +23,9 @@
     pub(super) fn add_owner(&mut self, last: Option<OwnerIndex>) {
         self.token += 1;
         let token = FencingToken(self.token);
-        let life = self.new_incarnation();
+        let incarnation = self.new_incarnation();
         self.owners.push(Owner {
-            pool: Pool::new(self.now, token, life, self.options.clone()),
+            pool: Pool::new(self.now, token, incarnation, self.options.clone()),
             frozen_until: Mono(0),
             is_stopped: false,
             pending_orders: BTreeMap::new(),
@@ -77,8 +77,11 @@
                         .iter()
                         .position(|entry| entry.incarnation == peer);
                     if let Some(entry) = entry {
-                        let way = self.transit_time();
-                        self.schedule_at(self.now + way, Event::Ended(entry, submission, job, end));
+                        let transit = self.transit_time();
+                        self.schedule_at(
+                            self.now + transit,
+                            Event::Ended(entry, submission, job, end),
+                        );
                     }
                 }
                 Action::StepDown => self.owners[owner].is_stopped = true,
@@ -122,7 +125,7 @@
             .pending_orders
             .insert(number, (id.clone(), order.clone(), sent_at));
         self.schedule_after(timeout, Event::OrderTimedOut(owner, id.clone(), number));
-        let way = self.transit_time();
+        let transit = self.transit_time();
         let is_troubled = self.now < self.message_faults.until;
         if is_troubled && self.rng.random_bool(self.message_faults.late_share) {
             let late = Millis(self.rng.random_range(2_000..12_000));
@@ -132,7 +135,10 @@
         let answered =
             !(is_troubled && self.rng.random_bool(self.message_faults.lost_answer_share));
         let number = if answered { number } else { 0 };
-        self.schedule_at(sent_at + way, Event::OrderArrived(owner, id, order, number));
+        self.schedule_at(
+            sent_at + transit,
+            Event::OrderArrived(owner, id, order, number),
+        );
     }
 
     pub(super) fn request_release(&mut self, last: OwnerIndex, next: OwnerIndex, over_at: Mono) {
@@ -149,10 +155,10 @@
         let token = self.owners[next].pool.token();
         let (actions, held) = self.owners[last].pool.release(self.now, token);
         self.apply_actions(last, actions);
-        let way = self.transit_time();
+        let transit = self.transit_time();
         let held = held.into_iter().collect();
         self.schedule_at(
-            self.now + way,
+            self.now + transit,
             Event::HeldExecutors(last, next, over_at, held),
         );
         if self.owners[last].pool.job_count() == 0 {
--- a/crates/onyxshed-pool/tests/pool/slow.rs
+++ b/crates/onyxshed-pool/tests/pool/slow.rs
@@ -36,8 +36,8 @@
 fn served(jobs_per_s: u64, one_in: Option<usize>) -> [Served; 3] {
     let mut classes = [Served::default(); 3];
     for seed in 0..SEEDS {
-        let world = simulate(jobs_per_s, one_in, seed);
-        for call in world.calls.values() {
+        let simulation = simulate(jobs_per_s, one_in, seed);
+        for call in simulation.calls.values() {
             if call.first_sent_at < Mono(SLOW_FROM_MS * 1_000) {
                 continue;
             }
@@ -59,56 +59,56 @@
 fn simulate(jobs_per_s: u64, one_in: Option<usize>, seed: u64) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
     let executors = (0..POOL_FACTOR).flat_map(|_| executors()).collect();
-    let mut world = Simulation::new(seed, executors, 2);
-    world.timeouts = Timeouts::HOST;
-    let ids: Vec<_> = world.executors.keys().cloned().collect();
+    let mut simulation = Simulation::new(seed, executors, 2);
+    simulation.timeouts = Timeouts::HOST;
+    let ids: Vec<_> = simulation.executors.keys().cloned().collect();
     let slow_ids = one_in.map(|one_in| ids.into_iter().step_by(one_in));
     for id in slow_ids.into_iter().flatten() {
         let slow = Fault::Slow(id, SLOW_FACTOR, Millis(SLOW_FOR_MS));
-        world.schedule_fault(Mono(SLOW_FROM_MS * 1_000), slow);
+        simulation.schedule_fault(Mono(SLOW_FROM_MS * 1_000), slow);
     }
     for number in 0..jobs_per_s * LENGTH_MS / 1_000 {
         let at_ms = BEGIN_MS + rng.random_range(0..LENGTH_MS);
         let (class, mut request, true_ms) = random_job(&mut rng, number);
         request.time_left = Millis(2_500);
-        world.schedule_call(Mono(at_ms * 1_000), class, request, true_ms);
+        simulation.schedule_call(Mono(at_ms * 1_000), class, request, true_ms);
     }
-    world.run_until(Mono((BEGIN_MS + LENGTH_MS + 20_000) * 1_000));
-    world.check_answers();
-    world
+    simulation.run_until(Mono((BEGIN_MS + LENGTH_MS + 20_000) * 1_000));
+    simulation.check_answers();
+    simulation
 }
 
 /// Slow executors must not get tasks while ordinary executors have free resources.
 #[test]
-fn callers_keep_most_of_what_they_get_when_a_third_of_the_executors_turns_slow() {
-    let sound = served(60, None);
+fn slow_third_of_executors_keeps_most_jobs_in_time() {
+    let baseline = served(60, None);
     let slow = served(60, Some(3));
-    for (with_slow, without) in slow.iter().zip(&sound) {
-        assert!(with_slow.share() > 0.85 * without.share());
+    for (with_slow, baseline) in slow.iter().zip(&baseline) {
+        assert!(with_slow.share() > 0.85 * baseline.share());
     }
 }
 
 /// Creates a pool of two executors, of which `x1` is known to be slow by the progress of its run.
 fn harness_with_slow_executor() -> (Harness, TaskId) {
-    let mut desk = Harness::with_executors(&[("x1", 30), ("x2", 30)]);
-    let (name, order) = desk.submit_and_start(0, job(1, 1, 900));
+    let mut harness = Harness::with_executors(&[("x1", 30), ("x2", 30)]);
+    let (name, order) = harness.submit_and_start(0, job(1, 1, 900));
     assert_eq!(name, "x1");
-    desk.report_progress(200, "x1", &[(order.task, 1, 2)]);
-    desk.tick(200);
-    (desk, order.task)
+    harness.report_progress(200, "x1", &[(order.task, 1, 2)]);
+    harness.tick(200);
+    (harness, order.task)
 }
 
 /// A short task must not be late on a slow executor when an ordinary one is free a moment later.
 #[test]
-fn a_short_task_waits_for_a_sound_executor() {
-    let (mut desk, _) = harness_with_slow_executor();
-    desk.take_starts();
-    let (_, long) = desk.submit_and_start(201, job(2, 1, 100));
-    desk.submit(202, job(3, 1, 60));
-    desk.report(203, "x1", &[], &[]);
-    assert!(desk.take_starts().is_empty(), "x1 is slow, x2 is full");
-    desk.report(210, "x2", &[], &[(1, long.task, 1, RunEnd::Done)]);
-    let places: Vec<String> = desk
+fn short_task_waits_for_full_speed_executor() {
+    let (mut harness, _) = harness_with_slow_executor();
+    harness.take_starts();
+    let (_, long) = harness.submit_and_start(201, job(2, 1, 100));
+    harness.submit(202, job(3, 1, 60));
+    harness.report(203, "x1", &[], &[]);
+    assert!(harness.take_starts().is_empty(), "x1 is slow, x2 is full");
+    harness.report(210, "x2", &[], &[(1, long.task, 1, RunEnd::Done)]);
+    let places: Vec<String> = harness
         .take_starts()
         .into_iter()
         .map(|start| start.0)
@@ -118,16 +118,16 @@
 
 /// A long task must not stay on an executor that has become too slow for it.
 #[test]
-fn a_long_task_begins_anew_where_it_ends_on_target() {
-    let (mut desk, task) = harness_with_slow_executor();
-    let stops = desk.take_stops();
+fn long_run_moves_to_executor_that_meets_target() {
+    let (mut harness, task) = harness_with_slow_executor();
+    let stops = harness.take_stops();
     assert_eq!(stops.len(), 1, "the run on x1 is stopped");
     assert!(
-        desk.take_starts().is_empty(),
+        harness.take_starts().is_empty(),
         "it may still be at work on x1"
     );
-    desk.report(210, "x1", &[], &[(1, task, 1, RunEnd::Stopped)]);
-    let places: Vec<String> = desk
+    harness.report(210, "x1", &[], &[(1, task, 1, RunEnd::Stopped)]);
+    let places: Vec<String> = harness
         .take_starts()
         .into_iter()
         .map(|start| start.0)
--- a/crates/onyxshed-pool/tests/pool/successor.rs
+++ b/crates/onyxshed-pool/tests/pool/successor.rs
@@ -29,59 +29,62 @@
 
 /// Processes a heartbeat and returns the transfer in its answer, if any.
 fn heartbeat(
-    desk: &mut Harness,
+    harness: &mut Harness,
     ms: u64,
-    life: PeerIncarnation,
+    incarnation: PeerIncarnation,
     offer: Option<SuccessorOffer>,
 ) -> Option<OwnershipTransfer> {
-    desk.pool.record_peer_contact(at_ms(ms), life, offer);
-    desk.pool
-        .transfer_ownership(at_ms(ms), life, vec![MEMBER.into()])
+    harness
+        .pool
+        .record_peer_contact(at_ms(ms), incarnation, offer);
+    harness
+        .pool
+        .transfer_ownership(at_ms(ms), incarnation, vec![MEMBER.into()])
 }
 
 /// Creates a stopping owner with offers of two hosts, the second with a larger processor share.
 fn stopping_owner() -> Harness {
-    let mut desk = Harness::with_executors(&[("a", 64), ("b", 64)]);
-    assert_eq!(heartbeat(&mut desk, 0, PEER, Some(offer(2, 90))), None);
-    assert_eq!(heartbeat(&mut desk, 0, OTHER, Some(offer(3, 500))), None);
-    desk.pool.begin_drain();
-    desk.pool.set_successor_needed(true);
-    desk
+    let mut harness = Harness::with_executors(&[("a", 64), ("b", 64)]);
+    assert_eq!(heartbeat(&mut harness, 0, PEER, Some(offer(2, 90))), None);
+    assert_eq!(heartbeat(&mut harness, 0, OTHER, Some(offer(3, 500))), None);
+    harness.pool.begin_drain();
+    harness.pool.set_successor_needed(true);
+    harness
 }
 
 /// An owner is stopped while the store is unavailable, so no host can join its group and callers would be
 /// rejected until the store is back. The pool and its list of executors are transferred to the host with the
 /// largest processor share, again with each heartbeat.
 #[test]
-fn the_best_host_is_made_the_successor() {
-    let mut desk = stopping_owner();
-    assert_eq!(heartbeat(&mut desk, 10, PEER, Some(offer(2, 90))), None);
-    let told = heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500)));
-    let told = told.expect("a transfer");
+fn best_host_becomes_successor() {
+    let mut harness = stopping_owner();
+    assert_eq!(heartbeat(&mut harness, 10, PEER, Some(offer(2, 90))), None);
+    let transfer = heartbeat(&mut harness, 20, OTHER, Some(offer(3, 500)));
+    let transfer = transfer.expect("a transfer");
     let expected = ExecutorFacts {
         started_at: Some(UnixMs(1)),
         ..facts(64)
     };
     assert_eq!(
-        told,
+        transfer,
         OwnershipTransfer {
             token: FencingToken(8),
             past_members: vec![MEMBER.into()],
             executors: vec![(id("a"), expected.clone()), (id("b"), expected)],
         }
     );
-    let again = heartbeat(&mut desk, 170, OTHER, Some(offer(3, 500)));
-    assert_eq!(again, Some(told));
+    let again = heartbeat(&mut harness, 170, OTHER, Some(offer(3, 500)));
+    assert_eq!(again, Some(transfer));
 }
 
 /// Only one host may get the token that follows the owner's. A host with a later offer gets nothing, however
 /// large its processor share is.
 #[test]
-fn there_is_one_successor() {
-    let mut desk = stopping_owner();
-    assert!(heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500))).is_some());
+fn only_one_successor_is_selected() {
+    let mut harness = stopping_owner();
+    assert!(heartbeat(&mut harness, 20, OTHER, Some(offer(3, 500))).is_some());
     for ms in [700, 1_400] {
-        assert_eq!(heartbeat(&mut desk, ms, PEER, Some(offer(2, 900))), None);
+        assert_eq!(heartbeat(&mut harness, ms, PEER, Some(offer(2, 900))), None);
     }
 }
 
@@ -89,56 +92,56 @@
 #[rstest]
 #[case::silent(700, false)]
 #[case::not_offered(30, true)]
-fn a_host_that_can_not_own_the_pool_is_passed_over(#[case] ms: u64, #[case] takes_back: bool) {
-    let mut desk = stopping_owner();
-    if takes_back {
-        assert_eq!(heartbeat(&mut desk, 20, OTHER, None), None);
+fn unavailable_host_is_not_selected(#[case] ms: u64, #[case] withdraws: bool) {
+    let mut harness = stopping_owner();
+    if withdraws {
+        assert_eq!(heartbeat(&mut harness, 20, OTHER, None), None);
     }
-    assert!(heartbeat(&mut desk, ms, PEER, Some(offer(2, 90))).is_some());
+    assert!(heartbeat(&mut harness, ms, PEER, Some(offer(2, 90))).is_some());
 }
 
 /// The store answers again before a successor is selected. Another host can join the group as usual, so no
 /// second owner may be selected.
 #[test]
-fn nobody_is_made_the_successor_once_the_store_answers() {
-    let mut desk = stopping_owner();
-    desk.pool.set_successor_needed(false);
-    let told = heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500)));
-    assert_eq!(told, None);
+fn no_successor_is_selected_once_store_answers() {
+    let mut harness = stopping_owner();
+    harness.pool.set_successor_needed(false);
+    let transfer = heartbeat(&mut harness, 20, OTHER, Some(offer(3, 500)));
+    assert_eq!(transfer, None);
 }
 
 /// Entry hosts get the successor's address only once it is taking over the pool. Before that, it would
 /// answer that it owns nothing.
 #[test]
-fn hosts_are_sent_to_the_successor_when_it_begins() {
-    let mut desk = stopping_owner();
-    let told = heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500)));
-    let token = told.expect("a transfer").token;
-    assert_eq!(desk.pool.load(at_ms(30)).successor, None);
-    desk.pool.release(at_ms(40), token);
-    assert_eq!(desk.pool.load(at_ms(50)).successor, Some(address(3)));
+fn successor_address_is_reported_once_it_takes_over() {
+    let mut harness = stopping_owner();
+    let transfer = heartbeat(&mut harness, 20, OTHER, Some(offer(3, 500)));
+    let token = transfer.expect("a transfer").token;
+    assert_eq!(harness.pool.load(at_ms(30)).successor, None);
+    harness.pool.release(at_ms(40), token);
+    assert_eq!(harness.pool.load(at_ms(50)).successor, Some(address(3)));
 }
 
 /// The store has assigned the pool to a third host, whose token is higher than the successor's. Entry hosts
 /// must not get the successor's address.
 #[test]
-fn an_owner_made_by_the_store_is_no_successor() {
-    let mut desk = stopping_owner();
-    assert!(heartbeat(&mut desk, 20, OTHER, Some(offer(3, 500))).is_some());
-    desk.pool.release(at_ms(40), FencingToken(32));
-    assert_eq!(desk.pool.load(at_ms(50)).successor, None);
+fn owner_elected_by_store_is_not_reported_as_successor() {
+    let mut harness = stopping_owner();
+    assert!(heartbeat(&mut harness, 20, OTHER, Some(offer(3, 500))).is_some());
+    harness.pool.release(at_ms(40), FencingToken(32));
+    assert_eq!(harness.pool.load(at_ms(50)).successor, None);
 }
 
 /// While the store is unavailable, successors follow one another, and an executor must accept each of them
 /// after the one before. The next owner elected by the store must have a higher token than all of them.
 #[test]
-fn tokens_of_successors_lie_between_those_of_the_stores_owners() {
+fn successor_tokens_lie_between_tokens_of_elected_owners() {
     let pool = PoolId {
         zone: "a".into(),
         index: 3,
     };
-    let division = ShardLayout::default();
-    let mut token = division.token(&pool, 5);
+    let layout = ShardLayout::default();
+    let mut token = layout.token(&pool, 5);
     let mut successors = 0;
     while let Some(next) = token.successor() {
         assert!(next > token);
@@ -146,15 +149,15 @@
         successors += 1;
     }
     assert_eq!(successors, 15);
-    assert!(token < division.token(&pool, 6));
+    assert!(token < layout.token(&pool, 6));
 }
 
 /// An owner that could not read the list of executors can't run any job. Other hosts must not leave the pool
 /// to it because it answers.
 #[test]
-fn an_owner_without_a_list_of_executors_wants_to_be_replaced() {
-    let mut desk = Harness::with_executors(&[]);
-    assert!(desk.pool.load(at_ms(1)).needs_replacement);
-    desk.pool.mark_executors_read();
-    assert!(!desk.pool.load(at_ms(2)).needs_replacement);
+fn owner_without_executor_list_needs_replacement() {
+    let mut harness = Harness::with_executors(&[]);
+    assert!(harness.pool.load(at_ms(1)).needs_replacement);
+    harness.pool.mark_executors_read();
+    assert!(!harness.pool.load(at_ms(2)).needs_replacement);
 }
--- a/crates/onyxshed-pool/tests/pool/summary.rs
+++ b/crates/onyxshed-pool/tests/pool/summary.rs
@@ -5,7 +5,7 @@
 
 /// Every summary that an entry host logs must parse back to the same value.
 #[test]
-fn a_summary_is_read_as_it_was_written() {
+fn summary_round_trips() {
     let not_run = NotRunReason::ALL.map(|reason| JobEnd::NotRun(reason, Millis(120)));
     let unknown = UnknownReason::ALL.map(JobEnd::Unknown);
     let ends = not_run.into_iter().chain(unknown);
