--- a/crates/onyxshed-pool/examples/decision-cost.rs
+++ b/crates/onyxshed-pool/examples/decision-cost.rs
@@ -63,7 +63,7 @@
         self.next_job += 1;
         let request = job(self.next_job, tasks, cpu_millis, Millis(estimate_ms));
         let actions = self.pool.submit(self.now, Session(0), request);
-        self.take(actions);
+        self.apply_actions(actions);
     }
 
     /// Completes the run that has executed longest.
@@ -98,10 +98,10 @@
         };
         let answer = HoldAnswer::Report(ExecutorReport::Lists(lists));
         let actions = self.pool.apply_hold_answer(self.now, id, self.now, answer);
-        self.take(actions);
+        self.apply_actions(actions);
     }
 
-    fn take(&mut self, actions: Vec<Action>) {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             if let Action::Start(id, order) = action {
                 let answer = StartAnswer::Started { clock: None };
@@ -110,16 +110,16 @@
                     .pool
                     .apply_start_answer(self.now, &id, task, run, &answer);
                 self.running.push_back((id, order));
-                self.take(next);
+                self.apply_actions(next);
             }
         }
     }
 
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         self.now = Mono(self.now.0 + STEP_US);
         if self.now.0.is_multiple_of(TICK_US) {
             let actions = self.pool.tick(self.now);
-            self.take(actions);
+            self.apply_actions(actions);
         }
     }
 }
@@ -181,7 +181,7 @@
             false => harness.complete_oldest(),
         }
         harness.pool.load(harness.now);
-        harness.pass();
+        harness.advance();
     }
     started_at.elapsed().as_secs_f64() * 1e6 / f64::from(EVENTS)
 }
--- a/crates/onyxshed-pool/tests/pool/hosts.rs
+++ b/crates/onyxshed-pool/tests/pool/hosts.rs
@@ -14,7 +14,7 @@
     }
 }
 
-fn heard(harness: &mut Harness, ms: u64) -> Session {
+fn heartbeat(harness: &mut Harness, ms: u64) -> Session {
     harness.pool.record_peer_contact(at_ms(ms), PEER, None)
 }
 
@@ -23,7 +23,7 @@
 #[test]
 fn runs_of_unresponsive_entry_host_are_stopped() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
-    let session = heard(&mut harness, 0);
+    let session = heartbeat(&mut harness, 0);
     let submitted = harness.pool.submit(at_ms(1), session, from_peer(9));
     harness.actions.extend(submitted);
     assert_eq!(harness.take_starts().len(), 1);
@@ -42,9 +42,9 @@
 #[test]
 fn submission_of_old_session_is_rejected() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
-    let old = heard(&mut harness, 0);
+    let old = heartbeat(&mut harness, 0);
     harness.advance(0, 700);
-    let new = heard(&mut harness, 710);
+    let new = heartbeat(&mut harness, 710);
     assert_ne!(old, new);
     let late = harness.pool.submit(at_ms(711), old, from_peer(9));
     harness.actions.extend(late);
@@ -62,7 +62,7 @@
 #[test]
 fn paused_owner_ends_jobs_of_other_hosts() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
-    let session = heard(&mut harness, 0);
+    let session = heartbeat(&mut harness, 0);
     let many = JobRequest {
         tasks: 5,
         ..from_peer(9)
@@ -88,7 +88,7 @@
 #[test]
 fn resubmission_joins_running_job() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
-    let session = heard(&mut harness, 0);
+    let session = heartbeat(&mut harness, 0);
     let submitted = harness.pool.submit(at_ms(1), session, from_peer(9));
     harness.actions.extend(submitted);
     assert_eq!(harness.take_starts().len(), 1);
--- a/crates/onyxshed-pool/tests/pool/load.rs
+++ b/crates/onyxshed-pool/tests/pool/load.rs
@@ -93,8 +93,8 @@
 #[derive(Debug, Clone, Copy)]
 struct Load {
     jobs_per_s: u64,
-    trouble: MessageFaults,
-    patience: Timeouts,
+    message_faults: MessageFaults,
+    timeouts: Timeouts,
     /// How long callers wait.
     deadline: Millis,
 }
@@ -104,8 +104,8 @@
     fn without_faults(jobs_per_s: u64) -> Self {
         Load {
             jobs_per_s,
-            trouble: MessageFaults::default(),
-            patience: Timeouts::LONG,
+            message_faults: MessageFaults::default(),
+            timeouts: Timeouts::LONG,
             deadline: Millis(8_000),
         }
     }
@@ -115,8 +115,8 @@
 fn simulate(load: Load, seed: u64) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut simulation = Simulation::new(seed, executors(), 2);
-    simulation.message_faults = load.trouble;
-    simulation.timeouts = load.patience;
+    simulation.message_faults = load.message_faults;
+    simulation.timeouts = load.timeouts;
     for number in 0..load.jobs_per_s * LENGTH_MS / 1_000 {
         let at_ms = BEGIN_MS + rng.random_range(0..LENGTH_MS);
         let (class, mut request, true_ms) = random_job(&mut rng, number);
@@ -218,11 +218,11 @@
         ..MessageFaults::default()
     };
     let before = Load {
-        trouble,
+        message_faults: trouble,
         ..Load::without_faults(25)
     };
     let after = Load {
-        patience: Timeouts::HOST,
+        timeouts: Timeouts::HOST,
         ..before
     };
     let [short_before, ..] = mean_of(10, |seed| shares_in_time(before, seed));
@@ -237,7 +237,7 @@
 #[test]
 fn hopeless_jobs_are_shed_early() {
     let load = Load {
-        patience: Timeouts::HOST,
+        timeouts: Timeouts::HOST,
         deadline: Millis(2_500),
         ..Load::without_faults(110)
     };
--- a/crates/onyxshed-pool/tests/pool/search.rs
+++ b/crates/onyxshed-pool/tests/pool/search.rs
@@ -102,7 +102,7 @@
     simulation
 }
 
-fn play(seed: u64) -> Simulation {
+fn run_seed(seed: u64) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut simulation = random_simulation(seed, &mut rng);
     for _ in 0..rng.random_range(2..14) {
@@ -162,7 +162,7 @@
     let seeds = seeds_per_block();
     let mut served = 0;
     for seed in block * seeds..(block + 1) * seeds {
-        served += completed_jobs(&play(seed));
+        served += completed_jobs(&run_seed(seed));
     }
     // A quarter of the jobs must be served despite the faults, or the search would prove little.
     let jobs = usize::try_from(JOBS * seeds).expect("a count");
--- a/crates/onyxshed-pool/tests/pool/simulation.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation.rs
@@ -98,17 +98,17 @@
 
 struct Owner {
     pool: Pool,
-    frozen_until: Mono,
+    paused_until: Mono,
     is_stopped: bool,
     pending_orders: BTreeMap<u64, (ExecutorId, Order, Mono)>,
 }
 
-struct Entry {
+struct EntryHost {
     incarnation: PeerIncarnation,
     session: Session,
     /// Time of the last contact with each owner.
     last_contact: BTreeMap<OwnerIndex, Mono>,
-    frozen_until: Mono,
+    paused_until: Mono,
 }
 
 /// A caller's job.
@@ -154,7 +154,7 @@
     last_incarnation: u64,
     token: u64,
     owners: Vec<Owner>,
-    entries: Vec<Entry>,
+    entries: Vec<EntryHost>,
     unreachable_until: BTreeMap<ExecutorId, Mono>,
     pending_holds: BTreeMap<(ExecutorId, u64), OwnerIndex>,
     started_at: BTreeMap<TaskId, Mono>,
@@ -195,11 +195,11 @@
         };
         for index in 0..entries {
             let incarnation = simulation.new_incarnation();
-            simulation.entries.push(Entry {
+            simulation.entries.push(EntryHost {
                 incarnation,
                 session: Session(0),
                 last_contact: BTreeMap::new(),
-                frozen_until: Mono(0),
+                paused_until: Mono(0),
             });
             simulation.schedule_after(Millis(0), Event::Heartbeat(index));
         }
--- a/crates/onyxshed-pool/tests/pool/simulation/callers.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/callers.rs
@@ -12,7 +12,7 @@
 
 impl Simulation {
     pub(super) fn heartbeat(&mut self, index: usize) {
-        let until = self.entries[index].frozen_until;
+        let until = self.entries[index].paused_until;
         if self.now < until {
             return self.schedule_at(until, Event::Heartbeat(index));
         }
@@ -31,7 +31,7 @@
             return;
         }
         let incarnation = self.entries[index].incarnation;
-        let is_unreachable = held.is_stopped || self.now < held.frozen_until;
+        let is_unreachable = held.is_stopped || self.now < held.paused_until;
         let last_contact = self.entries[index].last_contact.get(&owner);
         let last = last_contact.copied().unwrap_or(Mono(1_000_000));
         if !is_unreachable {
@@ -83,7 +83,7 @@
         };
         let patience = request.time_left;
         let owner_is_dead = self.owners[owner].is_stopped;
-        if self.now < self.entries[entry].frozen_until || owner_is_dead {
+        if self.now < self.entries[entry].paused_until || owner_is_dead {
             let end = JobEnd::Unknown(UnknownReason::TimeOut);
             return self.schedule_at(
                 self.now + patience,
@@ -91,7 +91,7 @@
             );
         }
         // A paused owner does not process the submission.
-        if self.now >= self.owners[owner].frozen_until {
+        if self.now >= self.owners[owner].paused_until {
             let actions = self.owners[owner].pool.submit(self.now, session, request);
             self.apply_actions(owner, actions);
         }
@@ -108,7 +108,7 @@
         end: JobEnd,
     ) {
         let now = self.now;
-        let until = self.entries[entry].frozen_until;
+        let until = self.entries[entry].paused_until;
         let call = self.calls.get_mut(&job).expect("a caller's job");
         if !call.is_open || call.submission != submission {
             return;
--- a/crates/onyxshed-pool/tests/pool/simulation/faults.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/faults.rs
@@ -59,18 +59,18 @@
                 self.schedule_after(Millis(1_500), Event::Fault(Fault::ReplaceOwner));
             }
             Fault::PauseOwner(span) => {
-                self.owners[owner].frozen_until = self.now + span;
+                self.owners[owner].paused_until = self.now + span;
                 self.schedule_after(Millis(1_700), Event::Fault(Fault::ReplaceOwner));
             }
             Fault::ReplaceOwner => self.new_owner(),
             Fault::HandOver => {
                 let held = &self.owners[owner];
-                let answers = !held.is_stopped && self.now >= held.frozen_until;
+                let answers = !held.is_stopped && self.now >= held.paused_until;
                 self.add_owner(answers.then_some(owner));
             }
             Fault::PauseEntry(entry, span) => {
                 let entry = entry % self.entries.len();
-                self.entries[entry].frozen_until = self.now + span;
+                self.entries[entry].paused_until = self.now + span;
             }
             Fault::KillEntry(entry) => {
                 let entry = entry % self.entries.len();
--- a/crates/onyxshed-pool/tests/pool/simulation/owners.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/owners.rs
@@ -26,7 +26,7 @@
         let incarnation = self.new_incarnation();
         self.owners.push(Owner {
             pool: Pool::new(self.now, token, incarnation, self.options.clone()),
-            frozen_until: Mono(0),
+            paused_until: Mono(0),
             is_stopped: false,
             pending_orders: BTreeMap::new(),
         });
@@ -37,7 +37,7 @@
             self.schedule_after(Millis(1), Event::ReleaseRequested(last, owner, over_at));
             // An entry host submits jobs on a link only after the owner has answered on it.
             for entry in 0..self.entries.len() {
-                if self.now >= self.entries[entry].frozen_until {
+                if self.now >= self.entries[entry].paused_until {
                     self.exchange_heartbeat(entry, owner);
                 }
             }
@@ -148,7 +148,7 @@
         if self.owners[last].is_stopped || self.now >= over_at {
             return self.apply_held_executors(last, next, over_at, BTreeSet::new());
         }
-        if self.now < self.owners[last].frozen_until {
+        if self.now < self.owners[last].paused_until {
             let gone = Event::HeldExecutors(last, next, over_at, BTreeSet::new());
             return self.schedule_after(LINK_SILENCE, gone);
         }
@@ -193,7 +193,7 @@
         if self.owners[owner].is_stopped {
             return true;
         }
-        let until = self.owners[owner].frozen_until;
+        let until = self.owners[owner].paused_until;
         if self.now < until {
             self.schedule_at(until, event);
             return true;
