--- a/crates/onyxshed-pool/examples/decision-cost.rs
+++ b/crates/onyxshed-pool/examples/decision-cost.rs
@@ -154,7 +154,7 @@
 fn facts(number: u64) -> ExecutorFacts {
     let cores = if number % 3 == 2 { 96 } else { 64 };
     ExecutorFacts {
-        address: "10.0.0.1:80".parse().expect("an address"),
+        address: "10.0.0.1:80".parse().expect("a socket address"),
         upstream: "desk".into(),
         capacity: Resources {
             cpu_millis: cores * 1_000,
--- a/crates/onyxshed-pool/tests/pool/calls.rs
+++ b/crates/onyxshed-pool/tests/pool/calls.rs
@@ -38,9 +38,9 @@
 fn lost_start_answer_resends_same_order() {
     let mut harness = Harness::with_executors(&[("x1", 64), ("x2", 64)]);
     harness.submit(1, job(9, 1, 100));
-    let (name, order) = harness.take_starts().pop().expect("a start");
+    let (name, order) = harness.take_starts().pop().expect("a start order");
     harness.answer_start(101, &name, &order, &StartAnswer::Unknown);
-    let (resent_to, resent) = harness.take_starts().pop().expect("the order again");
+    let (resent_to, resent) = harness.take_starts().pop().expect("the resent order");
     assert_eq!(
         (&resent_to, resent.task, resent.run),
         (&name, order.task, order.run)
@@ -53,7 +53,7 @@
 fn run_without_answers_is_stopped_before_rerun() {
     let mut harness = Harness::with_executors(&[("x1", 64), ("x2", 64)]);
     harness.submit(1, job(9, 1, 100));
-    let (name, order) = harness.take_starts().pop().expect("a start");
+    let (name, order) = harness.take_starts().pop().expect("a start order");
     for ms in [101, 201, 301] {
         harness.answer_start(ms, &name, &order, &StartAnswer::Unknown);
     }
@@ -73,7 +73,7 @@
     harness.actions.extend(stopped);
     harness.take_starts();
     harness.report(330, &name, &[], &[]);
-    let (_, next) = harness.take_starts().pop().expect("a second run");
+    let (_, next) = harness.take_starts().pop().expect("a second start order");
     assert_eq!((next.task, next.run.0), (order.task, 2));
 }
 
@@ -88,7 +88,7 @@
             Action::Hold(_, _, pause) => Some(*pause),
             _ => None,
         });
-        pauses.next().expect("a question")
+        pauses.next().expect("a hold order")
     };
     harness.answer_hold(100, "x1", HoldAnswer::Unknown);
     assert_eq!(pause(&mut harness), Millis(5));
@@ -108,7 +108,7 @@
     harness.advance(0, 640);
     assert!(harness.take_starts().is_empty(), "the lease may still last");
     harness.advance(640, 700);
-    let (elsewhere, next) = harness.take_starts().pop().expect("a second run");
+    let (elsewhere, next) = harness.take_starts().pop().expect("a second start order");
     assert_ne!(elsewhere, name);
     assert_eq!((next.task, next.run.0), (order.task, 2));
 }
@@ -119,7 +119,7 @@
 fn lease_expires_on_executor_clock() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
     harness.submit(40, job(9, 1, 100));
-    let (_, order) = harness.take_starts().pop().expect("a start");
+    let (_, order) = harness.take_starts().pop().expect("a start order");
     assert_eq!(order.expires, UnixMs(40 + CLOCK_AHEAD_MS + 600));
 }
 
@@ -145,7 +145,7 @@
     harness.submit(2, job(9, 1, 100));
     assert!(
         harness.take_starts().is_empty(),
-        "the stray run is still at work"
+        "the orphaned run still executes"
     );
     harness.report(60, "x1", &[], &[]);
     assert_eq!(harness.take_starts().len(), 1);
@@ -179,7 +179,7 @@
     let mut harness = Harness::with_executors(&[("x1", 64), ("x2", 64)]);
     let (first, order) = harness.submit_and_start(1, job(9, 1, 100));
     harness.report(50, &first, &[], &[(1, order.task, 1, RunEnd::Failed)]);
-    let (second, resent) = harness.take_starts().pop().expect("a second run");
+    let (second, resent) = harness.take_starts().pop().expect("a second start order");
     assert_ne!(first, second);
     harness.answer_start(51, &second, &resent, &started());
     harness.report(99, &second, &[], &[(1, order.task, 2, RunEnd::Failed)]);
@@ -200,7 +200,7 @@
     let (name, order) = harness.submit_and_start(1, job(9, 1, 100));
     harness.report(10, &name, &[], &[(1, order.task, 1, RunEnd::Failed)]);
     harness.submit(11, job(10, 2, 1_000));
-    let (_, trial) = harness.take_starts().pop().expect("one task");
+    let (_, trial) = harness.take_starts().pop().expect("a single start order");
     assert!(harness.take_starts().is_empty());
     harness.answer_start(12, &name, &trial, &started());
     harness.report(20, &name, &[], &[(2, trial.task, 1, RunEnd::Failed)]);
@@ -256,7 +256,7 @@
     harness.advance(380, 420);
     assert_eq!(harness.take_stops().len(), 1);
     harness.report(440, &name, &[], &[(1, order.task, 1, RunEnd::Stopped)]);
-    let (elsewhere, next) = harness.take_starts().pop().expect("a second run");
+    let (elsewhere, next) = harness.take_starts().pop().expect("a second start order");
     assert_ne!(elsewhere, name);
     harness.answer_start(441, &elsewhere, &next, &started());
     harness.advance(441, 1_100);
@@ -273,12 +273,12 @@
     let mut harness = Harness::with_executors(&[("x1", 64), ("x2", 64)]);
     let (name, order) = harness.submit_and_start(1, job(9, 1, 100));
     harness.report_of_incarnation(77, 30, &name, &[]);
-    let (elsewhere, next) = harness.take_starts().pop().expect("a second run");
+    let (elsewhere, next) = harness.take_starts().pop().expect("a second start order");
     assert_eq!((next.task, next.run.0), (order.task, 2));
     harness.report_of_incarnation(1, 31, &name, &[(order.task, 1)]);
     assert!(
         harness.take_stops().is_empty(),
-        "a late report of the old life counts for nothing"
+        "a late report of the past incarnation must be ignored"
     );
     assert_eq!(elsewhere.len(), 2);
 }
@@ -306,7 +306,7 @@
     harness.submit(11, job(10, 1, 100));
     assert!(harness.take_starts().is_empty());
     harness.report(20, &name, &[(order.task, 1)], &[]);
-    let (_, hold) = harness.take_holds().pop().expect("a hold");
+    let (_, hold) = harness.take_holds().pop().expect("a hold order");
     assert_eq!(hold.expires, Some(UnixMs(20 + CLOCK_AHEAD_MS + 600)));
 }
 
@@ -314,10 +314,13 @@
 fn full_executor_is_skipped_and_task_starts_elsewhere() {
     let mut harness = Harness::with_executors(&[("x1", 64), ("x2", 64)]);
     harness.submit(1, job(9, 1, 100));
-    let (name, order) = harness.take_starts().pop().expect("a start");
+    let (name, order) = harness.take_starts().pop().expect("a start order");
     let no_room = StartAnswer::Refused(RefuseReason::NoRoom);
     harness.answer_start(2, &name, &order, &no_room);
-    let (elsewhere, _) = harness.take_starts().pop().expect("a start elsewhere");
+    let (elsewhere, _) = harness
+        .take_starts()
+        .pop()
+        .expect("a start order to the other executor");
     assert_ne!(elsewhere, name);
 }
 
@@ -328,10 +331,10 @@
 fn used_run_number_is_skipped() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
     harness.submit(1, job(9, 1, 100));
-    let (name, order) = harness.take_starts().pop().expect("a start");
+    let (name, order) = harness.take_starts().pop().expect("a start order");
     let ended = StartAnswer::Refused(RefuseReason::Ended);
     harness.answer_start(3, &name, &order, &ended);
-    let (_, resent) = harness.take_starts().pop().expect("a start again");
+    let (_, resent) = harness.take_starts().pop().expect("another start order");
     assert_eq!((resent.task, resent.run.0), (order.task, 2));
 }
 
@@ -341,9 +344,9 @@
 fn run_ended_before_resent_order_counts() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
     harness.submit(1, job(9, 1, 100));
-    let (name, order) = harness.take_starts().pop().expect("a start");
+    let (name, order) = harness.take_starts().pop().expect("a start order");
     harness.answer_start(41, &name, &order, &StartAnswer::Unknown);
-    let (_, resent) = harness.take_starts().pop().expect("the order again");
+    let (_, resent) = harness.take_starts().pop().expect("the resent order");
     let ended = StartAnswer::Refused(RefuseReason::Ended);
     harness.answer_start(43, &name, &resent, &ended);
     assert!(harness.take_starts().is_empty());
--- a/crates/onyxshed-pool/tests/pool/evacuation.rs
+++ b/crates/onyxshed-pool/tests/pool/evacuation.rs
@@ -91,7 +91,10 @@
     let (_, first) = harness.submit_and_start(0, job(1, 2, 100));
     set_evacuated(&mut harness, 10, true);
     harness.report(100, "a", &[], &[(1, first.task, 1, RunEnd::Done)]);
-    let (_, second) = harness.take_starts().pop().expect("the second task");
+    let (_, second) = harness
+        .take_starts()
+        .pop()
+        .expect("a start order for the second task");
     harness.answer_start(105, "a", &second, &StartAnswer::Started { clock: None });
     harness.report(200, "a", &[], &[(2, second.task, 1, RunEnd::Done)]);
     assert_eq!(harness.take_ends(), [(JobId(1), JobEnd::Completed)]);
@@ -133,7 +136,7 @@
     set_evacuated(&mut harness, 10, true);
     harness.advance(10, 1_100);
     harness.report(1_110, "a", &[], &[(1, order.task, 1, RunEnd::Done)]);
-    let acknowledging = harness.take_holds().pop().expect("a hold").1;
+    let acknowledging = harness.take_holds().pop().expect("a hold order").1;
     assert_eq!(acknowledging.last_seen, 1);
     harness.report(1_120, "a", &[], &[]);
     assert_eq!(harness.take_holds(), []);
--- a/crates/onyxshed-pool/tests/pool/fixture.rs
+++ b/crates/onyxshed-pool/tests/pool/fixture.rs
@@ -35,7 +35,7 @@
 
 pub fn facts(cores: u32) -> ExecutorFacts {
     ExecutorFacts {
-        address: "10.0.0.1:80".parse().expect("an address"),
+        address: "10.0.0.1:80".parse().expect("a socket address"),
         upstream: "desk".into(),
         capacity: Resources {
             memory_mb: 1_000_000,
@@ -72,13 +72,13 @@
 /// Creates the report of an executor's incarnation with the given clock reading and start time.
 fn executor_report(
     clock_ms: u64,
-    born: u64,
+    started_at: u64,
     running: &[(TaskId, u32)],
     finished: &[(u64, TaskId, u32, RunEnd)],
 ) -> ExecutorReport {
     ExecutorReport::Lists(ExecutorLists {
         clock: UnixMs(clock_ms),
-        started_at: Some(UnixMs(born)),
+        started_at: Some(UnixMs(started_at)),
         running: running
             .iter()
             .map(|(task, run)| RunningRun {
@@ -171,12 +171,12 @@
     /// Applies a report of the executor's incarnation that started at the given time, without ended runs.
     pub fn report_of_incarnation(
         &mut self,
-        born: u64,
+        started_at: u64,
         ms: u64,
         name: &str,
         running: &[(TaskId, u32)],
     ) {
-        let report = executor_report(ms, born, running, &[]);
+        let report = executor_report(ms, started_at, running, &[]);
         self.answer_hold(ms, name, HoldAnswer::Report(report));
     }
 
@@ -241,7 +241,7 @@
     /// Submits a job, and confirms the start of its last started task to the pool.
     pub fn submit_and_start(&mut self, ms: u64, job: JobRequest) -> (String, StartOrder) {
         self.submit(ms, job);
-        let (name, order) = self.take_starts().pop().expect("a start");
+        let (name, order) = self.take_starts().pop().expect("a start order");
         self.answer_start(ms, &name, &order, &StartAnswer::Started { clock: None });
         (name, order)
     }
--- a/crates/onyxshed-pool/tests/pool/handover.rs
+++ b/crates/onyxshed-pool/tests/pool/handover.rs
@@ -55,7 +55,10 @@
     assert_eq!(release(&mut harness, 10), vec![id("a")]);
     harness.report(100, "a", &[], &[(1, first.task, 1, RunEnd::Done)]);
     assert_eq!(release(&mut harness, 110), vec![id("a")]);
-    let (_, second) = harness.take_starts().pop().expect("the second task");
+    let (_, second) = harness
+        .take_starts()
+        .pop()
+        .expect("a start order for the second task");
     harness.answer_start(120, "a", &second, &StartAnswer::Started { clock: None });
     harness.report(200, "a", &[], &[(2, second.task, 1, RunEnd::Done)]);
     assert_eq!(harness.take_ends(), vec![(JobId(1), JobEnd::Completed)]);
--- a/crates/onyxshed-pool/tests/pool/hosts.rs
+++ b/crates/onyxshed-pool/tests/pool/hosts.rs
@@ -75,7 +75,7 @@
     harness.report(501, "x1", &[], &[(1, task, 1, onyxshed_pool::RunEnd::Done)]);
     assert!(
         harness.take_starts().is_empty(),
-        "nothing starts after a standstill"
+        "nothing starts after a pause"
     );
     assert_eq!(
         harness.take_ends(),
@@ -133,7 +133,7 @@
     assert_eq!(
         harness.take_starts().len(),
         1,
-        "the stopped run still takes room"
+        "the stopped run still holds its resources"
     );
     harness.report(
         60,
@@ -153,9 +153,9 @@
     harness.submit(2, job(9, 20, 1_000));
     harness.take_starts();
     harness.submit(3, job(10, 30, 1_000));
-    let refused = harness.take_ends();
-    let [(JobId(10), JobEnd::NotRun(NotRunReason::NoTime, Millis(wait_ms)))] = refused[..] else {
-        panic!("{refused:?}");
+    let rejected = harness.take_ends();
+    let [(JobId(10), JobEnd::NotRun(NotRunReason::NoTime, Millis(wait_ms)))] = rejected[..] else {
+        panic!("{rejected:?}");
     };
     assert!((1_000..=5_000).contains(&wait_ms), "{wait_ms}");
 }
--- a/crates/onyxshed-pool/tests/pool/load.rs
+++ b/crates/onyxshed-pool/tests/pool/load.rs
@@ -212,22 +212,22 @@
 /// 0.92 and 0.98 (mean of ten seeds).
 #[test]
 fn short_timeouts_resend_lost_orders_in_time() {
-    let trouble = MessageFaults {
+    let message_faults = MessageFaults {
         late_share: 0.03,
         until: Mono(60_000_000),
         ..MessageFaults::default()
     };
-    let before = Load {
-        message_faults: trouble,
+    let with_long_timeouts = Load {
+        message_faults,
         ..Load::without_faults(25)
     };
-    let after = Load {
+    let with_host_timeouts = Load {
         timeouts: Timeouts::HOST,
-        ..before
+        ..with_long_timeouts
     };
-    let [short_before, ..] = mean_of(10, |seed| shares_in_time(before, seed));
-    let [short, long, pairs] = mean_of(10, |seed| shares_in_time(after, seed));
-    assert!(short > short_before + 0.08);
+    let [short_with_long, ..] = mean_of(10, |seed| shares_in_time(with_long_timeouts, seed));
+    let [short, long, pairs] = mean_of(10, |seed| shares_in_time(with_host_timeouts, seed));
+    assert!(short > short_with_long + 0.08);
     assert!(short > 0.68 && long > 0.87 && pairs > 0.94);
 }
 
--- a/crates/onyxshed-pool/tests/pool/order.rs
+++ b/crates/onyxshed-pool/tests/pool/order.rs
@@ -34,7 +34,7 @@
     let mut harness = harness_with_one_task_slot();
     let (_, first) = harness.submit_and_start(0, job(1, 2, 20));
     harness.submit(1, job(2, 1, 100));
-    let second = complete_and_take_next(&mut harness, 60, 1, &first).expect("a start");
+    let second = complete_and_take_next(&mut harness, 60, 1, &first).expect("a start order");
     assert_eq!(second.task.job, JobId(1));
 }
 
@@ -45,7 +45,7 @@
     let mut harness = harness_with_one_task_slot();
     let (_, first) = harness.submit_and_start(0, job(1, 2, 50));
     harness.submit(110, job(2, 1, 600));
-    let second = complete_and_take_next(&mut harness, 120, 1, &first).expect("a start");
+    let second = complete_and_take_next(&mut harness, 120, 1, &first).expect("a start order");
     assert_eq!(second.task.job, JobId(1));
 }
 
@@ -56,7 +56,7 @@
     let mut harness = harness_with_one_task_slot();
     let (_, first) = harness.submit_and_start(0, job(1, 2, 50));
     harness.submit(110, job(2, 1, 200));
-    let second = complete_and_take_next(&mut harness, 240, 1, &first).expect("a start");
+    let second = complete_and_take_next(&mut harness, 240, 1, &first).expect("a start order");
     assert_eq!(second.task.job, JobId(2));
 }
 
@@ -87,7 +87,7 @@
     harness.submit(0, job(2, 1, 60));
     harness.advance(0, 300);
     assert_eq!(harness.take_ends(), vec![]);
-    let second = complete_and_take_next(&mut harness, 300, 1, &first).expect("a start");
+    let second = complete_and_take_next(&mut harness, 300, 1, &first).expect("a start order");
     assert_eq!(second.task.job, JobId(2));
 }
 
@@ -125,6 +125,6 @@
     harness.submit(0, job(3, 4, 900));
     harness.advance(0, 200);
     assert_eq!(harness.take_ends(), vec![]);
-    let second = complete_and_take_next(&mut harness, 200, 1, &first).expect("a start");
+    let second = complete_and_take_next(&mut harness, 200, 1, &first).expect("a start order");
     assert_eq!(second.task.job, JobId(2));
 }
--- a/crates/onyxshed-pool/tests/pool/parts.rs
+++ b/crates/onyxshed-pool/tests/pool/parts.rs
@@ -42,10 +42,10 @@
     for step in 0..10_u64 {
         slowdown.observe(Mono(step * 100_000), Micros(600_000), Micros(100_000));
     }
-    let learned = slowdown.factor(Mono(1_000_000));
-    let faded = slowdown.factor(Mono(13_000_000));
-    assert!((4.0..6.5).contains(&learned), "{learned}");
-    assert!((1.3..1.8).contains(&faded), "{faded}");
+    let risen = slowdown.factor(Mono(1_000_000));
+    let decayed = slowdown.factor(Mono(13_000_000));
+    assert!((4.0..6.5).contains(&risen), "{risen}");
+    assert!((1.3..1.8).contains(&decayed), "{decayed}");
 }
 
 fn pool(zone: &str) -> PoolId {
@@ -66,7 +66,7 @@
     }
 }
 
-fn order(home: &PoolLoad, away: &PoolLoad, tasks: u16) -> Vec<String> {
+fn rank(home: &PoolLoad, away: &PoolLoad, tasks: u16) -> Vec<String> {
     let mut selector = PoolSelector::default();
     selector.update_load(&pool("home"), home.clone());
     selector.update_load(&pool("away"), away.clone());
@@ -81,22 +81,22 @@
 
 #[test]
 fn job_stays_in_home_zone_with_free_capacity() {
-    assert_eq!(order(&load(300, 0), &load(1_000, 0), 8), ["home", "away"]);
+    assert_eq!(rank(&load(300, 0), &load(1_000, 0), 8), ["home", "away"]);
 }
 
 #[test]
 fn job_leaves_home_zone_with_backlog() {
     let waiting = load(0, 60_000);
-    assert_eq!(order(&waiting, &load(600, 0), 4), ["away", "home"]);
+    assert_eq!(rank(&waiting, &load(600, 0), 4), ["away", "home"]);
 }
 
 #[test]
 fn closed_pool_is_left_out() {
-    let closing = PoolLoad {
+    let closed = PoolLoad {
         is_closed: true,
         ..load(1_000, 0)
     };
-    assert_eq!(order(&closing, &load(0, 60_000), 4), ["away"]);
+    assert_eq!(rank(&closed, &load(0, 60_000), 4), ["away"]);
 }
 
 /// A new owner sends its load report a moment before it acquires its first executor. If the report made
@@ -108,7 +108,7 @@
         capacity_cpu_millis: 0,
         ..load(0, 0)
     };
-    assert_eq!(order(&taking_over, &load(0, 60_000), 4), ["away", "home"]);
+    assert_eq!(rank(&taking_over, &load(0, 60_000), 4), ["away", "home"]);
 }
 
 #[test]
--- a/crates/onyxshed-pool/tests/pool/search.rs
+++ b/crates/onyxshed-pool/tests/pool/search.rs
@@ -114,10 +114,10 @@
 
 /// Runs a simulation, with seeds of its own, in which handovers between running owners happen in addition to
 /// the other faults.
-fn run_with_handovers(seed: u64, patience: Timeouts) -> Simulation {
+fn run_with_handovers(seed: u64, timeouts: Timeouts) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x4a4d);
     let mut simulation = random_simulation(seed, &mut rng);
-    simulation.timeouts = patience;
+    simulation.timeouts = timeouts;
     for _ in 0..rng.random_range(1..8) {
         let at = Mono(rng.random_range(2_000_000..FAULTS_END.0));
         simulation.schedule_fault(at, Fault::HandOver);
@@ -165,7 +165,7 @@
         served += completed_jobs(&run_seed(seed));
     }
     // A quarter of the jobs must be served despite the faults, or the search would prove little.
-    let jobs = usize::try_from(JOBS * seeds).expect("a count");
+    let jobs = usize::try_from(JOBS * seeds).expect("a count that fits into usize");
     assert!(served * 4 > jobs, "{served} of {jobs} jobs");
 }
 
@@ -175,14 +175,14 @@
 #[rstest]
 fn no_task_runs_twice_during_handover(
     #[values(0, 1, 2, 3, 4)] block: u64,
-    #[values(Timeouts::LONG, Timeouts::HOST)] patience: Timeouts,
+    #[values(Timeouts::LONG, Timeouts::HOST)] timeouts: Timeouts,
 ) {
     let seeds = seeds_per_block();
     let mut served = 0;
     for seed in block * seeds..(block + 1) * seeds {
-        served += completed_jobs(&run_with_handovers(seed, patience));
+        served += completed_jobs(&run_with_handovers(seed, timeouts));
     }
-    let jobs = usize::try_from(JOBS * seeds).expect("a count");
+    let jobs = usize::try_from(JOBS * seeds).expect("a count that fits into usize");
     // The same simulations without handovers serve 0.48 to 0.51 of their jobs.
     assert!(served * 5 > jobs * 2, "{served} of {jobs} jobs");
 }
--- a/crates/onyxshed-pool/tests/pool/shard_layout.rs
+++ b/crates/onyxshed-pool/tests/pool/shard_layout.rs
@@ -42,7 +42,7 @@
         version: 1,
         pools: 1,
     };
-    let new = old.resharded(1_000).expect("a division");
+    let new = old.resharded(1_000).expect("a new layout");
     assert!(new.token(&pool(7), 1) > old.token(&pool(0), 4_000_000));
 }
 
@@ -89,7 +89,7 @@
 #[case("kigali-a/0")]
 #[case("z/with/slash/12")]
 fn pool_id_round_trips(#[case] text: &str) {
-    let id: PoolId = text.parse().expect("an id");
+    let id: PoolId = text.parse().expect("a pool id");
     assert_eq!(id.to_string(), text);
 }
 
--- a/crates/onyxshed-pool/tests/pool/simulation.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation.rs
@@ -46,7 +46,7 @@
         report: Millis(50),
     };
 
-    /// Longer time-outs, for which the seeds of the searches without handovers were chosen.
+    /// Longer time-outs, which the fixed seeds of the first searches require.
     pub const LONG: Timeouts = Timeouts {
         order: Millis(100),
         report: Millis(120),
@@ -54,7 +54,7 @@
 }
 
 const HEARTBEAT: Millis = Millis(150);
-const LINK_SILENCE: Millis = Millis(450);
+const LINK_TIMEOUT: Millis = Millis(450);
 const TICK: Millis = Millis(20);
 const HANDOVER_MAX: Millis = Millis(4_000);
 
@@ -212,18 +212,18 @@
         PeerIncarnation(self.last_incarnation)
     }
 
-    fn log(&mut self, task: TaskId, words: String) {
-        self.trace.push((self.now, task, words));
+    fn log(&mut self, task: TaskId, text: String) {
+        self.trace.push((self.now, task, text));
     }
 
     fn schedule_after(&mut self, span: Millis, event: Event) {
         self.schedule_at(self.now + span, event);
     }
 
-    fn schedule_at(&mut self, schedule_at: Mono, event: Event) {
+    fn schedule_at(&mut self, at: Mono, event: Event) {
         self.last_event += 1;
         self.events.insert(self.last_event, event);
-        self.queue.push(Reverse((schedule_at, self.last_event)));
+        self.queue.push(Reverse((at, self.last_event)));
     }
 
     fn transit_time(&mut self) -> Micros {
@@ -296,7 +296,9 @@
                 self.apply_answer(owner, id, number, answer)
             }
             Event::OrderTimedOut(owner, id, number) => self.time_out_order(owner, id, number),
-            Event::RunEnded(id, task, number, born) => self.end_run(&id, task, number, born),
+            Event::RunEnded(id, task, number, started_at) => {
+                self.end_run(&id, task, number, started_at)
+            }
             Event::LeaseExpired(id) => self.expire_leases(&id),
             Event::Heartbeat(entry) => self.heartbeat(entry),
             Event::Submitted(job) => self.submit_call(job),
@@ -322,11 +324,14 @@
                 assert!(!call.started, "{job} was answered \"not run\" and ran");
             }
         }
-        let at_work: BTreeSet<TaskId> = self
+        let still_running: BTreeSet<TaskId> = self
             .executors
             .values()
             .flat_map(|executor| executor.runs.keys().copied())
             .collect();
-        assert!(at_work.is_empty(), "still at work: {at_work:?}");
+        assert!(
+            still_running.is_empty(),
+            "tasks still running: {still_running:?}"
+        );
     }
 }
--- a/crates/onyxshed-pool/tests/pool/simulation/callers.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/callers.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 use super::{
-    Event, HEARTBEAT, LINK_SILENCE, OwnerIndex, RESUBMIT_AFTER, SUBMISSIONS_MAX, Simulation,
+    Event, HEARTBEAT, LINK_TIMEOUT, OwnerIndex, RESUBMIT_AFTER, SUBMISSIONS_MAX, Simulation,
 };
 
 impl Simulation {
@@ -26,12 +26,12 @@
     /// completes jobs while another takes over.
     pub(super) fn exchange_heartbeat(&mut self, index: usize, owner: OwnerIndex) {
         let is_current = owner == self.current_owner();
-        let held = &self.owners[owner];
-        if !is_current && !held.pool.is_releasing() {
+        let owner_state = &self.owners[owner];
+        if !is_current && !owner_state.pool.is_releasing() {
             return;
         }
         let incarnation = self.entries[index].incarnation;
-        let is_unreachable = held.is_stopped || self.now < held.paused_until;
+        let is_unreachable = owner_state.is_stopped || self.now < owner_state.paused_until;
         let last_contact = self.entries[index].last_contact.get(&owner);
         let last = last_contact.copied().unwrap_or(Mono(1_000_000));
         if !is_unreachable {
@@ -42,7 +42,7 @@
             if is_current {
                 self.entries[index].session = session;
             }
-        } else if self.now.since(last) > LINK_SILENCE.into() {
+        } else if self.now.since(last) > LINK_TIMEOUT.into() {
             self.drop_link(index, owner);
         }
     }
@@ -67,7 +67,7 @@
         self.last_submission += 1;
         let submission = SubmissionNumber(self.last_submission);
         let (incarnation, session) = (self.entries[entry].incarnation, self.entries[entry].session);
-        let call = self.calls.get_mut(&job).expect("a caller's job");
+        let call = self.calls.get_mut(&job).expect("a known job");
         if call.ended.is_some() {
             return;
         }
@@ -81,12 +81,12 @@
             submission,
             ..call.request.clone()
         };
-        let patience = request.time_left;
-        let owner_is_dead = self.owners[owner].is_stopped;
-        if self.now < self.entries[entry].paused_until || owner_is_dead {
+        let time_left = request.time_left;
+        let is_owner_stopped = self.owners[owner].is_stopped;
+        if self.now < self.entries[entry].paused_until || is_owner_stopped {
             let end = JobEnd::Unknown(UnknownReason::TimeOut);
             return self.schedule_at(
-                self.now + patience,
+                self.now + time_left,
                 Event::Ended(entry, submission, job, end),
             );
         }
@@ -96,7 +96,7 @@
             self.apply_actions(owner, actions);
         }
         let over = JobEnd::Unknown(UnknownReason::TimeOut);
-        let late = Millis(patience.0 + 20);
+        let late = Millis(time_left.0 + 20);
         self.schedule_after(late, Event::Ended(entry, submission, job, over));
     }
 
@@ -109,7 +109,7 @@
     ) {
         let now = self.now;
         let until = self.entries[entry].paused_until;
-        let call = self.calls.get_mut(&job).expect("a caller's job");
+        let call = self.calls.get_mut(&job).expect("a known job");
         if !call.is_open || call.submission != submission {
             return;
         }
@@ -121,11 +121,11 @@
         for index in 0..tasks {
             let task = TaskId { job, index };
             self.trace
-                .push((now, task, format!("its caller hears {end:?}")));
+                .push((now, task, format!("its caller gets {end:?}")));
         }
-        let call = self.calls.get_mut(&job).expect("a caller's job");
-        let is_handed_back = matches!(end, JobEnd::NotRun(NotRunReason::NotOwner, _));
-        if is_handed_back && call.owner + 1 < self.owners.len() {
+        let call = self.calls.get_mut(&job).expect("a known job");
+        let is_returned = matches!(end, JobEnd::NotRun(NotRunReason::NotOwner, _));
+        if is_returned && call.owner + 1 < self.owners.len() {
             // The entry host submits the job to the next owner.
             call.submissions -= 1;
             return self.schedule_after(Millis(1), Event::Submitted(job));
--- a/crates/onyxshed-pool/tests/pool/simulation/executors.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/executors.rs
@@ -31,7 +31,7 @@
             }
             Order::Stop(order) => {
                 self.record_wasted_run(&id, order.task);
-                let executor = self.executors.get_mut(&id).expect("an executor");
+                let executor = self.executors.get_mut(&id).expect("a known executor");
                 let answer = executor.stop(&order);
                 self.answer(owner, id.clone(), number, Answer::Stop(answer));
                 self.answer_pending_holds(&id);
@@ -42,16 +42,16 @@
 
     pub(super) fn start(&mut self, id: &ExecutorId, order: &StartOrder) -> StartAnswer {
         let now = self.now;
-        let call = self.calls.get_mut(&order.task.job).expect("a caller's job");
+        let call = self.calls.get_mut(&order.task.job).expect("a known job");
         let demand = call.request.demand;
         let true_ms = call.true_ms[usize::from(order.task.index)];
-        let executor = self.executors.get_mut(id).expect("an executor");
+        let executor = self.executors.get_mut(id).expect("a known executor");
         let work = Micros(true_ms * 1_000);
         let (answer, is_new) = executor.start(now, order, demand, work);
         if !is_new {
             return answer;
         }
-        let call = self.calls.get_mut(&order.task.job).expect("a caller's job");
+        let call = self.calls.get_mut(&order.task.job).expect("a known job");
         call.started = true;
         self.log(order.task, format!("run {} starts on {id}", order.run));
         self.check_runs_nowhere_else(id, order.task);
@@ -75,10 +75,10 @@
     pub(super) fn check_runs_nowhere_else(&self, executor_id: &ExecutorId, task: TaskId) {
         for (id, executor) in &self.executors {
             if id != executor_id && executor.is_up && executor.runs.contains_key(&task) {
-                let lapsed = executor.is_lapsed(self.now);
+                let is_expired = executor.is_lapsed(self.now);
                 let events: Vec<_> = self.trace.iter().filter(|row| row.1 == task).collect();
                 assert!(
-                    lapsed,
+                    is_expired,
                     "{task} starts on {executor_id} at {:?} while it runs on {id}: {events:#?}",
                     self.now
                 );
@@ -94,7 +94,7 @@
         number: u64,
     ) {
         let now = self.now;
-        let executor = self.executors.get_mut(&id).expect("an executor");
+        let executor = self.executors.get_mut(&id).expect("a known executor");
         if let Err(report) = executor.hold(now, order) {
             let answer = Answer::Hold(HoldAnswer::Report(report));
             return self.answer(owner, id, number, answer);
@@ -143,19 +143,25 @@
         answer: Answer,
     ) {
         if number != 0 && !self.is_unreachable(&id) {
-            let way = self.transit_time();
+            let transit = self.transit_time();
             self.schedule_at(
-                self.now + way,
+                self.now + transit,
                 Event::AnswerArrived(owner, id, number, answer),
             );
         }
     }
 
-    pub(super) fn end_run(&mut self, id: &ExecutorId, task: TaskId, number: RunNumber, born: u64) {
+    pub(super) fn end_run(
+        &mut self,
+        id: &ExecutorId,
+        task: TaskId,
+        number: RunNumber,
+        started_at: u64,
+    ) {
         self.expire_leases(id);
-        let executor = self.executors.get_mut(id).expect("an executor");
+        let executor = self.executors.get_mut(id).expect("a known executor");
         let run = executor.runs.get(&task);
-        if executor.born != born || run.is_none_or(|run| run.number != number) {
+        if executor.born != started_at || run.is_none_or(|run| run.number != number) {
             return;
         }
         // The executor has become slower since this event was scheduled.
@@ -180,7 +186,7 @@
         for task in tasks {
             self.record_wasted_run(id, task);
         }
-        let executor = self.executors.get_mut(id).expect("an executor");
+        let executor = self.executors.get_mut(id).expect("a known executor");
         executor.lapse();
         self.answer_pending_holds(id);
     }
--- a/crates/onyxshed-pool/tests/pool/simulation/faults.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/faults.rs
@@ -32,12 +32,12 @@
     Slow(ExecutorId, f64, Millis),
     /// The end of [`Fault::Slow`].
     RestoreSpeed(ExecutorId, f64),
-    /// The end of [`Fault::FailAll`] or [`Fault::Stick`].
+    /// The end of [`Fault::FailAll`] or [`Fault::Hang`].
     StopFault(ExecutorId),
 }
 
 impl Simulation {
-    pub(super) fn inject_fault(&mut self, inject_fault: Fault) {
+    pub(super) fn inject_fault(&mut self, fault: Fault) {
         let owner = self.current_owner();
         let open: Vec<TaskId> = self
             .calls
@@ -47,9 +47,9 @@
             .map(|(job, index)| TaskId { job, index })
             .collect();
         for task in open {
-            self.log(task, format!("{inject_fault:?}"));
+            self.log(task, format!("{fault:?}"));
         }
-        match inject_fault {
+        match fault {
             Fault::KillOwner => {
                 self.owners[owner].is_stopped = true;
                 // Connections break at once, so every entry host detects the loss.
@@ -64,8 +64,8 @@
             }
             Fault::ReplaceOwner => self.new_owner(),
             Fault::HandOver => {
-                let held = &self.owners[owner];
-                let answers = !held.is_stopped && self.now >= held.paused_until;
+                let owner_state = &self.owners[owner];
+                let answers = !owner_state.is_stopped && self.now >= owner_state.paused_until;
                 self.add_owner(answers.then_some(owner));
             }
             Fault::PauseEntry(entry, span) => {
@@ -84,15 +84,24 @@
                 self.unreachable_until.insert(id, self.now + span);
             }
             Fault::CrashExecutor(id) => {
-                self.executors.get_mut(&id).expect("an executor").restart();
+                self.executors
+                    .get_mut(&id)
+                    .expect("a known executor")
+                    .restart();
                 self.pending_holds.retain(|(at, _), _| *at != id);
             }
             Fault::FailAll(id, span) => {
-                self.executors.get_mut(&id).expect("an executor").fails_all = true;
+                self.executors
+                    .get_mut(&id)
+                    .expect("a known executor")
+                    .fails_all = true;
                 self.schedule_after(span, Event::Fault(Fault::StopFault(id)));
             }
             Fault::Hang(id, span) => {
-                self.executors.get_mut(&id).expect("an executor").is_stuck = true;
+                self.executors
+                    .get_mut(&id)
+                    .expect("a known executor")
+                    .is_stuck = true;
                 self.schedule_after(span, Event::Fault(Fault::StopFault(id)));
             }
             Fault::Slow(id, factor, span) => {
@@ -101,7 +110,7 @@
             }
             Fault::RestoreSpeed(id, factor) => self.change_speed(&id, factor),
             Fault::StopFault(id) => {
-                let executor = self.executors.get_mut(&id).expect("an executor");
+                let executor = self.executors.get_mut(&id).expect("a known executor");
                 executor.fails_all = false;
                 executor.is_stuck = false;
             }
@@ -111,7 +120,7 @@
     /// Multiplies an executor's speed and reschedules the ends of its runs.
     fn change_speed(&mut self, id: &ExecutorId, factor: f64) {
         let now = self.now;
-        let executor = self.executors.get_mut(id).expect("an executor");
+        let executor = self.executors.get_mut(id).expect("a known executor");
         executor.set_speed(now, executor.speed * factor);
         let runs: Vec<(TaskId, RunNumber)> = executor
             .runs
--- a/crates/onyxshed-pool/tests/pool/simulation/owners.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/owners.rs
@@ -11,7 +11,7 @@
 use rand::RngExt;
 
 use super::{
-    Answer, Event, HANDOVER_MAX, LINK_SILENCE, Order, Owner, OwnerIndex, Simulation, TICK,
+    Answer, Event, HANDOVER_MAX, LINK_TIMEOUT, Order, Owner, OwnerIndex, Simulation, TICK,
 };
 
 impl Simulation {
@@ -89,8 +89,11 @@
                     task,
                     run,
                     executor,
-                    reason: why,
-                }) => self.log(task, format!("{owner} has run {run} on {executor}: {why}")),
+                    reason,
+                }) => self.log(
+                    task,
+                    format!("{owner} has run {run} on {executor}: {reason}"),
+                ),
                 Action::Log(_) => {}
             }
         }
@@ -126,14 +129,14 @@
             .insert(number, (id.clone(), order.clone(), sent_at));
         self.schedule_after(timeout, Event::OrderTimedOut(owner, id.clone(), number));
         let transit = self.transit_time();
-        let is_troubled = self.now < self.message_faults.until;
-        if is_troubled && self.rng.random_bool(self.message_faults.late_share) {
+        let has_message_faults = self.now < self.message_faults.until;
+        if has_message_faults && self.rng.random_bool(self.message_faults.late_share) {
             let late = Millis(self.rng.random_range(2_000..12_000));
             self.schedule_at(self.now + late, Event::OrderArrived(owner, id, order, 0));
             return;
         }
         let answered =
-            !(is_troubled && self.rng.random_bool(self.message_faults.lost_answer_share));
+            !(has_message_faults && self.rng.random_bool(self.message_faults.lost_answer_share));
         let number = if answered { number } else { 0 };
         self.schedule_at(
             sent_at + transit,
@@ -150,7 +153,7 @@
         }
         if self.now < self.owners[last].paused_until {
             let gone = Event::HeldExecutors(last, next, over_at, BTreeSet::new());
-            return self.schedule_after(LINK_SILENCE, gone);
+            return self.schedule_after(LINK_TIMEOUT, gone);
         }
         let token = self.owners[next].pool.token();
         let (actions, held) = self.owners[last].pool.release(self.now, token);
@@ -262,7 +265,7 @@
             (Order::Hold(_), Answer::Hold(answer)) => {
                 pool.apply_hold_answer(now, id, sent_at, answer)
             }
-            (order, answer) => panic!("{answer:?} answers {order:?}"),
+            (order, answer) => panic!("unexpected answer {answer:?} to {order:?}"),
         };
         self.apply_actions(owner, actions);
     }
@@ -270,7 +273,7 @@
 
 fn facts_of(executor: &RunBook) -> ExecutorFacts {
     ExecutorFacts {
-        address: "10.0.0.1:80".parse().expect("an address"),
+        address: "10.0.0.1:80".parse().expect("a socket address"),
         upstream: "desk".into(),
         capacity: executor.capacity,
         labels: Vec::new(),
--- a/crates/onyxshed-pool/tests/pool/slow.rs
+++ b/crates/onyxshed-pool/tests/pool/slow.rs
@@ -22,13 +22,13 @@
 /// Results of one class's jobs that arrived while executors were slow.
 #[derive(Debug, Clone, Copy, Default)]
 struct Served {
-    asked: u32,
+    total: u32,
     in_time: u32,
 }
 
 impl Served {
     fn share(self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked.max(1))
+        f64::from(self.in_time) / f64::from(self.total.max(1))
     }
 }
 
@@ -44,7 +44,7 @@
             let longest_ms = call.true_ms.iter().max().copied().unwrap_or_default();
             let objective = Millis(longest_ms * 16 / 10 + 60);
             let served = &mut classes[call.class];
-            served.asked += 1;
+            served.total += 1;
             if let Some((at, JobEnd::Completed)) = call.ended
                 && at.since(call.first_sent_at) <= objective.into()
             {
@@ -108,12 +108,12 @@
     harness.report(203, "x1", &[], &[]);
     assert!(harness.take_starts().is_empty(), "x1 is slow, x2 is full");
     harness.report(210, "x2", &[], &[(1, long.task, 1, RunEnd::Done)]);
-    let places: Vec<String> = harness
+    let started_on: Vec<String> = harness
         .take_starts()
         .into_iter()
         .map(|start| start.0)
         .collect();
-    assert_eq!(places, ["x2"]);
+    assert_eq!(started_on, ["x2"]);
 }
 
 /// A long task must not stay on an executor that has become too slow for it.
@@ -124,13 +124,13 @@
     assert_eq!(stops.len(), 1, "the run on x1 is stopped");
     assert!(
         harness.take_starts().is_empty(),
-        "it may still be at work on x1"
+        "the run may still execute on x1"
     );
     harness.report(210, "x1", &[], &[(1, task, 1, RunEnd::Stopped)]);
-    let places: Vec<String> = harness
+    let started_on: Vec<String> = harness
         .take_starts()
         .into_iter()
         .map(|start| start.0)
         .collect();
-    assert_eq!(places, ["x2"]);
+    assert_eq!(started_on, ["x2"]);
 }
--- a/crates/onyxshed-pool/tests/pool/successor.rs
+++ b/crates/onyxshed-pool/tests/pool/successor.rs
@@ -60,7 +60,7 @@
     let mut harness = stopping_owner();
     assert_eq!(heartbeat(&mut harness, 10, PEER, Some(offer(2, 90))), None);
     let transfer = heartbeat(&mut harness, 20, OTHER, Some(offer(3, 500)));
-    let transfer = transfer.expect("a transfer");
+    let transfer = transfer.expect("an ownership transfer");
     let expected = ExecutorFacts {
         started_at: Some(UnixMs(1)),
         ..facts(64)
@@ -90,8 +90,8 @@
 
 /// If the best host is unresponsive or has withdrawn its offer, the next best is selected.
 #[rstest]
-#[case::silent(700, false)]
-#[case::not_offered(30, true)]
+#[case::unresponsive(700, false)]
+#[case::withdrawn(30, true)]
 fn unavailable_host_is_not_selected(#[case] ms: u64, #[case] withdraws: bool) {
     let mut harness = stopping_owner();
     if withdraws {
@@ -116,7 +116,7 @@
 fn successor_address_is_reported_once_it_takes_over() {
     let mut harness = stopping_owner();
     let transfer = heartbeat(&mut harness, 20, OTHER, Some(offer(3, 500)));
-    let token = transfer.expect("a transfer").token;
+    let token = transfer.expect("an ownership transfer").token;
     assert_eq!(harness.pool.load(at_ms(30)).successor, None);
     harness.pool.release(at_ms(40), token);
     assert_eq!(harness.pool.load(at_ms(50)).successor, Some(address(3)));
--- a/crates/onyxshed-pool/tests/pool/taking.rs
+++ b/crates/onyxshed-pool/tests/pool/taking.rs
@@ -62,13 +62,13 @@
     let first = harness
         .take_holds()
         .pop()
-        .expect("a first report is asked for")
+        .expect("a hold order for the first report")
         .1;
     harness.report(10, "x1", &[], &[]);
     let next = harness
         .take_holds()
         .pop()
-        .expect("the next report is asked for")
+        .expect("a hold order for the next report")
         .1;
     assert!(first.answer_within >= Millis(4 * next.answer_within.0));
 }
@@ -98,6 +98,6 @@
         harness.submit(100, job(number, 2, 200));
     }
     harness.advance(100, 200);
-    let refused = harness.take_ends().into_iter().map(|(job, _)| job.0);
-    assert_eq!(refused.collect::<Vec<_>>(), [0, 1, 2, 3]);
+    let shed = harness.take_ends().into_iter().map(|(job, _)| job.0);
+    assert_eq!(shed.collect::<Vec<_>>(), [0, 1, 2, 3]);
 }
