--- a/crates/onyxshed-pool/tests/pool/simulation/faults.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/faults.rs
@@ -33,7 +33,7 @@
     /// The end of [`Fault::Slow`].
     RestoreSpeed(ExecutorId, f64),
     /// The end of [`Fault::FailAll`] or [`Fault::Hang`].
-    StopFault(ExecutorId),
+    Clear(ExecutorId),
 }
 
 impl Simulation {
@@ -95,21 +95,21 @@
                     .get_mut(&id)
                     .expect("a known executor")
                     .fails_all = true;
-                self.schedule_after(span, Event::Fault(Fault::StopFault(id)));
+                self.schedule_after(span, Event::Fault(Fault::Clear(id)));
             }
             Fault::Hang(id, span) => {
                 self.executors
                     .get_mut(&id)
                     .expect("a known executor")
                     .is_stuck = true;
-                self.schedule_after(span, Event::Fault(Fault::StopFault(id)));
+                self.schedule_after(span, Event::Fault(Fault::Clear(id)));
             }
             Fault::Slow(id, factor, span) => {
                 self.change_speed(&id, 1.0 / factor);
                 self.schedule_after(span, Event::Fault(Fault::RestoreSpeed(id, factor)));
             }
             Fault::RestoreSpeed(id, factor) => self.change_speed(&id, factor),
-            Fault::StopFault(id) => {
+            Fault::Clear(id) => {
                 let executor = self.executors.get_mut(&id).expect("a known executor");
                 executor.fails_all = false;
                 executor.is_stuck = false;
