--- a/crates/onyxshed-pool/tests/pool/taking.rs
+++ b/crates/onyxshed-pool/tests/pool/taking.rs
@@ -7,7 +7,7 @@
 
 const EXECUTORS: [&str; 8] = ["x0", "x1", "x2", "x3", "x4", "x5", "x6", "x7"];
 
-/// Creates an owner that has acquired the first `taken` of its executors at 0 ms; the first hold orders to
+/// Creates an owner that has acquired the first `acquired` of its executors at 0 ms; the first hold orders to
 /// the others got no answer.
 fn harness_with_acquired(acquired: usize) -> Harness {
     let mut harness = Harness::with_executors(&[]);
