--- a/crates/onyxshed-control/src/knowledge.rs
+++ b/crates/onyxshed-control/src/knowledge.rs
@@ -177,8 +177,8 @@
             executors: facts.executors.clone(),
             members: facts.members.clone(),
             gone: facts.gone.clone(),
-            sharers: facts.sharers.max(1),
-            live: facts.live.max(1),
+            zone_hosts: facts.sharers.max(1),
+            live_hosts: facts.live.max(1),
             hlc: self.kernel.clock().stamp(),
         }
     }
--- a/crates/onyxshed-dispatch/src/dispatch/query.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/query.rs
@@ -7,7 +7,7 @@
 //! executor has not seen is fenced and may start again; a task that has ended returns its result.
 
 use onyxshed_core::{ClassName, Micros, Now};
-use onyxshed_wire::upstream::TaskSighting;
+use onyxshed_wire::upstream::TaskStatus;
 
 use super::Dispatch;
 use crate::input::AttemptReport;
@@ -68,12 +68,12 @@
         &mut self,
         _now: Now,
         id: AttemptId,
-        status: Option<TaskSighting>,
+        status: Option<TaskStatus>,
     ) {
         match status {
-            None | Some(TaskSighting::Running) => {}
-            Some(TaskSighting::Unseen) => self.abandon_connection(id, "the start never arrived"),
-            Some(TaskSighting::Ended(_)) => self.abandon_connection(id, "the answer never came"),
+            None | Some(TaskStatus::Running) => {}
+            Some(TaskStatus::NotSeen) => self.abandon_connection(id, "the start never arrived"),
+            Some(TaskStatus::Ended(_)) => self.abandon_connection(id, "the answer never came"),
         }
     }
 
--- a/crates/onyxshed-dispatch/src/input.rs
+++ b/crates/onyxshed-dispatch/src/input.rs
@@ -7,7 +7,7 @@
 use onyxshed_state::{Config, Member};
 use onyxshed_wire::caller::{Answer, Submission};
 use onyxshed_wire::platform::Record;
-use onyxshed_wire::upstream::{LoadReport, TaskSighting, TaskState};
+use onyxshed_wire::upstream::{LoadReport, TaskState, TaskStatus};
 use smol_str::SmolStr;
 
 use crate::output::{AttemptId, RequestId};
@@ -140,7 +140,7 @@
         /// Attempt whose task was queried.
         attempt: AttemptId,
         /// Status of the task; `None` if the executor did not answer.
-        status: Option<TaskSighting>,
+        status: Option<TaskStatus>,
     },
     /// The process started to drain: new submissions are refused.
     Drain,
--- a/crates/onyxshed-dispatch/tests/search/executors.rs
+++ b/crates/onyxshed-dispatch/tests/search/executors.rs
@@ -4,7 +4,7 @@
 
 use onyxshed_core::{Incarnation, TaskId};
 use onyxshed_dispatch::{AttemptId, StopReport};
-use onyxshed_wire::upstream::{TaskSighting, TaskState};
+use onyxshed_wire::upstream::{TaskState, TaskStatus};
 
 /// State of a task on an executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -64,13 +64,13 @@
     }
 
     /// Returns the status of a task.
-    pub fn status(&self, executor: u8, task: TaskId) -> TaskSighting {
+    pub fn status(&self, executor: u8, task: TaskId) -> TaskStatus {
         match self.tasks.get(&(executor, task)) {
-            None => TaskSighting::Unseen,
-            Some(ExecutorTaskState::Running) => TaskSighting::Running,
-            Some(ExecutorTaskState::Finished) => TaskSighting::Ended(TaskState::Finished),
-            Some(ExecutorTaskState::Stopped) => TaskSighting::Ended(TaskState::Stopped),
-            Some(ExecutorTaskState::Fenced) => TaskSighting::Ended(TaskState::Refused),
+            None => TaskStatus::NotSeen,
+            Some(ExecutorTaskState::Running) => TaskStatus::Running,
+            Some(ExecutorTaskState::Finished) => TaskStatus::Ended(TaskState::Finished),
+            Some(ExecutorTaskState::Stopped) => TaskStatus::Ended(TaskState::Stopped),
+            Some(ExecutorTaskState::Fenced) => TaskStatus::Ended(TaskState::Refused),
         }
     }
 
--- a/crates/onyxshed-entry/src/control_port.rs
+++ b/crates/onyxshed-entry/src/control_port.rs
@@ -72,15 +72,15 @@
                 .members
                 .iter()
                 .filter(|member| member.state == MemberState::Live);
-            if self.has_met_peers(live_members.count(), snapshot.live) {
+            if self.has_met_peers(live_members.count(), snapshot.live_hosts) {
                 self.kernel.readiness().allow(WITHOUT_PEERS);
             }
         }
         engine.feed(Input::Members {
             members: snapshot.members,
             gone: snapshot.gone,
-            zone_hosts: snapshot.sharers,
-            live_hosts: snapshot.live,
+            zone_hosts: snapshot.zone_hosts,
+            live_hosts: snapshot.live_hosts,
         });
         if let Some(config) = snapshot.config {
             engine.feed(Input::Configured(config));
--- a/crates/onyxshed-entry/src/upstreams/call.rs
+++ b/crates/onyxshed-entry/src/upstreams/call.rs
@@ -10,8 +10,8 @@
 use onyxshed_policy::AttemptOutcome;
 use onyxshed_wire::upstream::{
     ATTEMPT_HEADER, CLASS_HEADER, DRAINING_HEADER, LEASE_HEADER, LoadReport, QUEUED_HEADER,
-    RUNNING_HEADER, SERVICE_HEADER, STARTER_HEADER, STATE_HEADER, TASK_HEADER, TaskSighting,
-    TaskState, task_path,
+    RUNNING_HEADER, SERVICE_HEADER, STARTER_HEADER, STATE_HEADER, TASK_HEADER, TaskState,
+    TaskStatus, task_path,
 };
 use smol_str::SmolStr;
 
@@ -122,7 +122,7 @@
     }
 
     /// Asks what has become of a task; none if the executor did not answer.
-    pub(super) async fn ask(&self, executor: &ExecutorName, task: TaskId) -> Option<TaskSighting> {
+    pub(super) async fn ask(&self, executor: &ExecutorName, task: TaskId) -> Option<TaskStatus> {
         let reply = self.call_anew(executor, Method::Get, &[], task).await?;
         is_about(task, &reply)
             .then(|| reply.get(STATE_HEADER)?.parse().ok())
--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -184,7 +184,7 @@
             );
         }
         let request_id = SmolStr::new(call.header(REQUEST_HEADER).unwrap_or_default());
-        let job = match job::job_id(call.path(), &route.path_prefix) {
+        let job = match job::parse_job_id(call.path(), &route.path_prefix) {
             Ok(job) => job,
             Err(error) => return self.reject_request(call, 400, &format_smolstr!("{error}"), None),
         };
--- a/crates/onyxshed-host/src/directory.rs
+++ b/crates/onyxshed-host/src/directory.rs
@@ -10,7 +10,7 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
-use onyxshed_adapter::store::PartOwner;
+use onyxshed_adapter::store::PartitionOwner;
 use onyxshed_adapter::{Error, Store};
 use onyxshed_core::{Millis, Mono};
 use onyxshed_kernel::Change;
@@ -88,10 +88,10 @@
 }
 
 /// Returns the member that holds the partition of the pool, or `None` if no member does.
-fn partition_holder(owners: Vec<PartOwner>) -> Option<SmolStr> {
+fn partition_holder(owners: Vec<PartitionOwner>) -> Option<SmolStr> {
     let mut owners = owners.into_iter();
     owners
-        .find(|owner| owner.part == POOL_PARTITION)
+        .find(|owner| owner.partition == POOL_PARTITION)
         .map(|owner| owner.member)
 }
 
@@ -101,7 +101,10 @@
     store: &mut Store,
     pool: &PoolId,
 ) -> onyxshed_adapter::Result<Option<SmolStr>> {
-    match store.owners(&group_of(pool), ANSWER_TIMEOUT).await {
+    match store
+        .partition_owners(&group_of(pool), ANSWER_TIMEOUT)
+        .await
+    {
         Ok(owners) => Ok(partition_holder(owners)),
         // The group does not exist before its first member has joined.
         Err(Error::Status { status: 404 }) => Ok(None),
--- a/crates/onyxshed-host/src/engine/calls.rs
+++ b/crates/onyxshed-host/src/engine/calls.rs
@@ -140,7 +140,10 @@
             .await
             .ok()?;
         let answer = call(&mut connection).await;
-        let is_reusable = answer.as_ref().err().is_none_or(Error::keeps_connection);
+        let is_reusable = answer
+            .as_ref()
+            .err()
+            .is_none_or(Error::can_reuse_connection);
         match is_reusable {
             true => pool.put(connection),
             false => pool.clear(),
--- a/crates/onyxshed-host/src/executors.rs
+++ b/crates/onyxshed-host/src/executors.rs
@@ -44,7 +44,7 @@
 /// Reads the list of all executors from the store.
 pub async fn read_all(address: SocketAddr) -> onyxshed_adapter::Result<Records> {
     Store::new(address)
-        .newest(EXECUTORS_TOPIC, ANSWER_TIMEOUT)
+        .read_newest(EXECUTORS_TOPIC, ANSWER_TIMEOUT)
         .await
 }
 
@@ -118,7 +118,7 @@
     ) -> onyxshed_adapter::Result<()> {
         let newest = match list {
             Some(list) => list.await?,
-            None => store.newest(EXECUTORS_TOPIC, ANSWER_TIMEOUT).await?,
+            None => store.read_newest(EXECUTORS_TOPIC, ANSWER_TIMEOUT).await?,
         };
         self.apply_snapshot(&newest.records);
         let mut next = newest.next;
@@ -234,6 +234,6 @@
         capacity: entry.capacity,
         labels: entry.labels,
         is_draining: entry.is_draining,
-        started_at: entry.born,
+        started_at: entry.started_at,
     }
 }
--- a/crates/onyxshed-host/src/last_owner.rs
+++ b/crates/onyxshed-host/src/last_owner.rs
@@ -37,7 +37,7 @@
 
 /// Reads the member name of a pool's last owner. Returns `None` if the pool has no owner record.
 pub async fn read(store: &mut Store, pool: &PoolId) -> onyxshed_adapter::Result<Option<SmolStr>> {
-    let Some(newest) = store.newest_if_any(TOPIC, ANSWER_TIMEOUT).await? else {
+    let Some(newest) = store.read_newest_if_exists(TOPIC, ANSWER_TIMEOUT).await? else {
         return Ok(None);
     };
     let key = format_smolstr!("{pool}");
--- a/crates/onyxshed-host/src/links/port.rs
+++ b/crates/onyxshed-host/src/links/port.rs
@@ -43,7 +43,7 @@
         pool::PeerState {
             manifest: self.manifest.text(),
             owners: self.links.owners(),
-            divisions: self.shard_layouts.known(),
+            shard_layouts: self.shard_layouts.known(),
             evacuations: self.evacuations.records(),
         }
     }
@@ -173,7 +173,7 @@
         };
         let mut results = results.get();
         results.set_is_owner(true);
-        pool::write_executors(&executors, results)
+        pool::write_held_executors(&executors, results)
     }
 
     async fn peer_state(
--- a/crates/onyxshed-host/src/links/remote.rs
+++ b/crates/onyxshed-host/src/links/remote.rs
@@ -278,7 +278,7 @@
         let reply = within(ANSWER_TIMEOUT, request.send().promise).await?;
         let reply = reply.ok()?;
         let reply = reply.get().ok()?;
-        let executors = pool::read_executors(reply).ok()?;
+        let executors = pool::read_held_executors(reply).ok()?;
         reply.get_is_owner().then_some(executors)
     }
 
--- a/crates/onyxshed-host/src/manifest.rs
+++ b/crates/onyxshed-host/src/manifest.rs
@@ -169,7 +169,7 @@
 
     fn apply_record(&self, record: KeyedRecord) {
         self.manifest.apply_record(&record);
-        let evacuation = evacuation::read(&record);
+        let evacuation = evacuation::parse(&record);
         self.evacuations.apply(evacuation, "the store");
     }
 }
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -268,7 +268,7 @@
             Ok(membership) => {
                 self.watch.record_answer();
                 self.generation = membership.generation;
-                Some(membership.parts.contains(&POOL_PARTITION))
+                Some(membership.partitions.contains(&POOL_PARTITION))
             }
             Err(error) => {
                 self.watch.record_failure(&error);
--- a/crates/onyxshed-host/src/peer_state.rs
+++ b/crates/onyxshed-host/src/peer_state.rs
@@ -131,7 +131,7 @@
             state.owners.len()
         );
         self.kernel.emit(event.detail(detail));
-        for (zone, layout) in &state.divisions {
+        for (zone, layout) in &state.shard_layouts {
             self.shard_layouts.apply(zone, *layout);
         }
         for (pool, owner) in &state.owners {
--- a/crates/onyxshed-host/src/shard_layouts.rs
+++ b/crates/onyxshed-host/src/shard_layouts.rs
@@ -105,7 +105,7 @@
     /// Reads and applies the published layouts once. Returns the offset at which the topic ends.
     pub async fn refresh(&self, store: &mut Store) -> onyxshed_adapter::Result<u64> {
         // No layout has been published yet.
-        let Some(newest) = store.newest_if_any(TOPIC, ANSWER_TIMEOUT).await? else {
+        let Some(newest) = store.read_newest_if_exists(TOPIC, ANSWER_TIMEOUT).await? else {
             return Ok(0);
         };
         let next = newest.next;
--- a/crates/onyxshed-host/src/topic.rs
+++ b/crates/onyxshed-host/src/topic.rs
@@ -59,7 +59,10 @@
     watch: &StoreWatch,
     reader: &dyn TopicReader,
 ) -> onyxshed_adapter::Result<()> {
-    let Some(newest) = store.newest_if_any(topic.name, ANSWER_TIMEOUT).await? else {
+    let Some(newest) = store
+        .read_newest_if_exists(topic.name, ANSWER_TIMEOUT)
+        .await?
+    else {
         let status = NO_SUCH_TOPIC;
         let pause = topic.absent_period.ok_or(Error::Status { status })?;
         watch.record_answer();
--- a/crates/onyxshed-platform/src/client.rs
+++ b/crates/onyxshed-platform/src/client.rs
@@ -6,7 +6,7 @@
 use http_types::Method;
 use onyxshed_core::{Millis, Offset};
 use onyxshed_http::{ClientOptions, Connection, Reply};
-use onyxshed_wire::platform::{Appended, HOSTS_PATH, HostList, Page, records_path};
+use onyxshed_wire::platform::{AppendReply, HOSTS_PATH, HostList, Page, records_path};
 
 use crate::error::{Error, Result};
 
@@ -59,7 +59,7 @@
         let reply = self
             .call(Method::Post, &records_path(stream), data, timeout)
             .await?;
-        Ok(Appended::decode(&reply.body).map_err(unreadable)?.offset)
+        Ok(AppendReply::decode(&reply.body).map_err(unreadable)?.offset)
     }
 
     /// Tries to read a stream's records from an offset on, waiting up to `wait` for the first.
--- a/crates/onyxshed-process/src/listen.rs
+++ b/crates/onyxshed-process/src/listen.rs
@@ -37,7 +37,7 @@
     connections_max: usize,
 ) {
     let teller = kernel.clone();
-    let dropped: rpc::Dropped = Rc::new(move |reason: SmolStr| {
+    let dropped: rpc::DropReporter = Rc::new(move |reason: SmolStr| {
         teller.emit(Event::new(EventKind::RequestRejected).detail(reason));
     });
     let serving = rpc::serve(
--- a/crates/onyxshed-proto/src/pool.rs
+++ b/crates/onyxshed-proto/src/pool.rs
@@ -56,7 +56,7 @@
 }
 
 /// Writes which executors an owner still uses.
-pub fn write_executors(
+pub fn write_held_executors(
     executors: &[ExecutorId],
     to: pool_port::release_results::Builder<'_>,
 ) -> capnp::Result<()> {
@@ -69,7 +69,7 @@
 }
 
 /// Tries to read which executors an owner still uses.
-pub fn read_executors(
+pub fn read_held_executors(
     from: pool_port::release_results::Reader<'_>,
 ) -> capnp::Result<BTreeSet<ExecutorId>> {
     let held = from.get_held()?;
--- a/crates/onyxshed-proto/src/pool/peer_state.rs
+++ b/crates/onyxshed-proto/src/pool/peer_state.rs
@@ -16,7 +16,7 @@
     /// Pools, and where their owners are asked.
     pub owners: Vec<(PoolId, SocketAddr)>,
     /// How zones are divided.
-    pub divisions: Vec<(SmolStr, ShardLayout)>,
+    pub shard_layouts: Vec<(SmolStr, ShardLayout)>,
     /// Evacuations of zones.
     pub evacuations: Vec<EvacuationRecord>,
 }
@@ -30,8 +30,8 @@
         owner.set_pool(format_smolstr!("{pool}").as_str());
         owner.set_address(format_smolstr!("{address}").as_str());
     }
-    let mut divisions = to.reborrow().init_divisions(length(&known.divisions)?);
-    for (index, (zone, division)) in (0..).zip(&known.divisions) {
+    let mut divisions = to.reborrow().init_divisions(length(&known.shard_layouts)?);
+    for (index, (zone, division)) in (0..).zip(&known.shard_layouts) {
         let mut entry = divisions.reborrow().get(index);
         entry.set_zone(zone.as_str());
         entry.set_division(division.to_text().as_str());
@@ -56,7 +56,7 @@
                 Ok((pool, address(&text(owner.get_address()?)?)?))
             })
             .collect::<capnp::Result<_>>()?,
-        divisions: divisions
+        shard_layouts: divisions
             .iter()
             .map(|entry| {
                 let division = ShardLayout::from_text(&text(entry.get_division()?)?);
--- a/crates/onyxshed-proto/src/rpc.rs
+++ b/crates/onyxshed-proto/src/rpc.rs
@@ -46,7 +46,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Told, in words, why a connection was dropped.
-pub type Dropped = Rc<dyn Fn(SmolStr)>;
+pub type DropReporter = Rc<dyn Fn(SmolStr)>;
 
 /// Serves `bootstrap` to every connection, `connections_max` at a time, until dropped.
 ///
@@ -58,7 +58,7 @@
     bootstrap: Client,
     executor: Rc<LocalExecutor<'static>>,
     connections_max: usize,
-    dropped: Dropped,
+    dropped: DropReporter,
 ) {
     let mut open: VecDeque<Task<()>> = VecDeque::new();
     loop {
@@ -80,7 +80,7 @@
 }
 
 /// Serves one connection to its end.
-async fn converse(system: RpcSystem<Side>, dropped: Dropped) {
+async fn converse(system: RpcSystem<Side>, dropped: DropReporter) {
     if let Err(error) = system.await
         && error.kind != ErrorKind::Disconnected
     {
--- a/crates/onyxshed-proto/src/snapshot.rs
+++ b/crates/onyxshed-proto/src/snapshot.rs
@@ -32,9 +32,9 @@
     /// Incarnations that are held to be gone for good.
     pub gone: Vec<Incarnation>,
     /// Live entry hosts of this zone, the receiver included.
-    pub sharers: u32,
+    pub zone_hosts: u32,
     /// Live entry hosts of all zones, the receiver included.
-    pub live: u32,
+    pub live_hosts: u32,
     /// The sender's clock stamp.
     pub hlc: Hlc,
 }
@@ -62,8 +62,8 @@
     for (index, gone) in (0..count).zip(&from.gone) {
         list.set(index, gone.0);
     }
-    builder.set_sharers(from.sharers);
-    builder.set_live(from.live);
+    builder.set_sharers(from.zone_hosts);
+    builder.set_live(from.live_hosts);
     builder.set_hlc(from.hlc.to_string().as_str());
 }
 
@@ -88,8 +88,8 @@
         gone,
         executors,
         members,
-        sharers: reader.get_sharers(),
-        live: reader.get_live(),
+        zone_hosts: reader.get_sharers(),
+        live_hosts: reader.get_live(),
         hlc: parse("hlc", reader.get_hlc())?,
     })
 }
--- a/crates/onyxshed-proto/tests/decoders.rs
+++ b/crates/onyxshed-proto/tests/decoders.rs
@@ -119,8 +119,8 @@
             executors,
             members,
             gone: gone.into_iter().map(Incarnation).collect(),
-            sharers,
-            live,
+            zone_hosts: sharers,
+            live_hosts: live,
             hlc,
         }
     })
--- a/crates/onyxshed-standins/src/platform/service.rs
+++ b/crates/onyxshed-standins/src/platform/service.rs
@@ -10,7 +10,7 @@
 use onyxshed_core::{Millis, Offset, UnixMs};
 use onyxshed_http::{Call, Reply};
 use onyxshed_kernel::Change;
-use onyxshed_wire::platform::{Appended, HOSTS_PATH, HostList, Page, RECORD_MAX_BYTES};
+use onyxshed_wire::platform::{AppendReply, HOSTS_PATH, HostList, Page, RECORD_MAX_BYTES};
 use smol_str::SmolStr;
 
 use crate::serve::{Act, Handler, no_such_path, read_json};
@@ -127,7 +127,7 @@
             Some(Outage::Hang) => future::pending().await,
             Some(Outage::Refuse) => Act::Close,
             None if is_lost => Act::Close,
-            None => Act::Reply(Reply::json(OK, &Appended { offset })),
+            None => Act::Reply(Reply::json(OK, &AppendReply { offset })),
         }
     }
 
--- a/crates/onyxshed-standins/src/upstream/service.rs
+++ b/crates/onyxshed-standins/src/upstream/service.rs
@@ -11,7 +11,7 @@
 use onyxshed_http::{Call, Reply};
 use onyxshed_wire::upstream::{
     ATTEMPT_HEADER, CLASS_HEADER, DRAINING_HEADER, LEASE_HEADER, QUEUED_HEADER, RUNNING_HEADER,
-    SERVICE_HEADER, STARTER_HEADER, STATE_HEADER, Start, TASK_HEADER, TASKS_PATH, TaskState,
+    SERVICE_HEADER, STARTER_HEADER, STATE_HEADER, StartRequest, TASK_HEADER, TASKS_PATH, TaskState,
     USAGE_PATH, Usage,
 };
 use smol_str::format_smolstr;
@@ -197,7 +197,7 @@
         }
     }
 
-    async fn run(&self, start: &Start, payload: Vec<u8>) -> End {
+    async fn run(&self, start: &StartRequest, payload: Vec<u8>) -> End {
         let lapses_at = Instant::now() + start.lease_ms.into();
         if self.inner.faults.borrow().refuse_all {
             return End::unstarted("refuses everything");
@@ -231,7 +231,7 @@
     }
 
     /// Runs a task that has a slot.
-    async fn work(&self, start: &Start, payload: Vec<u8>, lapses_at: Instant) -> End {
+    async fn work(&self, start: &StartRequest, payload: Vec<u8>, lapses_at: Instant) -> End {
         let text = String::from_utf8_lossy(&payload);
         let record = StartRecord {
             task: start.task,
@@ -323,9 +323,9 @@
     })
 }
 
-fn read_start(task: TaskId, call: &Call) -> Option<Start> {
+fn read_start(task: TaskId, call: &Call) -> Option<StartRequest> {
     let by = read_attempt(call)?;
-    Some(Start {
+    Some(StartRequest {
         task,
         lease_ms: Millis(call.header(LEASE_HEADER)?.parse().ok()?),
         class: call.header(CLASS_HEADER)?.into(),
--- a/crates/onyxshed-standins/src/upstream/tasks.rs
+++ b/crates/onyxshed-standins/src/upstream/tasks.rs
@@ -4,7 +4,7 @@
 
 use async_channel::{Receiver, Sender};
 use onyxshed_core::{Incarnation, TaskId, UnixMs};
-use onyxshed_wire::upstream::{LoadReport, TaskSighting, TaskState};
+use onyxshed_wire::upstream::{LoadReport, TaskState, TaskStatus};
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
@@ -156,11 +156,11 @@
     }
 
     /// Tells what has become of a task.
-    pub fn sight(&self, task: TaskId) -> TaskSighting {
+    pub fn sight(&self, task: TaskId) -> TaskStatus {
         match self.fates.get(&task) {
-            None => TaskSighting::Unseen,
-            Some(Fate::Queued(_) | Fate::Running(_)) => TaskSighting::Running,
-            Some(Fate::Ended(state, _)) => TaskSighting::Ended(*state),
+            None => TaskStatus::NotSeen,
+            Some(Fate::Queued(_) | Fate::Running(_)) => TaskStatus::Running,
+            Some(Fate::Ended(state, _)) => TaskStatus::Ended(*state),
         }
     }
 
--- a/crates/onyxshed-state/src/claim/batch.rs
+++ b/crates/onyxshed-state/src/claim/batch.rs
@@ -5,7 +5,9 @@
 
 use onyxshed_core::{Incarnation, Mono, SubmissionId};
 use onyxshed_wire::platform::RECORD_MAX_BYTES;
-use onyxshed_wire::record::{CLAIM_MAX_BYTES, CLAIM_RECORD_BYTES, ClaimBatch, RELEASE_BYTES};
+use onyxshed_wire::record::{
+    CLAIM_MAX_BYTES, CLAIM_RECORD_OVERHEAD_BYTES, ClaimBatch, RELEASE_BYTES,
+};
 
 use super::queue::ClaimQueue;
 use super::table::{ClaimState, ClaimTable};
@@ -70,7 +72,7 @@
         table: &mut ClaimTable,
         batch_max: usize,
     ) -> ClaimBatch {
-        let mut free_bytes = RECORD_MAX_BYTES - CLAIM_RECORD_BYTES;
+        let mut free_bytes = RECORD_MAX_BYTES - CLAIM_RECORD_OVERHEAD_BYTES;
         let mut claims = Vec::new();
         while claims.len() < batch_max && free_bytes >= CLAIM_MAX_BYTES {
             let Some(claim) = queue.pop_unsent() else {
--- a/crates/onyxshed-state/tests/claim_pace.rs
+++ b/crates/onyxshed-state/tests/claim_pace.rs
@@ -9,7 +9,7 @@
 use onyxshed_state::{BatchStep, ClaimBook, ClaimOptions};
 use onyxshed_wire::platform::RECORD_MAX_BYTES;
 use onyxshed_wire::record::{
-    CLAIM_MAX_BYTES, CLAIM_RECORD_BYTES, Claim, ClaimBatch, ClaimRecord, RELEASE_BYTES,
+    CLAIM_MAX_BYTES, CLAIM_RECORD_OVERHEAD_BYTES, Claim, ClaimBatch, ClaimRecord, RELEASE_BYTES,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -145,7 +145,7 @@
             claims: claims.iter().map(to_claim).collect(),
             releases,
         });
-        let bound = CLAIM_RECORD_BYTES + claims.len() * (CLAIM_MAX_BYTES + RELEASE_BYTES);
+        let bound = CLAIM_RECORD_OVERHEAD_BYTES + claims.len() * (CLAIM_MAX_BYTES + RELEASE_BYTES);
         prop_assert!(record.encode().len() <= bound);
         prop_assert_eq!(ClaimRecord::decode(&record.encode()).expect("it decodes"), record);
     }
--- a/crates/onyxshed-wire/src/platform.rs
+++ b/crates/onyxshed-wire/src/platform.rs
@@ -31,7 +31,7 @@
 
 /// Answer to an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Appended {
+pub struct AppendReply {
     /// Where the record stands.
     pub offset: Offset,
 }
@@ -113,7 +113,7 @@
     pub entries: Vec<EntryHost>,
 }
 
-impl Appended {
+impl AppendReply {
     /// Reads the answer to an append.
     pub fn decode(body: &[u8]) -> Result<Self> {
         serde_json::from_slice(body).map_err(Error::body)
--- a/crates/onyxshed-wire/src/record.rs
+++ b/crates/onyxshed-wire/src/record.rs
@@ -40,7 +40,7 @@
 pub const RELEASE_BYTES: usize = 29;
 
 /// Most bytes that a record of claims takes beside its claims and releases.
-pub const CLAIM_RECORD_BYTES: usize = 128;
+pub const CLAIM_RECORD_OVERHEAD_BYTES: usize = 128;
 
 /// The whole configuration, published again before the changes that made it expire.
 ///
--- a/crates/onyxshed-wire/src/upstream.rs
+++ b/crates/onyxshed-wire/src/upstream.rs
@@ -98,34 +98,34 @@
 
 /// What an executor answers to `GET` on a task, which changes nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum TaskSighting {
+pub enum TaskStatus {
     /// It has not heard of the task.
-    Unseen,
+    NotSeen,
     /// The task waits or runs.
     Running,
     /// The task has ended.
     Ended(TaskState),
 }
 
-impl TaskSighting {
+impl TaskStatus {
     /// Gets the sighting as the header writes it.
     pub fn as_str(self) -> &'static str {
         match self {
-            TaskSighting::Unseen => "unseen",
-            TaskSighting::Running => "running",
-            TaskSighting::Ended(state) => state.as_str(),
+            TaskStatus::NotSeen => "unseen",
+            TaskStatus::Running => "running",
+            TaskStatus::Ended(state) => state.as_str(),
         }
     }
 }
 
-impl FromStr for TaskSighting {
+impl FromStr for TaskStatus {
     type Err = Error;
 
     fn from_str(text: &str) -> Result<Self> {
         match text {
-            "unseen" => Ok(TaskSighting::Unseen),
-            "running" => Ok(TaskSighting::Running),
-            text => text.parse().map(TaskSighting::Ended),
+            "unseen" => Ok(TaskStatus::NotSeen),
+            "running" => Ok(TaskStatus::Running),
+            text => text.parse().map(TaskStatus::Ended),
         }
     }
 }
@@ -156,7 +156,7 @@
 
 /// A start as the executor reads it from path and headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Start {
+pub struct StartRequest {
     /// The task.
     pub task: TaskId,
     /// How long it may work on it, in milliseconds.
--- a/crates/onyxshed-wire/tests/decoders.rs
+++ b/crates/onyxshed-wire/tests/decoders.rs
@@ -7,11 +7,11 @@
 use onyxshed_wire::ContentHash;
 use onyxshed_wire::admin::{Status, TimelinePage};
 use onyxshed_wire::caller::{Answer, CopyMark, Submission, TASKS_MAX};
-use onyxshed_wire::platform::{Appended, HostList, Page};
+use onyxshed_wire::platform::{AppendReply, HostList, Page};
 use onyxshed_wire::record::{
     ChangeBody, Claim, ClaimBatch, ClaimRecord, ConfigChange, ConfigRecord, ConfigSnapshot,
 };
-use onyxshed_wire::upstream::{TaskSighting, TaskState};
+use onyxshed_wire::upstream::{TaskState, TaskStatus};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use ulid::Ulid;
@@ -130,14 +130,14 @@
 fn read_all(bytes: &[u8]) {
     let _ = (Submission::decode(bytes), Answer::decode(bytes));
     let _ = (
-        Appended::decode(bytes),
+        AppendReply::decode(bytes),
         Page::decode(bytes),
         HostList::decode(bytes),
     );
     let _ = (Status::decode(bytes), TimelinePage::decode(bytes));
     let text = String::from_utf8_lossy(bytes);
     let _ = (ConfigRecord::decode(&text), ClaimRecord::decode(&text));
-    let _ = (text.parse::<TaskState>(), text.parse::<TaskSighting>());
+    let _ = (text.parse::<TaskState>(), text.parse::<TaskStatus>());
     let _ = (text.parse::<SubmissionId>(), text.parse::<TaskId>());
     let _ = (text.parse::<ClassName>(), text.parse::<ContentHash>());
 }
