--- a/crates/onyxshed-cli/src/drain.rs
+++ b/crates/onyxshed-cli/src/drain.rs
@@ -5,7 +5,7 @@
 use async_io::Timer;
 use http_types::Method;
 use onyxshed_core::Millis;
-use onyxshed_http::Sent;
+use onyxshed_http::SendState;
 use onyxshed_http::client::call_once;
 use onyxshed_settings::ProcessAddress;
 use onyxshed_wire::admin::{DRAIN_PATH, STATUS_PATH, Status};
@@ -96,7 +96,7 @@
     );
     match call.await {
         Ok(reply) => Status::decode(&reply.body).is_ok_and(|status| status.boot != first.boot),
-        Err(error) => error.sent == Sent::Nothing && !error.is_timeout,
+        Err(error) => error.sent == SendState::NotSent && !error.is_timeout,
     }
 }
 
--- a/crates/onyxshed-cli/tests/processes.rs
+++ b/crates/onyxshed-cli/tests/processes.rs
@@ -21,7 +21,7 @@
         ServiceName::new("announcer")
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[AdminService::NAME]
     }
 
@@ -46,7 +46,7 @@
         timeline_events_max: 100,
     };
     let telemetry = Telemetry::open(&kernel, options).expect("log and metrics open");
-    telemetry.set_status(Box::new(|| StatusParts {
+    telemetry.set_status_source(Box::new(|| StatusParts {
         config_revision: Some(Revision(3)),
         details: serde_json::json!({ "jobs": 2 }),
     }));
--- a/crates/onyxshed-control/src/config_follower.rs
+++ b/crates/onyxshed-control/src/config_follower.rs
@@ -40,7 +40,7 @@
         CONFIG_FOLLOWER
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[KNOWLEDGE]
     }
 
--- a/crates/onyxshed-control/src/entry_link.rs
+++ b/crates/onyxshed-control/src/entry_link.rs
@@ -53,7 +53,7 @@
         ENTRY_LINK
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[KNOWLEDGE]
     }
 
--- a/crates/onyxshed-control/src/host_follower.rs
+++ b/crates/onyxshed-control/src/host_follower.rs
@@ -46,7 +46,7 @@
         HOST_FOLLOWER
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[KNOWLEDGE, PEERS]
     }
 
--- a/crates/onyxshed-control/src/peers.rs
+++ b/crates/onyxshed-control/src/peers.rs
@@ -255,7 +255,7 @@
         PEERS
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[KNOWLEDGE, ENTRY_LINK]
     }
 
--- a/crates/onyxshed-control/src/peers/calls.rs
+++ b/crates/onyxshed-control/src/peers/calls.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use onyxshed_core::Revision;
-use onyxshed_http::client::within;
+use onyxshed_http::client::with_timeout;
 use onyxshed_proto::onyxshed_capnp::peer_port;
 use onyxshed_proto::{gossip, handover, rpc};
 use onyxshed_state::Handover;
@@ -20,7 +20,7 @@
 impl Peers {
     /// Tells one peer, takes in its answer, and fetches its configuration if that is newer.
     pub(super) async fn send(self: Rc<Self>, outgoing: OutgoingGossip) {
-        let answer = within(CALL_TIMEOUT, self.exchange(&outgoing))
+        let answer = with_timeout(CALL_TIMEOUT, self.exchange(&outgoing))
             .await
             .flatten();
         let Some(answer) = answer else {
@@ -50,7 +50,7 @@
     }
 
     async fn fetch_config(&self, from: SocketAddr) {
-        if let Some(Some(told)) = within(CALL_TIMEOUT, self.handover(from)).await {
+        if let Some(Some(told)) = with_timeout(CALL_TIMEOUT, self.handover(from)).await {
             self.knowledge.adopt(told);
         }
     }
--- a/crates/onyxshed-control/src/process.rs
+++ b/crates/onyxshed-control/src/process.rs
@@ -4,7 +4,7 @@
 
 use onyxshed_kernel::{Kernel, Service};
 use onyxshed_platform::PlatformOptions;
-use onyxshed_process::{Common, Parts, Process};
+use onyxshed_process::{CommonSettings, Process, ServiceContext};
 use onyxshed_settings::ControlSettings;
 use onyxshed_state::{ConfigOptions, MemberOptions};
 use onyxshed_telemetry::telemetry::StatusParts;
@@ -32,8 +32,8 @@
     const SIGNALS: &'static str = "It may die, hang or restart without one request noticing: the entry process goes on with the last \
                            state it was handed.\nSignals: SIGTERM or SIGINT stop it in order; SIGQUIT ends it at once.";
 
-    fn common(settings: &ControlSettings) -> Common {
-        Common {
+    fn common_settings(settings: &ControlSettings) -> CommonSettings {
+        CommonSettings {
             host: settings.host.clone(),
             log: settings.log,
             timeline_events_max: settings.timeline_events_max,
@@ -41,13 +41,13 @@
         }
     }
 
-    fn services(settings: &ControlSettings, parts: Parts) -> Vec<Box<dyn Service>> {
+    fn services(settings: &ControlSettings, parts: ServiceContext) -> Vec<Box<dyn Service>> {
         services(&parts, settings)
     }
 }
 
 /// Makes every service of the process.
-fn services(parts: &Parts, settings: &ControlSettings) -> Vec<Box<dyn Service>> {
+fn services(parts: &ServiceContext, settings: &ControlSettings) -> Vec<Box<dyn Service>> {
     let kernel = &parts.kernel;
     let telemetry = parts.telemetry.clone();
     let options = ConfigOptions {
@@ -87,7 +87,7 @@
 /// Tells operators what the process knows.
 fn set_status(kernel: &Kernel, telemetry: &Telemetry, knowledge: &Rc<Knowledge>) {
     let (kernel, knowledge) = (kernel.clone(), knowledge.clone());
-    telemetry.set_status(Box::new(move || {
+    telemetry.set_status_source(Box::new(move || {
         let entry = kernel
             .find::<EntryLink>(ENTRY_LINK)
             .ok()
--- a/crates/onyxshed-control/src/republisher.rs
+++ b/crates/onyxshed-control/src/republisher.rs
@@ -39,7 +39,7 @@
         REPUBLISHER
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[KNOWLEDGE]
     }
 
--- a/crates/onyxshed-entry/src/callers.rs
+++ b/crates/onyxshed-entry/src/callers.rs
@@ -89,7 +89,7 @@
         CALLERS
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[ENGINE, UPSTREAMS, CLAIM_LOG, PEERS, CONTROL_PORT]
     }
 
@@ -118,7 +118,7 @@
             let Ok(callers) = kernel.find::<Callers>(CALLERS) else {
                 return;
             };
-            while callers.caller.busy.get() + callers.peer.busy.get() > 0 {
+            while callers.caller.in_flight.get() + callers.peer.in_flight.get() > 0 {
                 Timer::after(DRAIN_POLL).await;
             }
         })
--- a/crates/onyxshed-entry/src/claim_log.rs
+++ b/crates/onyxshed-entry/src/claim_log.rs
@@ -129,7 +129,7 @@
         CLAIM_LOG
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[ENGINE]
     }
 
--- a/crates/onyxshed-entry/src/control_port.rs
+++ b/crates/onyxshed-entry/src/control_port.rs
@@ -67,13 +67,13 @@
                 .set_executors(&executors);
             let infos = executors.into_iter().map(|entry| entry.info).collect();
             engine.feed(Input::Executors(infos));
-            self.kernel.readiness().allow(WITHOUT_EXECUTORS);
+            self.kernel.readiness().clear_not_ready(WITHOUT_EXECUTORS);
             let live_members = snapshot
                 .members
                 .iter()
                 .filter(|member| member.state == MemberState::Live);
             if self.has_met_peers(live_members.count(), snapshot.live_hosts) {
-                self.kernel.readiness().allow(WITHOUT_PEERS);
+                self.kernel.readiness().clear_not_ready(WITHOUT_PEERS);
             }
         }
         engine.feed(Input::Members {
@@ -84,7 +84,7 @@
         });
         if let Some(config) = snapshot.config {
             engine.feed(Input::Configured(config));
-            self.kernel.readiness().allow(WITHOUT_CONFIG);
+            self.kernel.readiness().clear_not_ready(WITHOUT_CONFIG);
         }
         Ok(self.status(&engine))
     }
@@ -194,15 +194,15 @@
         CONTROL_PORT
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[ENGINE, UPSTREAMS]
     }
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
         Box::pin(async move {
-            kernel.readiness().withhold(WITHOUT_CONFIG);
-            kernel.readiness().withhold(WITHOUT_EXECUTORS);
-            kernel.readiness().withhold(WITHOUT_PEERS);
+            kernel.readiness().set_not_ready(WITHOUT_CONFIG);
+            kernel.readiness().set_not_ready(WITHOUT_EXECUTORS);
+            kernel.readiness().set_not_ready(WITHOUT_PEERS);
             let port = Rc::new(ControlPort {
                 kernel: kernel.clone(),
                 options: self.options.clone(),
--- a/crates/onyxshed-entry/src/peers.rs
+++ b/crates/onyxshed-entry/src/peers.rs
@@ -17,7 +17,7 @@
 
 use crate::engine::Engine;
 use crate::names::{ENGINE, PEERS};
-use onyxshed_http::connections::{ConnectionPool, Health};
+use onyxshed_http::connections::{ConnectionPool, ReusePolicy};
 
 /// How long a peer may take to answer before the caller is told that it can't be reached.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
@@ -74,7 +74,10 @@
     /// Asks a peer; none if it can't be reached or its answer can't be read.
     async fn ask(&self, address: SocketAddr, call: ForwardedCall) -> Option<Answer> {
         let pool = self.pool(address);
-        let mut connection = pool.get(Health::Proven(PROVEN_WITHIN)).await.ok()?;
+        let mut connection = pool
+            .get(ReusePolicy::AnsweredWithin(PROVEN_WITHIN))
+            .await
+            .ok()?;
         let (method, path, body) = request_of(call);
         let headers = [(FORWARDED_HEADER, SmolStr::new_static("1"))];
         let reply = connection
@@ -134,7 +137,7 @@
         PEERS
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[ENGINE]
     }
 
--- a/crates/onyxshed-entry/src/process.rs
+++ b/crates/onyxshed-entry/src/process.rs
@@ -8,7 +8,7 @@
 use onyxshed_platform::PlatformOptions;
 use onyxshed_policy::PolicyOptions;
 use onyxshed_policy::placement::PlacementKind;
-use onyxshed_process::{Common, Parts, Process};
+use onyxshed_process::{CommonSettings, Process, ServiceContext};
 use onyxshed_settings::{EntrySettings, Placement};
 use onyxshed_state::ClaimOptions;
 use onyxshed_telemetry::telemetry::StatusParts;
@@ -36,8 +36,8 @@
     const SIGNALS: &'static str = "Signals: SIGTERM or SIGINT drain it (readiness goes false, work in flight finishes, new jobs are \
                            answered \"not run\"); SIGQUIT ends it at once.";
 
-    fn common(settings: &EntrySettings) -> Common {
-        Common {
+    fn common_settings(settings: &EntrySettings) -> CommonSettings {
+        CommonSettings {
             host: settings.host.clone(),
             log: settings.log,
             timeline_events_max: settings.timeline_events_max,
@@ -45,13 +45,13 @@
         }
     }
 
-    fn services(settings: &EntrySettings, parts: Parts) -> Vec<Box<dyn Service>> {
+    fn services(settings: &EntrySettings, parts: ServiceContext) -> Vec<Box<dyn Service>> {
         services(&parts, settings)
     }
 }
 
 /// Makes every service of the process.
-fn services(parts: &Parts, settings: &EntrySettings) -> Vec<Box<dyn Service>> {
+fn services(parts: &ServiceContext, settings: &EntrySettings) -> Vec<Box<dyn Service>> {
     let kernel = &parts.kernel;
     let telemetry = parts.telemetry.clone();
     // The entry host's incarnation is this run of its entry process.
@@ -82,7 +82,7 @@
 /// Tells operators the state of the machine and how old what it rests on is.
 fn set_status(kernel: &Kernel, telemetry: &Telemetry, engine: &Rc<Engine>) {
     let (kernel, engine) = (kernel.clone(), engine.clone());
-    telemetry.set_status(Box::new(move || {
+    telemetry.set_status_source(Box::new(move || {
         let age_ms = kernel
             .find::<ControlPort>(CONTROL_PORT)
             .ok()
--- a/crates/onyxshed-entry/src/upstreams.rs
+++ b/crates/onyxshed-entry/src/upstreams.rs
@@ -182,7 +182,7 @@
         UPSTREAMS
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[ENGINE]
     }
 
--- a/crates/onyxshed-entry/src/upstreams/call.rs
+++ b/crates/onyxshed-entry/src/upstreams/call.rs
@@ -6,7 +6,7 @@
 use http_types::Method;
 use onyxshed_core::{ClassName, ExecutorName, Micros, Millis, TaskId};
 use onyxshed_dispatch::{AttemptId, AttemptReport, StopReport};
-use onyxshed_http::{CallError, Connection, Reply, Sent};
+use onyxshed_http::{CallError, Connection, Reply, SendState};
 use onyxshed_policy::AttemptOutcome;
 use onyxshed_wire::upstream::{
     ATTEMPT_HEADER, CLASS_HEADER, DRAINING_HEADER, LEASE_HEADER, LoadReport, QUEUED_HEADER,
@@ -16,7 +16,7 @@
 use smol_str::SmolStr;
 
 use super::Upstreams;
-use onyxshed_http::connections::{ConnectionPool, Health};
+use onyxshed_http::connections::{ConnectionPool, ReusePolicy};
 
 /// A start to carry out.
 #[derive(Debug, Clone)]
@@ -51,8 +51,8 @@
             return ended(AttemptOutcome::Unsent, "the executor is no longer known");
         };
         let health = match call.needs_proven_connection {
-            true => Health::Proven(self.options.proven_within),
-            false => Health::Open,
+            true => ReusePolicy::AnsweredWithin(self.options.proven_within),
+            false => ReusePolicy::AnyOpen,
         };
         let mut connection = match pool.get(health).await {
             Ok(connection) => connection,
@@ -125,7 +125,7 @@
     pub(super) async fn ask(&self, executor: &ExecutorName, task: TaskId) -> Option<TaskStatus> {
         let reply = self.call_anew(executor, Method::Get, &[], task).await?;
         is_about(task, &reply)
-            .then(|| reply.get(STATE_HEADER)?.parse().ok())
+            .then(|| reply.header_value(STATE_HEADER)?.parse().ok())
             .flatten()
     }
 
@@ -169,20 +169,20 @@
         pool.clear();
     }
     match error.sent {
-        Sent::Nothing => ended(AttemptOutcome::Unsent, error.reason.clone()),
-        Sent::Maybe => ended(AttemptOutcome::Lost, error.reason.clone()),
+        SendState::NotSent => ended(AttemptOutcome::Unsent, error.reason.clone()),
+        SendState::MaybeSent => ended(AttemptOutcome::Lost, error.reason.clone()),
     }
 }
 
 /// Gets the task's state, none if the reply is another task's or tells no state.
 fn state_of(task: TaskId, reply: &Reply) -> Option<TaskState> {
-    let state = reply.get(STATE_HEADER)?.parse().ok()?;
+    let state = reply.header_value(STATE_HEADER)?.parse().ok()?;
     is_about(task, reply).then_some(state)
 }
 
 fn is_about(task: TaskId, reply: &Reply) -> bool {
     reply
-        .get(TASK_HEADER)
+        .header_value(TASK_HEADER)
         .is_some_and(|found| found.parse() == Ok(task))
 }
 
@@ -200,7 +200,11 @@
         TaskState::Stopped => AttemptOutcome::Stopped,
         TaskState::Lapsed => AttemptOutcome::Lapsed,
     };
-    let number = |name| reply.get(name).and_then(|found| found.parse::<u64>().ok());
+    let number = |name| {
+        reply
+            .header_value(name)
+            .and_then(|found| found.parse::<u64>().ok())
+    };
     let load = LoadReport {
         running: number(RUNNING_HEADER)
             .and_then(|n| u32::try_from(n).ok())
@@ -208,7 +212,7 @@
         queued: number(QUEUED_HEADER)
             .and_then(|n| u32::try_from(n).ok())
             .unwrap_or_default(),
-        is_draining: reply.get(DRAINING_HEADER) == Some("1"),
+        is_draining: reply.header_value(DRAINING_HEADER) == Some("1"),
     };
     let detail = match verdict {
         AttemptOutcome::Finished => SmolStr::default(),
--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -15,7 +15,7 @@
 use onyxshed_adapter::job::{self, DEADLINE_HEADER, REQUEST_HEADER, SimpleJob, Submission};
 use onyxshed_adapter::{Manifest, Route};
 use onyxshed_core::{Event, EventKind, Millis, Mono, ResultCode};
-use onyxshed_http::client::within;
+use onyxshed_http::client::with_timeout;
 use onyxshed_http::{Call, Reply, ServerOptions, ServerStats};
 use onyxshed_kernel::{Descriptor, Kernel, LocalFuture, Result, Service, ServiceName};
 use onyxshed_pool::{JobEnd, JobId, JobRequest, JobSummary, SubmissionNumber, UnknownReason};
@@ -206,7 +206,7 @@
         let disconnect_guard = DisconnectGuard::arm(&self.kernel, &context);
         let elapsed = boot_clock::now().since(arrived);
         let timeout = Duration::from(job.time_left).saturating_sub(elapsed.into());
-        let outcome = within(timeout, self.dispatch(&job, arrived));
+        let outcome = with_timeout(timeout, self.dispatch(&job, arrived));
         let (end, pool) = match outcome.or(self.wait_for_drain_expiry()).await {
             Some(outcome) => outcome,
             None => (
@@ -224,7 +224,7 @@
     fn reply(&self, end: &JobEnd) -> Reply {
         let reply = job_reply(end);
         match end {
-            JobEnd::NotRun(..) if self.links.should_send_callers_away() => reply.last(),
+            JobEnd::NotRun(..) if self.links.should_send_callers_away() => reply.connection_close(),
             _ => reply,
         }
     }
@@ -340,7 +340,7 @@
     /// Returns whether a request is in progress.
     fn is_busy(&self) -> bool {
         let stats = self.stats.get();
-        stats.is_some_and(|stats| stats.busy.get() > 0)
+        stats.is_some_and(|stats| stats.in_flight.get() > 0)
     }
 
     fn record_end(
@@ -435,7 +435,7 @@
         CALLERS
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[MANIFEST, LINKS]
     }
 
--- a/crates/onyxshed-host/src/directory.rs
+++ b/crates/onyxshed-host/src/directory.rs
@@ -13,7 +13,7 @@
 use onyxshed_adapter::store::PartitionOwner;
 use onyxshed_adapter::{Error, Store};
 use onyxshed_core::{Millis, Mono};
-use onyxshed_kernel::Change;
+use onyxshed_kernel::Notifier;
 use onyxshed_pool::{PeerIncarnation, PoolId};
 use smol_str::{SmolStr, format_smolstr};
 
@@ -125,7 +125,7 @@
     orphaned: RefCell<BTreeMap<PoolId, SmolStr>>,
     watch: StoreWatch,
     /// Notified when a pool is found that this host may acquire.
-    pool_available: Change,
+    pool_available: Notifier,
 }
 
 impl Directory {
@@ -148,7 +148,7 @@
             vacant: RefCell::default(),
             orphaned: RefCell::default(),
             watch,
-            pool_available: Change::default(),
+            pool_available: Notifier::default(),
         })
     }
 
@@ -175,7 +175,7 @@
     pub async fn follow(self: Rc<Self>, address: SocketAddr) {
         let mut store = Store::new(address);
         loop {
-            let owner_changed = self.links.owner_changed().waiting();
+            let owner_changed = self.links.owner_changed().subscribe();
             let pools = self.shard_layouts.pools();
             self.links.retain_pools(&pools);
             for pool in &pools {
@@ -247,7 +247,7 @@
     }
 
     /// Returns the notifier for pools that this host may acquire.
-    pub fn pool_available(&self) -> &Change {
+    pub fn pool_available(&self) -> &Notifier {
         &self.pool_available
     }
 
--- a/crates/onyxshed-host/src/engine/calls.rs
+++ b/crates/onyxshed-host/src/engine/calls.rs
@@ -7,8 +7,8 @@
 use async_io::Timer;
 use onyxshed_adapter::{Error, orders};
 use onyxshed_core::Millis;
-use onyxshed_http::connections::Health;
-use onyxshed_http::{Connection, Sent};
+use onyxshed_http::connections::ReusePolicy;
+use onyxshed_http::{Connection, SendState};
 use onyxshed_pool::{
     ExecutorId, FencingToken, HoldAnswer, HoldOrder, StartAnswer, StartOrder, StopAnswer, StopOrder,
 };
@@ -57,7 +57,7 @@
         match self.call_executor(id, call).await {
             None => StartAnswer::NotSent,
             Some(Ok(answer)) => answer,
-            Some(Err(Error::NoReply { source })) if source.sent == Sent::Nothing => {
+            Some(Err(Error::NoReply { source })) if source.sent == SendState::NotSent => {
                 StartAnswer::NotSent
             }
             Some(Err(_)) => StartAnswer::Unknown,
@@ -136,7 +136,7 @@
     ) -> Option<Result<T, Error>> {
         let pool = self.connections.borrow().get(id).cloned()?;
         let mut connection = pool
-            .get(Health::Proven(CONNECTION_PROVEN_WITHIN))
+            .get(ReusePolicy::AnsweredWithin(CONNECTION_PROVEN_WITHIN))
             .await
             .ok()?;
         let answer = call(&mut connection).await;
--- a/crates/onyxshed-host/src/links.rs
+++ b/crates/onyxshed-host/src/links.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 
 use onyxshed_core::{Event, EventKind, Millis, Mono};
-use onyxshed_http::client::within;
-use onyxshed_kernel::{Change, Descriptor, Kernel, LocalFuture, Result, Service, ServiceName};
+use onyxshed_http::client::with_timeout;
+use onyxshed_kernel::{Descriptor, Kernel, LocalFuture, Notifier, Result, Service, ServiceName};
 use onyxshed_pool::{
     JobEnd, JobRequest, NotRunReason, OwnershipTransfer, PeerIncarnation, PoolId, PoolLoad,
     PoolSelector, SubmissionNumber, UnknownReason,
@@ -78,8 +78,8 @@
     /// The pool of which this host was made the successor and the time of that message, until the
     /// transfer is taken.
     pending_transfer: RefCell<Option<(Mono, PoolId, OwnershipTransfer)>>,
-    transfer_received: Change,
-    owner_changed: Change,
+    transfer_received: Notifier,
+    owner_changed: Notifier,
 }
 
 impl Links {
@@ -103,8 +103,8 @@
             known_pools: RefCell::default(),
             superseded: RefCell::default(),
             pending_transfer: RefCell::default(),
-            transfer_received: Change::default(),
-            owner_changed: Change::default(),
+            transfer_received: Notifier::default(),
+            owner_changed: Notifier::default(),
         })
     }
 
@@ -253,7 +253,7 @@
         let Some(link) = self.remote.borrow().get(pool).cloned() else {
             return false;
         };
-        within(timeout, link.wait_for_first_attempt()).await;
+        with_timeout(timeout, link.wait_for_first_attempt()).await;
         link.is_up()
     }
 
@@ -290,7 +290,7 @@
     }
 
     /// Returns the notifier for owners that are lost or want to be replaced.
-    pub fn owner_changed(&self) -> &Change {
+    pub fn owner_changed(&self) -> &Notifier {
         &self.owner_changed
     }
 
@@ -373,7 +373,7 @@
         LINKS
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[ENGINE, MANIFEST]
     }
 
--- a/crates/onyxshed-host/src/links/remote.rs
+++ b/crates/onyxshed-host/src/links/remote.rs
@@ -10,8 +10,8 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use onyxshed_core::{Event, EventKind, Millis, Mono};
-use onyxshed_http::client::within;
-use onyxshed_kernel::Change;
+use onyxshed_http::client::with_timeout;
+use onyxshed_kernel::Notifier;
 use onyxshed_pool::{
     ExecutorId, FencingToken, JobEnd, JobId, JobRequest, NotRunReason, PoolId, Session,
     SubmissionNumber, UnknownReason,
@@ -73,7 +73,7 @@
     last_answer_at: Cell<Mono>,
     /// Whether the first connection has succeeded or failed.
     is_first_attempt_done: Cell<bool>,
-    first_attempt_done: Change,
+    first_attempt_done: Notifier,
 }
 
 impl RemoteLink {
@@ -89,7 +89,7 @@
             last_used_at: Cell::new(Mono(0)),
             last_answer_at: Cell::new(Mono(0)),
             is_first_attempt_done: Cell::new(false),
-            first_attempt_done: Change::default(),
+            first_attempt_done: Notifier::default(),
         });
         link.links.kernel.spawn(link.clone().maintain()).detach();
         link
@@ -128,12 +128,12 @@
     async fn run_connection(self: &Rc<Self>) -> Option<&'static str> {
         let executor = self.links.kernel.executor();
         let connect = rpc::connect::<pool_port::Client>(self.address, &executor);
-        let client = within(CONNECT_TIMEOUT, connect).await?.ok()?;
+        let client = with_timeout(CONNECT_TIMEOUT, connect).await?.ok()?;
         // Held while the connection is open; dropping the sender ends the jobs that wait.
         let (_lost_sender, lost): (Sender<()>, _) = async_channel::bounded(1);
         let start_deadline = Instant::now() + OWNER_START_TIMEOUT;
         loop {
-            let answer = within(ANSWER_TIMEOUT, self.heartbeat(&client)).await;
+            let answer = with_timeout(ANSWER_TIMEOUT, self.heartbeat(&client)).await;
             self.mark_first_attempt_done();
             match answer {
                 None => return Some("no answer in time"),
@@ -160,7 +160,7 @@
 
     /// Waits until the first connection has succeeded or failed.
     pub async fn wait_for_first_attempt(&self) {
-        let attempted = self.first_attempt_done.waiting();
+        let attempted = self.first_attempt_done.subscribe();
         if !self.is_first_attempt_done.get() {
             attempted.wait().await;
         }
@@ -183,7 +183,7 @@
         if elapsed < SESSION_FRESH_MAX.into() {
             return true;
         }
-        match within(ANSWER_TIMEOUT, self.heartbeat(&connection.client)).await {
+        match with_timeout(ANSWER_TIMEOUT, self.heartbeat(&connection.client)).await {
             Some(Ok(Some(session))) => {
                 self.apply_session(&connection.client, session, &connection.lost);
                 true
@@ -275,7 +275,7 @@
         let mut params = request.get();
         params.set_pool(format_smolstr!("{}", self.pool).as_str());
         params.set_token(next.0);
-        let reply = within(ANSWER_TIMEOUT, request.send().promise).await?;
+        let reply = with_timeout(ANSWER_TIMEOUT, request.send().promise).await?;
         let reply = reply.ok()?;
         let reply = reply.get().ok()?;
         let executors = pool::read_held_executors(reply).ok()?;
@@ -414,7 +414,7 @@
         let client = current.unwrap_or_else(|| self.client.clone());
         let cancel = async move {
             // If this fails, the owner cancels the job when it considers this host unresponsive.
-            let _ = within(ANSWER_TIMEOUT, link.cancel(&client, submission, job)).await;
+            let _ = with_timeout(ANSWER_TIMEOUT, link.cancel(&client, submission, job)).await;
         };
         self.link.links.kernel.spawn(cancel).detach();
     }
--- a/crates/onyxshed-host/src/links/successors.rs
+++ b/crates/onyxshed-host/src/links/successors.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use onyxshed_core::Millis;
-use onyxshed_kernel::Change;
+use onyxshed_kernel::Notifier;
 use onyxshed_pool::{OwnershipTransfer, PoolId, SuccessorOffer};
 
 use super::Links;
@@ -35,7 +35,7 @@
     }
 
     /// Returns the notifier for transfers that make this host a successor.
-    pub fn transfer_received(&self) -> &Change {
+    pub fn transfer_received(&self) -> &Notifier {
         &self.transfer_received
     }
 
--- a/crates/onyxshed-host/src/ownership.rs
+++ b/crates/onyxshed-host/src/ownership.rs
@@ -78,7 +78,7 @@
         OWNERSHIP
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[ENGINE, LINKS, SHARD_LAYOUTS]
     }
 
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -128,8 +128,8 @@
         // A list that was fetched for a pool that another host has acquired would be stale for the
         // next pool.
         self.prefetched_executors = None;
-        let pool_available = self.directory.pool_available().waiting();
-        let transferred = self.links.transfer_received().waiting();
+        let pool_available = self.directory.pool_available().subscribe();
+        let transferred = self.links.transfer_received().subscribe();
         let period = async {
             Timer::after(CONTEND_PERIOD).await;
         };
--- a/crates/onyxshed-host/src/peer_state.rs
+++ b/crates/onyxshed-host/src/peer_state.rs
@@ -10,7 +10,7 @@
 
 use async_io::Timer;
 use onyxshed_core::{Event, EventKind};
-use onyxshed_http::client::within;
+use onyxshed_http::client::with_timeout;
 use onyxshed_kernel::{Kernel, LocalFuture, Result, Service, ServiceName};
 use onyxshed_proto::pool::{self, PeerState};
 use onyxshed_proto::pool_capnp::pool_port;
@@ -62,7 +62,7 @@
         PEER_STATE
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[MANIFEST, LINKS, SHARD_LAYOUTS]
     }
 
@@ -104,7 +104,7 @@
         Timer::after(STORE_WAIT).await;
         while self.manifest.get().is_none() {
             for seed in self.seeds.iter().filter(|seed| **seed != own_address) {
-                let answer = within(ANSWER_TIMEOUT, self.query(*seed)).await;
+                let answer = with_timeout(ANSWER_TIMEOUT, self.query(*seed)).await;
                 // A peer that does not answer is skipped; one without a manifest does not end the
                 // loop.
                 if let Some(Ok(state)) = answer {
--- a/crates/onyxshed-host/src/process.rs
+++ b/crates/onyxshed-host/src/process.rs
@@ -244,7 +244,7 @@
         server: ServerOptions {
             connections_max: CONNECTIONS_MAX,
             idle_timeout: IDLE_TIMEOUT,
-            gives_up_with_peer: true,
+            cancels_on_disconnect: true,
             ..ServerOptions::default()
         },
         drain_timeout: Millis(settings.grace_ms.0.saturating_sub(FINAL_REPLIES_MARGIN.0)).into(),
--- a/crates/onyxshed-host/src/ready.rs
+++ b/crates/onyxshed-host/src/ready.rs
@@ -63,7 +63,7 @@
         READY
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[MANIFEST, LINKS]
     }
 
--- a/crates/onyxshed-http/src/client.rs
+++ b/crates/onyxshed-http/src/client.rs
@@ -13,7 +13,7 @@
 use smol_str::SmolStr;
 
 use crate::bounded::BoundedStream;
-use crate::error::{CallError, Sent};
+use crate::error::{CallError, SendState};
 use crate::message::Reply;
 
 /// Limits of a client's connection.
@@ -49,7 +49,7 @@
         let connect = async { TcpStream::connect(address).await.map_err(CallError::unsent) };
         let give_up = async {
             Timer::after(options.connect_timeout).await;
-            Err(CallError::timeout(Sent::Nothing))
+            Err(CallError::timeout(SendState::NotSent))
         };
         let stream = connect.or(give_up).await?;
         stream.set_nodelay(true).map_err(CallError::unsent)?;
@@ -64,7 +64,7 @@
     }
 
     /// Gets how long ago the other end last proved that the connection works.
-    pub fn quiet_for(&self) -> Duration {
+    pub fn time_since_reply(&self) -> Duration {
         self.last_reply.elapsed()
     }
 
@@ -101,8 +101,8 @@
         let written_before = self.stream.written_bytes();
         let outcome = self.exchange(request).or(give_up_after(timeout)).await;
         let sent = match self.stream.written_bytes() == written_before {
-            true => Sent::Nothing,
-            false => Sent::Maybe,
+            true => SendState::NotSent,
+            false => SendState::MaybeSent,
         };
         match outcome {
             Ok(reply) => {
@@ -206,7 +206,7 @@
 }
 
 /// Runs a future with a time limit, none if it ran out.
-pub async fn within<T>(timeout: Duration, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(timeout: Duration, work: impl Future<Output = T>) -> Option<T> {
     let give_up = async {
         Timer::after(timeout).await;
         None
--- a/crates/onyxshed-http/src/connections.rs
+++ b/crates/onyxshed-http/src/connections.rs
@@ -9,16 +9,16 @@
 
 /// What a call asks of the connection it goes onto.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Health {
+pub enum ReusePolicy {
     /// Any connection that is not known to be closed.
-    Open,
+    AnyOpen,
     /// One that answered within this time, or a new one.
     ///
     /// Failure guarded against: something between the two ends has forgotten the connection; bytes
     /// vanish and nothing comes back. Symptom: a task that may not run twice is lost until its
     /// lease ends, and its outcome is unknown. A new connection works where an old one has gone
     /// silent, so a connection without a recent answer is replaced rather than trusted.
-    Proven(Duration),
+    AnsweredWithin(Duration),
 }
 
 /// Connections to one address.
@@ -54,7 +54,7 @@
     }
 
     /// Gets a connection: the one used last that is healthy, or a new one.
-    pub async fn get(&self, health: Health) -> Result<Connection, CallError> {
+    pub async fn get(&self, health: ReusePolicy) -> Result<Connection, CallError> {
         while let Some(connection) = self.take_idle() {
             if is_healthy(&connection, health).await {
                 return Ok(connection);
@@ -83,10 +83,10 @@
     }
 }
 
-async fn is_healthy(connection: &Connection, health: Health) -> bool {
+async fn is_healthy(connection: &Connection, health: ReusePolicy) -> bool {
     let is_fresh = match health {
-        Health::Open => true,
-        Health::Proven(within) => connection.quiet_for() <= within,
+        ReusePolicy::AnyOpen => true,
+        ReusePolicy::AnsweredWithin(within) => connection.time_since_reply() <= within,
     };
     is_fresh && connection.is_open().await
 }
--- a/crates/onyxshed-http/src/error.rs
+++ b/crates/onyxshed-http/src/error.rs
@@ -33,11 +33,11 @@
 
 /// Whether the other end may have seen any of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sent {
+pub enum SendState {
     /// No byte of the request left this process.
-    Nothing,
+    NotSent,
     /// Some of it was handed to the system; the other end may have acted on it.
-    Maybe,
+    MaybeSent,
 }
 
 /// Why a call brought no reply.
@@ -45,7 +45,7 @@
 #[snafu(display("{reason}"))]
 pub struct CallError {
     /// Whether the other end may have seen it.
-    pub sent: Sent,
+    pub sent: SendState,
     /// Whether it was given up because its time ran out.
     pub is_timeout: bool,
     /// What happened, in words.
@@ -56,14 +56,14 @@
     /// Makes an error for a call of which nothing was sent.
     pub fn unsent(reason: impl ToString) -> Self {
         CallError {
-            sent: Sent::Nothing,
+            sent: SendState::NotSent,
             is_timeout: false,
             reason: reason.to_string().into(),
         }
     }
 
     /// Makes an error for a call that broke.
-    pub fn broken(sent: Sent, reason: impl ToString) -> Self {
+    pub fn broken(sent: SendState, reason: impl ToString) -> Self {
         CallError {
             sent,
             is_timeout: false,
@@ -72,7 +72,7 @@
     }
 
     /// Makes an error for a call whose time ran out.
-    pub fn timeout(sent: Sent) -> Self {
+    pub fn timeout(sent: SendState) -> Self {
         CallError {
             sent,
             is_timeout: true,
--- a/crates/onyxshed-http/src/lib.rs
+++ b/crates/onyxshed-http/src/lib.rs
@@ -15,6 +15,6 @@
 pub mod server;
 
 pub use client::{ClientOptions, Connection};
-pub use error::{CallError, Error, Result, Sent};
+pub use error::{CallError, Error, Result, SendState};
 pub use message::{Call, Reply};
 pub use server::{Handler, Server, ServerOptions, ServerStats};
--- a/crates/onyxshed-http/src/message.rs
+++ b/crates/onyxshed-http/src/message.rs
@@ -85,13 +85,13 @@
     }
 
     /// Closes the connection behind the reply.
-    pub fn last(mut self) -> Self {
+    pub fn connection_close(mut self) -> Self {
         self.is_last = true;
         self
     }
 
     /// Gets a header's last value.
-    pub fn get(&self, name: &str) -> Option<&str> {
+    pub fn header_value(&self, name: &str) -> Option<&str> {
         let mut found = self.headers.iter().rev();
         found
             .find(|(key, _)| key.eq_ignore_ascii_case(name))
--- a/crates/onyxshed-http/src/server.rs
+++ b/crates/onyxshed-http/src/server.rs
@@ -19,7 +19,7 @@
 use snafu::ResultExt;
 
 use crate::bounded::{BoundedStream, Phase};
-use crate::client::within;
+use crate::client::with_timeout;
 use crate::error::{ListenSnafu, Result};
 use crate::head::EXPECT_HEADER;
 use crate::idle::{IdlePlace, IdleStreams};
@@ -52,7 +52,7 @@
     pub reply_timeout: Duration,
     /// Whether a request whose peer closes the connection is given up; default false. A peer that
     /// closes only its sending side counts as gone too.
-    pub gives_up_with_peer: bool,
+    pub cancels_on_disconnect: bool,
 }
 
 impl Default for ServerOptions {
@@ -66,7 +66,7 @@
             head_timeout: Duration::from_secs(5),
             body_timeout: Duration::from_secs(10),
             reply_timeout: Duration::from_secs(10),
-            gives_up_with_peer: false,
+            cancels_on_disconnect: false,
         }
     }
 }
@@ -86,7 +86,7 @@
     /// Connections open.
     pub connections: Cell<usize>,
     /// Requests being answered.
-    pub busy: Cell<usize>,
+    pub in_flight: Cell<usize>,
     /// Memory that the larger bodies being read take, in bytes.
     pub body_bytes: Cell<u64>,
     /// Requests and connections turned away at the door.
@@ -185,7 +185,7 @@
         // Counted until the reply is written, so that a graceful stop cuts none off.
         let busy = RefCell::new(None);
         let endpoint = |request| {
-            busy.replace(Some(Counted::new(&self.stats, |stats| &stats.busy)));
+            busy.replace(Some(Counted::new(&self.stats, |stats| &stats.in_flight)));
             self.answer(stream.clone(), request)
         };
         let mut h1 = H1Server::new(stream.clone(), endpoint);
@@ -242,18 +242,22 @@
             head: request,
             body,
         };
-        let reply = match self.options.gives_up_with_peer {
+        let reply = match self.options.cancels_on_disconnect {
             true => (self.handler)(call).or(peer_gone(&stream)).await,
             false => (self.handler)(call).await,
         };
         stream.begin_reply(self.options.reply_timeout);
-        let reply = if is_last { reply.last() } else { reply };
+        let reply = if is_last {
+            reply.connection_close()
+        } else {
+            reply
+        };
         Ok(reply.into_response())
     }
 
     fn rejected(&self, code: ResultCode) -> Response {
         self.stats.rejected.set(self.stats.rejected.get() + 1);
-        (self.reject)(code).last().into_response()
+        (self.reject)(code).connection_close().into_response()
     }
 
     /// Tells a peer why it is turned away, as far as it still listens.
@@ -266,7 +270,7 @@
         let mut reply = Encoder::new(self.rejected(code), Method::Get);
         let mut stream = stream.clone();
         if io::copy(&mut reply, &mut stream).await.is_ok() && stream.close().await.is_ok() {
-            let _ = within(LINGER, io::copy(&mut stream, &mut io::sink())).await;
+            let _ = with_timeout(LINGER, io::copy(&mut stream, &mut io::sink())).await;
         }
     }
 }
@@ -277,7 +281,7 @@
     const CLIENT_CLOSED_REQUEST: u16 = 499;
     let mut byte = [0];
     match stream.inner().peek(&mut byte).await {
-        Ok(0) | Err(_) => Reply::bytes(CLIENT_CLOSED_REQUEST, Vec::new()).last(),
+        Ok(0) | Err(_) => Reply::bytes(CLIENT_CLOSED_REQUEST, Vec::new()).connection_close(),
         // The peer has sent its next request ahead of the reply, so it is still there.
         Ok(_) => future::pending().await,
     }
--- a/crates/onyxshed-http/src/server/body.rs
+++ b/crates/onyxshed-http/src/server/body.rs
@@ -9,7 +9,7 @@
 
 use super::turned_away::turned_away;
 use super::{Server, ServerStats};
-use crate::client::within;
+use crate::client::with_timeout;
 
 impl Server {
     /// Reads a body in full.
@@ -19,7 +19,7 @@
     /// the first; the second is caught, and touches nothing but this connection.
     pub(super) async fn read_body(&self, body: Body) -> http_types::Result<Vec<u8>> {
         let read = AssertUnwindSafe(self.collect(body)).catch_unwind();
-        match within(self.options.body_timeout, read).await {
+        match with_timeout(self.options.body_timeout, read).await {
             None => Err(turned_away(ResultCode::TooSlow)),
             Some(Err(_)) => Err(turned_away(ResultCode::BadRequest)),
             Some(Ok(collected)) => collected,
--- a/crates/onyxshed-kernel/src/change.rs
+++ b/crates/onyxshed-kernel/src/change.rs
@@ -6,27 +6,27 @@
 
 /// A change that many may wait for.
 #[derive(Debug)]
-pub struct Change {
+pub struct Notifier {
     // Nothing is ever sent: dropping the sender wakes all receivers.
     current: RefCell<(Sender<()>, Receiver<()>)>,
 }
 
-impl Default for Change {
+impl Default for Notifier {
     fn default() -> Self {
-        Change {
+        Notifier {
             current: RefCell::new(async_channel::bounded(1)),
         }
     }
 }
 
-impl Change {
+impl Notifier {
     /// Wakes everyone who waits.
     pub fn notify(&self) {
         self.current.replace(async_channel::bounded(1));
     }
 
     /// Begins to wait: a change after this call ends [`Waiting::wait`].
-    pub fn waiting(&self) -> Waiting {
+    pub fn subscribe(&self) -> Waiting {
         Waiting(self.current.borrow().1.clone())
     }
 }
--- a/crates/onyxshed-kernel/src/lib.rs
+++ b/crates/onyxshed-kernel/src/lib.rs
@@ -20,7 +20,7 @@
 mod pause;
 
 pub use bus::Bus;
-pub use change::Change;
+pub use change::Notifier;
 pub use clock::Clock;
 pub use error::{Error, Result};
 pub use kernel::Kernel;
--- a/crates/onyxshed-kernel/src/order.rs
+++ b/crates/onyxshed-kernel/src/order.rs
@@ -25,7 +25,10 @@
 }
 
 fn has_all_needs(service: &dyn Service, placed: &BTreeSet<ServiceName>) -> bool {
-    service.needs().iter().all(|need| placed.contains(need))
+    service
+        .dependencies()
+        .iter()
+        .all(|need| placed.contains(need))
 }
 
 fn check_names(services: &[Box<dyn Service>]) -> Result<()> {
@@ -37,7 +40,11 @@
         }
     }
     for service in services {
-        if let Some(name) = service.needs().iter().find(|need| !names.contains(need)) {
+        if let Some(name) = service
+            .dependencies()
+            .iter()
+            .find(|need| !names.contains(need))
+        {
             return Err(Error::NeedMissing {
                 name: *name,
                 needed_by: service.name(),
--- a/crates/onyxshed-kernel/src/readiness.rs
+++ b/crates/onyxshed-kernel/src/readiness.rs
@@ -60,12 +60,12 @@
     }
 
     /// Holds readiness back for a reason, such as a configuration that has not come yet.
-    pub fn withhold(&self, reason: &'static str) {
+    pub fn set_not_ready(&self, reason: &'static str) {
         self.state.withheld.borrow_mut().insert(reason);
     }
 
     /// Drops a reason given before.
-    pub fn allow(&self, reason: &'static str) {
+    pub fn clear_not_ready(&self, reason: &'static str) {
         self.state.withheld.borrow_mut().remove(reason);
     }
 
--- a/crates/onyxshed-kernel/src/service.rs
+++ b/crates/onyxshed-kernel/src/service.rs
@@ -38,7 +38,7 @@
     fn name(&self) -> ServiceName;
 
     /// Gets the services that must run before this one starts and until it has stopped.
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &[]
     }
 
--- a/crates/onyxshed-kernel/tests/life.rs
+++ b/crates/onyxshed-kernel/tests/life.rs
@@ -38,7 +38,7 @@
         self.name
     }
 
-    fn needs(&self) -> &[ServiceName] {
+    fn dependencies(&self) -> &[ServiceName] {
         &self.needs
     }
 
@@ -213,9 +213,9 @@
         let process = Process::new(kernel.clone(), Vec::new(), options(1));
         let process = process.start().await.unwrap();
         assert!(readiness.is_ready());
-        readiness.withhold("no configuration");
+        readiness.set_not_ready("no configuration");
         assert_eq!(readiness.why_not().as_deref(), Some("no configuration"));
-        readiness.allow("no configuration");
+        readiness.clear_not_ready("no configuration");
         let process = process.begin_drain();
         assert_eq!(readiness.why_not().as_deref(), Some("draining"));
         process.finish().await
--- a/crates/onyxshed-load/src/caller.rs
+++ b/crates/onyxshed-load/src/caller.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use http_types::Method;
 use onyxshed_core::{Incarnation, Millis, Outcome, SubmissionId};
-use onyxshed_http::{CallError, ClientOptions, Connection, Sent};
+use onyxshed_http::{CallError, ClientOptions, Connection, SendState};
 use onyxshed_wire::caller::{Answer, CopyMark, JOBS_PATH, Submission};
 
 use crate::tally::Wasted;
@@ -149,7 +149,7 @@
 fn copy_after(tried: &Result<Answer, CallError>) -> CopyMark {
     match tried {
         Ok(_) => CopyMark::Unmarked,
-        Err(error) if error.sent == Sent::Nothing => CopyMark::Unmarked,
+        Err(error) if error.sent == SendState::NotSent => CopyMark::Unmarked,
         Err(_) => CopyMark::Again,
     }
 }
@@ -177,9 +177,9 @@
     ) -> Result<Answer, CallError> {
         let mut connection = self.connection().await?;
         let reply = connection.call(method, path, &[], body, patience).await?;
-        let answer =
-            Answer::decode(&reply.body).map_err(|error| CallError::broken(Sent::Maybe, error))?;
-        if reply.get("connection") != Some("close") {
+        let answer = Answer::decode(&reply.body)
+            .map_err(|error| CallError::broken(SendState::MaybeSent, error))?;
+        if reply.header_value("connection") != Some("close") {
             self.idle.borrow_mut().push(connection);
         }
         if answer.bind_to.is_some() {
--- a/crates/onyxshed-load/src/direct.rs
+++ b/crates/onyxshed-load/src/direct.rs
@@ -133,7 +133,7 @@
             .call(Method::Post, &task_path(&task), &headers, body, TIMEOUT)
             .await
             .map_err(|error| unreachable(self.options.executor, &error))?;
-        match reply.get(STATE_HEADER) == Some(TaskState::Finished.as_str()) {
+        match reply.header_value(STATE_HEADER) == Some(TaskState::Finished.as_str()) {
             true => took.saturating_record(elapsed_us(started)),
             false => self.failed += 1,
         }
--- a/crates/onyxshed-platform/src/client.rs
+++ b/crates/onyxshed-platform/src/client.rs
@@ -98,7 +98,7 @@
     /// Takes the connection if it is of use, or opens one.
     async fn connect(&mut self) -> Result<Connection> {
         if let Some(connection) = self.connection.take() {
-            let is_proven = connection.quiet_for() <= self.options.proven_within;
+            let is_proven = connection.time_since_reply() <= self.options.proven_within;
             if is_proven && connection.is_open().await {
                 return Ok(connection);
             }
--- a/crates/onyxshed-platform/src/error.rs
+++ b/crates/onyxshed-platform/src/error.rs
@@ -1,7 +1,7 @@
 //! Errors of calling the platform.
 
 use onyxshed_core::ResultCode;
-use onyxshed_http::{CallError, Sent};
+use onyxshed_http::{CallError, SendState};
 use smol_str::SmolStr;
 use snafu::Snafu;
 
@@ -61,10 +61,10 @@
 impl From<CallError> for Error {
     fn from(error: CallError) -> Self {
         match error.sent {
-            Sent::Nothing => Error::Unreachable {
+            SendState::NotSent => Error::Unreachable {
                 reason: error.reason,
             },
-            Sent::Maybe => Error::AnswerLost {
+            SendState::MaybeSent => Error::AnswerLost {
                 reason: error.reason,
             },
         }
--- a/crates/onyxshed-process/src/lib.rs
+++ b/crates/onyxshed-process/src/lib.rs
@@ -11,4 +11,4 @@
 
 pub use listen::{listen, serve_rpc};
 pub use requests::serve_requests;
-pub use run::{Common, Parts, Process};
+pub use run::{CommonSettings, Process, ServiceContext};
--- a/crates/onyxshed-process/src/requests.rs
+++ b/crates/onyxshed-process/src/requests.rs
@@ -34,7 +34,7 @@
         Box::pin(async move {
             let reply = pending.await;
             match readiness.is_draining() {
-                true => reply.last(),
+                true => reply.connection_close(),
                 false => reply,
             }
         })
--- a/crates/onyxshed-process/src/run.rs
+++ b/crates/onyxshed-process/src/run.rs
@@ -10,7 +10,7 @@
 
 /// Settings that every process has.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Common {
+pub struct CommonSettings {
     /// The entry host it runs on.
     pub host: HostName,
     /// The log.
@@ -22,7 +22,7 @@
 }
 
 /// What a process's services are made from.
-pub struct Parts {
+pub struct ServiceContext {
     /// The kernel.
     pub kernel: Kernel,
     /// Log, metrics and time line.
@@ -46,15 +46,15 @@
     const SIGNALS: &'static str;
 
     /// Gets the settings that every process has.
-    fn common(settings: &Self::Settings) -> Common;
+    fn common_settings(settings: &Self::Settings) -> CommonSettings;
 
     /// Makes its services.
-    fn services(settings: &Self::Settings, parts: Parts) -> Vec<Box<dyn Service>>;
+    fn services(settings: &Self::Settings, parts: ServiceContext) -> Vec<Box<dyn Service>>;
 }
 
 /// Runs a process from start to end.
 pub fn run<P: Process>(settings: &P::Settings) -> ExitCode {
-    let common = P::common(settings);
+    let common = P::common_settings(settings);
     let kernel = Kernel::new();
     let boot = Incarnation(rand::random());
     let telemetry = match Telemetry::open(&kernel, telemetry_options::<P>(&common, boot)) {
@@ -64,7 +64,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let parts = Parts {
+    let parts = ServiceContext {
         kernel: kernel.clone(),
         telemetry,
         boot,
@@ -81,7 +81,7 @@
     end.into()
 }
 
-fn telemetry_options<P: Process>(common: &Common, boot: Incarnation) -> TelemetryOptions {
+fn telemetry_options<P: Process>(common: &CommonSettings, boot: Incarnation) -> TelemetryOptions {
     TelemetryOptions {
         process: P::NAME.into(),
         version: env!("CARGO_PKG_VERSION").into(),
--- a/crates/onyxshed-proof/src/scenario/verdicts.rs
+++ b/crates/onyxshed-proof/src/scenario/verdicts.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use onyxshed_core::Revision;
-use onyxshed_http::Sent;
+use onyxshed_http::SendState;
 use onyxshed_standins::platform::Counts;
 use onyxshed_wire::admin::{STATUS_PATH, Status};
 use smol_str::{SmolStr, format_smolstr};
@@ -301,7 +301,7 @@
         Hearing::Outcome(outcome) => heard.outcome() == Some(*outcome),
         Hearing::Lost => matches!(heard, Heard::Lost(_)),
         Hearing::Unreached => {
-            matches!(heard, Heard::Lost(error) if error.sent == Sent::Nothing)
+            matches!(heard, Heard::Lost(error) if error.sent == SendState::NotSent)
         }
     })
 }
--- a/crates/onyxshed-proof/tests/callers_page.rs
+++ b/crates/onyxshed-proof/tests/callers_page.rs
@@ -98,7 +98,7 @@
         head.starts_with(&reply.status.to_string()),
         "{expected}\n{reply:?}"
     );
-    let has_wait = reply.get("retry-after").is_some();
+    let has_wait = reply.header_value("retry-after").is_some();
     assert_eq!(head.contains("Retry-After"), has_wait, "{expected}");
     let found = stand.to_page(&String::from_utf8_lossy(&reply.body));
     let found: Value = serde_json::from_str(&found).expect("JSON");
--- a/crates/onyxshed-soak/src/callers.rs
+++ b/crates/onyxshed-soak/src/callers.rs
@@ -152,12 +152,13 @@
                 // The proxy takes connections for a host that has ended and not started again, and
                 // closes them: only one that a host has answered on tells of a host.
                 let is_a_hosts = self.used > 1;
-                let is_broken = error.sent == onyxshed_http::Sent::Maybe && !error.is_timeout;
+                let is_broken =
+                    error.sent == onyxshed_http::SendState::MaybeSent && !error.is_timeout;
                 self.cut_off += u32::from(is_a_hosts && is_broken);
                 return Heard::Unknown;
             }
         };
-        if reply.get("connection") != Some("close") {
+        if reply.header_value("connection") != Some("close") {
             self.connection = Some(connection);
         }
         read(&reply)
--- a/crates/onyxshed-soak/tests/hosts/callers.rs
+++ b/crates/onyxshed-soak/tests/hosts/callers.rs
@@ -29,7 +29,7 @@
         let reply = ask(&mut connection, Method::Post, "00000000000000aa", &stored).await;
         let reply = reply.expect("an answer");
         assert_eq!(reply.status, 503);
-        assert!(reply.get("retry-after").is_some());
+        assert!(reply.header_value("retry-after").is_some());
         assert!(fleet.all_records().await.is_empty());
     });
 }
--- a/crates/onyxshed-soak/tests/hosts/evacuation.rs
+++ b/crates/onyxshed-soak/tests/hosts/evacuation.rs
@@ -198,7 +198,7 @@
         let host = fleet.caller_addresses()[0];
         let refused = send(host, 0x100).await.expect("an answer");
         assert_eq!(refused.status, 503);
-        assert_eq!(refused.get("connection"), Some("close"));
+        assert_eq!(refused.header_value("connection"), Some("close"));
         fleet.set_evacuated("z0", false).await.expect("a record");
         until_logged(&fleet, &hosts[..2], &["ZoneRestored"], 1).await;
         while fleet.readiness(&hosts[0]).await != Some(200) {
--- a/crates/onyxshed-standins/src/faults/pump.rs
+++ b/crates/onyxshed-standins/src/faults/pump.rs
@@ -32,8 +32,8 @@
 pub async fn pump(link: Rc<Link>, direction: Direction, mut from: TcpStream, mut to: TcpStream) {
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
-        let changed = link.route.changed().waiting();
-        let closed = link.closed.waiting();
+        let changed = link.route.changed().subscribe();
+        let closed = link.closed.subscribe();
         let wake = async {
             changed.wait().or(closed.wait()).await;
             Woken::Changed
--- a/crates/onyxshed-standins/src/faults/route.rs
+++ b/crates/onyxshed-standins/src/faults/route.rs
@@ -1,6 +1,6 @@
 //! One route: an address whose connections lead to a target.
 
-use onyxshed_kernel::Change;
+use onyxshed_kernel::Notifier;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
     mode: Cell<Mode>,
     stalls: Cell<u64>,
     connections: Cell<u64>,
-    changed: Change,
+    changed: Notifier,
 }
 
 /// One connection through a route.
@@ -28,7 +28,7 @@
     pub(super) route: Rc<Route>,
     opened_after_stalls: u64,
     pub(super) down_bytes: Cell<u64>,
-    pub(super) closed: Change,
+    pub(super) closed: Notifier,
     pub(super) is_closed: Cell<bool>,
     has_lost_bytes: RefCell<Vec<Direction>>,
 }
@@ -42,7 +42,7 @@
             mode: Cell::default(),
             stalls: Cell::default(),
             connections: Cell::default(),
-            changed: Change::default(),
+            changed: Notifier::default(),
         }
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Gets what wakes when the mode changes.
-    pub(super) fn changed(&self) -> &Change {
+    pub(super) fn changed(&self) -> &Notifier {
         &self.changed
     }
 
@@ -106,7 +106,7 @@
             opened_after_stalls: route.stalls.get(),
             route,
             down_bytes: Cell::default(),
-            closed: Change::default(),
+            closed: Notifier::default(),
             is_closed: Cell::default(),
             has_lost_bytes: RefCell::default(),
         }
--- a/crates/onyxshed-standins/src/fleet/executor.rs
+++ b/crates/onyxshed-standins/src/fleet/executor.rs
@@ -15,7 +15,7 @@
 use onyxshed_core::{Micros, Millis, Mono, UnixMs};
 use onyxshed_http::client::call_once;
 use onyxshed_http::{Call, Reply};
-use onyxshed_kernel::Change;
+use onyxshed_kernel::Notifier;
 use onyxshed_pool::{
     ExecutorReport, FencingToken, FinishedRun, HoldOrder, RefuseReason, Resources, RunEnd,
     RunNumber, StartAnswer, StartOrder, StopAnswer, StopOrder, TaskId,
@@ -142,7 +142,7 @@
     born: Instant,
     book: RefCell<RunBook>,
     records: RefCell<Vec<RunRecord>>,
-    ended: Change,
+    ended: Notifier,
 }
 
 /// What each task takes: half of the smallest executor, so that two fit.
@@ -176,7 +176,7 @@
                 born: Instant::now(),
                 book: RefCell::new(book),
                 records: RefCell::default(),
-                ended: Change::default(),
+                ended: Notifier::default(),
             }),
         }
     }
@@ -420,7 +420,7 @@
         }
         let deadline = Instant::now() + Duration::from_millis(order.wait_ms);
         while !self.inner.book.borrow().has_ends() && Instant::now() < deadline {
-            let waiting = self.inner.ended.waiting();
+            let waiting = self.inner.ended.subscribe();
             let over = async {
                 Timer::at(deadline).await;
             };
--- a/crates/onyxshed-standins/src/fleet/store.rs
+++ b/crates/onyxshed-standins/src/fleet/store.rs
@@ -9,7 +9,7 @@
 use futures_lite::FutureExt;
 use http_types::Method;
 use onyxshed_http::{Call, Reply};
-use onyxshed_kernel::Change;
+use onyxshed_kernel::Notifier;
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
@@ -87,7 +87,7 @@
     faults: RefCell<StoreFaults>,
     /// Joins of groups taken so far.
     joins: Cell<u64>,
-    changed: Change,
+    changed: Notifier,
 }
 
 impl FleetStore {
@@ -226,7 +226,7 @@
         let (from, wait) = (number("from"), Duration::from_millis(number("wait_ms")));
         let deadline = Instant::now() + wait;
         loop {
-            let waiting = self.inner.changed.waiting();
+            let waiting = self.inner.changed.subscribe();
             if let Some(act) = self.read_now(&topic, from, Instant::now() >= deadline) {
                 return act;
             }
--- a/crates/onyxshed-standins/src/platform/service.rs
+++ b/crates/onyxshed-standins/src/platform/service.rs
@@ -9,7 +9,7 @@
 use http_types::Method;
 use onyxshed_core::{Millis, Offset, UnixMs};
 use onyxshed_http::{Call, Reply};
-use onyxshed_kernel::Change;
+use onyxshed_kernel::Notifier;
 use onyxshed_wire::platform::{AppendReply, HOSTS_PATH, HostList, Page, RECORD_MAX_BYTES};
 use smol_str::SmolStr;
 
@@ -28,7 +28,7 @@
 #[derive(Clone)]
 pub struct Platform {
     state: Rc<RefCell<State>>,
-    changed: Rc<Change>,
+    changed: Rc<Notifier>,
 }
 
 impl Platform {
@@ -150,7 +150,7 @@
         self.state.borrow_mut().counts.reads += 1;
         let give_up_at = Instant::now() + wait;
         loop {
-            let waiting = self.changed.waiting();
+            let waiting = self.changed.subscribe();
             let page = self.page(&stream, from, max);
             if !page.records.is_empty() || Instant::now() >= give_up_at {
                 return Act::Reply(Reply::json(OK, &page));
--- a/crates/onyxshed-standins/tests/standins.rs
+++ b/crates/onyxshed-standins/tests/standins.rs
@@ -95,7 +95,7 @@
         .await;
     reply
         .expect("an answer")
-        .get(STATE_HEADER)
+        .header_value(STATE_HEADER)
         .unwrap_or_default()
         .to_owned()
 }
--- a/crates/onyxshed-telemetry/src/admin.rs
+++ b/crates/onyxshed-telemetry/src/admin.rs
@@ -37,7 +37,7 @@
     head_timeout: Duration::from_secs(5),
     body_timeout: Duration::from_secs(5),
     reply_timeout: Duration::from_secs(10),
-    gives_up_with_peer: false,
+    cancels_on_disconnect: false,
 };
 
 /// Serves a process's telemetry on its admin address; the handle registered is the [`Telemetry`].
--- a/crates/onyxshed-telemetry/src/telemetry.rs
+++ b/crates/onyxshed-telemetry/src/telemetry.rs
@@ -95,7 +95,7 @@
     }
 
     /// Sets what makes the process's own part of the status.
-    pub fn set_status(&self, source: StatusSource) {
+    pub fn set_status_source(&self, source: StatusSource) {
         *self.status.borrow_mut() = Some(source);
     }
 
--- a/crates/onyxshed-telemetry/tests/admin.rs
+++ b/crates/onyxshed-telemetry/tests/admin.rs
@@ -39,7 +39,7 @@
         config_revision: Some(Revision(3)),
         details: json!({ "jobs": 1 }),
     };
-    telemetry.set_status(Box::new(parts));
+    telemetry.set_status_source(Box::new(parts));
     telemetry
 }
 
@@ -88,7 +88,7 @@
             text(&call(address, Method::Get, "/readyz").await),
             "200 ready"
         );
-        kernel.readiness().withhold("no configuration");
+        kernel.readiness().set_not_ready("no configuration");
         let not_ready = call(address, Method::Get, "/readyz").await;
         assert_eq!(text(&not_ready), "503 not ready: no configuration");
 
