--- a/crates/onyxshed-host/src/directory.rs
+++ b/crates/onyxshed-host/src/directory.rs
@@ -10,10 +10,10 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
-use onyxshed_adapter::store::PartOwner;
+use onyxshed_adapter::store::PartitionOwner;
 use onyxshed_adapter::{Error, Store};
 use onyxshed_core::{Millis, Mono};
-use onyxshed_kernel::Change;
+use onyxshed_kernel::Notifier;
 use onyxshed_pool::{PeerIncarnation, PoolId};
 use smol_str::{SmolStr, format_smolstr};
 
@@ -88,10 +88,10 @@
 }
 
 /// Returns the member that holds the partition of the pool, or `None` if no member does.
-fn partition_holder(owners: Vec<PartOwner>) -> Option<SmolStr> {
+fn partition_holder(owners: Vec<PartitionOwner>) -> Option<SmolStr> {
     let mut owners = owners.into_iter();
     owners
-        .find(|owner| owner.part == POOL_PARTITION)
+        .find(|owner| owner.partition == POOL_PARTITION)
         .map(|owner| owner.member)
 }
 
@@ -101,7 +101,10 @@
     store: &mut Store,
     pool: &PoolId,
 ) -> onyxshed_adapter::Result<Option<SmolStr>> {
-    match store.owners(&group_of(pool), ANSWER_TIMEOUT).await {
+    match store
+        .partition_owners(&group_of(pool), ANSWER_TIMEOUT)
+        .await
+    {
         Ok(owners) => Ok(partition_holder(owners)),
         // The group does not exist before its first member has joined.
         Err(Error::Status { status: 404 }) => Ok(None),
@@ -122,7 +125,7 @@
     orphaned: RefCell<BTreeMap<PoolId, SmolStr>>,
     watch: StoreWatch,
     /// Notified when a pool is found that this host may acquire.
-    pool_available: Change,
+    pool_available: Notifier,
 }
 
 impl Directory {
@@ -145,7 +148,7 @@
             vacant: RefCell::default(),
             orphaned: RefCell::default(),
             watch,
-            pool_available: Change::default(),
+            pool_available: Notifier::default(),
         })
     }
 
@@ -172,7 +175,7 @@
     pub async fn follow(self: Rc<Self>, address: SocketAddr) {
         let mut store = Store::new(address);
         loop {
-            let owner_changed = self.links.owner_changed().waiting();
+            let owner_changed = self.links.owner_changed().subscribe();
             let pools = self.shard_layouts.pools();
             self.links.retain_pools(&pools);
             for pool in &pools {
@@ -244,7 +247,7 @@
     }
 
     /// Returns the notifier for pools that this host may acquire.
-    pub fn pool_available(&self) -> &Change {
+    pub fn pool_available(&self) -> &Notifier {
         &self.pool_available
     }
 
--- a/crates/onyxshed-platform/src/client.rs
+++ b/crates/onyxshed-platform/src/client.rs
@@ -6,7 +6,7 @@
 use http_types::Method;
 use onyxshed_core::{Millis, Offset};
 use onyxshed_http::{ClientOptions, Connection, Reply};
-use onyxshed_wire::platform::{Appended, HOSTS_PATH, HostList, Page, records_path};
+use onyxshed_wire::platform::{AppendReply, HOSTS_PATH, HostList, Page, records_path};
 
 use crate::error::{Error, Result};
 
@@ -59,7 +59,7 @@
         let reply = self
             .call(Method::Post, &records_path(stream), data, timeout)
             .await?;
-        Ok(Appended::decode(&reply.body).map_err(unreadable)?.offset)
+        Ok(AppendReply::decode(&reply.body).map_err(unreadable)?.offset)
     }
 
     /// Tries to read a stream's records from an offset on, waiting up to `wait` for the first.
@@ -98,7 +98,7 @@
     /// Takes the connection if it is of use, or opens one.
     async fn connect(&mut self) -> Result<Connection> {
         if let Some(connection) = self.connection.take() {
-            let is_proven = connection.quiet_for() <= self.options.proven_within;
+            let is_proven = connection.time_since_reply() <= self.options.proven_within;
             if is_proven && connection.is_open().await {
                 return Ok(connection);
             }
