--- a/crates/onyxshed-platform/src/client.rs
+++ b/crates/onyxshed-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! One connection to the platform, opened anew when it breaks.
+//! Client of the platform over one connection, which is opened again after it has failed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 
 use crate::error::{Error, Result};
 
-/// Limits of a client.
+/// Limits of a [`PlatformClient`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformOptions {
-    /// How long a call may take beyond the time it was told to wait. Default 2 s.
+    /// Maximum duration of a call beyond the time for which it asks the platform to wait. Default 2 s.
     pub timeout: Duration,
-    /// How recently the connection must have answered to carry an append; else it is opened anew,
-    /// so that no append vanishes in a connection that has gone silent. Default 2 s.
-    pub proven_within: Duration,
-    /// Limits of the connection.
+    /// Maximum time since the last reply on a connection that is reused. An older connection is opened
+    /// again, so that no append is lost in a connection that has become unresponsive. Default 2 s.
+    pub reuse_within: Duration,
+    /// Limits of the HTTP connection.
     pub client: ClientOptions,
 }
 
@@ -26,7 +26,7 @@
     fn default() -> Self {
         PlatformOptions {
             timeout: Duration::from_secs(2),
-            proven_within: Duration::from_secs(2),
+            reuse_within: Duration::from_secs(2),
             client: ClientOptions {
                 reply_max_bytes: 16 << 20,
                 ..ClientOptions::default()
@@ -35,7 +35,7 @@
     }
 }
 
-/// Client of the platform, for one call at a time.
+/// Client of the platform, which makes one call at a time.
 #[derive(Debug)]
 pub struct PlatformClient {
     address: SocketAddr,
@@ -44,7 +44,7 @@
 }
 
 impl PlatformClient {
-    /// Makes a client; nothing is opened yet.
+    /// Creates a client of the platform at `address`; opens no connection.
     pub fn new(address: SocketAddr, options: PlatformOptions) -> Self {
         PlatformClient {
             address,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Tries to append a record to a stream and gets where it stands.
+    /// Appends a record to a stream and returns its offset.
     pub async fn append(&mut self, stream: &str, data: Vec<u8>) -> Result<Offset> {
         let timeout = self.options.timeout;
         let reply = self
@@ -62,7 +62,7 @@
         Ok(AppendReply::decode(&reply.body).map_err(unreadable)?.offset)
     }
 
-    /// Tries to read a stream's records from an offset on, waiting up to `wait` for the first.
+    /// Reads a stream's records from the offset `from`; waits up to `wait` for the first one.
     pub async fn read(&mut self, stream: &str, from: Offset, wait: Millis) -> Result<Page> {
         let path = format!("{}?from={from}&wait_ms={}", records_path(stream), wait.0);
         let timeout = self.options.timeout + Duration::from(wait);
@@ -70,7 +70,7 @@
         Page::decode(&reply.body).map_err(unreadable)
     }
 
-    /// Tries to get the list of hosts.
+    /// Reads the list of hosts.
     pub async fn hosts(&mut self) -> Result<HostList> {
         let timeout = self.options.timeout;
         let reply = self
@@ -95,11 +95,11 @@
         }
     }
 
-    /// Takes the connection if it is of use, or opens one.
+    /// Takes the open connection if it may be reused, or opens a new one.
     async fn connect(&mut self) -> Result<Connection> {
         if let Some(connection) = self.connection.take() {
-            let is_proven = connection.time_since_reply() <= self.options.proven_within;
-            if is_proven && connection.is_open().await {
+            let is_recent = connection.time_since_reply() <= self.options.reuse_within;
+            if is_recent && connection.is_open().await {
                 return Ok(connection);
             }
         }
--- a/crates/onyxshed-platform/src/error.rs
+++ b/crates/onyxshed-platform/src/error.rs
@@ -5,37 +5,37 @@
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// Why a call of the platform failed.
+/// Reason why a call to the platform failed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The platform was not reached: the call had no effect.
+    /// The platform could not be reached. The call had no effect.
     #[snafu(display("the platform can't be reached: {reason}"))]
     Unreachable {
-        /// What happened.
+        /// Description of the failure.
         reason: SmolStr,
     },
-    /// The answer was lost: the call may have had its effect.
+    /// The answer was lost. The call may have taken effect.
     #[snafu(display("the platform's answer was lost: {reason}"))]
     AnswerLost {
-        /// What happened.
+        /// Description of the failure.
         reason: SmolStr,
     },
-    /// The platform refused the call.
+    /// The platform answered with a status that is not a success.
     #[snafu(display("the platform refused the call with status {status}"))]
     Refused {
-        /// The HTTP status.
+        /// HTTP status of the answer.
         status: u16,
     },
-    /// The answer can't be read.
+    /// The answer could not be decoded.
     #[snafu(display("the platform's answer can't be read: {reason}"))]
     Unreadable {
-        /// What was wrong.
+        /// Description of the defect.
         reason: SmolStr,
     },
 }
 
 impl Error {
-    /// Gets the numbered code.
+    /// Returns the numbered code of the error.
     pub fn code(&self) -> ResultCode {
         match self {
             Error::Unreachable { .. } | Error::AnswerLost { .. } => ResultCode::PlatformUnreachable,
@@ -44,15 +44,15 @@
         }
     }
 
-    /// Tells whether an append that ended so may stand in the log.
+    /// Returns whether an append that failed with this error may still be in the log.
     ///
-    /// A status of 500 or more proves nothing: something between the log and us may have given up
-    /// on an append that took effect.
+    /// A status of 500 or more does not show that the append failed: a gateway in front of the log may
+    /// have timed out on an append that took effect.
     pub fn may_have_taken_effect(&self) -> bool {
-        const SERVER_FAULTS: u16 = 500;
+        const FIRST_SERVER_ERROR: u16 = 500;
         match self {
             Error::AnswerLost { .. } | Error::Unreadable { .. } => true,
-            Error::Refused { status } => *status >= SERVER_FAULTS,
+            Error::Refused { status } => *status >= FIRST_SERVER_ERROR,
             Error::Unreachable { .. } => false,
         }
     }
@@ -71,5 +71,5 @@
     }
 }
 
-/// Result of calling the platform.
+/// Result of a call to the platform.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-platform/tests/client.rs
+++ b/crates/onyxshed-platform/tests/client.rs
@@ -1,4 +1,4 @@
-//! What the client makes of a platform that answers well, badly or not at all.
+//! The client's results with a platform that answers, answers with errors or does not answer.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 use onyxshed_standins::serve::{self, Act, Handler};
 use rstest::rstest;
 
-/// Runs a test beside a server that does the same with every request.
-fn beside(act: fn() -> Act, test: impl AsyncFnOnce(PlatformClient)) {
+/// Runs a test with a client of a server that treats every request the same.
+fn with_server(act: fn() -> Act, test: impl AsyncFnOnce(PlatformClient)) {
     let handler: Handler = Rc::new(move |_| Box::pin(async move { act() }));
-    beside_handler(handler, test);
+    with_handler(handler, test);
 }
 
-fn beside_handler(handler: Handler, test: impl AsyncFnOnce(PlatformClient)) {
+fn with_handler(handler: Handler, test: impl AsyncFnOnce(PlatformClient)) {
     let executor = Rc::new(LocalExecutor::new());
-    let life = async {
+    let run = async {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = serve::listen(any).await.expect("an address is free");
         let address = serve::local_address(&listener);
         let _serving = executor.spawn(serve::serve(listener, executor.clone(), handler));
         test(client(address)).await;
     };
-    async_io::block_on(executor.run(life));
+    async_io::block_on(executor.run(run));
 }
 
 fn client(address: SocketAddr) -> PlatformClient {
@@ -45,18 +45,18 @@
 #[rstest]
 #[case::closed_before_the_answer(|| Act::Close, 5007, true)]
 #[case::cut_short(|| Act::CutShort(Reply::bytes(200, "{\"offset\":1}")), 5007, true)]
-#[case::not_ours(|| Act::Reply(Reply::bytes(200, "<html>")), 5012, true)]
-#[case::gateway_gave_up(|| Act::Reply(Reply::bytes(504, "")), 5006, true)]
+#[case::not_json(|| Act::Reply(Reply::bytes(200, "<html>")), 5012, true)]
+#[case::gateway_timeout(|| Act::Reply(Reply::bytes(504, "")), 5006, true)]
 #[case::server_fault(|| Act::Reply(Reply::bytes(500, "")), 5006, true)]
 #[case::refused(|| Act::Reply(Reply::bytes(413, "")), 5006, false)]
-fn an_append_that_may_stand_in_the_log_is_told_from_one_that_does_not(
+fn failed_append_reports_whether_it_may_have_taken_effect(
     #[case] act: fn() -> Act,
     #[case] code: u16,
     #[case] may_have_taken_effect: bool,
 ) {
-    // The append was sent. Whoever asked must not hear "not appended" unless that is proved: the
-    // platform may have written the record before the answer was lost on the way.
-    beside(act, async |mut client| {
+    // The append was sent. The error may state that it had no effect only if that is certain: the
+    // platform may have written the record before the answer was lost.
+    with_server(act, async |mut client| {
         let error = append(&mut client).await.unwrap_err();
         assert_eq!(error.code().number(), code, "{error}");
         assert_eq!(
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_append_that_reached_nobody_had_no_effect() {
+fn append_to_closed_port_has_no_effect() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
@@ -78,13 +78,13 @@
 }
 
 #[test]
-fn silence_is_bounded_and_proves_nothing() {
-    let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+fn append_to_unresponsive_platform_times_out_and_may_have_taken_effect() {
+    let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let options = PlatformOptions {
         timeout: Duration::from_millis(50),
         ..PlatformOptions::default()
     };
-    let mut client = PlatformClient::new(silent.local_addr().unwrap(), options);
+    let mut client = PlatformClient::new(unresponsive.local_addr().unwrap(), options);
     let error = async_io::block_on(append(&mut client)).unwrap_err();
     assert!(error.may_have_taken_effect(), "{error}");
 }
@@ -93,17 +93,17 @@
 #[case::out_of_order(r#"{"oldest":0,"next":9,"records":[{"offset":4,"at_ms":1,"data":"a"},{"offset":3,"at_ms":1,"data":"b"}]}"#)]
 #[case::with_a_hole(r#"{"oldest":0,"next":9,"records":[{"offset":3,"at_ms":1,"data":"a"},{"offset":5,"at_ms":1,"data":"b"}]}"#)]
 #[case::not_a_page(r#"{"offset":1}"#)]
-fn a_page_that_would_lead_a_fold_astray_is_not_taken(#[case] body: &'static str) {
+fn page_with_offsets_out_of_sequence_is_rejected(#[case] body: &'static str) {
     let handler: Handler =
         Rc::new(move |_| Box::pin(async move { Act::Reply(Reply::bytes(200, body)) }));
-    beside_handler(handler, async |mut client| {
+    with_handler(handler, async |mut client| {
         let read = client.read("config", Offset(3), Millis(0)).await;
         assert!(matches!(read, Err(Error::Unreadable { .. })), "{read:?}");
     });
 }
 
 #[test]
-fn a_broken_connection_is_replaced_by_the_next_call() {
+fn next_call_replaces_broken_connection() {
     let calls = Rc::new(Cell::new(0_u32));
     let counted = calls.clone();
     let handler: Handler = Rc::new(move |_| {
@@ -114,10 +114,10 @@
         };
         Box::pin(async move { act })
     });
-    beside_handler(handler, async |mut client| {
+    with_handler(handler, async |mut client| {
         assert_eq!(append(&mut client).await, Ok(Offset(7)));
         assert!(append(&mut client).await.is_err());
         assert_eq!(append(&mut client).await, Ok(Offset(7)));
-        assert_eq!(calls.get(), 3, "nothing is repeated by the client itself");
+        assert_eq!(calls.get(), 3, "the client does not retry calls");
     });
 }
--- a/crates/onyxshed-proto/src/config.rs
+++ b/crates/onyxshed-proto/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in messages.
+//! Encoding and decoding of the configuration in messages.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,9 @@
 
 use crate::error::{Error, Result};
 use crate::onyxshed_capnp::{class_target, config};
-use crate::text::{bounded, parse};
+use crate::text::{check_length, parse};
 
-/// Writes a configuration.
+/// Writes a configuration to a message.
 pub fn write(config: &Config, mut builder: config::Builder<'_>) {
     builder.set_revision(config.revision.0);
     let count = u32::try_from(config.classes.len()).unwrap_or(u32::MAX);
@@ -19,11 +19,11 @@
     }
 }
 
-/// Reads a configuration; one class out of range spoils the whole.
+/// Reads a configuration from a message. Returns an error if any class is invalid.
 pub fn read(reader: config::Reader<'_>) -> Result<Config> {
     let mut classes = BTreeMap::new();
     let list = reader.get_classes()?;
-    bounded("classes", list.len())?;
+    check_length("classes", list.len())?;
     for entry in list {
         let target = read_class(entry)?;
         classes.insert(target.class.clone(), target);
--- a/crates/onyxshed-proto/src/error.rs
+++ b/crates/onyxshed-proto/src/error.rs
@@ -1,40 +1,40 @@
-//! Errors of reading a message between processes.
+//! Errors of decoding a message between processes.
 
 use onyxshed_core::ResultCode;
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// What was wrong with a message.
+/// Reason why a message could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The message breaks the schema or its bounds.
+    /// The message violates the schema or its limits.
     #[snafu(display("the message can't be read: {reason}"))]
     Message {
-        /// The library's words.
+        /// Message of the Cap'n Proto library.
         reason: SmolStr,
     },
-    /// A field holds a text that is none of its kind.
+    /// A field holds a value that its type does not allow.
     #[snafu(display("field {field}: {reason}"))]
     Field {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What was found and what is allowed.
+        /// Value found and values allowed.
         reason: SmolStr,
     },
-    /// A list is longer than its bound.
+    /// A list is longer than the maximum.
     #[snafu(display("list {field} has {found} entries, allowed are {max}"))]
     TooLong {
-        /// The list.
+        /// Name of the list.
         field: &'static str,
-        /// Entries found.
+        /// Number of entries in the list.
         found: u32,
-        /// Entries allowed.
+        /// Maximum number of entries.
         max: u32,
     },
 }
 
 impl Error {
-    /// Makes an error for a field that can't be read.
+    /// Creates an error for a field with an invalid value.
     pub fn field(field: &'static str, reason: impl ToString) -> Self {
         Error::Field {
             field,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Gets the numbered code.
+    /// Returns the numbered code of the error.
     pub fn code(&self) -> ResultCode {
         ResultCode::BadMessage
     }
@@ -62,5 +62,5 @@
     }
 }
 
-/// Result of reading a message between processes.
+/// Result of decoding a message between processes.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-proto/src/gossip.rs
+++ b/crates/onyxshed-proto/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What control processes tell each other about entry hosts.
+//! Encoding and decoding of the gossip between control processes: heartbeats of entry hosts.
 
 use onyxshed_core::{Hlc, Incarnation, Revision, UnixMs};
 use onyxshed_state::member::Gossip;
@@ -6,36 +6,36 @@
 
 use crate::error::Result;
 use crate::onyxshed_capnp::{gossip, heartbeat};
-use crate::text::{bounded, parse};
+use crate::text::{check_length, parse};
 
-/// Writes a message.
+/// Writes a gossip message with the sender's clock stamp.
 pub fn write(from: &Gossip, hlc: Hlc, mut builder: gossip::Builder<'_>) {
-    write_beat(&from.from, builder.reborrow().init_from());
+    write_heartbeat(&from.from, builder.reborrow().init_from());
     let count = u32::try_from(from.others.len()).unwrap_or(u32::MAX);
     let mut others = builder.reborrow().init_others(count);
-    for (index, beat) in (0..count).zip(&from.others) {
-        write_beat(beat, others.reborrow().get(index));
+    for (index, heartbeat) in (0..count).zip(&from.others) {
+        write_heartbeat(heartbeat, others.reborrow().get(index));
     }
     builder.set_has_gone(from.gone.is_some());
     builder.set_gone(from.gone.map_or(0, |gone| gone.0));
     builder.set_hlc(hlc.to_string().as_str());
 }
 
-/// Reads a message and the sender's clock stamp.
+/// Reads a gossip message and the sender's clock stamp.
 pub fn read(reader: gossip::Reader<'_>) -> Result<(Gossip, Hlc)> {
     let list = reader.get_others()?;
-    bounded("others", list.len())?;
-    let others = list.iter().map(read_beat).collect::<Result<_>>()?;
+    check_length("others", list.len())?;
+    let others = list.iter().map(read_heartbeat).collect::<Result<_>>()?;
     let gone = Incarnation(reader.get_gone());
-    let found = Gossip {
-        from: read_beat(reader.get_from()?)?,
+    let message = Gossip {
+        from: read_heartbeat(reader.get_from()?)?,
         others,
         gone: reader.get_has_gone().then_some(gone),
     };
-    Ok((found, parse("hlc", reader.get_hlc())?))
+    Ok((message, parse("hlc", reader.get_hlc())?))
 }
 
-fn write_beat(from: &Heartbeat, mut builder: heartbeat::Builder<'_>) {
+fn write_heartbeat(from: &Heartbeat, mut builder: heartbeat::Builder<'_>) {
     builder.set_host(from.host.as_str());
     builder.set_zone(from.zone.as_str());
     builder.set_incarnation(from.incarnation.0);
@@ -49,7 +49,7 @@
     builder.set_is_draining(from.is_draining);
 }
 
-fn read_beat(reader: heartbeat::Reader<'_>) -> Result<Heartbeat> {
+fn read_heartbeat(reader: heartbeat::Reader<'_>) -> Result<Heartbeat> {
     Ok(Heartbeat {
         host: parse("host", reader.get_host())?,
         zone: parse("zone", reader.get_zone())?,
--- a/crates/onyxshed-proto/src/handover.rs
+++ b/crates/onyxshed-proto/src/handover.rs
@@ -1,4 +1,5 @@
-//! A configuration with its place in the log, as one control process hands it to another.
+//! Encoding and decoding of a handover: a configuration with its offset in the log, sent by one control
+//! process to another.
 
 use onyxshed_core::{Offset, UnixMs};
 use onyxshed_state::Handover;
@@ -6,9 +7,9 @@
 use crate::config;
 use crate::error::Result;
 use crate::onyxshed_capnp::handover;
-use crate::text::{bounded, parse};
+use crate::text::{check_length, parse};
 
-/// Writes a handover.
+/// Writes a handover to a message.
 pub fn write(from: &Handover, mut builder: handover::Builder<'_>) {
     config::write(&from.config, builder.reborrow().init_config());
     builder.set_folded_to(from.folded_to.0);
@@ -22,10 +23,10 @@
     builder.set_is_complete(from.is_complete);
 }
 
-/// Reads a handover.
+/// Reads a handover from a message.
 pub fn read(reader: handover::Reader<'_>) -> Result<Handover> {
     let list = reader.get_recent_changes()?;
-    bounded("recentChanges", list.len())?;
+    check_length("recentChanges", list.len())?;
     let recent_changes = list
         .iter()
         .map(|change| parse("recentChanges", change))
--- a/crates/onyxshed-proto/src/lib.rs
+++ b/crates/onyxshed-proto/src/lib.rs
@@ -1,8 +1,9 @@
-//! What onyxshed's own processes say to each other, over `capnp-rpc`.
+//! Messages between onyxshed's own processes, over `capnp-rpc`.
 //!
-//! The schemas are `schema/onyxshed.capnp` and `schema/pool.capnp`; `onyxshed_capnp` and `pool_capnp`
-//! are generated from them and committed, so a build needs no generator. The other modules turn messages into the types that decisions use, and
-//! check every text on the way in; [`rpc`] carries the interfaces over TCP.
+//! The schemas are `schema/onyxshed.capnp` and `schema/pool.capnp`; `onyxshed_capnp` and `pool_capnp` are
+//! generated from them and committed, so that a build needs no generator. The other modules convert
+//! messages to and from the types of the other crates and validate every text that they decode; [`rpc`]
+//! serves and calls the interfaces over TCP.
 
 pub mod config;
 pub mod error;
--- a/crates/onyxshed-proto/src/pool.rs
+++ b/crates/onyxshed-proto/src/pool.rs
@@ -1,4 +1,4 @@
-//! Messages between entry hosts and owners of pools, to and from the types that decisions use.
+//! Encoding and decoding of messages between entry hosts and owners of pools.
 
 mod evacuation;
 mod peer_state;
@@ -20,7 +20,7 @@
 pub use peer_state::{PeerState, read_peer_state, write_peer_state};
 pub use transfer::{read_offer, read_transfer, write_offer, write_transfer};
 
-/// Writes an owner's sum of its pool.
+/// Writes the load of a pool as its owner computed it.
 pub fn write_load(load: &PoolLoad, mut to: pool_load::Builder<'_>) {
     to.set_capacity_cpu_millis(load.capacity_cpu_millis);
     to.set_free_cpu_millis(load.free_cpu_millis);
@@ -32,9 +32,9 @@
     }
 }
 
-/// Tries to read an owner's sum of its pool.
+/// Reads the load of a pool as its owner computed it.
 pub fn read_load(from: pool_load::Reader<'_>) -> capnp::Result<PoolLoad> {
-    let successor = given(text(from.get_successor()?)?);
+    let successor = non_empty(text(from.get_successor()?)?);
     Ok(PoolLoad {
         capacity_cpu_millis: from.get_capacity_cpu_millis(),
         free_cpu_millis: from.get_free_cpu_millis(),
@@ -45,7 +45,7 @@
     })
 }
 
-/// Gets a list's length as it is written.
+/// Converts the length of a list to the type that messages use.
 pub fn length<T>(list: &[T]) -> capnp::Result<u32> {
     u32::try_from(list.len()).map_err(|error| capnp::Error::failed(error.to_string()))
 }
@@ -55,7 +55,7 @@
     parsed.map_err(|_| capnp::Error::failed("an address can't be read".to_owned()))
 }
 
-/// Writes which executors an owner still uses.
+/// Writes the ids of the executors that an owner still uses.
 pub fn write_held_executors(
     executors: &[ExecutorId],
     to: pool_port::release_results::Builder<'_>,
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-/// Tries to read which executors an owner still uses.
+/// Reads the ids of the executors that an owner still uses.
 pub fn read_held_executors(
     from: pool_port::release_results::Reader<'_>,
 ) -> capnp::Result<BTreeSet<ExecutorId>> {
@@ -76,7 +76,7 @@
     held.iter().map(|id| Ok(ExecutorId(text(id?)?))).collect()
 }
 
-/// Writes a job.
+/// Writes a job that an entry host submits to an owner.
 pub fn write_job(job: &JobRequest, mut to: pool_job::Builder<'_>) {
     to.set_job(job.job.0);
     to.set_submission(job.submission.0);
@@ -97,7 +97,7 @@
     to.set_per_executor_max(job.per_executor_max.unwrap_or_default());
 }
 
-/// Tries to read a job of an entry host.
+/// Reads a job that the entry host `peer` submits.
 pub fn read_job(peer: PeerIncarnation, from: pool_job::Reader<'_>) -> capnp::Result<JobRequest> {
     let per_executor_max = from.get_per_executor_max();
     Ok(JobRequest {
@@ -118,8 +118,8 @@
         objective: Millis(from.get_objective_ms()),
         elapsed: Millis(from.get_spent_ms()),
         time_left: Millis(from.get_time_left_ms()),
-        label: given(text(from.get_label()?)?),
-        data_rack: given(text(from.get_data_rack()?)?),
+        label: non_empty(text(from.get_label()?)?),
+        data_rack: non_empty(text(from.get_data_rack()?)?),
         per_executor_max: (per_executor_max > 0).then_some(per_executor_max),
     })
 }
@@ -128,47 +128,48 @@
     Ok(from.to_str()?.into())
 }
 
-fn given(text: SmolStr) -> Option<SmolStr> {
+fn non_empty(text: SmolStr) -> Option<SmolStr> {
     (!text.is_empty()).then_some(text)
 }
 
-fn number_of<T: PartialEq>(reasons: &[T], reason: &T) -> u8 {
+/// Returns the number of a reason in messages, which is its index among all reasons of its kind.
+fn reason_number<T: PartialEq>(reasons: &[T], reason: &T) -> u8 {
     let found = reasons.iter().position(|known| known == reason);
     found
         .and_then(|index| u8::try_from(index).ok())
         .unwrap_or_default()
 }
 
-/// Writes how a job ended.
+/// Writes the end of a job.
 pub fn write_end(end: &JobEnd, mut to: pool_end::Builder<'_>) {
     match end {
         JobEnd::Completed => to.set_kind(PoolEndKind::Completed),
         JobEnd::Failed => to.set_kind(PoolEndKind::Failed),
         JobEnd::NotRun(reason, retry_after) => {
             to.set_kind(PoolEndKind::NotRun);
-            to.set_reason(number_of(&NotRunReason::ALL, reason));
+            to.set_reason(reason_number(&NotRunReason::ALL, reason));
             to.set_retry_after_ms(retry_after.0);
         }
         JobEnd::Unknown(reason) => {
             to.set_kind(PoolEndKind::Unknown);
-            to.set_reason(number_of(&UnknownReason::ALL, reason));
+            to.set_reason(reason_number(&UnknownReason::ALL, reason));
         }
     }
 }
 
-/// Tries to read how a job ended.
+/// Reads the end of a job.
 pub fn read_end(from: pool_end::Reader<'_>) -> capnp::Result<JobEnd> {
     let reason = usize::from(from.get_reason());
-    let unreadable = || capnp::Error::failed("a reason is not known".to_owned());
+    let unknown_reason = || capnp::Error::failed("a reason is not known".to_owned());
     Ok(match from.get_kind()? {
         PoolEndKind::Completed => JobEnd::Completed,
         PoolEndKind::Failed => JobEnd::Failed,
         PoolEndKind::NotRun => {
-            let reason = NotRunReason::ALL.get(reason).ok_or_else(unreadable)?;
+            let reason = NotRunReason::ALL.get(reason).ok_or_else(unknown_reason)?;
             JobEnd::NotRun(*reason, Millis(from.get_retry_after_ms()))
         }
         PoolEndKind::Unknown => {
-            let reason = UnknownReason::ALL.get(reason).ok_or_else(unreadable)?;
+            let reason = UnknownReason::ALL.get(reason).ok_or_else(unknown_reason)?;
             JobEnd::Unknown(*reason)
         }
     })
--- a/crates/onyxshed-proto/src/pool/evacuation.rs
+++ b/crates/onyxshed-proto/src/pool/evacuation.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of evacuated availability zones.
+//! Encoding and decoding of the evacuations of availability zones that hosts exchange.
 
 use capnp::struct_list;
 use onyxshed_pool::{EvacuationRecord, LogPosition};
@@ -6,7 +6,7 @@
 use super::text;
 use crate::pool_capnp::zone_evacuation;
 
-/// Writes the records that a host knows into a list of their number.
+/// Writes a host's evacuation records to a list, which must have been created with their number.
 pub fn write_evacuations(
     records: &[EvacuationRecord],
     mut to: struct_list::Builder<'_, zone_evacuation::Owned>,
@@ -19,7 +19,7 @@
     }
 }
 
-/// Tries to read the records that a host knows.
+/// Reads a host's evacuation records.
 pub fn read_evacuations(
     from: struct_list::Reader<'_, zone_evacuation::Owned>,
 ) -> capnp::Result<Vec<EvacuationRecord>> {
--- a/crates/onyxshed-proto/src/pool/peer_state.rs
+++ b/crates/onyxshed-proto/src/pool/peer_state.rs
@@ -1,4 +1,5 @@
-//! What a host tells one that has just started while the store is away.
+//! Encoding and decoding of the state that a host sends to a host that starts while the store is
+//! unreachable.
 
 use std::net::SocketAddr;
 
@@ -8,44 +9,44 @@
 use super::{address, length, read_evacuations, text, write_evacuations};
 use crate::pool_capnp::peer_state;
 
-/// What a host knows of the deployment that one which has just started needs.
+/// State of the deployment as a host knows it, for a host that has just started.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PeerState {
-    /// The operators' manifest as the store holds it; empty where it is not known.
+    /// The operators' manifest as the store holds it; empty if unknown.
     pub manifest: Vec<u8>,
-    /// Pools, and where their owners are asked.
+    /// Pools, and the addresses on which their owners accept connections of other hosts.
     pub owners: Vec<(PoolId, SocketAddr)>,
-    /// How zones are divided.
+    /// Shard layouts of availability zones, by the zone's name.
     pub shard_layouts: Vec<(SmolStr, ShardLayout)>,
-    /// Evacuations of zones.
+    /// Evacuation records of availability zones.
     pub evacuations: Vec<EvacuationRecord>,
 }
 
-/// Writes what a host knows.
-pub fn write_peer_state(known: &PeerState, mut to: peer_state::Builder<'_>) -> capnp::Result<()> {
-    to.set_manifest(&known.manifest);
-    let mut owners = to.reborrow().init_owners(length(&known.owners)?);
-    for (index, (pool, address)) in (0..).zip(&known.owners) {
+/// Writes a host's state of the deployment.
+pub fn write_peer_state(state: &PeerState, mut to: peer_state::Builder<'_>) -> capnp::Result<()> {
+    to.set_manifest(&state.manifest);
+    let mut owners = to.reborrow().init_owners(length(&state.owners)?);
+    for (index, (pool, address)) in (0..).zip(&state.owners) {
         let mut owner = owners.reborrow().get(index);
         owner.set_pool(format_smolstr!("{pool}").as_str());
         owner.set_address(format_smolstr!("{address}").as_str());
     }
-    let mut divisions = to.reborrow().init_divisions(length(&known.shard_layouts)?);
-    for (index, (zone, division)) in (0..).zip(&known.shard_layouts) {
-        let mut entry = divisions.reborrow().get(index);
+    let mut layouts = to.reborrow().init_divisions(length(&state.shard_layouts)?);
+    for (index, (zone, layout)) in (0..).zip(&state.shard_layouts) {
+        let mut entry = layouts.reborrow().get(index);
         entry.set_zone(zone.as_str());
-        entry.set_division(division.to_text().as_str());
+        entry.set_division(layout.to_text().as_str());
     }
-    let evacuations = to.init_evacuations(length(&known.evacuations)?);
-    write_evacuations(&known.evacuations, evacuations);
+    let evacuations = to.init_evacuations(length(&state.evacuations)?);
+    write_evacuations(&state.evacuations, evacuations);
     Ok(())
 }
 
-/// Tries to read what a host knows.
+/// Reads a host's state of the deployment.
 pub fn read_peer_state(from: peer_state::Reader<'_>) -> capnp::Result<PeerState> {
-    let unreadable = |what: &str| capnp::Error::failed(format!("a {what} can't be read"));
+    let unreadable = |kind: &str| capnp::Error::failed(format!("a {kind} can't be read"));
     let owners = from.get_owners()?;
-    let divisions = from.get_divisions()?;
+    let layouts = from.get_divisions()?;
     Ok(PeerState {
         manifest: from.get_manifest()?.to_vec(),
         owners: owners
@@ -56,12 +57,12 @@
                 Ok((pool, address(&text(owner.get_address()?)?)?))
             })
             .collect::<capnp::Result<_>>()?,
-        shard_layouts: divisions
+        shard_layouts: layouts
             .iter()
             .map(|entry| {
-                let division = ShardLayout::from_text(&text(entry.get_division()?)?);
-                let division = division.ok_or_else(|| unreadable("division"))?;
-                Ok((text(entry.get_zone()?)?, division))
+                let layout = ShardLayout::from_text(&text(entry.get_division()?)?);
+                let layout = layout.ok_or_else(|| unreadable("division"))?;
+                Ok((text(entry.get_zone()?)?, layout))
             })
             .collect::<capnp::Result<_>>()?,
         evacuations: read_evacuations(from.get_evacuations()?)?,
--- a/crates/onyxshed-proto/src/pool/transfer.rs
+++ b/crates/onyxshed-proto/src/pool/transfer.rs
@@ -1,4 +1,4 @@
-//! What hosts offer to owners, and what a successor is given.
+//! Encoding and decoding of the messages by which the ownership of a pool moves to a successor.
 
 use onyxshed_core::UnixMs;
 use onyxshed_pool::{
@@ -6,16 +6,16 @@
 };
 use smol_str::format_smolstr;
 
-use super::{address, given, length, text};
+use super::{address, length, non_empty, text};
 use crate::pool_capnp::{ownership_transfer, pool_executor, successor_offer};
 
-/// Writes what a host that could own a pool tells of itself.
+/// Writes the offer of a host that could own a pool.
 pub fn write_offer(offer: SuccessorOffer, mut to: successor_offer::Builder<'_>) {
     to.set_address(format_smolstr!("{}", offer.address).as_str());
     to.set_cpu_millis(offer.cpu_millis);
 }
 
-/// Tries to read what a host that could own a pool tells of itself.
+/// Reads the offer of a host that could own a pool.
 pub fn read_offer(from: successor_offer::Reader<'_>) -> capnp::Result<SuccessorOffer> {
     Ok(SuccessorOffer {
         address: address(&text(from.get_address()?)?)?,
@@ -23,7 +23,7 @@
     })
 }
 
-/// Writes what a successor is given.
+/// Writes the state of a pool that its owner transfers to the successor.
 pub fn write_transfer(
     transfer: &OwnershipTransfer,
     mut to: ownership_transfer::Builder<'_>,
@@ -46,16 +46,16 @@
         entry.set_accelerators(facts.capacity.accelerators);
         entry.set_rack(facts.rack.as_deref().unwrap_or_default());
         entry.set_is_draining(facts.is_draining);
-        entry.set_born_ms(facts.started_at.map_or(0, |born| born.0));
+        entry.set_born_ms(facts.started_at.map_or(0, |started_at| started_at.0));
         let mut labels = entry.init_labels(length(&facts.labels)?);
-        for (place, label) in (0..).zip(&facts.labels) {
-            labels.set(place, label.as_str());
+        for (position, label) in (0..).zip(&facts.labels) {
+            labels.set(position, label.as_str());
         }
     }
     Ok(())
 }
 
-/// Tries to read what a successor is given.
+/// Reads the state of a pool that its owner transfers to the successor.
 pub fn read_transfer(from: ownership_transfer::Reader<'_>) -> capnp::Result<OwnershipTransfer> {
     let executors = from.get_executors()?;
     let members = from.get_past_members()?;
@@ -74,7 +74,7 @@
 
 fn read_facts(from: pool_executor::Reader<'_>) -> capnp::Result<ExecutorFacts> {
     let labels = from.get_labels()?;
-    let born_ms = from.get_born_ms();
+    let started_at_ms = from.get_born_ms();
     Ok(ExecutorFacts {
         address: address(&text(from.get_address()?)?)?,
         upstream: text(from.get_upstream()?)?,
@@ -87,8 +87,8 @@
             .iter()
             .map(|label| text(label?))
             .collect::<capnp::Result<_>>()?,
-        rack: given(text(from.get_rack()?)?),
+        rack: non_empty(text(from.get_rack()?)?),
         is_draining: from.get_is_draining(),
-        started_at: (born_ms > 0).then_some(UnixMs(born_ms)),
+        started_at: (started_at_ms > 0).then_some(UnixMs(started_at_ms)),
     })
 }
--- a/crates/onyxshed-proto/src/rpc.rs
+++ b/crates/onyxshed-proto/src/rpc.rs
@@ -1,7 +1,7 @@
-//! The interfaces over TCP: serving one and calling one.
+//! Serving and calling the interfaces over TCP.
 //!
-//! A message is bounded before it is read: one that claims more than its limit ends the connection,
-//! so a garbled or hostile peer costs a connection and no memory.
+//! The size of a message is checked before it is read. A message that states a size above the limit ends
+//! the connection, so that a faulty or hostile peer costs a connection but no memory.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -19,14 +19,14 @@
 use capnp_rpc::twoparty::VatNetwork;
 use smol_str::SmolStr;
 
-/// Largest message between processes, in 8-byte words (8 MiB).
+/// Maximum size of a message between processes, in 8-byte words (8 MiB).
 const MESSAGE_MAX_WORDS: usize = 1 << 20;
 
-/// Deepest nesting in a message.
+/// Maximum depth of nested structures in a message.
 const NESTING_MAX: i32 = 16;
 
-/// Most connections that one interface serves at a time, where nothing else is said: some four times
-/// the peers of the largest deployment measured with the product's own processes (64 hosts).
+/// Default maximum number of connections that one interface serves at a time: about four times the
+/// number of peers in the largest deployment that was measured with onyxshed's processes (64 hosts).
 pub const CONNECTIONS_MAX: usize = 256;
 
 fn reader_options() -> ReaderOptions {
@@ -42,23 +42,24 @@
     Box::new(VatNetwork::new(stream, writer, side, reader_options()))
 }
 
-/// Pause after a failed accept, so that a shortage of file descriptors does not spin.
+/// Pause after a failed accept, which prevents a busy loop while file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Told, in words, why a connection was dropped.
+/// Callback that receives a description of the reason why a connection was dropped.
 pub type DropReporter = Rc<dyn Fn(SmolStr)>;
 
-/// Serves `bootstrap` to every connection, `connections_max` at a time, until dropped.
+/// Serves `bootstrap` to every connection, up to `connections_max` at a time, until the future is
+/// dropped.
 ///
-/// Failure guarded against: a flood of connections that say nothing takes every place. Symptom: the
-/// control process, or a peer, can't get through. The oldest connection makes room for a new one: a
-/// process that is really there connects again within a heartbeat and so keeps its place.
+/// At the limit, the oldest connection is closed for a new one. Otherwise, a flood of idle connections
+/// could use up the limit and lock out the control process or a peer. A live process whose connection is
+/// closed connects again within a heartbeat.
 pub async fn serve(
     listener: TcpListener,
     bootstrap: Client,
     executor: Rc<LocalExecutor<'static>>,
     connections_max: usize,
-    dropped: DropReporter,
+    report_drop: DropReporter,
 ) {
     let mut open: VecDeque<Task<()>> = VecDeque::new();
     loop {
@@ -71,26 +72,26 @@
         }
         open.retain(|connection| !connection.is_finished());
         if open.len() >= connections_max {
-            dropped(SmolStr::new_static("the oldest of too many connections"));
+            report_drop(SmolStr::new_static(
+                "closed the oldest connection: too many connections",
+            ));
             open.pop_front();
         }
         let system = RpcSystem::new(network(stream, Side::Server), Some(bootstrap.clone()));
-        open.push_back(executor.spawn(converse(system, dropped.clone())));
+        open.push_back(executor.spawn(serve_connection(system, report_drop.clone())));
     }
 }
 
-/// Serves one connection to its end.
-async fn converse(system: RpcSystem<Side>, dropped: DropReporter) {
+/// Serves one connection until it ends.
+async fn serve_connection(system: RpcSystem<Side>, report_drop: DropReporter) {
     if let Err(error) = system.await
         && error.kind != ErrorKind::Disconnected
     {
-        dropped(smol_str::format_smolstr!(
-            "a message can't be read: {error}"
-        ));
+        report_drop(smol_str::format_smolstr!("malformed message: {error}"));
     }
 }
 
-/// Tries to connect to an interface; the connection lives as long as the client and its calls.
+/// Connects to an interface. The connection stays open as long as the client or one of its calls exists.
 pub async fn connect<T: FromClientHook>(
     address: SocketAddr,
     executor: &Rc<LocalExecutor<'static>>,
--- a/crates/onyxshed-proto/src/snapshot.rs
+++ b/crates/onyxshed-proto/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Everything that an entry process learns from its control process.
+//! Encoding and decoding of the snapshots that a control process sends to its entry process.
 
 use std::net::SocketAddr;
 
@@ -9,40 +9,40 @@
 use crate::config;
 use crate::error::Result;
 use crate::onyxshed_capnp::{self as schema, executor, member, snapshot};
-use crate::text::{bounded, parse};
+use crate::text::{check_length, parse};
 
-/// An executor and where it listens.
+/// An executor and its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExecutorEntry {
-    /// What placement needs.
+    /// Description of the executor for placement.
     pub info: ExecutorInfo,
-    /// Where it listens.
+    /// Address on which the executor accepts tasks.
     pub address: SocketAddr,
 }
 
-/// One snapshot.
+/// State that a control process sends to the entry process of its host.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The configuration, none until one is known.
+    /// Configuration in force; `None` until one is known.
     pub config: Option<Config>,
-    /// The executors, none until the platform's list was read once.
+    /// Executors; `None` until the platform's list of hosts has been read once.
     pub executors: Option<Vec<ExecutorEntry>>,
-    /// Every member, the receiver left out.
+    /// All entry hosts except the receiver.
     pub members: Vec<Member>,
-    /// Incarnations that are held to be gone for good.
+    /// Incarnations of entry hosts that have been declared permanently gone.
     pub gone: Vec<Incarnation>,
-    /// Live entry hosts of this zone, the receiver included.
+    /// Number of live entry hosts in the receiver's availability zone, including the receiver.
     pub zone_hosts: u32,
-    /// Live entry hosts of all zones, the receiver included.
+    /// Number of live entry hosts in all availability zones, including the receiver.
     pub live_hosts: u32,
-    /// The sender's clock stamp.
+    /// Clock stamp of the sender.
     pub hlc: Hlc,
 }
 
-/// Writes a snapshot.
+/// Writes a snapshot to a message.
 pub fn write(from: &Snapshot, mut builder: snapshot::Builder<'_>) {
-    if let Some(found) = &from.config {
-        config::write(found, builder.reborrow().init_config());
+    if let Some(config) = &from.config {
+        config::write(config, builder.reborrow().init_config());
     }
     if let Some(executors) = &from.executors {
         builder.set_has_executors(true);
@@ -67,7 +67,7 @@
     builder.set_hlc(from.hlc.to_string().as_str());
 }
 
-/// Reads a snapshot; whatever is out of range spoils the whole.
+/// Reads a snapshot from a message. Returns an error if any value in it is invalid.
 pub fn read(reader: snapshot::Reader<'_>) -> Result<Snapshot> {
     let config = match reader.has_config() {
         true => Some(config::read(reader.get_config()?)?),
@@ -78,10 +78,10 @@
         false => None,
     };
     let list = reader.get_members()?;
-    bounded("members", list.len())?;
+    check_length("members", list.len())?;
     let members = list.iter().map(read_member).collect::<Result<_>>()?;
     let list = reader.get_gone()?;
-    bounded("gone", list.len())?;
+    check_length("gone", list.len())?;
     let gone = list.iter().map(Incarnation).collect();
     Ok(Snapshot {
         config,
@@ -106,7 +106,7 @@
 
 fn read_executors(reader: snapshot::Reader<'_>) -> Result<Vec<ExecutorEntry>> {
     let list = reader.get_executors()?;
-    bounded("executors", list.len())?;
+    check_length("executors", list.len())?;
     list.iter().map(read_executor).collect()
 }
 
@@ -130,7 +130,7 @@
     builder.set_zone(entry.zone.as_str());
     builder.set_incarnation(entry.incarnation.0);
     builder.set_peer_address(entry.peer_address.to_string().as_str());
-    builder.set_state(write_state(entry.state));
+    builder.set_state(encode_state(entry.state));
 }
 
 fn read_member(reader: member::Reader<'_>) -> Result<Member> {
@@ -139,12 +139,12 @@
         zone: parse("zone", reader.get_zone())?,
         incarnation: Incarnation(reader.get_incarnation()),
         peer_address: parse("peerAddress", reader.get_peer_address())?,
-        state: read_state(reader.get_state().map_err(capnp::Error::from)?),
+        state: decode_state(reader.get_state().map_err(capnp::Error::from)?),
     })
 }
 
-/// Gets a member's state as messages write it.
-pub fn write_state(state: MemberState) -> schema::MemberState {
+/// Converts a member's state to the type that messages use.
+pub fn encode_state(state: MemberState) -> schema::MemberState {
     match state {
         MemberState::Live => schema::MemberState::Live,
         MemberState::Suspect => schema::MemberState::Suspect,
@@ -152,8 +152,8 @@
     }
 }
 
-/// Gets a member's state from a message.
-pub fn read_state(state: schema::MemberState) -> MemberState {
+/// Converts a member's state from the type that messages use.
+pub fn decode_state(state: schema::MemberState) -> MemberState {
     match state {
         schema::MemberState::Live => MemberState::Live,
         schema::MemberState::Suspect => MemberState::Suspect,
--- a/crates/onyxshed-proto/src/status.rs
+++ b/crates/onyxshed-proto/src/status.rs
@@ -1,4 +1,4 @@
-//! What an entry process tells its control process.
+//! Encoding and decoding of the status that an entry process sends to its control process.
 
 use std::net::SocketAddr;
 
@@ -9,28 +9,28 @@
 use crate::onyxshed_capnp::entry_status;
 use crate::text::parse;
 
-/// One entry process's state.
+/// Status of an entry process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryStatus {
-    /// The host.
+    /// Host of the entry process.
     pub host: HostName,
-    /// Its current life.
+    /// Incarnation of the entry process.
     pub incarnation: Incarnation,
-    /// Where it takes requests passed on by peers.
+    /// Address on which the entry process accepts requests that its peers forward.
     pub peer_address: SocketAddr,
-    /// The configuration in force, none until one came.
+    /// Revision of the configuration in force; `None` until one has been received.
     pub config_revision: Option<Revision>,
-    /// How busy it is.
+    /// Load of the entry process.
     pub load: LoadDigest,
-    /// Whether it is on its way out.
+    /// Whether the entry process is draining.
     pub is_draining: bool,
-    /// When this life began, on its own wall clock.
+    /// Start time of this incarnation, on the host's own wall clock.
     pub started_at_ms: UnixMs,
-    /// Its clock stamp.
+    /// Clock stamp of the entry process.
     pub hlc: Hlc,
 }
 
-/// Writes a status.
+/// Writes a status to a message.
 pub fn write(from: &EntryStatus, mut builder: entry_status::Builder<'_>) {
     builder.set_host(from.host.as_str());
     builder.set_incarnation(from.incarnation.0);
@@ -44,7 +44,7 @@
     builder.set_hlc(from.hlc.to_string().as_str());
 }
 
-/// Reads a status.
+/// Reads a status from a message.
 pub fn read(reader: entry_status::Reader<'_>) -> Result<EntryStatus> {
     let revision = Revision(reader.get_config_revision());
     Ok(EntryStatus {
--- a/crates/onyxshed-proto/src/text.rs
+++ b/crates/onyxshed-proto/src/text.rs
@@ -1,13 +1,13 @@
-//! Reading texts and lists from messages, checked and bounded.
+//! Validation of texts and lists in messages.
 
 use std::str::FromStr;
 
 use crate::error::{Error, Result};
 
-/// Most entries that a list in a message may hold.
+/// Maximum number of entries in a list of a message.
 pub const LIST_MAX: u32 = 100_000;
 
-/// Reads a text field in the form its type has.
+/// Parses the text of a field as the type `T`. The name `field` goes into the error.
 pub fn parse<T>(field: &'static str, text: capnp::Result<capnp::text::Reader<'_>>) -> Result<T>
 where
     T: FromStr,
@@ -18,8 +18,8 @@
         .map_err(|error: T::Err| Error::field(field, error.to_string()))
 }
 
-/// Checks a list's length before anything is made from it.
-pub fn bounded(field: &'static str, found: u32) -> Result<u32> {
+/// Checks the length of a list before memory is allocated for its entries; returns the length.
+pub fn check_length(field: &'static str, found: u32) -> Result<u32> {
     if found <= LIST_MAX {
         Ok(found)
     } else {
--- a/crates/onyxshed-proto/tests/decoders.rs
+++ b/crates/onyxshed-proto/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes come, messages are read or refused; what was written is read back.
+//! Any bytes are decoded or rejected without a panic, and encoded messages decode to the same value.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
     T: std::str::FromStr + std::fmt::Debug,
     T::Err: std::fmt::Debug,
 {
-    "[a-z0-9][a-z0-9._-]{0,20}".prop_map(|text| text.parse().expect("it keeps the rules"))
+    "[a-z0-9][a-z0-9._-]{0,20}".prop_map(|text| text.parse().expect("the text is a valid name"))
 }
 
 fn address() -> impl Strategy<Value = SocketAddr> {
@@ -49,10 +49,8 @@
             may_run_twice,
         },
     );
-    let good = target.prop_filter("targets that the rules allow", |target| {
-        target.check().is_ok()
-    });
-    (any::<u64>(), vec(good, 0..4)).prop_map(|(revision, targets)| {
+    let valid = target.prop_filter("valid targets", |target| target.check().is_ok());
+    (any::<u64>(), vec(valid, 0..4)).prop_map(|(revision, targets)| {
         let classes = targets
             .into_iter()
             .map(|target| (target.class.clone(), target));
@@ -74,14 +72,14 @@
         address(),
     );
     parts.prop_map(
-        |(name, upstream, zone, rack, slots, is_leaving, address)| ExecutorEntry {
+        |(name, upstream, zone, rack, slots, is_draining, address)| ExecutorEntry {
             info: ExecutorInfo {
                 name,
                 upstream,
                 zone,
                 rack: rack.into(),
                 slots,
-                is_draining: is_leaving,
+                is_draining,
             },
             address,
         },
@@ -105,22 +103,22 @@
     )
 }
 
-fn whole() -> impl Strategy<Value = Snapshot> {
+fn full_snapshot() -> impl Strategy<Value = Snapshot> {
     let lists = (
         proptest::option::of(config()),
         proptest::option::of(vec(executor(), 0..4)),
         vec(member(), 0..4),
         vec(any::<u64>(), 0..4),
     );
-    (lists, any::<(u32, u32)>(), hlc()).prop_map(|(lists, (sharers, live), hlc)| {
+    (lists, any::<(u32, u32)>(), hlc()).prop_map(|(lists, (zone_hosts, live_hosts), hlc)| {
         let (config, executors, members, gone) = lists;
         Snapshot {
             config,
             executors,
             members,
             gone: gone.into_iter().map(Incarnation).collect(),
-            zone_hosts: sharers,
-            live_hosts: live,
+            zone_hosts,
+            live_hosts,
             hlc,
         }
     })
@@ -165,7 +163,7 @@
     )
 }
 
-fn digest() -> impl Strategy<Value = Gossip> {
+fn gossip_message() -> impl Strategy<Value = Gossip> {
     (heartbeat(), vec(heartbeat(), 0..4), any::<Option<u64>>()).prop_map(|(from, others, gone)| {
         Gossip {
             from,
@@ -175,7 +173,7 @@
     })
 }
 
-fn told() -> impl Strategy<Value = Handover> {
+fn config_handover() -> impl Strategy<Value = Handover> {
     let changes = vec(any::<u128>(), 0..4);
     let numbers = any::<(u64, Option<u64>, bool)>();
     (config(), changes, numbers).prop_map(|(config, changes, (folded_to, needed, is_complete))| {
@@ -189,8 +187,8 @@
     })
 }
 
-/// Reads bytes as each kind of message; only a panic is wrong.
-fn read_all(bytes: &[u8]) {
+/// Decodes bytes as each kind of message; fails only by a panic.
+fn decode_all(bytes: &[u8]) {
     let Ok(message) = serialize::read_message(bytes, ReaderOptions::new()) else {
         return;
     };
@@ -208,60 +206,60 @@
         .map(handover::read);
 }
 
-fn written(fill: impl FnOnce(&mut Builder<HeapAllocator>)) -> Vec<u8> {
+fn encode(fill: impl FnOnce(&mut Builder<HeapAllocator>)) -> Vec<u8> {
     let mut message = Builder::new_default();
     fill(&mut message);
     serialize::write_message_to_words(&message)
 }
 
 fn snapshot_bytes(from: &Snapshot) -> Vec<u8> {
-    written(|message| snapshot::write(from, message.init_root()))
+    encode(|message| snapshot::write(from, message.init_root()))
 }
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in vec(any::<u8>(), 0..400)) {
-        read_all(&bytes);
-        // The same behind a frame that holds, so that the message's inside is read too.
+    fn arbitrary_bytes_decode_or_return_error(bytes in vec(any::<u8>(), 0..400)) {
+        decode_all(&bytes);
+        // The same bytes behind a valid frame, so that the content of the message is decoded too.
         let words = u32::try_from(bytes.len() / 8).unwrap();
         let framed = [&0_u32.to_le_bytes(), &words.to_le_bytes(), &bytes[..]].concat();
-        read_all(&framed);
+        decode_all(&framed);
     }
 
     #[test]
-    fn spoiled_messages_are_read_or_refused(
-        from in whole(),
-        spoils in vec(any::<(prop::sample::Index, u8)>(), 1..6),
+    fn corrupted_messages_decode_or_return_error(
+        from in full_snapshot(),
+        corruptions in vec(any::<(prop::sample::Index, u8)>(), 1..6),
     ) {
         let mut bytes = snapshot_bytes(&from);
-        for (at, byte) in spoils {
-            let place = at.index(bytes.len());
-            bytes[place] = byte;
+        for (at, byte) in corruptions {
+            let position = at.index(bytes.len());
+            bytes[position] = byte;
         }
-        read_all(&bytes);
+        decode_all(&bytes);
     }
 
     #[test]
-    fn what_the_entry_is_told_is_read_back(from in whole(), told in entry_status()) {
+    fn snapshots_and_statuses_round_trip(from in full_snapshot(), reported in entry_status()) {
         let mut message = Builder::new_default();
         snapshot::write(&from, message.init_root());
         let read = snapshot::read(message.get_root_as_reader().unwrap());
         prop_assert_eq!(read.unwrap(), from);
         let mut message = Builder::new_default();
-        status::write(&told, message.init_root());
+        status::write(&reported, message.init_root());
         let read = status::read(message.get_root_as_reader().unwrap());
-        prop_assert_eq!(read.unwrap(), told);
+        prop_assert_eq!(read.unwrap(), reported);
     }
 
     #[test]
-    fn what_peers_are_told_is_read_back(from in digest(), stamp in hlc(), told in told()) {
+    fn gossip_and_handovers_round_trip(from in gossip_message(), stamp in hlc(), sent in config_handover()) {
         let mut message = Builder::new_default();
         gossip::write(&from, stamp, message.init_root());
         let read = gossip::read(message.get_root_as_reader().unwrap());
         prop_assert_eq!(read.unwrap(), (from, stamp));
         let mut message = Builder::new_default();
-        handover::write(&told, message.init_root());
+        handover::write(&sent, message.init_root());
         let read = handover::read(message.get_root_as_reader().unwrap());
-        prop_assert_eq!(read.unwrap(), told);
+        prop_assert_eq!(read.unwrap(), sent);
     }
 }
--- a/crates/onyxshed-wire/src/admin.rs
+++ b/crates/onyxshed-wire/src/admin.rs
@@ -1,8 +1,8 @@
-//! The interface to operators, on every process's admin address.
+//! The interface to operators, served by every process on its admin address.
 //!
-//! `GET /healthz` and `GET /readyz` answer in words, `GET /metrics` in Prometheus text,
-//! `GET /v1/status` with a [`Status`], `GET /v1/timeline` with a [`TimelinePage`]; `POST /v1/drain`
-//! does what SIGTERM does.
+//! `GET /healthz` and `GET /readyz` answer in plain text, `GET /metrics` in the Prometheus text format,
+//! `GET /v1/status` with a [`Status`] and `GET /v1/timeline` with a [`TimelinePage`]. `POST /v1/drain`
+//! has the same effect as SIGTERM.
 
 use onyxshed_core::{Event, Incarnation, Millis, ResultCode, Revision, UnixMs};
 use serde::{Deserialize, Serialize};
@@ -22,37 +22,37 @@
 /// Path of the status.
 pub const STATUS_PATH: &str = "/v1/status";
 
-/// Path of the time line; its query takes `submission`, `class`, `party`, `since_ms` and `limit`.
+/// Path of the timeline. Its query accepts `submission`, `class`, `party`, `since_ms` and `limit`.
 pub const TIMELINE_PATH: &str = "/v1/timeline";
 
 /// Path that drains the process.
 pub const DRAIN_PATH: &str = "/v1/drain";
 
-/// Largest answer of a process, in bytes; a full page of a time line of long texts is smaller.
+/// Maximum size of an answer, in bytes. A full timeline page of events with long texts is smaller.
 pub const ANSWER_MAX_BYTES: u64 = 32 << 20;
 
 /// Answer to `GET /v1/status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The binary's name.
+    /// Name of the process's binary.
     pub process: SmolStr,
-    /// Its version.
+    /// Version of the binary.
     pub version: SmolStr,
-    /// The host it runs on.
+    /// Host on which the process runs.
     pub host: SmolStr,
-    /// This run of it.
+    /// Incarnation of the process.
     pub boot: Incarnation,
-    /// How long it has run, in milliseconds.
+    /// Time since the process started, in milliseconds.
     pub uptime_ms: Millis,
-    /// Whether it should be sent work.
+    /// Whether the process is ready to receive work.
     pub is_ready: bool,
-    /// Why it should not.
+    /// Reason why the process is not ready; absent if it is.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub why_not_ready: Option<SmolStr>,
-    /// The configuration revision in force in it, absent in a process that has none.
+    /// Revision of the configuration in force in the process; absent in a process that has none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub config_revision: Option<Revision>,
-    /// What this kind of process tells besides.
+    /// Further details, which depend on the kind of process.
     #[serde(default)]
     pub details: serde_json::Value,
 }
@@ -60,44 +60,44 @@
 /// Answer to `GET /v1/timeline`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimelinePage {
-    /// The binary's name.
+    /// Name of the process's binary.
     pub process: SmolStr,
-    /// The host it runs on.
+    /// Host on which the process runs.
     pub host: SmolStr,
-    /// This run of it.
+    /// Incarnation of the process.
     pub boot: Incarnation,
-    /// When this run started: it knows nothing of what was before.
+    /// Start time of this incarnation; it holds no earlier events.
     pub started_ms: UnixMs,
-    /// Events that were dropped because newer ones needed their place.
+    /// Number of events that were dropped to make room for newer ones.
     pub dropped: u64,
-    /// Most events kept.
+    /// Maximum number of events that the process keeps.
     pub events_max: usize,
-    /// Memory that the events kept take, in bytes.
+    /// Memory that the kept events use, in bytes.
     pub memory_bytes: u64,
-    /// Events that match the query, oldest first.
+    /// Events that match the query, from the oldest to the newest.
     pub events: Vec<Event>,
-    /// Whether older events match too and were left out because of the limit.
+    /// Whether older events that match were omitted because of the limit.
     pub is_cut: bool,
 }
 
-/// Answer to a request that can't be served.
+/// Answer to a request that could not be served.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// The numbered code.
+    /// Numbered code of the result.
     pub code: ResultCode,
-    /// The code in words, with particulars.
+    /// Description of the code, with details of this case.
     pub text: SmolStr,
 }
 
 impl Status {
-    /// Reads a status from a body.
+    /// Decodes a status from the body of an answer.
     pub fn decode(body: &[u8]) -> Result<Self> {
         serde_json::from_slice(body).map_err(Error::body)
     }
 }
 
 impl TimelinePage {
-    /// Reads a page from a body.
+    /// Decodes a page from the body of an answer.
     pub fn decode(body: &[u8]) -> Result<Self> {
         serde_json::from_slice(body).map_err(Error::body)
     }
--- a/crates/onyxshed-wire/src/caller.rs
+++ b/crates/onyxshed-wire/src/caller.rs
@@ -1,4 +1,4 @@
-//! The interface to callers: submit a job, fetch its answer, cancel it.
+//! The interface to callers: submitting a job, fetching its answer and cancelling it.
 
 use onyxshed_core::{ClassName, Incarnation, Millis, Outcome, ResultCode, SubmissionId};
 use serde::{Deserialize, Serialize};
@@ -9,34 +9,36 @@
 use crate::content::ContentHash;
 use crate::error::{Error, Result};
 
-/// Path under which jobs are submitted; one job's path is this, '/' and its submission id.
+/// Path to which jobs are submitted. The path of one job is this path, '/' and the submission's id.
 pub const JOBS_PATH: &str = "/v1/jobs";
 
-/// Most tasks in one submission.
+/// Maximum number of tasks in one submission.
 pub const TASKS_MAX: usize = 550;
 
-/// Header that marks a request passed on by another entry host, so that it is not passed on again.
+/// Header of a request that another entry host forwarded; such a request is not forwarded again.
 pub const FORWARDED_HEADER: &str = "onyxshed-forwarded";
 
-/// What a caller says of other copies of its submission.
+/// A caller's statement on whether it sent other copies of the same submission.
 ///
-/// It decides what may be said of a copy that is refused before the log has given this host the
-/// submission: an earlier copy may be under way on another host without being seen from here.
+/// It determines the outcome that may be reported for a copy that is rejected before the log has
+/// confirmed this host's claim on the submission: another host may be running an earlier copy without
+/// this host being able to see it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CopyMark {
-    /// No copy was sent before: a refusal is "not run".
+    /// No copy was sent before. A rejection is reported as "not run".
     First,
-    /// Nothing is said: a refusal is "not run" while the log is readable and shows no claim.
+    /// The caller makes no statement. A rejection is reported as "not run" while the log is readable
+    /// and holds no claim on the submission.
     #[default]
     Unmarked,
-    /// A copy was sent before and its answer is open: a refusal is "not run" only when this host
-    /// holds the submission.
+    /// A copy was sent before and its answer is outstanding. A rejection is reported as "not run" only
+    /// if this host holds the submission.
     Again,
 }
 
 impl CopyMark {
-    /// Tells whether nothing is said.
+    /// Returns whether the caller makes no statement.
     pub fn is_unmarked(&self) -> bool {
         *self == CopyMark::Unmarked
     }
@@ -47,24 +49,25 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Submission {
-    /// The caller's name for this submission.
+    /// Id that the caller gave to the submission.
     pub submission: SubmissionId,
-    /// The class of work.
+    /// Class of work of the job.
     pub class: ClassName,
-    /// How soon the caller wants it, if sooner than the class's target, in milliseconds from its
-    /// arrival.
+    /// Time from the submission's arrival to its deadline, in milliseconds, if it is earlier than the
+    /// class's target.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<Millis>,
-    /// What the caller says of other copies of this submission.
+    /// The caller's statement on other copies of this submission.
     #[serde(default, skip_serializing_if = "CopyMark::is_unmarked")]
     pub copy: CopyMark,
-    /// One opaque payload a task, in base64.
+    /// One opaque payload for each task, in base64.
     #[serde_as(as = "Vec<Base64>")]
     pub tasks: Vec<Vec<u8>>,
 }
 
 impl Submission {
-    /// Reads a submission from a body.
+    /// Decodes a submission from the body of a request. Returns an error if the body is malformed or
+    /// the number of tasks is not in `1..=TASKS_MAX`.
     pub fn decode(body: &[u8]) -> Result<Self> {
         let submission: Submission = serde_json::from_slice(body).map_err(Error::body)?;
         let found = submission.tasks.len();
@@ -78,41 +81,42 @@
         }
     }
 
-    /// Gets the fingerprint of the content.
+    /// Returns the fingerprint of the submission's content.
     pub fn content(&self) -> ContentHash {
         ContentHash::of(&self.class, &self.tasks)
     }
 }
 
-/// Body of every answer to a caller.
+/// Body of all answers to callers.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The submission it answers, absent when the request could not be read.
+    /// Submission to which the answer belongs; absent if the request could not be decoded.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub submission: Option<SubmissionId>,
-    /// How it ended; absent while it is still running.
+    /// Outcome of the job; absent while the job is running.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<Outcome>,
-    /// The numbered result; absent while it is still running.
+    /// Numbered code of the result; absent while the job is running.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub code: Option<ResultCode>,
-    /// The code in words, with particulars.
+    /// Description of the code, with details of this case.
     pub text: SmolStr,
-    /// Every task's result in the order submitted, in base64; only in a complete answer.
+    /// Results of all tasks in the order of submission, in base64; present only if the job completed.
     #[serde_as(as = "Option<Vec<Base64>>")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub results: Option<Vec<Vec<u8>>>,
-    /// When a repeat is invited, how long to wait first, in milliseconds.
+    /// Time to wait before the job is submitted again, in milliseconds; absent if a retry is not
+    /// suggested.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<Millis>,
-    /// The entry host's incarnation: ids bound to it need no claim in the log.
+    /// Incarnation of the entry host. Submissions whose ids are bound to it need no claim in the log.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub bind_to: Option<Incarnation>,
 }
 
 impl Answer {
-    /// Makes a final answer that carries no results.
+    /// Creates a final answer without results. A `detail` that is not empty is added to the code's text.
     pub fn ended(submission: Option<SubmissionId>, code: ResultCode, detail: &str) -> Self {
         let text = match detail {
             "" => SmolStr::new_static(code.text()),
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Makes the answer to a job that completed.
+    /// Creates the answer to a job that completed.
     pub fn complete(submission: SubmissionId, results: Vec<Vec<u8>>) -> Self {
         Answer {
             results: Some(results),
@@ -137,7 +141,7 @@
         }
     }
 
-    /// Makes the interim answer for a job that is still running.
+    /// Creates the interim answer to a job that is running.
     pub fn running(submission: SubmissionId) -> Self {
         Answer {
             submission: Some(submission),
@@ -150,19 +154,19 @@
         }
     }
 
-    /// Invites a repeat after `wait`.
+    /// Suggests a retry after `wait`.
     pub fn retry_after(mut self, wait: Millis) -> Self {
         self.retry_after_ms = Some(wait);
         self
     }
 
-    /// Gets the HTTP status that goes with the answer.
+    /// Returns the HTTP status of the answer; 202 while the job is running.
     pub fn http_status(&self) -> u16 {
         const ACCEPTED: u16 = 202;
         self.code.map_or(ACCEPTED, ResultCode::http_status)
     }
 
-    /// Reads an answer from a body.
+    /// Decodes an answer from the body of a response.
     pub fn decode(body: &[u8]) -> Result<Self> {
         serde_json::from_slice(body).map_err(Error::body)
     }
--- a/crates/onyxshed-wire/src/content.rs
+++ b/crates/onyxshed-wire/src/content.rs
@@ -1,4 +1,4 @@
-//! Fingerprint of a submission's content.
+//! Fingerprint of a submission's content, used to detect different jobs under one submission id.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,17 +7,17 @@
 use serde_with::{DeserializeFromStr, SerializeDisplay};
 use xxhash_rust::xxh3::Xxh3;
 
-/// 64-bit XXH3 over the class and every payload with its length.
+/// 64-bit XXH3 hash over the class and, for each payload, its length and its bytes.
 ///
-/// Tells the same submission sent again from another that reuses its id by mistake. It is no
-/// defence against a caller who forges a collision: such a caller harms only its own submission.
+/// Distinguishes a copy of a submission from another submission that reuses its id by mistake. It does
+/// not protect against a caller that forges a collision: such a caller harms only its own submission.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct ContentHash(pub u64);
 
 impl ContentHash {
-    /// Computes the fingerprint.
+    /// Computes the fingerprint of a submission's class and payloads.
     pub fn of(class: &ClassName, payloads: &[Vec<u8>]) -> Self {
         let mut hash = Xxh3::new();
         hash.update(class.as_str().as_bytes());
--- a/crates/onyxshed-wire/src/error.rs
+++ b/crates/onyxshed-wire/src/error.rs
@@ -1,45 +1,45 @@
-//! Errors of reading a body or header.
+//! Errors of decoding a body or header.
 
 use onyxshed_core::ResultCode;
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// What was wrong with a body or header.
+/// Reason why a body or header could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The body is no JSON of the expected shape.
+    /// The body is not JSON in the expected format.
     #[snafu(display("the body can't be read: {reason}"))]
     Body {
-        /// The decoder's words, with line and column.
+        /// Message of the JSON decoder, with line and column.
         reason: SmolStr,
     },
-    /// A submission has no task or too many.
+    /// A submission has no task or more than the maximum.
     #[snafu(display("a submission has 1 to {max} tasks, this one {found}"))]
     TaskCount {
-        /// Tasks found.
+        /// Number of tasks in the submission.
         found: usize,
-        /// Tasks allowed.
+        /// Maximum number of tasks.
         max: usize,
     },
-    /// A header is missing or wrong.
+    /// A header is missing or has an invalid value.
     #[snafu(display("header {header}: {reason}"))]
     Header {
-        /// The header's name.
+        /// Name of the header.
         header: &'static str,
-        /// What was found and what is allowed.
+        /// Value found and values allowed.
         reason: SmolStr,
     },
 }
 
 impl Error {
-    /// Makes an error from the JSON decoder's words.
+    /// Creates an error from a message of the JSON decoder.
     pub fn body(reason: impl ToString) -> Self {
         Error::Body {
             reason: reason.to_string().into(),
         }
     }
 
-    /// Makes an error for a missing or wrong header.
+    /// Creates an error for a header that is missing or has an invalid value.
     pub fn header(header: &'static str, reason: impl ToString) -> Self {
         Error::Header {
             header,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Gets the numbered code that a caller is told.
+    /// Returns the numbered code that the answer to the caller carries.
     pub fn code(&self) -> ResultCode {
         match self {
             Error::Body { .. } | Error::Header { .. } => ResultCode::BadRequest,
@@ -56,5 +56,5 @@
     }
 }
 
-/// Result of reading a body or header.
+/// Result of decoding a body or header.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-wire/src/lib.rs
+++ b/crates/onyxshed-wire/src/lib.rs
@@ -1,8 +1,8 @@
 //! Bodies and headers of the interfaces to callers, upstreams and the platform.
 //!
-//! Only shapes live here: what goes into an HTTP body or header and how it is read back. Each
-//! decoder bounds what it takes and names what was wrong. docs/CALLERS.md, docs/UPSTREAMS.md and
-//! docs/PLATFORM.md describe the same for people.
+//! This crate defines the contents of HTTP bodies and headers and how they are encoded and decoded; it
+//! makes no calls. Each decoder limits the input that it accepts, and its error names the defect.
+//! docs/CALLERS.md, docs/UPSTREAMS.md and docs/PLATFORM.md describe the same interfaces to their users.
 
 pub mod admin;
 pub mod caller;
--- a/crates/onyxshed-wire/src/platform.rs
+++ b/crates/onyxshed-wire/src/platform.rs
@@ -1,8 +1,9 @@
 //! The interface to the platform: an append-only log with streams, and a list of hosts.
 //!
-//! `POST /v1/streams/{stream}/records` appends the body as one record and answers [`Appended`] once
-//! it is synced. `GET /v1/streams/{stream}/records?from=N&wait_ms=M` answers [`Page`], waiting up
-//! to `M` for a record at or after `N`. `GET /v1/hosts` answers [`HostList`].
+//! `POST /v1/streams/{stream}/records` appends the body as one record and answers with an
+//! [`AppendReply`] once the record is synced to disk.
+//! `GET /v1/streams/{stream}/records?from=N&wait_ms=M` answers with a [`Page`] and waits up to `M` ms
+//! for a record at or after offset `N`. `GET /v1/hosts` answers with a [`HostList`].
 
 use std::net::SocketAddr;
 
@@ -18,13 +19,13 @@
 /// Stream of claims on submissions.
 pub const CLAIMS_STREAM: &str = "claims";
 
-/// Path of the host list.
+/// Path of the list of hosts.
 pub const HOSTS_PATH: &str = "/v1/hosts";
 
-/// Largest record that the log takes, in bytes.
+/// Maximum size of a record that the log accepts, in bytes.
 pub const RECORD_MAX_BYTES: usize = 65_536;
 
-/// Gets the path of a stream's records.
+/// Returns the path of a stream's records.
 pub fn records_path(stream: &str) -> String {
     format!("/v1/streams/{stream}/records")
 }
@@ -32,96 +33,96 @@
 /// Answer to an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendReply {
-    /// Where the record stands.
+    /// Offset of the appended record.
     pub offset: Offset,
 }
 
-/// One record as read back.
+/// A record as read from the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Where it stands.
+    /// Offset of the record.
     pub offset: Offset,
-    /// When the log took it, on the platform's clock.
+    /// Time of the append, on the platform's clock.
     pub at_ms: UnixMs,
-    /// Its bytes; every record of ours is UTF-8.
+    /// Content of the record; all records that onyxshed appends are UTF-8.
     pub data: String,
 }
 
 /// Answer to a read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The oldest offset that the log still keeps.
+    /// Offset of the oldest record that the log still keeps.
     pub oldest: Offset,
-    /// The offset that the next append will get.
+    /// Offset that the next append will receive.
     pub next: Offset,
-    /// Records in order of offset, without gaps from the first on.
+    /// Records in order of offset, without gaps.
     pub records: Vec<Record>,
 }
 
-/// Whether the platform holds a host to be in service.
+/// State of a host according to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// In service.
+    /// The host is in service.
     Live,
-    /// On its way out; no new work.
+    /// The host is draining and receives no new work.
     Leaving,
 }
 
-/// An executor in the host list.
+/// An executor in the list of hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutorHost {
-    /// Its name.
+    /// Name of the executor.
     pub name: ExecutorName,
-    /// The upstream it serves.
+    /// Upstream whose tasks the executor runs.
     pub upstream: UpstreamName,
-    /// Its zone.
+    /// Availability zone of the executor.
     pub zone: ZoneName,
-    /// Its rack, by whatever name the platform gives.
+    /// Rack of the executor under the platform's name for it; empty if not stated.
     #[serde(default)]
     pub rack: SmolStr,
-    /// Where it listens.
+    /// Address on which the executor accepts tasks.
     pub address: SocketAddr,
-    /// Tasks it runs at the same time.
+    /// Maximum number of tasks that the executor runs at the same time.
     pub slots: u32,
-    /// Whether it is in service.
+    /// State of the executor.
     pub state: HostState,
 }
 
-/// An entry host in the host list.
+/// An entry host in the list of hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryHost {
-    /// Its name.
+    /// Name of the host.
     pub name: HostName,
-    /// Its zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Where its control process listens for peers.
+    /// Address on which the host's control process accepts connections of its peers.
     pub peer_address: SocketAddr,
-    /// Whether it is in service.
+    /// State of the host.
     pub state: HostState,
 }
 
-/// Answer to `GET /v1/hosts`: lagging, so it carries its age.
+/// Answer to `GET /v1/hosts`. The list lags behind the platform's state and states its age.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// How old the list is, in milliseconds.
+    /// Age of the list, in milliseconds.
     pub age_ms: Millis,
-    /// Every executor that the platform believes in.
+    /// All executors known to the platform.
     pub executors: Vec<ExecutorHost>,
-    /// Every entry host that the platform believes in.
+    /// All entry hosts known to the platform.
     #[serde(default)]
     pub entries: Vec<EntryHost>,
 }
 
 impl AppendReply {
-    /// Reads the answer to an append.
+    /// Decodes the answer to an append.
     pub fn decode(body: &[u8]) -> Result<Self> {
         serde_json::from_slice(body).map_err(Error::body)
     }
 }
 
 impl Page {
-    /// Reads the answer to a read; records must be in order and without gaps.
+    /// Decodes the answer to a read. Returns an error if the records' offsets are not consecutive.
     pub fn decode(body: &[u8]) -> Result<Self> {
         let page: Page = serde_json::from_slice(body).map_err(Error::body)?;
         let is_in_order = page
@@ -131,13 +132,13 @@
         if is_in_order {
             Ok(page)
         } else {
-            Err(Error::body("records out of order"))
+            Err(Error::body("offsets of records are not consecutive"))
         }
     }
 }
 
 impl HostList {
-    /// Reads the host list.
+    /// Decodes the list of hosts.
     pub fn decode(body: &[u8]) -> Result<Self> {
         serde_json::from_slice(body).map_err(Error::body)
     }
--- a/crates/onyxshed-wire/src/record.rs
+++ b/crates/onyxshed-wire/src/record.rs
@@ -1,7 +1,7 @@
-//! Records that onyxshed keeps on the platform's log.
+//! Records that onyxshed appends to the platform's log.
 //!
-//! Every record is JSON with a `kind` and a `version`. A reader ignores and counts what it can't
-//! read, so all readers of one log ignore the same records.
+//! Every record is JSON that names its kind and version, such as `change_v1`. A reader skips and counts
+//! records that it can't decode, so that all readers of one log skip the same records.
 
 use onyxshed_core::{
     ChangeId, ClassName, ClassTarget, Incarnation, Offset, Revision, SubmissionId,
@@ -11,63 +11,65 @@
 use crate::content::ContentHash;
 use crate::error::{Error, Result};
 
-/// What one change does to the configuration.
+/// Effect of one change on the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ChangeBody {
-    /// Creates or replaces a class's target.
+    /// Creates or replaces the target of a class.
     Put(ClassTarget),
     /// Removes a class.
     Remove(ClassName),
 }
 
-/// An operator's change, valid only on top of the revision it names.
+/// An operator's change, which applies only to the revision that it names.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigChange {
-    /// The operator's name for the change.
+    /// Id that the operator gave to the change.
     pub change_id: ChangeId,
-    /// The revision that the operator saw.
+    /// Revision to which the change applies: the one that the operator saw.
     pub based_on: Revision,
-    /// What to do.
+    /// Effect of the change.
     pub body: ChangeBody,
 }
 
-/// Most bytes that one claim takes in a record, with its comma.
+/// Maximum size of one claim in a record with its comma, in bytes.
 pub const CLAIM_MAX_BYTES: usize = 82;
 
-/// Bytes that one release takes in a record, with its comma.
+/// Size of one release in a record with its comma, in bytes.
 pub const RELEASE_BYTES: usize = 29;
 
-/// Most bytes that a record of claims takes beside its claims and releases.
+/// Maximum size of a record of claims without its claims and releases, in bytes.
 pub const CLAIM_RECORD_OVERHEAD_BYTES: usize = 128;
 
-/// The whole configuration, published again before the changes that made it expire.
+/// The complete configuration, published again before the log drops the changes that led to it.
 ///
-/// One that is too large for a record goes out in parts. What a part holds follows from the
-/// revision alone, so parts from different publishers fit together.
+/// A snapshot that is too large for one record is split into parts. The content of a part depends only
+/// on the revision, so that parts from different publishers fit together.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigSnapshot {
-    /// The revision it stands for.
+    /// Revision of the configuration.
     pub revision: Revision,
-    /// The offset that its publisher had folded up to: it is the fold of every record before.
+    /// Offset up to which the publisher had applied the log: the snapshot is the result of all records
+    /// before this offset.
     pub folded_to: Offset,
-    /// Which part this is, from 0.
+    /// Index of this part, from 0.
     #[serde(default)]
     pub part: u16,
-    /// How many parts there are.
+    /// Number of parts.
     #[serde(default = "one")]
     pub parts: u16,
-    /// Whether it goes back to what some process remembered after it had lost records.
+    /// Whether the snapshot was made from the state that a process remembered after the log had lost
+    /// records.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub is_salvage: bool,
-    /// Fingerprint of the whole, which keeps parts apart that don't belong together.
+    /// Fingerprint of the whole snapshot; parts of different snapshots are not combined.
     pub fingerprint: ContentHash,
-    /// The part's classes, in order of name.
+    /// Classes in this part, in order of name.
     pub classes: Vec<ClassTarget>,
-    /// Ids of the changes accepted of late, oldest first, so that a lost append answer can still
-    /// be resolved after the changes themselves have expired.
+    /// Ids of the changes accepted recently, from the oldest to the newest. They show whether a change
+    /// was accepted whose append answer was lost, even after the change itself has expired.
     pub recent_changes: Vec<ChangeId>,
 }
 
@@ -75,38 +77,39 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigRecord {
-    /// A change.
+    /// A change of the configuration.
     ChangeV1(ConfigChange),
-    /// A snapshot.
+    /// A snapshot of the configuration, or a part of one.
     SnapshotV1(ConfigSnapshot),
 }
 
-/// One host's claim on one submission.
+/// A host's claim on a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
-    /// The submission.
+    /// Submission that is claimed.
     #[serde(rename = "s")]
     pub submission: SubmissionId,
-    /// Its content, so that other content under the same id is refused everywhere.
+    /// Fingerprint of the submission's content, by which all hosts reject other content under its id.
     #[serde(rename = "c")]
     pub content: ContentHash,
-    /// The holder that this claim replaces; only for classes whose tasks may run twice.
+    /// Holder that this claim replaces; present only for classes whose tasks may run twice.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub replaces: Option<Incarnation>,
 }
 
-/// A batch of claims by one host; the first claim on a submission in log order holds.
+/// A batch of claims by one host. The first claim on a submission in log order is the valid one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimBatch {
-    /// The claimant.
+    /// Incarnation of the host that claims.
     pub by: Incarnation,
-    /// Counts the claimant's batches, so that it knows its own when an append's answer was lost.
+    /// Number of the batch, counted by the claimant, which recognizes its own batch by it after the
+    /// answer to an append was lost.
     pub batch: u64,
-    /// The claims.
+    /// Claims of the batch.
     pub claims: Vec<Claim>,
-    /// Submissions that the claimant holds, has not started and will not start any more.
+    /// Submissions that the claimant holds, has not started and will not start.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub releases: Vec<SubmissionId>,
 }
@@ -124,25 +127,25 @@
 }
 
 impl ConfigRecord {
-    /// Reads a record of the `config` stream.
+    /// Decodes a record of the `config` stream.
     pub fn decode(data: &str) -> Result<Self> {
         serde_json::from_str(data).map_err(Error::body)
     }
 
-    /// Writes the record.
+    /// Encodes the record.
     pub fn encode(&self) -> String {
-        serde_json::to_string(self).expect("records hold only what JSON can write")
+        serde_json::to_string(self).expect("a record can always be written as JSON")
     }
 }
 
 impl ClaimRecord {
-    /// Reads a record of the `claims` stream.
+    /// Decodes a record of the `claims` stream.
     pub fn decode(data: &str) -> Result<Self> {
         serde_json::from_str(data).map_err(Error::body)
     }
 
-    /// Writes the record.
+    /// Encodes the record.
     pub fn encode(&self) -> String {
-        serde_json::to_string(self).expect("records hold only what JSON can write")
+        serde_json::to_string(self).expect("a record can always be written as JSON")
     }
 }
--- a/crates/onyxshed-wire/src/upstream.rs
+++ b/crates/onyxshed-wire/src/upstream.rs
@@ -1,9 +1,9 @@
 //! The interface to upstreams.
 //!
-//! `POST /v1/tasks/{task}` starts a task under a lease; body and answer are the opaque payload and
-//! result, everything else is in headers. `DELETE /v1/tasks/{task}` stops it: if it had not been
-//! started, the executor promises that it never will be. `GET /v1/tasks/{task}` tells what has become
-//! of it and changes nothing. `GET /v1/usage` reports load, with a lag.
+//! `POST /v1/tasks/{task}` starts a task under a lease; the bodies of request and response are the opaque
+//! payload and result, everything else is in headers. `DELETE /v1/tasks/{task}` stops a task; an executor
+//! that has not started it guarantees that it never will. `GET /v1/tasks/{task}` returns the task's status
+//! and changes nothing. `GET /v1/usage` returns a load report, which lags behind the executor's state.
 
 use std::str::FromStr;
 
@@ -13,60 +13,61 @@
 
 use crate::error::{Error, Result};
 
-/// Path under which tasks are started; one task's path is this, '/' and its id.
+/// Path under which tasks are started. The path of one task is this path, '/' and the task's id.
 pub const TASKS_PATH: &str = "/v1/tasks";
 
-/// Path of the usage report.
+/// Path of the load report.
 pub const USAGE_PATH: &str = "/v1/usage";
 
-/// Request header: how long the executor may work on the task, in milliseconds.
+/// Request header: duration of the lease, in milliseconds; the executor may run the task for so long.
 pub const LEASE_HEADER: &str = "onyxshed-lease-ms";
 
-/// Request header: the class of work.
+/// Request header: the task's class of work.
 pub const CLASS_HEADER: &str = "onyxshed-class";
 
-/// Request header: the entry host's incarnation that starts the task.
+/// Request header: incarnation of the entry host that starts the task.
 pub const STARTER_HEADER: &str = "onyxshed-starter";
 
-/// Request header of a start and a stop: counts the starts that the starter makes. A stop is a fence
-/// against starts of the task by the same starter with this number or a lower one.
+/// Request header of a start and a stop: number of the start, counted by the starter. A stop fences the
+/// task: later starts of it by the same starter with this number or a lower one are refused.
 pub const ATTEMPT_HEADER: &str = "onyxshed-attempt";
 
-/// Request and response header: the task's id; an answer that carries another id is foreign.
+/// Request and response header: the task's id. A response with another id does not belong to the
+/// request.
 pub const TASK_HEADER: &str = "onyxshed-task";
 
-/// Response header: what became of the task, a [`TaskState`].
+/// Response header: state of the task, a [`TaskState`]; in the response to a `GET`, a [`TaskStatus`].
 pub const STATE_HEADER: &str = "onyxshed-state";
 
-/// Response header: how long the task ran, in microseconds.
+/// Response header: run time of the task, in microseconds.
 pub const SERVICE_HEADER: &str = "onyxshed-service-us";
 
-/// Response header: tasks running on the executor, this one left out.
+/// Response header: number of other tasks that are running on the executor.
 pub const RUNNING_HEADER: &str = "onyxshed-running";
 
-/// Response header: tasks waiting on the executor.
+/// Response header: number of tasks that are queued on the executor.
 pub const QUEUED_HEADER: &str = "onyxshed-queued";
 
-/// Response header: present with value 1 when the executor is leaving.
+/// Response header: present with the value 1 while the executor is draining.
 pub const DRAINING_HEADER: &str = "onyxshed-draining";
 
-/// What became of a task, as an executor tells it.
+/// Final state of a task on an executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum TaskState {
-    /// It ran and the body is its result.
+    /// The task succeeded; the body of the response is its result.
     Finished,
-    /// It ran and failed; the body says why.
+    /// The task failed; the body of the response states the reason.
     Failed,
-    /// It was not started and won't be.
+    /// The task was not started and will not be.
     Refused,
-    /// It was started and has been stopped.
+    /// The task was started and then stopped.
     Stopped,
-    /// Its lease lapsed while it ran, and it has been stopped.
+    /// The task was stopped because its lease expired while it ran.
     Lapsed,
 }
 
 impl TaskState {
-    /// Gets the state as the header writes it.
+    /// Returns the text of the state in the response header.
     pub fn as_str(self) -> &'static str {
         match self {
             TaskState::Finished => "finished",
@@ -90,25 +91,25 @@
             "lapsed" => Ok(TaskState::Lapsed),
             _ => Err(Error::header(
                 STATE_HEADER,
-                format!("{text:?} is no task state"),
+                format!("unknown task state {text:?}"),
             )),
         }
     }
 }
 
-/// What an executor answers to `GET` on a task, which changes nothing.
+/// Status of a task on an executor, as returned by a `GET` on the task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum TaskStatus {
-    /// It has not heard of the task.
+    /// The executor has not received the task.
     NotSeen,
-    /// The task waits or runs.
+    /// The task is queued or running.
     Running,
-    /// The task has ended.
+    /// The task has ended in the given state.
     Ended(TaskState),
 }
 
 impl TaskStatus {
-    /// Gets the sighting as the header writes it.
+    /// Returns the text of the status in the response header.
     pub fn as_str(self) -> &'static str {
         match self {
             TaskStatus::NotSeen => "unseen",
@@ -130,46 +131,46 @@
     }
 }
 
-/// What an executor says of its load with every answer.
+/// Load of an executor, reported with every response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Tasks running.
+    /// Number of running tasks.
     pub running: u32,
-    /// Tasks waiting.
+    /// Number of queued tasks.
     pub queued: u32,
-    /// Whether it is leaving.
+    /// Whether the executor is draining.
     pub is_draining: bool,
 }
 
 /// Body of `GET /v1/usage`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// How old the report is, in milliseconds.
+    /// Age of the report, in milliseconds.
     pub age_ms: Millis,
-    /// Its load.
+    /// Load of the executor when the report was made.
     pub load: LoadReport,
-    /// Tasks it runs at the same time.
+    /// Maximum number of tasks that the executor runs at the same time.
     pub slots: u32,
-    /// Tasks started since it came up.
+    /// Number of tasks started since the executor's process started.
     pub started: u64,
 }
 
-/// A start as the executor reads it from path and headers.
+/// A request to start a task, decoded by an executor from path and headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartRequest {
-    /// The task.
+    /// Task to start.
     pub task: TaskId,
-    /// How long it may work on it, in milliseconds.
+    /// Duration of the lease: the executor may run the task for so long.
     pub lease_ms: Millis,
-    /// The class of work.
+    /// The task's class of work.
     pub class: SmolStr,
-    /// Who starts it.
+    /// Incarnation of the entry host that starts the task.
     pub starter: Incarnation,
-    /// Which of the starter's starts it is.
+    /// Number of the start, counted by the starter.
     pub attempt: u64,
 }
 
-/// Gets the path of one task.
+/// Returns the path of a task.
 pub fn task_path(task: &TaskId) -> String {
     format!("{TASKS_PATH}/{task}")
 }
--- a/crates/onyxshed-wire/tests/decoders.rs
+++ b/crates/onyxshed-wire/tests/decoders.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes come, decoders give a value or an error; what was written is read back.
+//! Any bytes are decoded or rejected without a panic, and encoded values decode to the same value.
 
 use onyxshed_core::{
     ChangeId, ClassName, ClassTarget, Incarnation, Millis, Offset, ResultCode, Revision,
@@ -28,26 +28,26 @@
 }
 
 fn class() -> impl Strategy<Value = ClassName> {
-    "[a-z0-9][a-z0-9._-]{0,63}".prop_map(|text| text.parse().expect("it keeps the rules"))
+    "[a-z0-9][a-z0-9._-]{0,63}".prop_map(|text| text.parse().expect("the text is a valid name"))
 }
 
 fn target() -> impl Strategy<Value = ClassTarget> {
     (class(), class(), any::<u64>(), any::<bool>()).prop_map(
         |(class, upstream, within, may_run_twice)| ClassTarget {
             class,
-            upstream: upstream.as_str().parse().expect("it keeps the rules"),
+            upstream: upstream.as_str().parse().expect("the text is a valid name"),
             finish_within_ms: Millis(within),
             may_run_twice,
         },
     )
 }
 
-fn payloads(most: usize) -> impl Strategy<Value = Vec<Vec<u8>>> {
-    vec(vec(any::<u8>(), 0..40), 1..most)
+fn payloads(len_max: usize) -> impl Strategy<Value = Vec<Vec<u8>>> {
+    vec(vec(any::<u8>(), 0..40), 1..len_max)
 }
 
 fn submission() -> impl Strategy<Value = Submission> {
-    let mark = prop_oneof![
+    let copy = prop_oneof![
         Just(CopyMark::First),
         Just(CopyMark::Unmarked),
         Just(CopyMark::Again),
@@ -56,7 +56,7 @@
         submission_id(),
         class(),
         any::<Option<u64>>(),
-        mark,
+        copy,
         payloads(20),
     )
         .prop_map(|(submission, class, deadline, copy, tasks)| Submission {
@@ -126,8 +126,8 @@
     prop_oneof![change, snapshot]
 }
 
-/// Reads bytes with every decoder; only a panic is wrong.
-fn read_all(bytes: &[u8]) {
+/// Decodes bytes with every decoder; fails only by a panic.
+fn decode_all(bytes: &[u8]) {
     let _ = (Submission::decode(bytes), Answer::decode(bytes));
     let _ = (
         AppendReply::decode(bytes),
@@ -142,27 +142,27 @@
     let _ = (text.parse::<ClassName>(), text.parse::<ContentHash>());
 }
 
-/// Gets a document with one byte replaced and its end cut off.
-fn spoil(
+/// Returns the document with one byte replaced and the end removed.
+fn corrupt(
     mut document: Vec<u8>,
     at: prop::sample::Index,
     byte: u8,
     end: prop::sample::Index,
 ) -> Vec<u8> {
-    let place = at.index(document.len());
-    document[place] = byte;
+    let position = at.index(document.len());
+    document[position] = byte;
     document.truncate(end.index(document.len()) + 1);
     document
 }
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in vec(any::<u8>(), 0..300)) {
-        read_all(&bytes);
+    fn arbitrary_bytes_decode_or_return_error(bytes in vec(any::<u8>(), 0..300)) {
+        decode_all(&bytes);
     }
 
     #[test]
-    fn spoiled_documents_are_read_or_refused(
+    fn corrupted_documents_decode_or_return_error(
         submission in submission(),
         batch in batch(),
         record in config_record(),
@@ -171,12 +171,12 @@
         let body = serde_json::to_vec(&submission).unwrap();
         let claims = ClaimRecord::ClaimsV1(batch).encode();
         for document in [body, claims.into_bytes(), record.encode().into_bytes()] {
-            read_all(&spoil(document, at, byte, end));
+            decode_all(&corrupt(document, at, byte, end));
         }
     }
 
     #[test]
-    fn submissions_and_answers_are_read_back(submission in submission(), code in 0..ResultCode::ALL.len()) {
+    fn submissions_and_answers_round_trip(submission in submission(), code in 0..ResultCode::ALL.len()) {
         let body = serde_json::to_vec(&submission).unwrap();
         prop_assert_eq!(Submission::decode(&body).unwrap(), submission.clone());
         let id = submission.submission;
@@ -189,30 +189,30 @@
     }
 
     #[test]
-    fn records_are_read_back(batch in batch(), record in config_record()) {
+    fn records_round_trip(batch in batch(), record in config_record()) {
         let claims = ClaimRecord::ClaimsV1(batch);
         prop_assert_eq!(ClaimRecord::decode(&claims.encode()).unwrap(), claims);
         prop_assert_eq!(ConfigRecord::decode(&record.encode()).unwrap(), record);
     }
 
     #[test]
-    fn ids_have_one_text(id in submission_id(), index in any::<u16>(), text in "[0-9A-Z]{26}") {
+    fn each_id_has_exactly_one_text(id in submission_id(), index in any::<u16>(), text in "[0-9A-Z]{26}") {
         prop_assert_eq!(id.to_string().parse::<SubmissionId>().unwrap(), id);
         let task = TaskId { submission: id, index };
         prop_assert_eq!(task.to_string().parse::<TaskId>().unwrap(), task);
-        // Two texts of one id would be two submissions to a caller and one to us.
+        // With two texts for one id, a caller would see two submissions where onyxshed sees one.
         if let Ok(read) = text.parse::<SubmissionId>() {
             prop_assert_eq!(read.to_string(), text);
         }
     }
 
     #[test]
-    fn only_1_to_550_tasks_are_read(count in 0..700_usize) {
+    fn submission_decodes_only_with_1_to_550_tasks(count in 0..700_usize) {
         let body = format!(
             r#"{{"submission":"01ARZ3NDEKTSV4RRFFQ69G5FAV","class":"fee","tasks":[{}]}}"#,
             vec![r#""""#; count].join(",")
         );
-        let is_read = Submission::decode(body.as_bytes()).is_ok();
-        prop_assert_eq!(is_read, (1..=TASKS_MAX).contains(&count));
+        let is_decoded = Submission::decode(body.as_bytes()).is_ok();
+        prop_assert_eq!(is_decoded, (1..=TASKS_MAX).contains(&count));
     }
 }
