--- a/crates/onyxshed-platform/src/client.rs
+++ b/crates/onyxshed-platform/src/client.rs
@@ -59,7 +59,9 @@
         let reply = self
             .call(Method::Post, &records_path(stream), data, timeout)
             .await?;
-        Ok(AppendReply::decode(&reply.body).map_err(unreadable)?.offset)
+        Ok(AppendReply::decode(&reply.body)
+            .map_err(decode_error)?
+            .offset)
     }
 
     /// Reads a stream's records from the offset `from`; waits up to `wait` for the first one.
@@ -67,7 +69,7 @@
         let path = format!("{}?from={from}&wait_ms={}", records_path(stream), wait.0);
         let timeout = self.options.timeout + Duration::from(wait);
         let reply = self.call(Method::Get, &path, Vec::new(), timeout).await?;
-        Page::decode(&reply.body).map_err(unreadable)
+        Page::decode(&reply.body).map_err(decode_error)
     }
 
     /// Reads the list of hosts.
@@ -76,7 +78,7 @@
         let reply = self
             .call(Method::Get, HOSTS_PATH, Vec::new(), timeout)
             .await?;
-        HostList::decode(&reply.body).map_err(unreadable)
+        HostList::decode(&reply.body).map_err(decode_error)
     }
 
     async fn call(
@@ -107,7 +109,7 @@
     }
 }
 
-fn unreadable(error: onyxshed_wire::Error) -> Error {
+fn decode_error(error: onyxshed_wire::Error) -> Error {
     Error::Unreadable {
         reason: error.to_string().into(),
     }
--- a/crates/onyxshed-platform/tests/client.rs
+++ b/crates/onyxshed-platform/tests/client.rs
@@ -12,12 +12,13 @@
 use onyxshed_standins::serve::{self, Act, Handler};
 use rstest::rstest;
 
-/// Runs a test with a client of a server that treats every request the same.
+/// Runs a test with a client of a server that responds to every request with the same act.
 fn with_server(act: fn() -> Act, test: impl AsyncFnOnce(PlatformClient)) {
     let handler: Handler = Rc::new(move |_| Box::pin(async move { act() }));
     with_handler(handler, test);
 }
 
+/// Runs a test with a client of a server that serves requests with `handler`.
 fn with_handler(handler: Handler, test: impl AsyncFnOnce(PlatformClient)) {
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
@@ -47,7 +48,7 @@
 #[case::cut_short(|| Act::CutShort(Reply::bytes(200, "{\"offset\":1}")), 5007, true)]
 #[case::not_json(|| Act::Reply(Reply::bytes(200, "<html>")), 5012, true)]
 #[case::gateway_timeout(|| Act::Reply(Reply::bytes(504, "")), 5006, true)]
-#[case::server_fault(|| Act::Reply(Reply::bytes(500, "")), 5006, true)]
+#[case::server_error(|| Act::Reply(Reply::bytes(500, "")), 5006, true)]
 #[case::refused(|| Act::Reply(Reply::bytes(413, "")), 5006, false)]
 fn failed_append_reports_whether_it_may_have_taken_effect(
     #[case] act: fn() -> Act,
@@ -91,7 +92,7 @@
 
 #[rstest]
 #[case::out_of_order(r#"{"oldest":0,"next":9,"records":[{"offset":4,"at_ms":1,"data":"a"},{"offset":3,"at_ms":1,"data":"b"}]}"#)]
-#[case::with_a_hole(r#"{"oldest":0,"next":9,"records":[{"offset":3,"at_ms":1,"data":"a"},{"offset":5,"at_ms":1,"data":"b"}]}"#)]
+#[case::with_a_gap(r#"{"oldest":0,"next":9,"records":[{"offset":3,"at_ms":1,"data":"a"},{"offset":5,"at_ms":1,"data":"b"}]}"#)]
 #[case::not_a_page(r#"{"offset":1}"#)]
 fn page_with_offsets_out_of_sequence_is_rejected(#[case] body: &'static str) {
     let handler: Handler =
--- a/crates/onyxshed-proto/src/pool/peer_state.rs
+++ b/crates/onyxshed-proto/src/pool/peer_state.rs
@@ -44,7 +44,7 @@
 
 /// Reads a host's state of the deployment.
 pub fn read_peer_state(from: peer_state::Reader<'_>) -> capnp::Result<PeerState> {
-    let unreadable = |kind: &str| capnp::Error::failed(format!("a {kind} can't be read"));
+    let malformed = |kind: &str| capnp::Error::failed(format!("a {kind} can't be read"));
     let owners = from.get_owners()?;
     let layouts = from.get_divisions()?;
     Ok(PeerState {
@@ -53,7 +53,7 @@
             .iter()
             .map(|owner| {
                 let pool = text(owner.get_pool()?)?.parse();
-                let pool = pool.map_err(|_| unreadable("pool"))?;
+                let pool = pool.map_err(|_| malformed("pool"))?;
                 Ok((pool, address(&text(owner.get_address()?)?)?))
             })
             .collect::<capnp::Result<_>>()?,
@@ -61,7 +61,7 @@
             .iter()
             .map(|entry| {
                 let layout = ShardLayout::from_text(&text(entry.get_division()?)?);
-                let layout = layout.ok_or_else(|| unreadable("division"))?;
+                let layout = layout.ok_or_else(|| malformed("division"))?;
                 Ok((text(entry.get_zone()?)?, layout))
             })
             .collect::<capnp::Result<_>>()?,
