--- a/crates/onyxshed-http/src/bounded.rs
+++ b/crates/onyxshed-http/src/bounded.rs
@@ -1,9 +1,9 @@
-//! A TCP stream that gives up: on time, on bytes read, on a reader that takes nothing.
+//! A TCP stream with limits on time and on bytes read.
 //!
-//! Failure guarded against: a peer that sends a header without end, a byte a minute, or never reads
-//! its reply. Symptom: memory or connections fill up until nobody is served. Every read and write
-//! passes through here and fails once its phase's time or bytes are used up, so one peer costs at
-//! most one connection for a bounded time and a bounded buffer.
+//! A peer may send a header without end or one byte a minute, or never read its reply. Without
+//! limits, such peers exhaust memory or connections until no request is served. Every read and
+//! write of a connection goes through this stream and fails once the time or bytes of its phase are
+//! used up, so one peer costs at most one connection for a bounded time and a bounded buffer.
 
 use std::io;
 use std::pin::Pin;
@@ -17,32 +17,32 @@
 
 use crate::head::HeadScan;
 
-/// What the two ends are doing, which decides what is awaited and for how long.
+/// The phase of an exchange, which decides what is awaited and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Between requests.
+    /// Between requests: no byte of the next head has arrived.
     Idle,
-    /// The first byte of a head has come.
+    /// The first byte of a head has arrived.
     Head,
-    /// The body is coming.
+    /// The body is being received.
     Body,
-    /// The reply is being made or sent.
+    /// The reply is being prepared or sent.
     Replying,
 }
 
 #[derive(Debug)]
 struct Bounds {
     phase: Phase,
-    read_left_bytes: u64,
+    read_remaining_bytes: u64,
     read_total_bytes: u64,
     written_bytes: u64,
     deadline: Option<Instant>,
     timer: Option<Timer>,
-    after_first_byte: Option<Duration>,
+    head_timeout: Option<Duration>,
     head: HeadScan,
 }
 
-/// A cloneable TCP stream with one shared set of bounds.
+/// A TCP stream with limits. Clones share the stream and its limits.
 #[derive(Debug, Clone)]
 pub struct BoundedStream {
     inner: TcpStream,
@@ -50,16 +50,16 @@
 }
 
 impl BoundedStream {
-    /// Wraps a stream; until a phase is begun, nothing bounds it.
+    /// Wraps a stream, without limits until a phase begins.
     pub fn new(inner: TcpStream) -> Self {
         let bounds = Bounds {
             phase: Phase::Idle,
-            read_left_bytes: u64::MAX,
+            read_remaining_bytes: u64::MAX,
             read_total_bytes: 0,
             written_bytes: 0,
             deadline: None,
             timer: None,
-            after_first_byte: None,
+            head_timeout: None,
             head: HeadScan::default(),
         };
         BoundedStream {
@@ -68,55 +68,58 @@
         }
     }
 
-    /// Begins waiting for a request: `idle` until its first byte, then `head` for the rest of it.
-    pub fn begin_idle(&self, idle: Duration, head: Duration, head_max_bytes: u64) {
+    /// Begins waiting for a request: `idle_timeout` until its first byte, then `head_timeout` for
+    /// the rest of its head.
+    pub fn begin_idle(&self, idle_timeout: Duration, head_timeout: Duration, head_max_bytes: u64) {
         let mut bounds = self.lock();
-        bounds.begin(Phase::Idle, Some(idle), head_max_bytes);
+        bounds.begin_phase(Phase::Idle, Some(idle_timeout), head_max_bytes);
         bounds.head = HeadScan::default();
-        bounds.after_first_byte = Some(head);
+        bounds.head_timeout = Some(head_timeout);
     }
 
-    /// Begins reading a body.
-    pub fn begin_body(&self, time: Duration, max_bytes: u64) {
-        self.lock().begin(Phase::Body, Some(time), max_bytes);
+    /// Begins receiving a body.
+    pub fn begin_body(&self, timeout: Duration, max_bytes: u64) {
+        self.lock()
+            .begin_phase(Phase::Body, Some(timeout), max_bytes);
     }
 
-    /// Begins making a reply, which takes as long as it takes.
+    /// Begins preparing a reply, which has no time limit.
     pub fn begin_handling(&self) {
-        self.lock().begin(Phase::Replying, None, u64::MAX);
+        self.lock().begin_phase(Phase::Replying, None, u64::MAX);
     }
 
-    /// Begins sending a reply, which the peer must take within `time`.
-    pub fn begin_reply(&self, time: Duration) {
-        self.lock().begin(Phase::Replying, Some(time), u64::MAX);
+    /// Begins sending a reply, which the peer must read within `timeout`.
+    pub fn begin_reply(&self, timeout: Duration) {
+        self.lock()
+            .begin_phase(Phase::Replying, Some(timeout), u64::MAX);
     }
 
-    /// Begins reading the next message, whose head is watched.
+    /// Begins reading the next message: scans its head from the start.
     pub fn begin_message(&self) {
         self.lock().head = HeadScan::default();
     }
 
-    /// Gets how many bytes came behind the message's head.
-    pub fn beyond_head_bytes(&self) -> u64 {
-        self.lock().head.beyond_bytes()
+    /// Returns how many bytes were received after the message's head.
+    pub fn bytes_after_head(&self) -> u64 {
+        self.lock().head.bytes_after_head()
     }
 
-    /// Gets what the two ends are doing.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.lock().phase
     }
 
-    /// Gets how many bytes were handed to the system so far.
+    /// Returns how many bytes were handed to the operating system so far.
     pub fn written_bytes(&self) -> u64 {
         self.lock().written_bytes
     }
 
-    /// Gets how many bytes came from the peer so far.
+    /// Returns how many bytes were received from the peer so far.
     pub fn read_bytes(&self) -> u64 {
         self.lock().read_total_bytes
     }
 
-    /// Gets the stream beneath.
+    /// Returns the wrapped stream.
     pub fn inner(&self) -> &TcpStream {
         &self.inner
     }
@@ -127,19 +130,20 @@
 }
 
 impl Bounds {
-    fn begin(&mut self, phase: Phase, time: Option<Duration>, read_max_bytes: u64) {
+    fn begin_phase(&mut self, phase: Phase, timeout: Option<Duration>, read_max_bytes: u64) {
         self.phase = phase;
-        self.read_left_bytes = read_max_bytes;
-        self.after_first_byte = None;
-        self.set_deadline(time);
+        self.read_remaining_bytes = read_max_bytes;
+        self.head_timeout = None;
+        self.set_deadline(timeout);
     }
 
-    fn set_deadline(&mut self, time: Option<Duration>) {
-        self.deadline = time.map(|time| Instant::now() + time);
+    fn set_deadline(&mut self, timeout: Option<Duration>) {
+        self.deadline = timeout.map(|timeout| Instant::now() + timeout);
         self.timer = None;
     }
 
-    /// Registers for the deadline and tells whether it has passed.
+    /// Registers the task for the deadline. Returns an error if the deadline has passed, else
+    /// pending.
     fn poll_deadline(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let Some(deadline) = self.deadline else {
             return Poll::Pending;
@@ -151,22 +155,22 @@
         }
     }
 
-    fn count_read(&mut self, bytes: &mut [u8]) -> io::Result<usize> {
+    fn record_read(&mut self, bytes: &mut [u8]) -> io::Result<usize> {
         let count = bytes.len();
         let count_bytes = count as u64;
         self.read_total_bytes += count_bytes;
-        if self.read_left_bytes < count_bytes {
+        if self.read_remaining_bytes < count_bytes {
             return Err(io::Error::new(
                 io::ErrorKind::FileTooLarge,
                 "more bytes than allowed",
             ));
         }
-        self.read_left_bytes -= count_bytes;
-        if let Some(head) = self.after_first_byte.take() {
+        self.read_remaining_bytes -= count_bytes;
+        if let Some(head_timeout) = self.head_timeout.take() {
             self.phase = Phase::Head;
-            self.set_deadline(Some(head));
+            self.set_deadline(Some(head_timeout));
         }
-        self.head.pass(bytes)?;
+        self.head.scan(bytes)?;
         Ok(count)
     }
 }
@@ -181,7 +185,7 @@
         let mut bounds = self.lock();
         match polled {
             Poll::Ready(Ok(0)) => Poll::Ready(Ok(0)),
-            Poll::Ready(Ok(count)) => Poll::Ready(bounds.count_read(&mut buf[..count])),
+            Poll::Ready(Ok(count)) => Poll::Ready(bounds.record_read(&mut buf[..count])),
             Poll::Ready(Err(error)) => Poll::Ready(Err(error)),
             Poll::Pending => bounds.poll_deadline(cx),
         }
--- a/crates/onyxshed-http/src/client.rs
+++ b/crates/onyxshed-http/src/client.rs
@@ -1,4 +1,4 @@
-//! One connection to another process, used for one call at a time.
+//! The client: one connection to another process, used for one call at a time.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 use crate::error::{CallError, SendState};
 use crate::message::Reply;
 
-/// Limits of a client's connection.
+/// Limits of a client connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientOptions {
-    /// How long opening may take; default 1 s.
+    /// Time limit for opening the connection; default 1 s.
     pub connect_timeout: Duration,
-    /// Largest reply body in bytes; default 4 MiB.
+    /// Largest accepted reply body in bytes; default 4 MiB.
     pub reply_max_bytes: u64,
 }
 
@@ -34,24 +34,24 @@
     }
 }
 
-/// An open connection.
+/// An open connection, with at most one call in flight.
 #[derive(Debug)]
 pub struct Connection {
     stream: BoundedStream,
     base: Url,
     options: ClientOptions,
-    last_reply: Instant,
+    last_reply_at: Instant,
 }
 
 impl Connection {
-    /// Tries to open a connection.
+    /// Opens a connection.
     pub async fn open(address: SocketAddr, options: ClientOptions) -> Result<Self, CallError> {
         let connect = async { TcpStream::connect(address).await.map_err(CallError::unsent) };
-        let give_up = async {
+        let timeout = async {
             Timer::after(options.connect_timeout).await;
             Err(CallError::timeout(SendState::NotSent))
         };
-        let stream = connect.or(give_up).await?;
+        let stream = connect.or(timeout).await?;
         stream.set_nodelay(true).map_err(CallError::unsent)?;
         let base = Url::parse(&format!("http://{address}/")).map_err(CallError::unsent)?;
         let stream = BoundedStream::new(stream);
@@ -59,17 +59,17 @@
             stream,
             base,
             options,
-            last_reply: Instant::now(),
+            last_reply_at: Instant::now(),
         })
     }
 
-    /// Gets how long ago the other end last proved that the connection works.
+    /// Returns the time since the last reply, or since the connection was opened if there was none.
     pub fn time_since_reply(&self) -> Duration {
-        self.last_reply.elapsed()
+        self.last_reply_at.elapsed()
     }
 
-    /// Tells whether the idle connection can still be written to: the other end has neither closed
-    /// it nor sent bytes that nobody asked for.
+    /// Returns whether the idle connection can still be written to: the peer has neither closed it
+    /// nor sent unsolicited bytes.
     pub async fn is_open(&self) -> bool {
         let mut byte = [0];
         let peek = async {
@@ -83,7 +83,8 @@
         peek.or(pending).await
     }
 
-    /// Calls and reads the whole reply; after an error the connection is of no use.
+    /// Sends a request and reads the whole reply. After an error the connection must not be used
+    /// again.
     pub async fn call(
         &mut self,
         method: Method,
@@ -99,59 +100,60 @@
         }
         request.set_body(body);
         let written_before = self.stream.written_bytes();
-        let outcome = self.exchange(request).or(give_up_after(timeout)).await;
+        let outcome = self.exchange(request).or(time_out_after(timeout)).await;
         let sent = match self.stream.written_bytes() == written_before {
             true => SendState::NotSent,
             false => SendState::MaybeSent,
         };
         match outcome {
             Ok(reply) => {
-                self.last_reply = Instant::now();
+                self.last_reply_at = Instant::now();
                 Ok(reply)
             }
-            Err(Broken::Timeout) => Err(CallError::timeout(sent)),
-            Err(Broken::Stream(reason)) => Err(CallError::broken(sent, reason)),
+            Err(ExchangeError::Timeout) => Err(CallError::timeout(sent)),
+            Err(ExchangeError::Stream(reason)) => Err(CallError::broken(sent, reason)),
         }
     }
 
-    async fn exchange(&self, request: Request) -> Result<Reply, Broken> {
+    async fn exchange(&self, request: Request) -> Result<Reply, ExchangeError> {
         self.stream.begin_message();
         let read = async {
             let response = async_h1::connect(self.stream.clone(), request)
                 .await
-                .map_err(|error| Broken::Stream(error.to_string().into()))?;
+                .map_err(|error| ExchangeError::Stream(error.to_string().into()))?;
             read_reply(response, self.options.reply_max_bytes).await
         };
-        // The library panics over a trailer that is not ASCII. Uncaught, one bad upstream would end
-        // the process; nothing but this connection, which is given up, is touched by the panic.
+        // The library panics on a trailer that is not ASCII. Uncaught, one faulty upstream would
+        // end the process. The panic leaves no state behind except in this connection, which is
+        // discarded.
         let caught = AssertUnwindSafe(read).catch_unwind().await;
-        caught.unwrap_or(Err(Broken::Stream(SmolStr::new_static(
+        caught.unwrap_or(Err(ExchangeError::Stream(SmolStr::new_static(
             "the reply can't be read",
         ))))
     }
 }
 
-/// Why an exchange brought no reply.
-enum Broken {
+/// The reason why an exchange yielded no reply.
+enum ExchangeError {
     Timeout,
     Stream(SmolStr),
 }
 
-async fn give_up_after(timeout: Duration) -> Result<Reply, Broken> {
+async fn time_out_after(timeout: Duration) -> Result<Reply, ExchangeError> {
     Timer::after(timeout).await;
-    Err(Broken::Timeout)
+    Err(ExchangeError::Timeout)
 }
 
-/// Reads a body in full and checks its length: one that is cut short is no reply.
-async fn read_reply(mut response: Response, max_bytes: u64) -> Result<Reply, Broken> {
-    let announced: Option<u64> = response
+/// Reads a body in full and checks its length: a truncated body is an error.
+async fn read_reply(mut response: Response, max_bytes: u64) -> Result<Reply, ExchangeError> {
+    let content_length: Option<u64> = response
         .header(CONTENT_LENGTH)
         .and_then(|values| values.last().as_str().parse().ok());
-    // The library takes a body that only the connection's end delimits for none at all: a task's
-    // result would be lost and the job called complete.
-    let has_length = announced.is_some() || response.header(TRANSFER_ENCODING).is_some();
+    // The library returns an empty body if only the end of the connection delimits it: a task's
+    // result would be lost and its job reported as complete.
+    let has_length = content_length.is_some() || response.header(TRANSFER_ENCODING).is_some();
     if !has_length && !has_no_body(response.status()) {
-        return Err(Broken::Stream(SmolStr::new_static(
+        return Err(ExchangeError::Stream(SmolStr::new_static(
             "the reply tells no length",
         )));
     }
@@ -160,15 +162,15 @@
     reader
         .read_to_end(&mut body)
         .await
-        .map_err(|error| Broken::Stream(error.to_string().into()))?;
-    let found = body.len() as u64;
-    if found > max_bytes {
-        return Err(Broken::Stream(SmolStr::new_static(
+        .map_err(|error| ExchangeError::Stream(error.to_string().into()))?;
+    let body_bytes = body.len() as u64;
+    if body_bytes > max_bytes {
+        return Err(ExchangeError::Stream(SmolStr::new_static(
             "the reply is too large",
         )));
     }
-    if announced.is_some_and(|announced| announced != found) {
-        return Err(Broken::Stream(SmolStr::new_static(
+    if content_length.is_some_and(|content_length| content_length != body_bytes) {
+        return Err(ExchangeError::Stream(SmolStr::new_static(
             "the reply was cut short",
         )));
     }
@@ -180,16 +182,16 @@
         status: response.status().into(),
         headers,
         body,
-        is_last: false,
+        closes_connection: false,
     })
 }
 
-/// Tells whether replies of this status never have a body.
+/// Returns whether replies with this status never have a body.
 fn has_no_body(status: StatusCode) -> bool {
     status.is_informational() || matches!(status, StatusCode::NoContent | StatusCode::NotModified)
 }
 
-/// Opens a connection, makes one call and closes it.
+/// Opens a connection, makes one call and closes the connection.
 pub async fn call_once(
     address: SocketAddr,
     method: Method,
@@ -205,11 +207,11 @@
     connection.call(method, path, &[], body, timeout).await
 }
 
-/// Runs a future with a time limit, none if it ran out.
+/// Runs a future with a time limit. Returns `None` if the time runs out.
 pub async fn with_timeout<T>(timeout: Duration, work: impl Future<Output = T>) -> Option<T> {
-    let give_up = async {
+    let expired = async {
         Timer::after(timeout).await;
         None
     };
-    async { Some(work.await) }.or(give_up).await
+    async { Some(work.await) }.or(expired).await
 }
--- a/crates/onyxshed-http/src/connections.rs
+++ b/crates/onyxshed-http/src/connections.rs
@@ -1,4 +1,4 @@
-//! Open connections to one other process, kept for the next call.
+//! A pool of open connections to one other process.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -7,64 +7,64 @@
 use crate::client::{ClientOptions, Connection};
 use crate::error::CallError;
 
-/// What a call asks of the connection it goes onto.
+/// The condition under which a call reuses an idle connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReusePolicy {
     /// Any connection that is not known to be closed.
     AnyOpen,
-    /// One that answered within this time, or a new one.
+    /// A connection that received a reply within this time, otherwise a new one.
     ///
-    /// Failure guarded against: something between the two ends has forgotten the connection; bytes
-    /// vanish and nothing comes back. Symptom: a task that may not run twice is lost until its
-    /// lease ends, and its outcome is unknown. A new connection works where an old one has gone
-    /// silent, so a connection without a recent answer is replaced rather than trusted.
+    /// If something between the two ends has dropped the connection's state, bytes are lost and no
+    /// reply arrives. A task that may not run twice is then lost until its lease ends, and its
+    /// outcome is unknown. A new connection works where an unresponsive one does not, so a
+    /// connection without a recent reply is replaced.
     AnsweredWithin(Duration),
 }
 
-/// Connections to one address.
+/// A pool of connections to one address.
 #[derive(Debug)]
 pub struct ConnectionPool {
     address: SocketAddr,
     options: ClientOptions,
     idle_max: usize,
     idle: RefCell<Vec<Connection>>,
-    replaced: Cell<u64>,
+    replaced_count: Cell<u64>,
 }
 
 impl ConnectionPool {
-    /// Makes a pool that keeps at most `idle_max` connections.
+    /// Creates a pool that keeps at most `idle_max` idle connections.
     pub fn new(address: SocketAddr, options: ClientOptions, idle_max: usize) -> Self {
         ConnectionPool {
             address,
             options,
             idle_max,
             idle: RefCell::default(),
-            replaced: Cell::new(0),
+            replaced_count: Cell::new(0),
         }
     }
 
-    /// Gets the address.
+    /// Returns the address of the peer.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Gets how many connections were closed because their health was in doubt.
-    pub fn replaced(&self) -> u64 {
-        self.replaced.get()
+    /// Returns how many idle connections were closed instead of reused.
+    pub fn replaced_count(&self) -> u64 {
+        self.replaced_count.get()
     }
 
-    /// Gets a connection: the one used last that is healthy, or a new one.
-    pub async fn get(&self, health: ReusePolicy) -> Result<Connection, CallError> {
+    /// Returns the most recently used connection that the policy allows, or a new one.
+    pub async fn get(&self, policy: ReusePolicy) -> Result<Connection, CallError> {
         while let Some(connection) = self.take_idle() {
-            if is_healthy(&connection, health).await {
+            if is_reusable(&connection, policy).await {
                 return Ok(connection);
             }
-            self.replaced.set(self.replaced.get() + 1);
+            self.replaced_count.set(self.replaced_count.get() + 1);
         }
         Connection::open(self.address, self.options).await
     }
 
-    /// Keeps a connection for the next call.
+    /// Returns a connection to the pool; closes it if the pool is full.
     pub fn put(&self, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() < self.idle_max {
@@ -72,10 +72,10 @@
         }
     }
 
-    /// Closes every idle connection, as after one of them has gone silent.
+    /// Closes every idle connection, for instance after one of them became unresponsive.
     pub fn clear(&self) {
-        let cleared = self.idle.borrow_mut().drain(..).count() as u64;
-        self.replaced.set(self.replaced.get() + cleared);
+        let closed = self.idle.borrow_mut().drain(..).count() as u64;
+        self.replaced_count.set(self.replaced_count.get() + closed);
     }
 
     fn take_idle(&self) -> Option<Connection> {
@@ -83,10 +83,10 @@
     }
 }
 
-async fn is_healthy(connection: &Connection, health: ReusePolicy) -> bool {
-    let is_fresh = match health {
+async fn is_reusable(connection: &Connection, policy: ReusePolicy) -> bool {
+    let is_allowed = match policy {
         ReusePolicy::AnyOpen => true,
-        ReusePolicy::AnsweredWithin(within) => connection.time_since_reply() <= within,
+        ReusePolicy::AnsweredWithin(max_age) => connection.time_since_reply() <= max_age,
     };
-    is_fresh && connection.is_open().await
+    is_allowed && connection.is_open().await
 }
--- a/crates/onyxshed-http/src/error.rs
+++ b/crates/onyxshed-http/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of opening an address and of calling another process.
+//! Errors of listening on an address and of calling another process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// What went wrong with an address.
+/// An error of listening on an address.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -16,44 +16,44 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's words.
+        /// The operating system's error.
         source: io::Error,
     },
 }
 
 impl Error {
-    /// Gets the numbered code.
+    /// Returns the numbered result code.
     pub fn code(&self) -> ResultCode {
         ResultCode::AddressInUse
     }
 }
 
-/// Result of opening an address.
+/// The result of listening on an address.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// Whether the other end may have seen any of a request.
+/// Whether the peer may have received any byte of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendState {
     /// No byte of the request left this process.
     NotSent,
-    /// Some of it was handed to the system; the other end may have acted on it.
+    /// Some bytes were handed to the operating system; the peer may have acted on them.
     MaybeSent,
 }
 
-/// Why a call brought no reply.
+/// The reason why a call yielded no reply.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{reason}"))]
 pub struct CallError {
-    /// Whether the other end may have seen it.
+    /// Whether the peer may have received any byte of the request.
     pub sent: SendState,
-    /// Whether it was given up because its time ran out.
+    /// Whether the call timed out.
     pub is_timeout: bool,
-    /// What happened, in words.
+    /// The cause as text.
     pub reason: SmolStr,
 }
 
 impl CallError {
-    /// Makes an error for a call of which nothing was sent.
+    /// Creates an error for a call of which nothing was sent.
     pub fn unsent(reason: impl ToString) -> Self {
         CallError {
             sent: SendState::NotSent,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Makes an error for a call that broke.
+    /// Creates an error for a call whose connection or reply failed.
     pub fn broken(sent: SendState, reason: impl ToString) -> Self {
         CallError {
             sent,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Makes an error for a call whose time ran out.
+    /// Creates an error for a call that timed out.
     pub fn timeout(sent: SendState) -> Self {
         CallError {
             sent,
--- a/crates/onyxshed-http/src/head.rs
+++ b/crates/onyxshed-http/src/head.rs
@@ -1,59 +1,60 @@
-//! Watches a message's head on its way to the library.
+//! Checks and rewrites a message's head before the library parses it.
 //!
-//! Failures guarded against, each of them the library's: a byte that is not ASCII in a header makes
-//! it panic, which would end the process; a line without end is kept in memory as long as it comes;
-//! `Expect: 100-continue` makes it write from threads of its own, behind or amid the reply. Every
-//! byte of a head passes here first: the first two end the connection, and the header is renamed, so
-//! that only the server answers it.
+//! It guards against three faults of the library: it panics on a header byte that is not ASCII,
+//! which would end the process; it buffers a line without end for as long as bytes arrive; and on
+//! `Expect: 100-continue` it writes from threads of its own, after or in the middle of the reply.
+//! Every byte of a head is scanned here first: the first two cases end the connection, and the
+//! `Expect` header is renamed, so that only the server answers it.
 
 use std::io;
 
-/// Largest head that is passed on; the library takes half of it.
+/// Largest head that is passed on to the library, which itself accepts half of that.
 pub const HEAD_MAX_BYTES: u64 = 16 << 10;
 
-/// Name under which a request's `Expect` header reaches the server.
+/// Name under which the server sees a request's `Expect` header.
 pub const EXPECT_HEADER: &str = "expec_";
 
-/// The header's own name, whose last letter is replaced.
+/// The original name of the header, whose last letter is replaced.
 const EXPECT: &[u8] = b"expect";
 
-/// How far a message's head has come.
+/// The state of scanning one message's head.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct HeadScan {
     /// Bytes of the head so far.
     head_bytes: u64,
-    /// Bytes that came behind the head.
-    beyond_bytes: u64,
-    /// Bytes of the current line, carriage returns left out.
+    /// Bytes received after the head.
+    bytes_after_head: u64,
+    /// Bytes of the current line, without carriage returns.
     line_bytes: usize,
-    /// Whether the line has begun like [`EXPECT`].
+    /// Whether the current line starts with [`EXPECT`] so far.
     is_expect: bool,
     has_text: bool,
-    is_over: bool,
+    is_complete: bool,
 }
 
 impl HeadScan {
-    /// Gets how many bytes came behind the head.
-    pub fn beyond_bytes(&self) -> u64 {
-        self.beyond_bytes
+    /// Returns how many bytes were received after the head.
+    pub fn bytes_after_head(&self) -> u64 {
+        self.bytes_after_head
     }
 
-    /// Tries to pass bytes on, changing them where need be.
-    pub fn pass(&mut self, bytes: &mut [u8]) -> io::Result<()> {
-        if self.is_over {
-            self.beyond_bytes += bytes.len() as u64;
+    /// Scans received bytes and renames an `Expect` header in place. Returns an error if the head
+    /// is too large or not ASCII.
+    pub fn scan(&mut self, bytes: &mut [u8]) -> io::Result<()> {
+        if self.is_complete {
+            self.bytes_after_head += bytes.len() as u64;
             return Ok(());
         }
         for byte in bytes {
-            match self.is_over {
-                true => self.beyond_bytes += 1,
-                false => self.pass_one(byte)?,
+            match self.is_complete {
+                true => self.bytes_after_head += 1,
+                false => self.scan_byte(byte)?,
             }
         }
         Ok(())
     }
 
-    fn pass_one(&mut self, byte: &mut u8) -> io::Result<()> {
+    fn scan_byte(&mut self, byte: &mut u8) -> io::Result<()> {
         self.head_bytes += 1;
         if self.head_bytes > HEAD_MAX_BYTES {
             return Err(io::ErrorKind::FileTooLarge.into());
@@ -64,21 +65,21 @@
         match *byte {
             b'\r' => {}
             b'\n' => self.end_line(),
-            _ => self.pass_text(byte),
+            _ => self.scan_text(byte),
         }
         Ok(())
     }
 
     fn end_line(&mut self) {
-        self.is_over = self.has_text && self.line_bytes == 0;
+        self.is_complete = self.has_text && self.line_bytes == 0;
         self.line_bytes = 0;
     }
 
-    fn pass_text(&mut self, byte: &mut u8) {
-        let place = self.line_bytes;
-        let is_expected = EXPECT.get(place) == Some(&byte.to_ascii_lowercase());
-        self.is_expect = is_expected && (place == 0 || self.is_expect);
-        if self.is_expect && place + 1 == EXPECT.len() {
+    fn scan_text(&mut self, byte: &mut u8) {
+        let index = self.line_bytes;
+        let matches_expect = EXPECT.get(index) == Some(&byte.to_ascii_lowercase());
+        self.is_expect = matches_expect && (index == 0 || self.is_expect);
+        if self.is_expect && index + 1 == EXPECT.len() {
             *byte = b'_';
         }
         self.line_bytes += 1;
--- a/crates/onyxshed-http/src/idle.rs
+++ b/crates/onyxshed-http/src/idle.rs
@@ -1,8 +1,8 @@
-//! The connections of an address in the order in which they fell idle.
+//! The idle connections of an address, ordered by the time at which they became idle.
 //!
-//! Failure guarded against: connections that never ask anything take every place. Symptom: a caller
-//! with a request finds the address full until they time out. When the address is full, the one
-//! that has idled longest makes room.
+//! Connections that never send a request could otherwise occupy the address up to its limit, and a
+//! caller with a request would be rejected until they time out. When the address is full, the
+//! connection that has been idle the longest is closed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,35 +14,35 @@
 
 use crate::bounded::{BoundedStream, Phase};
 
-/// All connections of an address, the longest idle first.
+/// The connections of an address, the one that became idle first in front.
 #[derive(Debug, Default)]
 pub(crate) struct IdleStreams {
     streams: RefCell<BTreeMap<u64, BoundedStream>>,
-    last: Cell<u64>,
+    last_id: Cell<u64>,
 }
 
 impl IdleStreams {
-    /// Adds a connection that is idle from now on, until the place is dropped.
-    pub(crate) fn add(self: &Rc<Self>, stream: &BoundedStream) -> IdlePlace {
-        let number = self.last.get() + 1;
-        self.last.set(number);
-        self.streams.borrow_mut().insert(number, stream.clone());
-        IdlePlace {
+    /// Adds a connection that is idle from now on. Dropping the returned entry removes it.
+    pub(crate) fn add(self: &Rc<Self>, stream: &BoundedStream) -> IdleEntry {
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
+        self.streams.borrow_mut().insert(id, stream.clone());
+        IdleEntry {
             streams: self.clone(),
-            number,
+            id,
         }
     }
 
-    /// Closes the connection that has idled longest; false if none is idle.
+    /// Closes the connection that has been idle the longest. Returns false if none is idle.
     pub(crate) fn close_oldest(&self) -> bool {
         let mut streams = self.streams.borrow_mut();
-        let mut all = streams.iter();
-        let oldest = all.find(|(_, stream)| is_idle(stream));
-        let Some(number) = oldest.map(|(number, _)| *number) else {
+        let mut entries = streams.iter();
+        let oldest = entries.find(|(_, stream)| is_idle(stream));
+        let Some(id) = oldest.map(|(id, _)| *id) else {
             return false;
         };
-        let closed = streams.remove(&number);
-        // It may have been closed by the peer already, which makes room as well.
+        let closed = streams.remove(&id);
+        // The peer may already have closed it, which frees its place as well.
         closed.is_some_and(|stream| {
             let _ = stream.inner().shutdown(Shutdown::Both);
             true
@@ -50,30 +50,30 @@
     }
 }
 
-/// Tells whether nothing of a request has come, read or not: closing the connection then cuts no
-/// caller off.
+/// Returns whether no byte of a request has arrived, read or unread, so that closing the connection
+/// cuts off no caller.
 fn is_idle(stream: &BoundedStream) -> bool {
     let inner: Arc<Async<TcpStream>> = stream.inner().clone().into();
     let has_unread = matches!(inner.get_ref().peek(&mut [0]), Ok(1));
     stream.phase() == Phase::Idle && !has_unread
 }
 
-/// A connection's place in the order.
+/// The entry of a connection in [`IdleStreams`], removed on drop.
 #[derive(Debug)]
-pub(crate) struct IdlePlace {
+pub(crate) struct IdleEntry {
     streams: Rc<IdleStreams>,
-    number: u64,
+    id: u64,
 }
 
-impl IdlePlace {
-    /// Moves the connection behind all others.
-    pub(crate) fn renew(self, stream: &BoundedStream) -> Self {
+impl IdleEntry {
+    /// Moves the connection to the end of the order.
+    pub(crate) fn move_to_back(self, stream: &BoundedStream) -> Self {
         self.streams.add(stream)
     }
 }
 
-impl Drop for IdlePlace {
+impl Drop for IdleEntry {
     fn drop(&mut self) {
-        self.streams.streams.borrow_mut().remove(&self.number);
+        self.streams.streams.borrow_mut().remove(&self.id);
     }
 }
--- a/crates/onyxshed-http/src/lib.rs
+++ b/crates/onyxshed-http/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 with bounds, over `async-h1`.
+//! HTTP/1.1 client and server with limits, built on `async-h1`.
 //!
-//! `async-h1` reads and writes messages but sets no limits. This crate adds them: how long a header
-//! or body may take, how large it may be, how many connections an address serves, and how long one
-//! may idle. The client tells whether any byte of a request may have left this process, which is
-//! what "not run" rests on.
+//! `async-h1` reads and writes messages but sets no limits. This crate adds them: the time and size
+//! of a head and a body, the number of connections to an address, and how long a connection may be
+//! idle. The client reports whether any byte of a request may have left this process; the outcome
+//! "not run" relies on that.
 
 pub mod bounded;
 pub mod client;
--- a/crates/onyxshed-http/src/message.rs
+++ b/crates/onyxshed-http/src/message.rs
@@ -1,31 +1,31 @@
-//! Requests and replies with their bodies read in full.
+//! Requests and replies whose bodies are read in full.
 
 use http_types::headers::{HeaderValues, RETRY_AFTER};
 use http_types::{Method, Response, StatusCode, mime};
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// One request as a handler gets it.
+/// A request as passed to a handler.
 #[derive(Debug)]
 pub struct Call {
-    /// The request's head.
+    /// Method, URL and headers; the body has been taken out.
     pub head: http_types::Request,
-    /// Its body.
+    /// The request's body.
     pub body: Vec<u8>,
 }
 
 impl Call {
-    /// Gets the method.
+    /// Returns the method.
     pub fn method(&self) -> Method {
         self.head.method()
     }
 
-    /// Gets the path.
+    /// Returns the path of the URL.
     pub fn path(&self) -> &str {
         self.head.url().path()
     }
 
-    /// Gets a value of the query.
+    /// Returns the value of a query parameter, or `None` if it is absent.
     pub fn query(&self, name: &str) -> Option<SmolStr> {
         let mut pairs = self.head.url().query_pairs();
         pairs
@@ -33,7 +33,7 @@
             .map(|(_, value)| value.as_ref().into())
     }
 
-    /// Gets a header's last value.
+    /// Returns a header's last value, or `None` if the header is absent.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head
             .header(name)
@@ -42,33 +42,33 @@
     }
 }
 
-/// One reply.
+/// A reply to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
     /// The HTTP status.
     pub status: u16,
-    /// Headers besides those that the library writes.
+    /// Headers other than those that the library adds.
     pub headers: Vec<(SmolStr, SmolStr)>,
-    /// The body.
+    /// The reply's body.
     pub body: Vec<u8>,
-    /// Whether the connection is closed behind it.
-    pub is_last: bool,
+    /// Whether the connection is closed after the reply.
+    pub closes_connection: bool,
 }
 
 impl Reply {
-    /// Makes a reply with a body of plain bytes.
+    /// Creates a reply with a body of plain bytes.
     pub fn bytes(status: u16, body: impl Into<Vec<u8>>) -> Self {
         Reply {
             status,
             headers: Vec::new(),
             body: body.into(),
-            is_last: false,
+            closes_connection: false,
         }
     }
 
-    /// Makes a reply with a JSON body.
+    /// Creates a reply with a JSON body.
     pub fn json(status: u16, body: &impl Serialize) -> Self {
-        let body = serde_json::to_vec(body).expect("bodies hold only what JSON can write");
+        let body = serde_json::to_vec(body).expect("a reply body always serializes to JSON");
         Reply::bytes(status, body).header("content-type", mime::JSON.to_string())
     }
 
@@ -78,27 +78,27 @@
         self
     }
 
-    /// Adds Retry-After, in whole seconds rounded up as the standard has it.
+    /// Adds a `Retry-After` header, in whole seconds rounded up.
     pub fn retry_after_ms(self, wait_ms: u64) -> Self {
         let wait_s = wait_ms.div_ceil(1_000);
         self.header(RETRY_AFTER.as_str(), smol_str::format_smolstr!("{wait_s}"))
     }
 
-    /// Closes the connection behind the reply.
+    /// Closes the connection after the reply.
     pub fn connection_close(mut self) -> Self {
-        self.is_last = true;
+        self.closes_connection = true;
         self
     }
 
-    /// Gets a header's last value.
+    /// Returns a header's last value, or `None` if the header is absent.
     pub fn header_value(&self, name: &str) -> Option<&str> {
-        let mut found = self.headers.iter().rev();
-        found
+        let mut values = self.headers.iter().rev();
+        values
             .find(|(key, _)| key.eq_ignore_ascii_case(name))
             .map(|(_, value)| value.as_str())
     }
 
-    /// Turns the reply into the library's form.
+    /// Converts the reply to the library's type.
     pub(crate) fn into_response(self) -> Response {
         let status = StatusCode::try_from(self.status).unwrap_or(StatusCode::InternalServerError);
         let mut response = Response::new(status);
@@ -106,7 +106,7 @@
         for (name, value) in &self.headers {
             response.insert_header(name.as_str(), value.as_str());
         }
-        if self.is_last {
+        if self.closes_connection {
             response.insert_header("connection", "close");
         }
         response
--- a/crates/onyxshed-http/src/server.rs
+++ b/crates/onyxshed-http/src/server.rs
@@ -1,8 +1,8 @@
-//! An address that serves requests, within bounds.
+//! An HTTP server with limits on connections, time and memory.
 
 mod body;
-mod counted;
-mod turned_away;
+mod gauge;
+mod rejection;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -22,36 +22,36 @@
 use crate::client::with_timeout;
 use crate::error::{ListenSnafu, Result};
 use crate::head::EXPECT_HEADER;
-use crate::idle::{IdlePlace, IdleStreams};
+use crate::idle::{IdleEntry, IdleStreams};
 
 pub use body::SMALL_BODY_BYTES;
 
 use crate::message::{Call, Reply};
-use counted::Counted;
-use turned_away::{code_of, turned_away};
+use gauge::GaugeGuard;
+use rejection::{code_of, rejection_error};
 
-/// Limits of a served address.
+/// Limits of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerOptions {
-    /// Most connections at the same time; default 4096.
+    /// Largest number of open connections; default 4096.
     pub connections_max: usize,
-    /// Largest head in bytes; default 16 KiB.
+    /// Largest request head in bytes; default 16 KiB.
     pub head_max_bytes: u64,
-    /// Largest body in bytes; default 8 MiB.
+    /// Largest request body in bytes; default 8 MiB.
     pub body_max_bytes: u64,
-    /// Memory for the bodies that are being read, those of at most [`SMALL_BODY_BYTES`] left out;
+    /// Memory for all bodies that are being read, except bodies of at most [`SMALL_BODY_BYTES`];
     /// default 256 MiB.
     pub bodies_max_bytes: u64,
-    /// How long a connection may idle between requests; default 60 s.
+    /// How long a connection may be idle between requests; default 60 s.
     pub idle_timeout: Duration,
-    /// How long a head may take from its first byte; default 5 s.
+    /// Time limit for a request's head, from its first byte; default 5 s.
     pub head_timeout: Duration,
-    /// How long a body may take; default 10 s.
+    /// Time limit for a request's body; default 10 s.
     pub body_timeout: Duration,
-    /// How long the peer may take to read a reply; default 10 s.
+    /// Time limit for the peer to read a reply; default 10 s.
     pub reply_timeout: Duration,
-    /// Whether a request whose peer closes the connection is given up; default false. A peer that
-    /// closes only its sending side counts as gone too.
+    /// Whether a request is cancelled when its peer closes the connection; default false. A peer
+    /// that closes only its sending side counts as disconnected too.
     pub cancels_on_disconnect: bool,
 }
 
@@ -71,29 +71,29 @@
     }
 }
 
-/// A reply in the making.
+/// A future that yields a reply.
 pub type PendingReply = Pin<Box<dyn Future<Output = Reply>>>;
 
-/// What answers requests.
+/// A function that handles requests.
 pub type Handler = Rc<dyn Fn(Call) -> PendingReply>;
 
-/// Makes the reply to a request that the server itself turns away.
+/// A function that creates the reply to a request that the server itself rejects.
 pub type RejectReply = Rc<dyn Fn(ResultCode) -> Reply>;
 
-/// Live counts of a served address.
+/// Counters of a server.
 #[derive(Debug, Default)]
 pub struct ServerStats {
-    /// Connections open.
+    /// Open connections.
     pub connections: Cell<usize>,
-    /// Requests being answered.
+    /// Requests whose reply has not been written yet.
     pub in_flight: Cell<usize>,
-    /// Memory that the larger bodies being read take, in bytes.
+    /// Memory held by bodies being read that are larger than [`SMALL_BODY_BYTES`], in bytes.
     pub body_bytes: Cell<u64>,
-    /// Requests and connections turned away at the door.
+    /// Requests and connections that the server itself rejected, in total.
     pub rejected: Cell<u64>,
 }
 
-/// A served address.
+/// An HTTP server. Clones share its counters and idle connections.
 #[derive(Clone)]
 pub struct Server {
     options: ServerOptions,
@@ -103,11 +103,11 @@
     idle: Rc<IdleStreams>,
 }
 
-/// Room for what a transfer encoding adds around a body.
+/// Bytes beyond the largest body that a transfer encoding may add to it.
 const FRAMING_SLACK_BYTES: u64 = 64 << 10;
 
 impl Server {
-    /// Makes a server from what answers and what turns away.
+    /// Creates a server from its limits, its request handler and its source of rejection replies.
     pub fn new(options: ServerOptions, handler: Handler, reject: RejectReply) -> Self {
         Server {
             options,
@@ -118,58 +118,58 @@
         }
     }
 
-    /// Gets the live counts.
+    /// Returns the counters.
     pub fn stats(&self) -> Rc<ServerStats> {
         self.stats.clone()
     }
 
-    /// Tries to listen on an address; port 0 takes a free one.
+    /// Listens on an address; port 0 selects a free port.
     pub async fn listen(address: SocketAddr) -> Result<TcpListener> {
         let listener = TcpListener::bind(address)
             .await
             .context(ListenSnafu { address })?;
-        // The standard library asks for 128 places; asking again only changes their number.
+        // The standard library sets a backlog of 128; a second call only changes the number.
         rustix::net::listen(&listener, LISTEN_BACKLOG)
             .map_err(std::io::Error::from)
             .context(ListenSnafu { address })?;
         Ok(listener)
     }
 
-    /// Serves until dropped.
+    /// Accepts and serves connections until dropped.
     pub async fn run(self, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => self.take_in(stream, &executor),
-                Err(_) => breathe().await,
+                Ok((stream, _)) => self.admit(stream, &executor),
+                Err(_) => pause_after_failed_accept().await,
             }
-            // Many arrivals at once must not keep those that are here from being served.
+            // A burst of new connections must not starve those already open.
             future::yield_now().await;
         }
     }
 
-    fn take_in(&self, stream: TcpStream, executor: &Rc<LocalExecutor<'static>>) {
+    fn admit(&self, stream: TcpStream, executor: &Rc<LocalExecutor<'static>>) {
         let server = self.clone();
-        let open = Counted::new(&self.stats, |stats| &stats.connections);
-        let over = self
+        let open = GaugeGuard::new(&self.stats, |stats| &stats.connections);
+        let excess = self
             .stats
             .connections
             .get()
             .saturating_sub(self.options.connections_max);
-        let has_place = over == 0 || self.idle.close_oldest();
-        if !has_place && over > TURNED_AWAY_MAX {
+        let has_capacity = excess == 0 || self.idle.close_oldest();
+        if !has_capacity && excess > REJECTED_CONNECTIONS_MAX {
             self.stats.rejected.set(self.stats.rejected.get() + 1);
             return;
         }
         let stream = BoundedStream::new(stream);
-        let place = self.idle.add(&stream);
+        let idle_entry = self.idle.add(&stream);
         executor
             .spawn(async move {
                 let _open = open;
-                match has_place {
-                    true => server.serve(stream, place).await,
+                match has_capacity {
+                    true => server.serve(stream, idle_entry).await,
                     false => {
                         server
-                            .turn_away(&stream, ResultCode::TooManyConnections)
+                            .send_rejection(&stream, ResultCode::TooManyConnections)
                             .await;
                     }
                 }
@@ -177,16 +177,16 @@
             .detach();
     }
 
-    /// Serves one connection to its end.
-    async fn serve(self, stream: BoundedStream, mut place: IdlePlace) {
+    /// Serves one connection until it is closed.
+    async fn serve(self, stream: BoundedStream, mut idle_entry: IdleEntry) {
         if stream.inner().set_nodelay(true).is_err() {
             return;
         }
-        // Counted until the reply is written, so that a graceful stop cuts none off.
-        let busy = RefCell::new(None);
+        // Counted until the reply is written, so that a graceful stop cuts off no reply.
+        let in_flight = RefCell::new(None);
         let endpoint = |request| {
-            busy.replace(Some(Counted::new(&self.stats, |stats| &stats.in_flight)));
-            self.answer(stream.clone(), request)
+            in_flight.replace(Some(GaugeGuard::new(&self.stats, |stats| &stats.in_flight)));
+            self.handle_request(stream.clone(), request)
         };
         let mut h1 = H1Server::new(stream.clone(), endpoint);
         loop {
@@ -197,18 +197,18 @@
                 self.options.head_max_bytes,
             );
             let accepted = h1.accept_one().await;
-            busy.replace(None);
+            in_flight.replace(None);
             match accepted {
-                Ok(ConnectionStatus::KeepAlive) => place = place.renew(&stream),
+                Ok(ConnectionStatus::KeepAlive) => idle_entry = idle_entry.move_to_back(&stream),
                 Ok(ConnectionStatus::Close) if stream.phase() == Phase::Head => {
-                    // The peer closed its side within a head.
-                    return self.turn_away(&stream, ResultCode::BadRequest).await;
+                    // The peer closed its side in the middle of a head.
+                    return self.send_rejection(&stream, ResultCode::BadRequest).await;
                 }
                 Ok(ConnectionStatus::Close) => return,
                 Err(error) => {
                     let is_request = stream.read_bytes() > read_before;
                     if is_request && stream.phase() != Phase::Replying {
-                        self.turn_away(&stream, code_of(&error)).await;
+                        self.send_rejection(&stream, code_of(&error)).await;
                     }
                     return;
                 }
@@ -216,38 +216,39 @@
         }
     }
 
-    async fn answer(
+    async fn handle_request(
         &self,
         stream: BoundedStream,
         mut request: Request,
     ) -> http_types::Result<Response> {
         let max_bytes = self.options.body_max_bytes;
         stream.begin_body(self.options.body_timeout, max_bytes + FRAMING_SLACK_BYTES);
-        let announced = request.len().map(|len| len as u64);
-        if announced.is_some_and(|len| len > max_bytes) {
-            return Err(turned_away(ResultCode::BodyTooLarge));
+        let content_length = request.len().map(|len| len as u64);
+        if content_length.is_some_and(|len| len > max_bytes) {
+            return Err(rejection_error(ResultCode::BodyTooLarge));
         }
         if request.header(EXPECT_HEADER).is_some() {
-            stream.clone().write_all(CONTINUE).await?;
+            stream.clone().write_all(CONTINUE_RESPONSE).await?;
         }
         let body = self.read_body(request.take_body()).await?;
-        if announced.is_some_and(|len| len != body.len() as u64) {
-            return Err(turned_away(ResultCode::BadRequest));
+        if content_length.is_some_and(|len| len != body.len() as u64) {
+            return Err(rejection_error(ResultCode::BadRequest));
         }
-        // The library may have read bytes behind the body, and forgets them with the request: what
-        // they asked would never be answered. Behind a body without length it can't be told.
-        let is_last = announced != Some(stream.beyond_head_bytes());
+        // The library may have read bytes after the body and discards them with the request, so a
+        // request among them would never be answered: the connection is closed instead. After a
+        // body without a length, it is unknown whether there are such bytes.
+        let closes_connection = content_length != Some(stream.bytes_after_head());
         stream.begin_handling();
         let call = Call {
             head: request,
             body,
         };
         let reply = match self.options.cancels_on_disconnect {
-            true => (self.handler)(call).or(peer_gone(&stream)).await,
+            true => (self.handler)(call).or(wait_for_disconnect(&stream)).await,
             false => (self.handler)(call).await,
         };
         stream.begin_reply(self.options.reply_timeout);
-        let reply = if is_last {
+        let reply = if closes_connection {
             reply.connection_close()
         } else {
             reply
@@ -255,57 +256,58 @@
         Ok(reply.into_response())
     }
 
-    fn rejected(&self, code: ResultCode) -> Response {
+    fn rejection_response(&self, code: ResultCode) -> Response {
         self.stats.rejected.set(self.stats.rejected.get() + 1);
         (self.reject)(code).connection_close().into_response()
     }
 
-    /// Tells a peer why it is turned away, as far as it still listens.
+    /// Replies to a peer with the reason for the rejection, if it still reads.
     ///
-    /// Failure guarded against: bytes of the peer's that nobody has read make the system reset the
-    /// connection at its close, and the peer loses the answer. So what still comes is read and
-    /// thrown away for a moment.
-    async fn turn_away(&self, stream: &BoundedStream, code: ResultCode) {
-        stream.begin_reply(LINGER);
-        let mut reply = Encoder::new(self.rejected(code), Method::Get);
+    /// If bytes from the peer are unread when the connection is closed, the operating system resets
+    /// the connection and the peer loses the reply. So further bytes are read and discarded for up
+    /// to [`LINGER_TIMEOUT`].
+    async fn send_rejection(&self, stream: &BoundedStream, code: ResultCode) {
+        stream.begin_reply(LINGER_TIMEOUT);
+        let mut reply = Encoder::new(self.rejection_response(code), Method::Get);
         let mut stream = stream.clone();
         if io::copy(&mut reply, &mut stream).await.is_ok() && stream.close().await.is_ok() {
-            let _ = with_timeout(LINGER, io::copy(&mut stream, &mut io::sink())).await;
+            let _ = with_timeout(LINGER_TIMEOUT, io::copy(&mut stream, &mut io::sink())).await;
         }
     }
 }
 
-/// Waits until the peer has closed the connection, and makes the reply that nobody will read.
-async fn peer_gone(stream: &BoundedStream) -> Reply {
-    /// The status by which logs know a request that its caller gave up.
+/// Waits until the peer has closed the connection. Returns a reply that no peer will read.
+async fn wait_for_disconnect(stream: &BoundedStream) -> Reply {
+    /// The conventional status of a request whose client closed the connection.
     const CLIENT_CLOSED_REQUEST: u16 = 499;
     let mut byte = [0];
     match stream.inner().peek(&mut byte).await {
         Ok(0) | Err(_) => Reply::bytes(CLIENT_CLOSED_REQUEST, Vec::new()).connection_close(),
-        // The peer has sent its next request ahead of the reply, so it is still there.
+        // The peer has sent its next request before the reply, so it is still connected.
         Ok(_) => future::pending().await,
     }
 }
 
-/// Connections that the system holds until the process accepts them.
+/// Connections that the operating system queues until the process accepts them.
 ///
-/// Failure guarded against: a burst fills the queue of new connections while the process is busy.
-/// Symptom: the system drops the next caller's opening packet without a word and the caller sends
-/// it again a second later, when its objective is gone; with 128 places the 130th of a burst waited
-/// 900 ms in vain on loopback. Half of a second's burst on a host of ordinary size fits into these.
+/// If a burst fills the queue while the process is busy, the system silently drops the next
+/// caller's SYN, and the caller sends it again a second later, when its objective has been missed.
+/// With a backlog of 128, the 130th connection of a burst waited 900 ms on loopback. This value
+/// holds half of a second's burst on a host of ordinary size.
 const LISTEN_BACKLOG: i32 = 1_024;
 
-/// Connections beyond the most that are still told so; the rest are closed without a word.
-const TURNED_AWAY_MAX: usize = 256;
+/// Connections beyond the limit that still get a rejection reply; any further ones are closed
+/// without a reply.
+const REJECTED_CONNECTIONS_MAX: usize = 256;
 
-/// How long a peer that is turned away may take to read why.
-const LINGER: Duration = Duration::from_secs(2);
+/// Time limit for a rejected peer to read the rejection.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Invites the body of a request that asked whether to send it.
-const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+/// The interim response to a request that asks whether to send its body.
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Waits a little after a failed accept, so that a shortage of file descriptors does not spin.
-async fn breathe() {
-    const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-    async_io::Timer::after(ACCEPT_PAUSE).await;
+/// Waits after a failed accept, so that a shortage of file descriptors does not cause a busy loop.
+async fn pause_after_failed_accept() {
+    const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+    async_io::Timer::after(ACCEPT_RETRY_DELAY).await;
 }
--- a/crates/onyxshed-http/src/server/body.rs
+++ b/crates/onyxshed-http/src/server/body.rs
@@ -1,4 +1,4 @@
-//! Reads bodies within the time and the memory that they may take.
+//! Reads request bodies within the limits on time and memory.
 
 use std::panic::AssertUnwindSafe;
 use std::rc::Rc;
@@ -7,93 +7,94 @@
 use http_types::Body;
 use onyxshed_core::ResultCode;
 
-use super::turned_away::turned_away;
+use super::rejection::rejection_error;
 use super::{Server, ServerStats};
 use crate::client::with_timeout;
 
 impl Server {
     /// Reads a body in full.
     ///
-    /// Failures guarded against, both the library's with chunked bodies: a trailer that comes in
-    /// pieces leaves it asleep for ever, and one that is not ASCII makes it panic. The time bounds
-    /// the first; the second is caught, and touches nothing but this connection.
+    /// The library has two faults with chunked bodies: it never wakes up after a trailer that
+    /// arrives in several reads, and it panics on a trailer that is not ASCII. The time limit ends
+    /// the first; the panic is caught and affects only this connection.
     pub(super) async fn read_body(&self, body: Body) -> http_types::Result<Vec<u8>> {
         let read = AssertUnwindSafe(self.collect(body)).catch_unwind();
         match with_timeout(self.options.body_timeout, read).await {
-            None => Err(turned_away(ResultCode::TooSlow)),
-            Some(Err(_)) => Err(turned_away(ResultCode::BadRequest)),
+            None => Err(rejection_error(ResultCode::TooSlow)),
+            Some(Err(_)) => Err(rejection_error(ResultCode::BadRequest)),
             Some(Ok(collected)) => collected,
         }
     }
 
-    /// Collects a body within the memory for bodies.
+    /// Collects a body within the memory limit for all bodies.
     ///
-    /// Failure guarded against: many peers send large bodies slowly at the same time. Symptom: the
-    /// process runs out of memory though each body is within its limit. A body's memory is counted as
-    /// it comes, and whoever comes on top is told to come back; small bodies, which most are, are
-    /// always taken, so that large ones can't keep them out.
+    /// If many peers send large bodies slowly at the same time, the process would run out of memory
+    /// although each body is within its own limit. So a body's memory is counted as it arrives, and
+    /// a body that exceeds the total is rejected with a code that invites a retry. Small bodies,
+    /// which most are, are always accepted, so that large ones can't block them.
     async fn collect(&self, mut body: Body) -> http_types::Result<Vec<u8>> {
-        let mut found = Vec::new();
-        let mut held = HeldBytes::new(&self.stats);
-        let piece_bytes = body
+        let mut collected = Vec::new();
+        let mut reserved_bytes = BodyReservation::new(&self.stats);
+        let chunk_bytes = body
             .len()
-            .map_or(PIECE_BYTES, |len| len.clamp(1, PIECE_BYTES));
-        let mut piece = vec![0; piece_bytes];
+            .map_or(CHUNK_BYTES, |len| len.clamp(1, CHUNK_BYTES));
+        let mut chunk = vec![0; chunk_bytes];
         loop {
-            let count = body.read(&mut piece).await?;
+            let count = body.read(&mut chunk).await?;
             if count == 0 {
-                return Ok(found);
+                return Ok(collected);
             }
-            found.extend_from_slice(&piece[..count]);
-            let found_bytes = found.len() as u64;
-            if found_bytes > self.options.body_max_bytes {
-                return Err(turned_away(ResultCode::BodyTooLarge));
+            collected.extend_from_slice(&chunk[..count]);
+            let collected_bytes = collected.len() as u64;
+            if collected_bytes > self.options.body_max_bytes {
+                return Err(rejection_error(ResultCode::BodyTooLarge));
             }
-            if found_bytes > SMALL_BODY_BYTES
-                && !held.grow(found_bytes, self.options.bodies_max_bytes)
+            if collected_bytes > SMALL_BODY_BYTES
+                && !reserved_bytes.grow(collected_bytes, self.options.bodies_max_bytes)
             {
-                return Err(turned_away(ResultCode::EntryFull));
+                return Err(rejection_error(ResultCode::EntryFull));
             }
         }
     }
 }
 
-/// Bodies up to this size are always taken.
+/// Bodies up to this size are always accepted, and do not count against the memory for bodies.
 pub const SMALL_BODY_BYTES: u64 = 64 << 10;
 
-/// Most bytes of a body read at a time.
-const PIECE_BYTES: usize = 16 << 10;
+/// Largest number of bytes of a body read at a time.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// One body's part of the memory for bodies, given back when dropped.
-struct HeldBytes {
+/// One body's share of the memory for bodies, released on drop.
+struct BodyReservation {
     stats: Rc<ServerStats>,
-    held: u64,
+    reserved_bytes: u64,
 }
 
-impl HeldBytes {
+impl BodyReservation {
     fn new(stats: &Rc<ServerStats>) -> Self {
-        HeldBytes {
+        BodyReservation {
             stats: stats.clone(),
-            held: 0,
+            reserved_bytes: 0,
         }
     }
 
-    /// Grows to `wanted` bytes; false if all bodies together would then take more than `max`.
+    /// Grows the share to `wanted` bytes. Returns false if all bodies together would then exceed
+    /// `max`.
     fn grow(&mut self, wanted: u64, max: u64) -> bool {
-        let others = self.stats.body_bytes.get() - self.held;
+        let others = self.stats.body_bytes.get() - self.reserved_bytes;
         if others + wanted > max {
             return false;
         }
         self.stats.body_bytes.set(others + wanted);
-        self.held = wanted;
+        self.reserved_bytes = wanted;
         true
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.stats
             .body_bytes
-            .set(self.stats.body_bytes.get() - self.held);
+            .set(self.stats.body_bytes.get() - self.reserved_bytes);
     }
 }
--- /dev/null
+++ b/crates/onyxshed-http/src/server/rejection.rs
@@ -0,0 +1,30 @@
+//! Requests that the server itself rejects.
+
+use futures_lite::io;
+use http_types::{Error, StatusCode};
+use onyxshed_core::ResultCode;
+use snafu::Snafu;
+
+/// The error of a request that the server itself rejects.
+#[derive(Debug, Snafu)]
+#[snafu(display("rejected with code {code}"))]
+pub(super) struct Rejection {
+    code: ResultCode,
+}
+
+/// Creates an error that carries the result code through the library.
+pub(super) fn rejection_error(code: ResultCode) -> Error {
+    Error::new(StatusCode::BadRequest, Rejection { code })
+}
+
+/// Returns the result code for a request that failed with an error.
+pub(super) fn code_of(error: &Error) -> ResultCode {
+    if let Some(found) = error.downcast_ref::<Rejection>() {
+        return found.code;
+    }
+    match error.downcast_ref::<io::Error>().map(io::Error::kind) {
+        Some(io::ErrorKind::TimedOut) => ResultCode::TooSlow,
+        Some(io::ErrorKind::FileTooLarge) => ResultCode::BodyTooLarge,
+        _ => ResultCode::BadRequest,
+    }
+}
--- a/crates/onyxshed-http/tests/bodies.rs
+++ b/crates/onyxshed-http/tests/bodies.rs
@@ -14,43 +14,43 @@
 
 const MIB: usize = 1 << 20;
 
-/// Sends the head of a body of `len` bytes and as much of it as `sent`.
-async fn begin(address: SocketAddr, len: usize, sent: usize) -> TcpStream {
+/// Sends the head of a body of `len` bytes and `sent` bytes of the body.
+async fn begin_request(address: SocketAddr, len: usize, sent: usize) -> TcpStream {
     let mut stream = TcpStream::connect(address)
         .await
-        .expect("the test's own steps work");
+        .expect("test setup succeeds");
     let head = format!("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: {len}\r\n\r\n");
     stream
         .write_all(head.as_bytes())
         .await
-        .expect("the test's own steps work");
-    // The server may have turned it away before it has come in full.
+        .expect("test setup succeeds");
+    // The server may reject the request before all of it is sent.
     let _ = stream.write_all(&vec![b'x'; sent]).await;
     stream
 }
 
-/// Gets the first line of the reply.
-async fn status(stream: &mut TcpStream) -> String {
-    let mut found = vec![0; 64];
+/// Returns the first line of the reply.
+async fn status_line(stream: &mut TcpStream) -> String {
+    let mut bytes = vec![0; 64];
     stream
-        .read_exact(&mut found)
+        .read_exact(&mut bytes)
         .await
-        .expect("the test's own steps work");
-    let text = String::from_utf8(found).expect("the test's own steps work");
+        .expect("test setup succeeds");
+    let text = String::from_utf8(bytes).expect("test setup succeeds");
     text.lines().next().unwrap_or_default().to_owned()
 }
 
-async fn wait_held(stats: &ServerStats, bytes: usize) {
+async fn wait_for_body_bytes(stats: &ServerStats, bytes: usize) {
     while stats.body_bytes.get() != bytes as u64 {
         Timer::after(Duration::from_millis(1)).await;
     }
 }
 
 #[test]
-fn large_bodies_share_their_memory_and_small_ones_always_pass() {
-    // Three peers send most of a large body and stall; the memory for bodies is nearly used up. A
-    // fourth large body is turned away at once, a small one is served, and so are the stalled ones
-    // when they go on.
+fn large_bodies_share_a_memory_limit_and_small_ones_are_always_served() {
+    // Three peers send most of a large body and stall, so that the memory for bodies is nearly used
+    // up. A fourth large body is rejected at once, a small one is served, and so are the stalled
+    // ones once they continue.
     let options = ServerOptions {
         body_max_bytes: MIB as u64,
         bodies_max_bytes: 3 * MIB as u64,
@@ -62,39 +62,37 @@
         },
     );
     let reject =
-        Rc::new(|code: ResultCode| Reply::bytes(code.http_status(), "turned away, as told"));
+        Rc::new(|code: ResultCode| Reply::bytes(code.http_status(), "rejected by the server"));
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.clone().run(async {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let listener = Server::listen(any)
-            .await
-            .expect("the test's own steps work");
-        let address = listener.local_addr().expect("the test's own steps work");
+        let listener = Server::listen(any).await.expect("test setup succeeds");
+        let address = listener.local_addr().expect("test setup succeeds");
         let server = Server::new(options, handler, reject);
         let stats = server.stats();
         executor
             .spawn(server.run(listener, executor.clone()))
             .detach();
-        let most = MIB - 1_000;
+        let partial = MIB - 1_000;
         let mut stalled = Vec::new();
         for number in 1..=3 {
-            stalled.push(begin(address, MIB, most).await);
-            wait_held(&stats, number * most).await;
+            stalled.push(begin_request(address, MIB, partial).await);
+            wait_for_body_bytes(&stats, number * partial).await;
         }
-        let mut fourth = begin(address, MIB, MIB).await;
+        let mut fourth = begin_request(address, MIB, MIB).await;
         assert_eq!(
-            status(&mut fourth).await,
+            status_line(&mut fourth).await,
             "HTTP/1.1 503 Service Unavailable"
         );
-        let mut small = begin(address, 60_000, 60_000).await;
-        assert_eq!(status(&mut small).await, "HTTP/1.1 200 OK");
+        let mut small = begin_request(address, 60_000, 60_000).await;
+        assert_eq!(status_line(&mut small).await, "HTTP/1.1 200 OK");
         for stream in &mut stalled {
             stream
                 .write_all(&[b'x'; 1_000])
                 .await
-                .expect("the test's own steps work");
-            assert_eq!(status(stream).await, "HTTP/1.1 200 OK");
+                .expect("test setup succeeds");
+            assert_eq!(status_line(stream).await, "HTTP/1.1 200 OK");
         }
-        wait_held(&stats, 0).await;
+        wait_for_body_bytes(&stats, 0).await;
     }));
 }
