--- a/crates/onyxshed-kernel/src/bus.rs
+++ b/crates/onyxshed-kernel/src/bus.rs
@@ -1,4 +1,4 @@
-//! The event bus: one place that log, metrics and time line are fed from.
+//! The event bus, through which log, metrics and time line receive every event of the process.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -8,10 +8,10 @@
 
 use crate::clock::Clock;
 
-/// What takes in events; it must return at once.
+/// A callback that receives every event. It runs inside [`Bus::emit`], so it must not block.
 pub type Subscriber = Rc<dyn Fn(&Event)>;
 
-/// Stamps events and hands them to every subscriber; clones are the same bus.
+/// Stamps events and passes them to every subscriber. Clones share one bus.
 #[derive(Clone)]
 pub struct Bus {
     clock: Clock,
@@ -19,7 +19,7 @@
 }
 
 impl Bus {
-    /// Makes a bus that stamps with the given clock.
+    /// Creates a bus that stamps events with the given clock.
     pub fn new(clock: Clock) -> Self {
         Bus {
             clock,
@@ -27,17 +27,17 @@
         }
     }
 
-    /// Adds a subscriber, which gets every event from now on.
+    /// Adds a subscriber, which receives every event emitted from now on.
     pub fn subscribe(&self, subscriber: Subscriber) {
         self.subscribers.borrow_mut().push(subscriber);
     }
 
-    /// Stamps an event and delivers it.
+    /// Stamps an event and passes it to every subscriber, in the order of subscription.
     pub fn emit(&self, mut event: Event) {
         event.hlc = self.clock.stamp();
         let count = self.subscribers.borrow().len();
         for index in 0..count {
-            // Not borrowed during the call, so that a subscriber may emit or subscribe itself.
+            // Not borrowed during the call, so that a subscriber may itself emit or subscribe.
             let subscriber = self.subscribers.borrow()[index].clone();
             subscriber(&event);
         }
--- a/crates/onyxshed-kernel/src/clock.rs
+++ b/crates/onyxshed-kernel/src/clock.rs
@@ -1,4 +1,5 @@
-//! The process's clocks, read here and nowhere else.
+//! The monotonic clock, the wall clock and the hybrid logical clock of the process. No other module
+//! reads the system's clocks.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,7 +8,7 @@
 use async_io::Timer;
 use onyxshed_core::{Hlc, HlcClock, Mono, Now, UnixMs};
 
-/// Reads the monotonic and the wall clock, and stamps events; clones share one state.
+/// Reads the monotonic and the wall clock and stamps events. Clones share one hybrid logical clock.
 #[derive(Debug, Clone)]
 pub struct Clock {
     start: Instant,
@@ -15,7 +16,7 @@
 }
 
 impl Clock {
-    /// Makes a clock whose monotonic time starts now.
+    /// Creates a clock whose monotonic time starts at zero now.
     pub fn new() -> Self {
         Clock {
             start: Instant::now(),
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Reads both clocks.
+    /// Returns the current monotonic and wall-clock time.
     pub fn now(&self) -> Now {
         Now {
             mono: Mono(as_u64(self.start.elapsed().as_micros())),
@@ -31,22 +32,22 @@
         }
     }
 
-    /// Gets the stamp for an event that happens now.
+    /// Returns a new stamp of the hybrid logical clock for an event that happens now.
     pub fn stamp(&self) -> Hlc {
         self.hlc.borrow_mut().stamp(wall())
     }
 
-    /// Takes in a stamp that came with a message.
-    pub fn observe(&self, theirs: Hlc) {
-        self.hlc.borrow_mut().observe(theirs, wall());
+    /// Advances the hybrid logical clock past a stamp received with a message.
+    pub fn observe(&self, remote: Hlc) {
+        self.hlc.borrow_mut().observe(remote, wall());
     }
 
-    /// Gets the system's form of a point on the monotonic clock.
+    /// Converts a time on the monotonic clock to an [`Instant`].
     pub fn instant(&self, at: Mono) -> Instant {
         self.start + Duration::from_micros(at.0)
     }
 
-    /// Waits until a point on the monotonic clock.
+    /// Sleeps until a time on the monotonic clock.
     pub async fn sleep_until(&self, at: Mono) {
         Timer::at(self.instant(at)).await;
     }
@@ -58,7 +59,7 @@
     }
 }
 
-/// Reads the wall clock; a clock before 1970 counts as 1970.
+/// Reads the wall clock; a time before 1970 is returned as 1970.
 fn wall() -> UnixMs {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/onyxshed-kernel/src/error.rs
+++ b/crates/onyxshed-kernel/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of putting a process together.
+//! Errors of assembling a process from services and of starting it.
 
 use onyxshed_core::ResultCode;
 use smol_str::SmolStr;
@@ -6,65 +6,65 @@
 
 use crate::service::ServiceName;
 
-/// What went wrong with a service.
+/// An error of registering, finding, ordering or starting services.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// No service of that name is registered.
+    /// No service of this name is registered.
     #[snafu(display("service {name} is not registered"))]
-    Missing {
-        /// The service looked for.
+    NotRegistered {
+        /// The name that was looked up.
         name: ServiceName,
     },
-    /// A service needs another that the process does not have.
-    #[snafu(display("service {needed_by} needs {name}, which this process does not have"))]
-    NeedMissing {
-        /// The service needed.
+    /// A service depends on one that is not among the services of this process.
+    #[snafu(display("service {needed_by} depends on {name}, which this process does not have"))]
+    DependencyMissing {
+        /// The missing service.
         name: ServiceName,
-        /// The service that needs it.
+        /// The service that depends on it.
         needed_by: ServiceName,
     },
     /// The service is registered with a handle of another type.
-    #[snafu(display("service {name} is a {found}, not a {wanted}"))]
-    OtherType {
-        /// The service looked for.
+    #[snafu(display("the handle of service {name} is a {found}, not a {requested}"))]
+    WrongType {
+        /// The name that was looked up.
         name: ServiceName,
-        /// Type of its handle.
+        /// The type of the registered handle.
         found: &'static str,
-        /// Type asked for.
-        wanted: &'static str,
+        /// The requested type.
+        requested: &'static str,
     },
     /// Two services have the same name.
-    #[snafu(display("service {name} is there twice"))]
+    #[snafu(display("service {name} is registered twice"))]
     Duplicate {
-        /// The name.
+        /// The name used twice.
         name: ServiceName,
     },
-    /// Services need each other in a circle.
-    #[snafu(display("services need each other in a circle: {names}"))]
+    /// Services depend on each other in a cycle.
+    #[snafu(display("services depend on each other in a cycle: {names}"))]
     Cycle {
-        /// The services that could not be ordered, in words.
+        /// The names of the services that could not be ordered, separated by commas.
         names: SmolStr,
     },
-    /// A service did not start.
-    #[snafu(display("service {name} did not start: {reason}"))]
+    /// A service failed to start.
+    #[snafu(display("service {name} failed to start: {reason}"))]
     Start {
-        /// The service.
+        /// The service that failed.
         name: ServiceName,
-        /// The numbered code of what stopped it.
+        /// The result code of the failure.
         code: ResultCode,
-        /// What stopped it, in words.
+        /// The cause as text.
         reason: SmolStr,
     },
-    /// The process can't listen to signals.
-    #[snafu(display("can't listen to signals: {reason}"))]
-    Signals {
-        /// The system's words.
+    /// The signal handlers could not be installed.
+    #[snafu(display("cannot install signal handlers: {reason}"))]
+    SignalHandlers {
+        /// The operating system's error message.
         reason: SmolStr,
     },
 }
 
 impl Error {
-    /// Makes an error for a service that did not start.
+    /// Creates an error for a service that failed to start.
     pub fn start(name: ServiceName, code: ResultCode, reason: impl ToString) -> Self {
         Error::Start {
             name,
@@ -73,19 +73,19 @@
         }
     }
 
-    /// Gets the numbered code.
+    /// Returns the numbered result code.
     pub fn code(&self) -> ResultCode {
         match self {
-            Error::Missing { .. } | Error::NeedMissing { .. } | Error::OtherType { .. } => {
-                ResultCode::ServiceMissing
-            }
+            Error::NotRegistered { .. }
+            | Error::DependencyMissing { .. }
+            | Error::WrongType { .. } => ResultCode::ServiceMissing,
             Error::Start { code, .. } => *code,
-            Error::Duplicate { .. } | Error::Cycle { .. } | Error::Signals { .. } => {
+            Error::Duplicate { .. } | Error::Cycle { .. } | Error::SignalHandlers { .. } => {
                 ResultCode::ServiceFailed
             }
         }
     }
 }
 
-/// Result of working with services.
+/// The result of registering, finding or starting services.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-kernel/src/kernel.rs
+++ b/crates/onyxshed-kernel/src/kernel.rs
@@ -1,4 +1,4 @@
-//! The kernel: executor, clock, bus, readiness and registry in one handle.
+//! The kernel: one handle to the executor, clock, bus, readiness and registry of a process.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -30,14 +30,14 @@
     stop_receiver: Receiver<StopRequest>,
 }
 
-/// Handle to the process's kernel; clones are the same kernel.
+/// A handle to the process's kernel. Clones refer to the same kernel.
 #[derive(Clone)]
 pub struct Kernel {
     inner: Rc<Inner>,
 }
 
 impl Kernel {
-    /// Makes a kernel without services.
+    /// Creates a kernel without services.
     pub fn new() -> Self {
         let clock = Clock::new();
         let (stop_sender, stop_receiver) = async_channel::unbounded();
@@ -56,92 +56,98 @@
         }
     }
 
-    /// Gets the executor that runs everything.
+    /// Returns the single-threaded executor on which every task of the process runs.
     pub fn executor(&self) -> Rc<LocalExecutor<'static>> {
         self.inner.executor.clone()
     }
 
-    /// Runs a future beside others; it ends when the task is dropped.
+    /// Spawns a future on the executor. Dropping the returned task cancels it.
     pub fn spawn<T: 'static>(&self, future: impl Future<Output = T> + 'static) -> Task<T> {
         self.inner.executor.spawn(future)
     }
 
-    /// Gets the clock.
+    /// Returns the clock.
     pub fn clock(&self) -> &Clock {
         &self.inner.clock
     }
 
-    /// Gets the event bus.
+    /// Returns the event bus.
     pub fn bus(&self) -> &Bus {
         &self.inner.bus
     }
 
-    /// Stamps an event and delivers it.
+    /// Stamps an event and passes it to every subscriber of the bus.
     pub fn emit(&self, event: Event) {
         self.inner.bus.emit(event);
     }
 
-    /// Gets the readiness flag.
+    /// Returns the readiness state of the process.
     pub fn readiness(&self) -> &Readiness {
         &self.inner.readiness
     }
 
-    /// Gets the registry.
+    /// Returns the registry of service handles.
     pub fn registry(&self) -> &Registry {
         &self.inner.registry
     }
 
-    /// Registers a service's handle; an error if the name is taken.
+    /// Registers a service's handle. Returns an error if the name is already registered.
     pub fn register<T: 'static>(&self, descriptor: Descriptor, handle: Rc<T>) -> Result<()> {
         self.inner.registry.register(descriptor, handle)
     }
 
-    /// Finds a service's handle; an error if it is missing or of another type.
+    /// Returns a service's handle. Returns an error if the service is not registered or its handle
+    /// has another type.
     pub fn find<T: 'static>(&self, name: ServiceName) -> Result<Rc<T>> {
         self.inner.registry.find(name)
     }
 
-    /// Notes an address that the process listens on, for the ready line.
+    /// Records an address that the process listens on, to be written in the ready line under this
+    /// name.
     pub fn announce(&self, name: &'static str, address: SocketAddr) {
         self.inner.addresses.borrow_mut().insert(name, address);
     }
 
-    /// Gets the addresses that the process listens on, by name.
+    /// Returns the recorded addresses that the process listens on, by name.
     pub fn addresses(&self) -> BTreeMap<&'static str, SocketAddr> {
         self.inner.addresses.borrow().clone()
     }
 
-    /// Asks the process to stop, as a signal does.
+    /// Requests the process to stop, with the same effect as the signal.
     pub fn request_stop(&self, request: StopRequest) {
-        // The receiver lives as long as the kernel, and the channel has no bound.
+        // Can't fail: the kernel holds a receiver, and the channel is unbounded.
         let _ = self.inner.stop_sender.try_send(request);
     }
 
-    /// Waits for the next word to stop.
-    pub(crate) async fn stop_request(&self) -> StopRequest {
+    /// Waits for the next stop request, from a signal or from [`Kernel::request_stop`].
+    pub(crate) async fn next_stop_request(&self) -> StopRequest {
         let received = self.inner.stop_receiver.recv().await;
-        received.expect("the kernel holds the sender")
+        received.expect("the kernel holds a sender, so the channel is open")
     }
 
-    /// Runs a process from start to end on this thread.
+    /// Runs a process from start to exit on this thread.
     ///
-    /// SIGTERM and SIGINT drain it, SIGQUIT stops it at once.
+    /// SIGTERM and SIGINT start a drain, SIGQUIT stops the process immediately.
     pub fn run(&self, services: Vec<Box<dyn Service>>, options: RunOptions) -> RunEnd {
         let executor = self.executor();
-        let life = executor.run(self.live(services, options));
-        match async_io::block_on(life) {
+        let process = executor.run(self.run_process(services, options));
+        match async_io::block_on(process) {
             Ok(end) => end,
             Err(error) => RunEnd::Failed(error),
         }
     }
 
-    async fn live(&self, services: Vec<Box<dyn Service>>, options: RunOptions) -> Result<RunEnd> {
+    async fn run_process(
+        &self,
+        services: Vec<Box<dyn Service>>,
+        options: RunOptions,
+    ) -> Result<RunEnd> {
         let signals = signal::listen()?;
         let requests = self.inner.stop_sender.clone();
-        let _passing_on = self.spawn(signal::pass_on(signals, requests));
+        let _forwarding = self.spawn(signal::forward(signals, requests));
         let process = Process::new(self.clone(), services, options);
         let process = process.start().await?;
-        Ok(process.live().await)
+        Ok(process.run_until_stopped().await)
     }
 }
 
--- a/crates/onyxshed-kernel/src/change.rs
+++ b/crates/onyxshed-kernel/src/notifier.rs
@@ -1,10 +1,10 @@
-//! Wakes everyone who waits for a change.
+//! Notifies any number of tasks of a change.
 
 use std::cell::RefCell;
 
 use async_channel::{Receiver, Sender};
 
-/// A change that many may wait for.
+/// A notifier to which any number of tasks may subscribe.
 #[derive(Debug)]
 pub struct Notifier {
     // Nothing is ever sent: dropping the sender wakes all receivers.
@@ -20,23 +20,23 @@
 }
 
 impl Notifier {
-    /// Wakes everyone who waits.
+    /// Wakes every current subscriber.
     pub fn notify(&self) {
         self.current.replace(async_channel::bounded(1));
     }
 
-    /// Begins to wait: a change after this call ends [`Waiting::wait`].
-    pub fn subscribe(&self) -> Waiting {
-        Waiting(self.current.borrow().1.clone())
+    /// Subscribes to the next notification after this call, which ends [`Subscription::wait`].
+    pub fn subscribe(&self) -> Subscription {
+        Subscription(self.current.borrow().1.clone())
     }
 }
 
-/// One who waits for the next change.
+/// A subscription to the next notification of a [`Notifier`].
 #[derive(Debug, Clone)]
-pub struct Waiting(Receiver<()>);
+pub struct Subscription(Receiver<()>);
 
-impl Waiting {
-    /// Waits for the change.
+impl Subscription {
+    /// Waits for the notification; returns at once if it has already happened.
     pub async fn wait(&self) {
         let _ = self.0.recv().await;
     }
--- a/crates/onyxshed-kernel/src/order.rs
+++ b/crates/onyxshed-kernel/src/order.rs
@@ -5,30 +5,33 @@
 use crate::error::{Error, Result};
 use crate::service::{Service, ServiceName};
 
-/// Sorts services so that each comes after what it needs; otherwise the given order stays.
+/// Sorts services so that each follows its dependencies; independent services keep their order.
+///
+/// Returns an error if two services share a name, a dependency is missing or dependencies form a
+/// cycle.
 pub fn start_order(services: Vec<Box<dyn Service>>) -> Result<Vec<Box<dyn Service>>> {
     check_names(&services)?;
-    let mut waiting = services;
+    let mut remaining = services;
     let mut ordered: Vec<Box<dyn Service>> = Vec::new();
     let mut placed = BTreeSet::new();
-    while !waiting.is_empty() {
-        let mut candidates = waiting.iter();
-        let next = candidates.position(|service| has_all_needs(service.as_ref(), &placed));
+    while !remaining.is_empty() {
+        let mut candidates = remaining.iter();
+        let next = candidates.position(|service| has_all_dependencies(service.as_ref(), &placed));
         let Some(index) = next else {
-            return Err(cycle(&waiting));
+            return Err(cycle(&remaining));
         };
-        let service = waiting.remove(index);
+        let service = remaining.remove(index);
         placed.insert(service.name());
         ordered.push(service);
     }
     Ok(ordered)
 }
 
-fn has_all_needs(service: &dyn Service, placed: &BTreeSet<ServiceName>) -> bool {
+fn has_all_dependencies(service: &dyn Service, placed: &BTreeSet<ServiceName>) -> bool {
     service
         .dependencies()
         .iter()
-        .all(|need| placed.contains(need))
+        .all(|dependency| placed.contains(dependency))
 }
 
 fn check_names(services: &[Box<dyn Service>]) -> Result<()> {
@@ -43,9 +46,9 @@
         if let Some(name) = service
             .dependencies()
             .iter()
-            .find(|need| !names.contains(need))
+            .find(|dependency| !names.contains(dependency))
         {
-            return Err(Error::NeedMissing {
+            return Err(Error::DependencyMissing {
                 name: *name,
                 needed_by: service.name(),
             });
@@ -54,8 +57,8 @@
     Ok(())
 }
 
-fn cycle(waiting: &[Box<dyn Service>]) -> Error {
-    let names: Vec<&str> = waiting
+fn cycle(remaining: &[Box<dyn Service>]) -> Error {
+    let names: Vec<&str> = remaining
         .iter()
         .map(|service| service.name().as_str())
         .collect();
--- a/crates/onyxshed-kernel/src/pause.rs
+++ b/crates/onyxshed-kernel/src/pause.rs
@@ -1,8 +1,8 @@
-//! Notices when the whole process stood still.
+//! Detects pauses of the whole process.
 //!
-//! Failure guarded against: the process is frozen, starved or swapped out, or one of its own tasks
-//! does not yield. Symptom: requests, leases and heartbeats all run late at the same time, and
-//! nothing in the time line says why. A timer that comes back late tells how long it lasted.
+//! If the process is frozen, starved or swapped out, or one of its tasks does not yield, then
+//! requests, leases and heartbeats are all late at the same time and nothing in the time line shows
+//! the cause. A timer that fires late measures how long the pause lasted.
 
 use std::time::{Duration, Instant};
 
@@ -12,17 +12,18 @@
 
 use crate::bus::Bus;
 
-/// How often the watch looks.
-const PERIOD: Duration = Duration::from_millis(100);
+/// How long each timer is set for.
+const TIMER_PERIOD: Duration = Duration::from_millis(100);
 
-/// Emits an event whenever the process stood still for at least `least`; never ends.
-pub(crate) async fn watch(bus: Bus, least: Millis) {
+/// Emits an event whenever a timer fires at least `min` late, that is, the process was paused for
+/// at least that long. Never returns.
+pub(crate) async fn monitor(bus: Bus, min: Millis) {
     loop {
-        let due = Instant::now() + PERIOD;
+        let due = Instant::now() + TIMER_PERIOD;
         Timer::at(due).await;
-        let late = due.elapsed();
-        if late >= least.into() {
-            let detail = format_smolstr!("stood still for {} ms", late.as_millis());
+        let lateness = due.elapsed();
+        if lateness >= min.into() {
+            let detail = format_smolstr!("paused for {} ms", lateness.as_millis());
             bus.emit(Event::new(EventKind::PauseDetected).detail(detail));
         }
     }
--- a/crates/onyxshed-kernel/src/process.rs
+++ b/crates/onyxshed-kernel/src/process.rs
@@ -1,7 +1,7 @@
-//! The life of a process: building, running, draining.
+//! The states of a process: building, running, draining.
 //!
-//! Each state is a type, so that a process can neither drain before it runs nor take up work again
-//! once it drains.
+//! Each state is a type, so a process can't drain before it runs, nor accept work again once it
+//! drains.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -23,46 +23,47 @@
 use crate::service::Service;
 use crate::signal::StopRequest;
 
-/// How a process is run.
+/// Options of a process run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunOptions {
-    /// The binary's name, as the ready line gives it.
+    /// Name of the binary, written in the ready line and in the events of the process.
     pub name: SmolStr,
-    /// Longest drain, in milliseconds. Default 30 s.
+    /// Longest time that a drain may take, in milliseconds. Default 30 s.
     pub drain_timeout_ms: Millis,
     /// Whether the ready line is written to standard output. Default true.
     pub has_ready_line: bool,
-    /// Shortest standstill of the whole process that is told, in milliseconds. Default 500 ms.
-    pub pause_least_ms: Millis,
+    /// Shortest pause of the whole process that is reported by an event, in milliseconds. Default
+    /// 500 ms.
+    pub pause_min_ms: Millis,
 }
 
 impl RunOptions {
-    /// Makes options with the defaults.
+    /// Creates options with the defaults.
     pub fn new(name: impl Into<SmolStr>) -> Self {
         RunOptions {
             name: name.into(),
             drain_timeout_ms: Millis(30_000),
             has_ready_line: true,
-            pause_least_ms: Millis(500),
+            pause_min_ms: Millis(500),
         }
     }
 }
 
-/// How a process ended.
+/// The way in which a process ended, which determines its exit code.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEnd {
-    /// Everything in flight was finished: exit code 0.
+    /// All work in flight was finished: exit code 0.
     Drained,
-    /// It did not come up: exit code 1.
+    /// The process failed to start: exit code 1.
     Failed(Error),
-    /// The drain ran out of time with work in flight: exit code 4.
+    /// The drain timed out with work in flight: exit code 4.
     DrainTimedOut,
-    /// SIGQUIT ended it at once: exit code 5.
+    /// SIGQUIT stopped the process immediately: exit code 5.
     StoppedAtOnce,
 }
 
 impl RunEnd {
-    /// Gets the exit code's number.
+    /// Returns the exit code.
     pub fn exit_number(&self) -> u8 {
         match self {
             RunEnd::Drained => 0,
@@ -79,29 +80,29 @@
     }
 }
 
-/// Longest time that services may take to stop, all together.
+/// Longest time that all services together may take to stop.
 ///
-/// Failure guarded against: a service whose stop never returns. Symptom: the process hangs after
-/// its last word and is never replaced. Nothing is in flight by then, so giving up loses nothing.
+/// A service whose `stop` never returned would otherwise keep the process from exiting, and it
+/// would never be replaced. No work is in flight by then, so abandoning the stop loses nothing.
 const STOP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// State before the start.
+/// The state before the services are started.
 #[derive(Debug)]
 pub struct Building;
 
-/// State while work is taken in.
+/// The state in which the process accepts work.
 #[derive(Debug)]
 pub struct Running {
-    watch: Task<()>,
+    pause_monitor: Task<()>,
 }
 
-/// State in which no work is taken in any more.
+/// The state in which the process accepts no new work.
 #[derive(Debug)]
 pub struct Draining {
-    _watch: Task<()>,
+    _pause_monitor: Task<()>,
 }
 
-/// A process in one state of its life.
+/// A process in one of its states: [`Building`], [`Running`] or [`Draining`].
 pub struct Process<State> {
     kernel: Kernel,
     services: Vec<Box<dyn Service>>,
@@ -109,7 +110,8 @@
     state: State,
 }
 
-/// The line that tells whoever started the process that it serves, and where.
+/// The line on standard output that reports to the parent process that this one is ready, and on
+/// which addresses.
 #[derive(Debug, Serialize)]
 struct ReadyLine<'a> {
     ready: &'a str,
@@ -117,7 +119,7 @@
 }
 
 impl Process<Building> {
-    /// Puts a process together.
+    /// Assembles a process from a kernel and services.
     pub fn new(kernel: Kernel, services: Vec<Box<dyn Service>>, options: RunOptions) -> Self {
         Process {
             kernel,
@@ -127,13 +129,13 @@
         }
     }
 
-    /// Tries to start every service in the order of their needs; on an error, those that run are
-    /// stopped again.
+    /// Starts every service in dependency order. If one fails, stops those already started and
+    /// returns the error.
     pub async fn start(mut self) -> Result<Process<Running>> {
         self.services = start_order(self.services)?;
         self.emit(EventKind::ProcessStarted);
         for index in 0..self.services.len() {
-            if let Err(error) = self.start_one(index).await {
+            if let Err(error) = self.start_service(index).await {
                 self.services.truncate(index);
                 self.stop_all().await;
                 return Err(error);
@@ -144,12 +146,12 @@
         if self.options.has_ready_line {
             self.write_ready_line();
         }
-        let watch = pause::watch(self.kernel.bus().clone(), self.options.pause_least_ms);
-        let watch = self.kernel.spawn(watch);
-        Ok(self.become_state(|Building| Running { watch }))
+        let pause_monitor = pause::monitor(self.kernel.bus().clone(), self.options.pause_min_ms);
+        let pause_monitor = self.kernel.spawn(pause_monitor);
+        Ok(self.into_state(|Building| Running { pause_monitor }))
     }
 
-    async fn start_one(&self, index: usize) -> Result<()> {
+    async fn start_service(&self, index: usize) -> Result<()> {
         let service = &self.services[index];
         service.start(&self.kernel).await?;
         let event = Event::new(EventKind::ServiceStarted).party(service.name().as_str());
@@ -157,54 +159,56 @@
         Ok(())
     }
 
-    /// Writes the ready line; if nobody reads standard output, the process goes on without it.
+    /// Writes the ready line. If standard output is closed, the process continues without it.
     fn write_ready_line(&self) {
         let line = ReadyLine {
             ready: &self.options.name,
             addresses: self.kernel.addresses(),
         };
-        let line = serde_json::to_string(&line).expect("the line holds only texts");
+        let line = serde_json::to_string(&line).expect("a ready line always serializes to JSON");
         let mut stdout = io::stdout().lock();
         let _ = writeln!(stdout, "{line}").and_then(|()| stdout.flush());
     }
 }
 
 impl Process<Running> {
-    /// Serves until told to stop, and stops.
-    pub async fn live(self) -> RunEnd {
-        match self.kernel.stop_request().await {
+    /// Waits for a stop request, then drains and stops the process.
+    pub async fn run_until_stopped(self) -> RunEnd {
+        match self.kernel.next_stop_request().await {
             StopRequest::Drain => self.begin_drain().finish().await,
             StopRequest::AtOnce => self.stop_at_once().await,
         }
     }
 
-    /// Takes the process out of service: readiness goes first.
+    /// Starts the drain: the process stops being ready before any service drains.
     pub fn begin_drain(self) -> Process<Draining> {
         self.kernel.readiness().set_draining();
         self.emit(EventKind::ProcessDraining);
-        self.become_state(|running| Draining {
-            _watch: running.watch,
+        self.into_state(|running| Draining {
+            _pause_monitor: running.pause_monitor,
         })
     }
 
     async fn stop_at_once(self) -> RunEnd {
         self.kernel.readiness().set_draining();
-        self.end(RunEnd::StoppedAtOnce).await
+        self.finish_as(RunEnd::StoppedAtOnce).await
     }
 }
 
 impl Process<Draining> {
-    /// Waits for the work in flight, within bounds, and stops every service.
+    /// Waits for the work in flight, until the drain times out or SIGQUIT arrives, and stops every
+    /// service.
     pub async fn finish(self) -> RunEnd {
         let end = self
-            .told_to_quit()
+            .wait_for_quit()
             .or(self.drain_all())
-            .or(self.out_of_time())
+            .or(self.wait_for_drain_timeout())
             .await;
-        self.end(end).await
+        self.finish_as(end).await
     }
 
-    /// Drains services in reverse order: whoever uses a service is done before it is.
+    /// Drains services in reverse start order, so that each service is drained before those it
+    /// depends on.
     async fn drain_all(&self) -> RunEnd {
         for service in self.services.iter().rev() {
             service.drain(&self.kernel).await;
@@ -212,30 +216,30 @@
         RunEnd::Drained
     }
 
-    async fn out_of_time(&self) -> RunEnd {
+    async fn wait_for_drain_timeout(&self) -> RunEnd {
         Timer::after(self.options.drain_timeout_ms.into()).await;
         RunEnd::DrainTimedOut
     }
 
-    /// Waits for SIGQUIT; another SIGTERM changes nothing.
-    async fn told_to_quit(&self) -> RunEnd {
-        while self.kernel.stop_request().await != StopRequest::AtOnce {}
+    /// Waits for SIGQUIT; further SIGTERMs have no effect.
+    async fn wait_for_quit(&self) -> RunEnd {
+        while self.kernel.next_stop_request().await != StopRequest::AtOnce {}
         RunEnd::StoppedAtOnce
     }
 }
 
 impl<State> Process<State> {
-    /// Gets the kernel.
+    /// Returns the kernel.
     pub fn kernel(&self) -> &Kernel {
         &self.kernel
     }
 
-    /// Gets the state.
+    /// Returns the state.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    fn become_state<Next>(self, next: impl FnOnce(State) -> Next) -> Process<Next> {
+    fn into_state<Next>(self, next: impl FnOnce(State) -> Next) -> Process<Next> {
         Process {
             kernel: self.kernel,
             services: self.services,
@@ -249,16 +253,16 @@
             .emit(Event::new(kind).party(self.options.name.clone()));
     }
 
-    async fn end(self, end: RunEnd) -> RunEnd {
-        let words = match &end {
+    async fn finish_as(self, end: RunEnd) -> RunEnd {
+        let detail = match &end {
             RunEnd::Drained => "drained",
             RunEnd::Failed(_) => "failed",
-            RunEnd::DrainTimedOut => "the drain ran out of time",
-            RunEnd::StoppedAtOnce => "told to stop at once",
+            RunEnd::DrainTimedOut => "drain timed out",
+            RunEnd::StoppedAtOnce => "stopped immediately",
         };
         let event = Event::new(EventKind::ProcessStopped)
             .party(self.options.name.clone())
-            .detail(words);
+            .detail(detail);
         self.kernel.emit(event);
         self.stop_all().await;
         end
@@ -270,9 +274,9 @@
                 service.stop(&self.kernel).await;
             }
         };
-        let give_up = async {
+        let timeout = async {
             Timer::after(STOP_TIMEOUT).await;
         };
-        stop.or(give_up).await;
+        stop.or(timeout).await;
     }
 }
--- a/crates/onyxshed-kernel/src/readiness.rs
+++ b/crates/onyxshed-kernel/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether the process should be sent work.
+//! Readiness of the process to receive work.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -16,57 +16,59 @@
 #[derive(Debug)]
 struct State {
     phase: Cell<Phase>,
-    withheld: RefCell<BTreeSet<&'static str>>,
+    not_ready_reasons: RefCell<BTreeSet<&'static str>>,
 }
 
-/// False until every service runs, false from the first moment of a drain; clones share one state.
+/// Readiness of the process: it is ready once every service runs, no reason blocks it, and no drain
+/// has begun. Clones share one state.
 #[derive(Debug, Clone)]
 pub struct Readiness {
     state: Rc<State>,
 }
 
 impl Readiness {
-    /// Makes a flag for a process that is starting.
+    /// Creates the readiness of a process that is starting.
     pub fn new() -> Self {
         let state = State {
             phase: Cell::new(Phase::Starting),
-            withheld: RefCell::default(),
+            not_ready_reasons: RefCell::default(),
         };
         Readiness {
             state: Rc::new(state),
         }
     }
 
-    /// Tells whether the process should be sent work.
+    /// Returns whether the process is ready to receive work.
     pub fn is_ready(&self) -> bool {
-        self.why_not().is_none()
+        self.not_ready_reason().is_none()
     }
 
-    /// Tells whether the process is stopping.
+    /// Returns whether the process is draining or stopping.
     pub fn is_draining(&self) -> bool {
         self.state.phase.get() == Phase::Draining
     }
 
-    /// Gets why the process should not be sent work, none if it should.
-    pub fn why_not(&self) -> Option<SmolStr> {
+    /// Returns the reason why the process is not ready, or `None` if it is.
+    pub fn not_ready_reason(&self) -> Option<SmolStr> {
         match self.state.phase.get() {
             Phase::Starting => Some(SmolStr::new_static("starting")),
             Phase::Draining => Some(SmolStr::new_static("draining")),
             Phase::Running => {
-                let withheld = self.state.withheld.borrow();
-                withheld.first().copied().map(SmolStr::new_static)
+                let not_ready_reasons = self.state.not_ready_reasons.borrow();
+                not_ready_reasons.first().copied().map(SmolStr::new_static)
             }
         }
     }
 
-    /// Holds readiness back for a reason, such as a configuration that has not come yet.
+    /// Makes the process not ready for a reason, such as a configuration that has not been received
+    /// yet.
     pub fn set_not_ready(&self, reason: &'static str) {
-        self.state.withheld.borrow_mut().insert(reason);
+        self.state.not_ready_reasons.borrow_mut().insert(reason);
     }
 
-    /// Drops a reason given before.
+    /// Removes a reason set with [`Readiness::set_not_ready`].
     pub fn clear_not_ready(&self, reason: &'static str) {
-        self.state.withheld.borrow_mut().remove(reason);
+        self.state.not_ready_reasons.borrow_mut().remove(reason);
     }
 
     pub(crate) fn set_running(&self) {
--- a/crates/onyxshed-kernel/src/registry.rs
+++ b/crates/onyxshed-kernel/src/registry.rs
@@ -1,4 +1,4 @@
-//! Services' handles by name.
+//! The registry of service handles.
 
 use std::any::{Any, type_name};
 use std::cell::RefCell;
@@ -8,12 +8,12 @@
 use crate::error::{Error, Result};
 use crate::service::ServiceName;
 
-/// What a service is called and what it is for.
+/// The name and purpose of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Descriptor {
-    /// The name others find it by.
+    /// The name under which the service is registered.
     pub name: ServiceName,
-    /// What it does, in a short phrase.
+    /// What the service does, in a short phrase.
     pub summary: &'static str,
 }
 
@@ -23,14 +23,14 @@
     handle: Rc<dyn Any>,
 }
 
-/// Typed look-up of services by name.
+/// Service handles by name, each with its type.
 #[derive(Default)]
 pub struct Registry {
     entries: RefCell<BTreeMap<ServiceName, Entry>>,
 }
 
 impl Registry {
-    /// Registers a service's handle; an error if the name is taken.
+    /// Registers a service's handle. Returns an error if the name is already registered.
     pub fn register<T: 'static>(&self, descriptor: Descriptor, handle: Rc<T>) -> Result<()> {
         let mut entries = self.entries.borrow_mut();
         let name = descriptor.name;
@@ -47,19 +47,20 @@
         Ok(())
     }
 
-    /// Finds a service's handle; an error if it is missing or of another type.
+    /// Returns a service's handle. Returns an error if the service is not registered or its handle
+    /// has another type.
     pub fn find<T: 'static>(&self, name: ServiceName) -> Result<Rc<T>> {
         let entries = self.entries.borrow();
-        let entry = entries.get(&name).ok_or(Error::Missing { name })?;
-        let other_type = |_| Error::OtherType {
+        let entry = entries.get(&name).ok_or(Error::NotRegistered { name })?;
+        let wrong_type = |_| Error::WrongType {
             name,
             found: entry.type_name,
-            wanted: type_name::<T>(),
+            requested: type_name::<T>(),
         };
-        entry.handle.clone().downcast().map_err(other_type)
+        entry.handle.clone().downcast().map_err(wrong_type)
     }
 
-    /// Gets every registered service, in order of name.
+    /// Returns the descriptors of all registered services, sorted by name.
     pub fn descriptors(&self) -> Vec<Descriptor> {
         let entries = self.entries.borrow();
         entries.values().map(|entry| entry.descriptor).collect()
--- a/crates/onyxshed-kernel/src/service.rs
+++ b/crates/onyxshed-kernel/src/service.rs
@@ -1,4 +1,4 @@
-//! What a service is.
+//! The interface of a service.
 
 use std::fmt;
 use std::future::{Future, ready};
@@ -7,20 +7,20 @@
 use crate::error::Result;
 use crate::kernel::Kernel;
 
-/// A future that stays on its thread.
+/// A boxed future that is not `Send` and stays on the thread that created it.
 pub type LocalFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// Name that a service is found by.
+/// The name under which a service is registered and found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceName(&'static str);
 
 impl ServiceName {
-    /// Makes a name.
+    /// Creates a name.
     pub const fn new(name: &'static str) -> Self {
         ServiceName(name)
     }
 
-    /// Gets the name as text.
+    /// Returns the name as text.
     pub const fn as_str(self) -> &'static str {
         self.0
     }
@@ -32,25 +32,25 @@
     }
 }
 
-/// A part of a process with a life of its own.
+/// A part of a process that is started, drained and stopped with it.
 pub trait Service {
-    /// Gets the name.
+    /// Returns the name.
     fn name(&self) -> ServiceName;
 
-    /// Gets the services that must run before this one starts and until it has stopped.
+    /// Returns the services that must have started before this one starts and that stop after it.
     fn dependencies(&self) -> &[ServiceName] {
         &[]
     }
 
-    /// Tries to start; it registers its handle and opens its addresses here.
+    /// Starts the service: registers its handle and opens its addresses.
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>>;
 
-    /// Takes no new work from now on and waits until the work in flight is finished.
+    /// Stops accepting new work and waits until the work in flight is finished.
     fn drain<'a>(&'a self, _kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(ready(()))
     }
 
-    /// Ends whatever is left.
+    /// Stops the service, including work that is still in flight.
     fn stop<'a>(&'a self, _kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(ready(()))
     }
--- a/crates/onyxshed-kernel/src/signal.rs
+++ b/crates/onyxshed-kernel/src/signal.rs
@@ -1,4 +1,4 @@
-//! Why a process stops: signals, or a word from inside.
+//! Stop requests, from signals or from the process itself.
 
 use async_channel::Sender;
 use async_signal::{Signal, Signals};
@@ -6,24 +6,25 @@
 
 use crate::error::{Error, Result};
 
-/// How a process is told to stop.
+/// A request to stop the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopRequest {
-    /// SIGTERM or SIGINT: finish the work in flight first. Saying it again does not shorten it.
+    /// SIGTERM or SIGINT: finish the work in flight, then stop. Further requests of this kind do
+    /// not shorten the drain.
     Drain,
-    /// SIGQUIT: stop at once, whatever is in flight.
+    /// SIGQUIT: stop immediately, without waiting for work in flight.
     AtOnce,
 }
 
-/// Starts to listen to SIGTERM, SIGINT and SIGQUIT.
+/// Installs handlers for SIGTERM, SIGINT and SIGQUIT.
 pub(crate) fn listen() -> Result<Signals> {
-    Signals::new([Signal::Term, Signal::Int, Signal::Quit]).map_err(|error| Error::Signals {
+    Signals::new([Signal::Term, Signal::Int, Signal::Quit]).map_err(|error| Error::SignalHandlers {
         reason: error.to_string().into(),
     })
 }
 
-/// Passes signals on until nobody listens.
-pub(crate) async fn pass_on(mut signals: Signals, requests: Sender<StopRequest>) {
+/// Forwards signals as stop requests until the receiver is dropped.
+pub(crate) async fn forward(mut signals: Signals, requests: Sender<StopRequest>) {
     while let Some(Ok(signal)) = signals.next().await {
         let request = match signal {
             Signal::Quit => StopRequest::AtOnce,
--- a/crates/onyxshed-kernel/tests/life.rs
+++ b/crates/onyxshed-kernel/tests/life.rs
@@ -1,4 +1,4 @@
-//! The life of a process: order of start and stop, drain, errors at start.
+//! The states of a process: order of start and stop, drain, errors at start.
 
 use std::cell::RefCell;
 use std::future::pending;
@@ -14,37 +14,35 @@
 };
 use rstest::rstest;
 
-type Journal = Rc<RefCell<Vec<String>>>;
+type Log = Rc<RefCell<Vec<String>>>;
 
-/// A service that notes what happens to it.
-struct Noted {
+/// A service that records the calls it receives.
+struct RecordingService {
     name: ServiceName,
-    needs: Vec<ServiceName>,
-    journal: Journal,
-    has_endless_drain: bool,
-    fails: bool,
+    dependencies: Vec<ServiceName>,
+    log: Log,
+    drains_forever: bool,
+    fails_to_start: bool,
 }
 
-impl Noted {
-    fn note(&self, what: &str) {
-        self.journal
-            .borrow_mut()
-            .push(format!("{what} {}", self.name));
+impl RecordingService {
+    fn record(&self, call: &str) {
+        self.log.borrow_mut().push(format!("{call} {}", self.name));
     }
 }
 
-impl Service for Noted {
+impl Service for RecordingService {
     fn name(&self) -> ServiceName {
         self.name
     }
 
     fn dependencies(&self) -> &[ServiceName] {
-        &self.needs
+        &self.dependencies
     }
 
     fn start<'a>(&'a self, _: &'a Kernel) -> LocalFuture<'a, Result<()>> {
-        self.note("start");
-        let result = match self.fails {
+        self.record("start");
+        let result = match self.fails_to_start {
             true => Err(onyxshed_kernel::Error::start(
                 self.name,
                 ResultCode::AddressInUse,
@@ -57,26 +55,29 @@
 
     fn drain<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         assert!(!kernel.readiness().is_ready());
-        self.note("drain");
-        match self.has_endless_drain {
+        self.record("drain");
+        match self.drains_forever {
             true => Box::pin(pending()),
             false => Box::pin(async {}),
         }
     }
 
     fn stop<'a>(&'a self, _: &'a Kernel) -> LocalFuture<'a, ()> {
-        self.note("stop");
+        self.record("stop");
         Box::pin(async {})
     }
 }
 
-fn service(journal: &Journal, name: &'static str, needs: &[&'static str]) -> Noted {
-    Noted {
+fn service(log: &Log, name: &'static str, dependencies: &[&'static str]) -> RecordingService {
+    RecordingService {
         name: ServiceName::new(name),
-        needs: needs.iter().map(|need| ServiceName::new(need)).collect(),
-        journal: journal.clone(),
-        has_endless_drain: false,
-        fails: false,
+        dependencies: dependencies
+            .iter()
+            .map(|dependency| ServiceName::new(dependency))
+            .collect(),
+        log: log.clone(),
+        drains_forever: false,
+        fails_to_start: false,
     }
 }
 
@@ -88,30 +89,30 @@
     }
 }
 
-/// Watches every event of a kernel as text.
-fn events(kernel: &Kernel) -> Journal {
-    let journal = Journal::default();
-    let sink = journal.clone();
-    let note = move |event: &onyxshed_core::Event| {
+/// Records every event of a kernel as text.
+fn events(kernel: &Kernel) -> Log {
+    let log = Log::default();
+    let sink = log.clone();
+    let record = move |event: &onyxshed_core::Event| {
         let line = format!("{} {} {}", event.kind, event.party, event.detail);
         sink.borrow_mut().push(line.trim_end().to_owned());
     };
-    kernel.bus().subscribe(Rc::new(note));
-    journal
+    kernel.bus().subscribe(Rc::new(record));
+    log
 }
 
 #[test]
-fn starts_by_needs_and_stops_in_reverse() {
-    let journal = Journal::default();
+fn services_start_in_dependency_order_and_stop_in_reverse() {
+    let log = Log::default();
     let kernel = Kernel::new();
     let events = events(&kernel);
     let services: Vec<Box<dyn Service>> = vec![
-        Box::new(service(&journal, "door", &["work"])),
-        Box::new(service(&journal, "work", &[])),
+        Box::new(service(&log, "door", &["work"])),
+        Box::new(service(&log, "work", &[])),
     ];
     kernel.request_stop(StopRequest::Drain);
     assert_eq!(kernel.run(services, options(60_000)), RunEnd::Drained);
-    insta::assert_snapshot!(journal.borrow().join("\n"), @"
+    insta::assert_snapshot!(log.borrow().join("\n"), @"
     start work
     start door
     drain door
@@ -130,14 +131,14 @@
 }
 
 #[test]
-fn second_sigterm_does_not_shorten_a_drain_and_sigquit_does() {
-    // The operator sends SIGTERM, then again because it takes long, then SIGQUIT. The second
-    // SIGTERM must change nothing, or a nervous operator cuts off requests in flight; the drain
-    // here never ends and its bound lies far off, so only SIGQUIT can have ended the process.
-    let journal = Journal::default();
+fn second_sigterm_does_not_end_drain_but_sigquit_does() {
+    // An operator sends SIGTERM, sends it again because the drain takes long, then sends SIGQUIT.
+    // The second SIGTERM must have no effect, or it would cut off requests in flight. The drain
+    // here never finishes and its timeout is far off, so only SIGQUIT can have ended the process.
+    let log = Log::default();
     let kernel = Kernel::new();
-    let mut stuck = service(&journal, "stuck", &[]);
-    stuck.has_endless_drain = true;
+    let mut stuck = service(&log, "stuck", &[]);
+    stuck.drains_forever = true;
     for request in [StopRequest::Drain, StopRequest::Drain, StopRequest::AtOnce] {
         kernel.request_stop(request);
     }
@@ -147,15 +148,15 @@
 }
 
 #[test]
-fn a_drain_is_bounded() {
-    let journal = Journal::default();
+fn endless_drain_times_out() {
+    let log = Log::default();
     let kernel = Kernel::new();
-    let mut stuck = service(&journal, "stuck", &[]);
-    stuck.has_endless_drain = true;
+    let mut stuck = service(&log, "stuck", &[]);
+    stuck.drains_forever = true;
     kernel.request_stop(StopRequest::Drain);
     let end = kernel.run(vec![Box::new(stuck)], options(1));
     assert_eq!(end, RunEnd::DrainTimedOut);
-    insta::assert_snapshot!(journal.borrow().join("\n"), @"
+    insta::assert_snapshot!(log.borrow().join("\n"), @"
     start stuck
     drain stuck
     stop stuck
@@ -163,18 +164,18 @@
 }
 
 #[rstest]
-#[case::missing(&[("a", &["b"][..])], 5004, "service a needs b, which this process does not have")]
-#[case::cycle(&[("a", &["b"][..]), ("b", &["a"][..]), ("c", &[][..])], 5005, "services need each other in a circle: a, b")]
-#[case::twice(&[("a", &[][..]), ("a", &[][..])], 5005, "service a is there twice")]
-fn wrong_sets_of_services_are_numbered_errors(
+#[case::missing(&[("a", &["b"][..])], 5004, "service a depends on b, which this process does not have")]
+#[case::cycle(&[("a", &["b"][..]), ("b", &["a"][..]), ("c", &[][..])], 5005, "services depend on each other in a cycle: a, b")]
+#[case::twice(&[("a", &[][..]), ("a", &[][..])], 5005, "service a is registered twice")]
+fn invalid_set_of_services_fails_with_result_code(
     #[case] set: &[(&'static str, &[&'static str])],
     #[case] code: u16,
     #[case] text: &str,
 ) {
-    let journal = Journal::default();
+    let log = Log::default();
     let mut services: Vec<Box<dyn Service>> = Vec::new();
-    for (name, needs) in set {
-        services.push(Box::new(service(&journal, name, needs)));
+    for (name, dependencies) in set {
+        services.push(Box::new(service(&log, name, dependencies)));
     }
     let RunEnd::Failed(error) = Kernel::new().run(services, options(1)) else {
         panic!("started");
@@ -183,21 +184,21 @@
         (error.code().number(), error.to_string().as_str()),
         (code, text)
     );
-    assert!(journal.borrow().is_empty(), "nothing may start");
+    assert!(log.borrow().is_empty(), "no service may start");
 }
 
 #[test]
-fn what_runs_is_stopped_when_a_later_service_fails() {
-    let journal = Journal::default();
-    let mut bad = service(&journal, "bad", &["good"]);
-    bad.fails = true;
-    let good = service(&journal, "good", &[]);
+fn started_services_are_stopped_when_a_later_one_fails() {
+    let log = Log::default();
+    let mut bad = service(&log, "bad", &["good"]);
+    bad.fails_to_start = true;
+    let good = service(&log, "good", &[]);
     let end = Kernel::new().run(vec![Box::new(bad), Box::new(good)], options(1));
     let RunEnd::Failed(error) = end else {
         panic!("started");
     };
     assert_eq!(error.code(), ResultCode::AddressInUse);
-    insta::assert_snapshot!(journal.borrow().join("\n"), @"
+    insta::assert_snapshot!(log.borrow().join("\n"), @"
     start good
     start bad
     stop good
@@ -205,22 +206,25 @@
 }
 
 #[test]
-fn readiness_follows_the_life() {
+fn readiness_follows_the_state_of_the_process() {
     let kernel = Kernel::new();
     let readiness = kernel.readiness().clone();
-    assert_eq!(readiness.why_not().as_deref(), Some("starting"));
-    let life = async {
+    assert_eq!(readiness.not_ready_reason().as_deref(), Some("starting"));
+    let process = async {
         let process = Process::new(kernel.clone(), Vec::new(), options(1));
         let process = process.start().await.unwrap();
         assert!(readiness.is_ready());
         readiness.set_not_ready("no configuration");
-        assert_eq!(readiness.why_not().as_deref(), Some("no configuration"));
+        assert_eq!(
+            readiness.not_ready_reason().as_deref(),
+            Some("no configuration")
+        );
         readiness.clear_not_ready("no configuration");
         let process = process.begin_drain();
-        assert_eq!(readiness.why_not().as_deref(), Some("draining"));
+        assert_eq!(readiness.not_ready_reason().as_deref(), Some("draining"));
         process.finish().await
     };
-    let end = async_io::block_on(kernel.executor().run(life.boxed_local()));
+    let end = async_io::block_on(kernel.executor().run(process.boxed_local()));
     assert_eq!(end, RunEnd::Drained);
 }
 
@@ -239,37 +243,37 @@
     insta::assert_snapshot!(
         [other_type, missing, twice].map(|error| format!("{} {error}", error.code())).join("\n"),
         @"
-    5004 service number is a u32, not a u64
+    5004 the handle of service number is a u32, not a u64
     5004 service none is not registered
-    5005 service number is there twice
+    5005 service number is registered twice
     "
     );
 }
 
 #[test]
-fn a_standstill_of_the_process_is_told() {
-    // One task holds the only thread, as a frozen process does. Afterwards the time line says so,
-    // or nobody could tell why everything was late.
+fn blocked_executor_emits_pause_event() {
+    // A task blocks the only thread, as in a frozen process. The time line must then show the
+    // pause, or the cause of all the delays could not be found.
     let kernel = Kernel::new();
     let events = events(&kernel);
     let options = RunOptions {
-        pause_least_ms: Millis(20),
+        pause_min_ms: Millis(20),
         ..options(1)
     };
-    let life = async {
+    let process = async {
         let process = Process::new(kernel.clone(), Vec::new(), options);
         let process = process.start().await.unwrap();
-        let stand_still = Duration::from_millis(150);
+        let pause = Duration::from_millis(150);
         while !events
             .borrow()
             .iter()
             .any(|event| event.starts_with("E503"))
         {
-            std::thread::sleep(stand_still);
-            Timer::after(stand_still).await;
+            std::thread::sleep(pause);
+            Timer::after(pause).await;
         }
         process.begin_drain().finish().await
     };
-    let end = async_io::block_on(kernel.executor().run(life));
+    let end = async_io::block_on(kernel.executor().run(process));
     assert_eq!(end, RunEnd::Drained);
 }
--- a/crates/onyxshed-kernel/tests/signals.rs
+++ b/crates/onyxshed-kernel/tests/signals.rs
@@ -1,18 +1,19 @@
-//! Real signals. One test in a file of its own: a signal reaches every kernel of a process.
+//! Handling of real signals. This test has a file of its own because a signal reaches every kernel
+//! in the test process.
 
 use std::future::pending;
 
 use onyxshed_kernel::{Kernel, LocalFuture, Result, RunEnd, RunOptions, Service, ServiceName};
 use rustix::process::{Signal, getpid, kill_process};
 
-/// Sends SIGTERM once it runs, and SIGTERM and SIGQUIT while it drains.
-struct Impatient;
+/// A service that sends SIGTERM when it starts, and SIGTERM and SIGQUIT when it drains.
+struct SignallingService;
 
 fn send(signal: Signal) {
     kill_process(getpid(), signal).expect("a process may signal itself");
 }
 
-impl Service for Impatient {
+impl Service for SignallingService {
     fn name(&self) -> ServiceName {
         ServiceName::new("impatient")
     }
@@ -31,14 +32,15 @@
 }
 
 #[test]
-fn sigterm_drains_and_sigquit_ends_it() {
-    // SIGTERM comes while the process still starts: it must not kill it, nor be forgotten. The
-    // drain never ends, and its bound lies far off, so only SIGQUIT can have ended the process.
+fn sigterm_starts_drain_and_sigquit_ends_process() {
+    // SIGTERM arrives while the process is still starting: it must neither kill the process nor be
+    // lost. The drain never finishes and its timeout is far off, so only SIGQUIT can have ended the
+    // process.
     let options = RunOptions {
         has_ready_line: false,
         drain_timeout_ms: onyxshed_core::Millis(600_000),
         ..RunOptions::new("test")
     };
-    let end = Kernel::new().run(vec![Box::new(Impatient)], options);
+    let end = Kernel::new().run(vec![Box::new(SignallingService)], options);
     assert_eq!(end, RunEnd::StoppedAtOnce);
 }
--- a/crates/onyxshed-process/src/command.rs
+++ b/crates/onyxshed-process/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line of a process: where its settings are, and whether only to check them.
+//! The command line of a process: the path of its settings file, and whether only to check it.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,10 +7,10 @@
 
 use crate::run::{Process, run};
 
-/// Exit code for settings that were refused.
+/// Exit code for invalid or unreadable settings.
 const EXIT_SETTINGS: u8 = 2;
 
-/// Makes the command line of a process.
+/// Creates the command-line parser of a process.
 pub fn command<P: Process>() -> Command {
     Command::new(P::NAME)
         .version(env!("CARGO_PKG_VERSION"))
@@ -29,14 +29,16 @@
             Arg::new("check")
                 .long("check")
                 .action(ArgAction::SetTrue)
-                .help("Only checks the settings: exit code 0 if they hold, 2 if not"),
+                .help("Only checks the settings: exits with 0 if they are valid, 2 if not"),
         )
 }
 
-const EXIT_CODES: &str = "\nExit codes: 0 drained, 1 did not start, 2 settings refused, 4 drain ran out of time, 5 ended \
-                          at once.\nOnce it serves it writes one JSON line with its addresses to standard output.";
+const EXIT_CODES: &str = "\nExit codes: 0 drained, 1 failed to start, 2 invalid settings, 4 drain timed out, 5 stopped \
+                          immediately.\nWhen ready, it writes one JSON line with its addresses to standard output.";
 
-/// Reads the command line and the settings, and runs the process.
+/// Parses the command line, loads the settings and runs the process.
+///
+/// With `--check` the settings are only checked.
 pub fn main<P: Process>() -> ExitCode {
     let matches = command::<P>().get_matches();
     let file: &PathBuf = matches.get_one("settings").expect("clap requires it");
--- a/crates/onyxshed-process/src/lib.rs
+++ b/crates/onyxshed-process/src/lib.rs
@@ -1,8 +1,8 @@
-//! What every onyxshed process does at start, so that all behave alike.
+//! Startup code shared by all onyxshed processes.
 //!
-//! [`command`] reads the command line and checks the settings; [`run`] opens telemetry, puts the
-//! kernel and its services together and runs them; [`listen`] opens the addresses that services
-//! serve; [`requests`] serves callers.
+//! [`mod@command`] parses the command line and checks the settings; [`mod@run`] opens telemetry,
+//! creates the kernel and its services and runs them; [`mod@listen`] opens the addresses that
+//! services listen on; [`mod@requests`] serves HTTP requests.
 
 pub mod command;
 pub mod listen;
--- a/crates/onyxshed-process/src/listen.rs
+++ b/crates/onyxshed-process/src/listen.rs
@@ -1,4 +1,4 @@
-//! Opening an address that a service serves, and serving an interface on it.
+//! Opens the addresses that services listen on and serves RPC interfaces on them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,7 +11,8 @@
 use onyxshed_proto::rpc;
 use smol_str::SmolStr;
 
-/// Tries to listen on an address and names it in the ready line; port 0 takes a free one.
+/// Listens on an address and adds it to the ready line under `name`. Returns the listener and the
+/// address it is bound to; port 0 selects a free port.
 pub async fn listen(
     kernel: &Kernel,
     service: ServiceName,
@@ -28,24 +29,24 @@
     Ok((listener, bound))
 }
 
-/// Serves an interface for as long as the process lives, to so many connections at a time, and tells
-/// of those that it drops.
+/// Serves an RPC interface until the process exits, to at most `connections_max` connections at a
+/// time. Emits an event for each connection that it drops.
 pub fn serve_rpc(
     kernel: &Kernel,
     listener: TcpListener,
     bootstrap: Client,
     connections_max: usize,
 ) {
-    let teller = kernel.clone();
-    let dropped: rpc::DropReporter = Rc::new(move |reason: SmolStr| {
-        teller.emit(Event::new(EventKind::RequestRejected).detail(reason));
+    let reporter = kernel.clone();
+    let on_dropped: rpc::DropReporter = Rc::new(move |reason: SmolStr| {
+        reporter.emit(Event::new(EventKind::RequestRejected).detail(reason));
     });
     let serving = rpc::serve(
         listener,
         bootstrap,
         kernel.executor(),
         connections_max,
-        dropped,
+        on_dropped,
     );
     kernel.spawn(serving).detach();
 }
--- a/crates/onyxshed-process/src/requests.rs
+++ b/crates/onyxshed-process/src/requests.rs
@@ -1,4 +1,4 @@
-//! Serving requests of callers, so that all processes stop and turn away alike.
+//! Serves HTTP requests with the same drain and rejection behavior in every process.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,10 +11,11 @@
 
 use crate::listen::listen;
 
-/// Serves requests on an address for as long as the process lives, and gets the address's counts.
+/// Serves HTTP requests on an address until the process exits. Returns the counters of the address.
 ///
-/// While the process is stopping each reply asks the peer to connect anew, so that it comes to
-/// another host. What the server itself turns away is answered by `reject` and told of.
+/// While the process drains, each reply closes its connection, so that the peer reconnects to
+/// another host. Requests that the server itself rejects are answered by `reject` and reported by
+/// an event.
 pub async fn serve_requests<Pending>(
     kernel: &Kernel,
     service: ServiceName,
@@ -39,10 +40,10 @@
             }
         })
     });
-    let teller = kernel.clone();
+    let reporter = kernel.clone();
     let reject = Rc::new(move |code: ResultCode| {
         let event = Event::new(EventKind::RequestRejected);
-        teller.emit(event.detail(format_smolstr!("{code}")));
+        reporter.emit(event.detail(format_smolstr!("{code}")));
         reject(code)
     });
     let server = Server::new(options, handler, reject);
--- a/crates/onyxshed-process/src/run.rs
+++ b/crates/onyxshed-process/src/run.rs
@@ -1,4 +1,4 @@
-//! A process from its settings to its end.
+//! Runs a process, from its settings to its exit code.
 
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -11,48 +11,48 @@
 /// Settings that every process has.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CommonSettings {
-    /// The entry host it runs on.
+    /// Name of the entry host on which the process runs.
     pub host: HostName,
-    /// The log.
+    /// Format and level of the log.
     pub log: LogSettings,
-    /// Most events kept for the time line.
+    /// Largest number of events kept in the time line.
     pub timeline_events_max: usize,
-    /// Longest drain, in milliseconds.
+    /// Longest time that a drain may take, in milliseconds.
     pub drain_timeout_ms: Millis,
 }
 
-/// What a process's services are made from.
+/// What the constructors of a process's services have access to.
 pub struct ServiceContext {
-    /// The kernel.
+    /// The kernel that runs the services.
     pub kernel: Kernel,
     /// Log, metrics and time line.
     pub telemetry: Rc<Telemetry>,
-    /// This run of the process.
+    /// The incarnation of the process: drawn at random at each start.
     pub boot: Incarnation,
 }
 
-/// One kind of process.
+/// A kind of process, defined by its settings and services.
 pub trait Process {
-    /// Its settings.
+    /// The settings of this kind of process.
     type Settings: Settings;
 
-    /// The binary's name.
+    /// The name of the binary.
     const NAME: &'static str;
 
-    /// What it does, in one line.
+    /// A one-line description for the help text.
     const ABOUT: &'static str;
 
-    /// What signals do to it.
+    /// The effect of signals on the process, for the help text.
     const SIGNALS: &'static str;
 
-    /// Gets the settings that every process has.
+    /// Extracts the settings that every process has.
     fn common_settings(settings: &Self::Settings) -> CommonSettings;
 
-    /// Makes its services.
-    fn services(settings: &Self::Settings, parts: ServiceContext) -> Vec<Box<dyn Service>>;
+    /// Creates the services of the process.
+    fn services(settings: &Self::Settings, context: ServiceContext) -> Vec<Box<dyn Service>>;
 }
 
-/// Runs a process from start to end.
+/// Runs a process from start to exit and returns its exit code.
 pub fn run<P: Process>(settings: &P::Settings) -> ExitCode {
     let common = P::common_settings(settings);
     let kernel = Kernel::new();
@@ -64,12 +64,12 @@
             return ExitCode::FAILURE;
         }
     };
-    let parts = ServiceContext {
+    let context = ServiceContext {
         kernel: kernel.clone(),
         telemetry,
         boot,
     };
-    let services = P::services(settings, parts);
+    let services = P::services(settings, context);
     let options = RunOptions {
         drain_timeout_ms: common.drain_timeout_ms,
         ..RunOptions::new(P::NAME)
--- a/crates/onyxshed-telemetry/examples/event-cost.rs
+++ b/crates/onyxshed-telemetry/examples/event-cost.rs
@@ -1,5 +1,5 @@
-//! Measures what one event costs the executor: stamp, count, record in a full ring, and the log's
-//! decision to leave it out. Prints nanoseconds an event and the ring's memory.
+//! Measures the cost of one event: stamping it, counting it, recording it in a full ring, and the
+//! log's decision to drop it. Prints nanoseconds per event and the ring's memory per event.
 
 use std::time::Instant;
 
@@ -8,7 +8,7 @@
 use onyxshed_settings::LogSettings;
 use onyxshed_telemetry::{Filter, Telemetry, TelemetryOptions};
 
-/// Events measured.
+/// Number of events measured.
 const EVENTS: u32 = 1_000_000;
 
 fn main() {
--- a/crates/onyxshed-telemetry/examples/line-cost.rs
+++ b/crates/onyxshed-telemetry/examples/line-cost.rs
@@ -1,5 +1,5 @@
-//! Measures the processor time and the size of a written line about an answered job, the writing
-//! thread's share included. The lines go to standard output, the figures to standard error.
+//! Measures the CPU time and the size of a log line about an answered job, including the CPU time
+//! of the writing thread. The lines go to standard output, the results to standard error.
 
 use std::time::Duration;
 
@@ -9,16 +9,17 @@
 use onyxshed_telemetry::{line, log::Log};
 use rustix::time::{ClockId, clock_gettime};
 
-/// Lines of one batch, in a second of its own: fewer than the log writes in a second (600).
+/// Lines in a batch. Each batch is written in a second of its own and is smaller than the log's
+/// budget for a second (600).
 const BATCH: u32 = 500;
 
-/// Batches.
+/// Number of batches.
 const BATCHES: u32 = 8;
 
-fn processor_time() -> Duration {
-    let spent = clock_gettime(ClockId::ProcessCPUTime);
-    let seconds = u64::try_from(spent.tv_sec).unwrap_or_default();
-    let nanos = u32::try_from(spent.tv_nsec).unwrap_or_default();
+fn cpu_time() -> Duration {
+    let cpu_spent = clock_gettime(ClockId::ProcessCPUTime);
+    let seconds = u64::try_from(cpu_spent.tv_sec).unwrap_or_default();
+    let nanos = u32::try_from(cpu_spent.tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanos)
 }
 
@@ -37,18 +38,18 @@
              pool kigali-a/0, manifest 7",
         );
     let bytes = line::format(&event, LogFormat::Json).len() + 1;
-    let mut spent = Duration::ZERO;
+    let mut cpu_spent = Duration::ZERO;
     for _ in 0..BATCHES {
-        let before = processor_time();
+        let before = cpu_time();
         for _ in 0..BATCH {
             log.write(&event);
         }
-        block_on(log.finish());
-        spent += processor_time() - before;
+        block_on(log.flush());
+        cpu_spent += cpu_time() - before;
         std::thread::sleep(Duration::from_millis(1_050));
     }
     let lines = BATCH * BATCHES;
-    let us = spent.as_secs_f64() * 1e6 / f64::from(lines);
+    let us = cpu_spent.as_secs_f64() * 1e6 / f64::from(lines);
     let dropped = log.dropped();
     eprintln!("{lines} lines, {dropped} not written: {us:.2} us each, {bytes} bytes a line");
 }
--- a/crates/onyxshed-telemetry/src/admin.rs
+++ b/crates/onyxshed-telemetry/src/admin.rs
@@ -1,4 +1,5 @@
-//! The admin address.
+//! The HTTP service on a process's admin address: health, readiness, metrics, status, time line and
+//! drain.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -24,10 +25,10 @@
 use crate::telemetry::Telemetry;
 use crate::timeline::Filter;
 
-/// How often metrics are brought up to date.
+/// How often metrics are updated.
 const UPKEEP_PERIOD: Duration = Duration::from_secs(5);
 
-/// Limits of the admin address: few connections, small requests.
+/// Limits of the admin server: few connections, small requests.
 const OPTIONS: ServerOptions = ServerOptions {
     connections_max: 64,
     head_max_bytes: 8 << 10,
@@ -40,7 +41,7 @@
     cancels_on_disconnect: false,
 };
 
-/// Serves a process's telemetry on its admin address; the handle registered is the [`Telemetry`].
+/// Serves a process's telemetry on its admin address. Registers the [`Telemetry`] as its handle.
 pub struct AdminService {
     telemetry: Rc<Telemetry>,
     address: SocketAddr,
@@ -48,10 +49,10 @@
 }
 
 impl AdminService {
-    /// Name that the telemetry is found by.
+    /// Name under which the [`Telemetry`] is registered.
     pub const NAME: ServiceName = ServiceName::new("telemetry");
 
-    /// Makes the service for an address; port 0 takes a free one.
+    /// Creates the service for an address; port 0 selects a free port.
     pub fn new(telemetry: Rc<Telemetry>, address: SocketAddr) -> Self {
         AdminService {
             telemetry,
@@ -66,17 +67,17 @@
             summary: "log, metrics, time line and the admin address",
         };
         kernel.register(descriptor, self.telemetry.clone())?;
-        let not_opened =
+        let listen_error =
             |error: onyxshed_http::Error| KernelError::start(Self::NAME, error.code(), error);
-        let listener = Server::listen(self.address).await.map_err(not_opened)?;
+        let listener = Server::listen(self.address).await.map_err(listen_error)?;
         let address = listener
             .local_addr()
             .map_err(|error| KernelError::start(Self::NAME, ResultCode::AddressInUse, error))?;
         kernel.announce("admin", address);
         let server = Server::new(OPTIONS, self.handler(kernel), rejection());
-        let serving = kernel.spawn(server.run(listener, kernel.executor()));
-        let upkeep = kernel.spawn(keep_up(self.telemetry.clone()));
-        self.tasks.borrow_mut().extend([serving, upkeep]);
+        let server_task = kernel.spawn(server.run(listener, kernel.executor()));
+        let upkeep_task = kernel.spawn(run_upkeep(self.telemetry.clone()));
+        self.tasks.borrow_mut().extend([server_task, upkeep_task]);
         Ok(())
     }
 
@@ -84,7 +85,7 @@
         let telemetry = self.telemetry.clone();
         let kernel = kernel.clone();
         Rc::new(move |call: Call| -> PendingReply {
-            let reply = answer(&telemetry, &kernel, &call);
+            let reply = handle_call(&telemetry, &kernel, &call);
             Box::pin(async move { reply })
         })
     }
@@ -101,17 +102,17 @@
 
     fn stop<'a>(&'a self, _kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async {
-            // Awaited, because a dropped task's future, and with it the listener, lives on until
-            // the executor gets round to it.
+            // Awaited, because the future of a dropped task, and with it the listener, exists until
+            // the executor next runs the task.
             for task in self.tasks.take() {
                 task.cancel().await;
             }
-            self.telemetry.log().finish().await;
+            self.telemetry.log().flush().await;
         })
     }
 }
 
-async fn keep_up(telemetry: Rc<Telemetry>) {
+async fn run_upkeep(telemetry: Rc<Telemetry>) {
     loop {
         Timer::after(UPKEEP_PERIOD).await;
         telemetry.upkeep();
@@ -122,14 +123,14 @@
     Rc::new(|code| problem(code, ""))
 }
 
-fn answer(telemetry: &Telemetry, kernel: &Kernel, call: &Call) -> Reply {
+fn handle_call(telemetry: &Telemetry, kernel: &Kernel, call: &Call) -> Reply {
     match (call.method(), call.path()) {
         (Method::Get, HEALTH_PATH) => Reply::bytes(200, "ok\n"),
         (Method::Get, READY_PATH) => readiness(kernel),
         (Method::Get, METRICS_PATH) => Reply::bytes(200, telemetry.render_metrics())
             .header("content-type", "text/plain; version=0.0.4"),
         (Method::Get, STATUS_PATH) => Reply::json(200, &telemetry.status()),
-        (Method::Get, TIMELINE_PATH) => match filter_of(call) {
+        (Method::Get, TIMELINE_PATH) => match parse_filter(call) {
             Ok(filter) => Reply::json(200, &telemetry.timeline(&filter)),
             Err(reason) => problem(ResultCode::BadRequest, &reason),
         },
@@ -142,7 +143,7 @@
 }
 
 fn readiness(kernel: &Kernel) -> Reply {
-    match kernel.readiness().why_not() {
+    match kernel.readiness().not_ready_reason() {
         None => Reply::bytes(200, "ready\n"),
         Some(reason) => Reply::bytes(503, format!("not ready: {reason}\n")),
     }
@@ -156,19 +157,20 @@
     Reply::json(code.http_status(), &Problem { code, text })
 }
 
-/// Reads the query of the time line.
-fn filter_of(call: &Call) -> std::result::Result<Filter, SmolStr> {
+/// Parses the query parameters of a time line request. Returns the reason as an error if one is
+/// invalid.
+fn parse_filter(call: &Call) -> std::result::Result<Filter, SmolStr> {
     let defaults = Filter::default();
     Ok(Filter {
-        submission: value(call, "submission")?,
-        class: value(call, "class")?,
+        submission: query_value(call, "submission")?,
+        class: query_value(call, "class")?,
         party: call.query("party"),
-        since_ms: value(call, "since_ms")?.map_or(defaults.since_ms, UnixMs),
-        limit: value(call, "limit")?.unwrap_or(defaults.limit),
+        since_ms: query_value(call, "since_ms")?.map_or(defaults.since_ms, UnixMs),
+        limit: query_value(call, "limit")?.unwrap_or(defaults.limit),
     })
 }
 
-fn value<T: FromStr>(call: &Call, name: &str) -> std::result::Result<Option<T>, SmolStr>
+fn query_value<T: FromStr>(call: &Call, name: &str) -> std::result::Result<Option<T>, SmolStr>
 where
     T::Err: std::fmt::Display,
 {
--- a/crates/onyxshed-telemetry/src/budget.rs
+++ b/crates/onyxshed-telemetry/src/budget.rs
@@ -1,64 +1,65 @@
-//! How many lines a second the log takes.
+//! Limits the number of lines written to the log per second.
 //!
-//! Failure guarded against: thousands of requests a second fail, or are turned away, and each
-//! writes a line. Symptom: writing the log takes the processor from the requests that could be
-//! served, and whoever collects it is flooded. Lines on failures and changes of belief have a
-//! budget of their own, so that a flood of ordinary ones leaves room for them; what is left out is
-//! counted and said.
+//! If thousands of requests a second fail or are rejected and each writes a line, logging takes CPU
+//! time from requests that could be served, and the log collector is flooded. Lines about failures
+//! and changes of belief have a budget of their own, so that a flood of ordinary lines leaves room
+//! for them. Dropped lines are counted, and their number is logged.
 
 use onyxshed_core::event::Level;
 
-/// Lines a second on ordinary steps: three times what a host writes under its heaviest load.
-pub const QUIET_LINES_PER_S: u32 = 600;
+/// Lines per second for debug and info events: three times what a host writes under its heaviest
+/// load.
+pub const INFO_LINES_PER_S: u32 = 600;
 
-/// Lines a second on failures and changes of belief.
-pub const LOUD_LINES_PER_S: u32 = 300;
+/// Lines per second for warnings and errors: failures and changes of belief.
+pub const WARN_LINES_PER_S: u32 = 300;
 
-/// Lines allowed within the present second.
+/// The lines used up within the current second.
 #[derive(Debug, Default)]
 pub struct Budget {
     second: u64,
-    quiet: u32,
-    loud: u32,
-    left_out: u64,
+    info_lines: u32,
+    warn_lines: u32,
+    dropped: u64,
 }
 
-/// What becomes of a line.
+/// The decision about one line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is written.
+pub enum LineDecision {
+    /// Write the line.
     Write,
-    /// It is written, and so many before it were left out that nobody was told of.
-    WriteAfter(u64),
-    /// It is left out.
-    LeaveOut,
+    /// First report this number of lines dropped since the last report, then write the line.
+    WriteAfterDropped(u64),
+    /// Drop the line.
+    Drop,
 }
 
 impl Budget {
-    /// Decides about a line at a time given in whole seconds from an arbitrary start.
-    pub fn decide(&mut self, second: u64, level: Level) -> Verdict {
+    /// Decides about a line. `second` is the time in whole seconds since an arbitrary start.
+    pub fn decide(&mut self, second: u64, level: Level) -> LineDecision {
         let is_new_second = second != self.second;
         if is_new_second {
             self.second = second;
-            self.quiet = 0;
-            self.loud = 0;
+            self.info_lines = 0;
+            self.warn_lines = 0;
         }
-        let (used, most) = match level {
-            Level::Debug | Level::Info => (&mut self.quiet, QUIET_LINES_PER_S),
-            Level::Warn | Level::Error => (&mut self.loud, LOUD_LINES_PER_S),
+        let (used, max) = match level {
+            Level::Debug | Level::Info => (&mut self.info_lines, INFO_LINES_PER_S),
+            Level::Warn | Level::Error => (&mut self.warn_lines, WARN_LINES_PER_S),
         };
-        if *used >= most {
-            self.left_out += 1;
-            return Verdict::LeaveOut;
+        if *used >= max {
+            self.dropped += 1;
+            return LineDecision::Drop;
         }
         *used += 1;
-        match std::mem::take(&mut self.left_out) {
-            0 => Verdict::Write,
-            // Told at once where the second is new, else with the next second's first line.
-            count if is_new_second => Verdict::WriteAfter(count),
+        match std::mem::take(&mut self.dropped) {
+            0 => LineDecision::Write,
+            // Reported immediately in a new second, otherwise with the first line of the next
+            // second.
+            count if is_new_second => LineDecision::WriteAfterDropped(count),
             count => {
-                self.left_out = count;
-                Verdict::Write
+                self.dropped = count;
+                LineDecision::Write
             }
         }
     }
--- a/crates/onyxshed-telemetry/src/error.rs
+++ b/crates/onyxshed-telemetry/src/error.rs
@@ -1,46 +1,46 @@
-//! Errors of opening log and metrics.
+//! Errors of opening the log and installing the metrics.
 
 use onyxshed_core::ResultCode;
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// What went wrong.
+/// An error of opening the log or installing the metrics.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// The log can't be opened.
-    #[snafu(display("the log can't be opened: {reason}"))]
+    #[snafu(display("cannot open the log: {reason}"))]
     Log {
-        /// The library's words.
+        /// The log library's error message.
         reason: SmolStr,
     },
-    /// The metrics can't be set up.
-    #[snafu(display("the metrics can't be set up: {reason}"))]
+    /// The metrics recorder can't be installed.
+    #[snafu(display("cannot install the metrics recorder: {reason}"))]
     Metrics {
-        /// The library's words.
+        /// The metrics library's error message.
         reason: SmolStr,
     },
 }
 
 impl Error {
-    /// Makes an error from the log library's words.
+    /// Creates an error from the log library's error.
     pub fn log(reason: impl ToString) -> Self {
         Error::Log {
             reason: reason.to_string().into(),
         }
     }
 
-    /// Makes an error from the metrics library's words.
+    /// Creates an error from the metrics library's error.
     pub fn metrics(reason: impl ToString) -> Self {
         Error::Metrics {
             reason: reason.to_string().into(),
         }
     }
 
-    /// Gets the numbered code.
+    /// Returns the numbered result code.
     pub fn code(&self) -> ResultCode {
         ResultCode::ServiceFailed
     }
 }
 
-/// Result of opening log and metrics.
+/// The result of opening the log or installing the metrics.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-telemetry/src/lib.rs
+++ b/crates/onyxshed-telemetry/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a process tells about itself: log, metrics, time line and the admin address.
+//! The telemetry of a process: log, metrics, time line and admin address.
 //!
-//! [`Telemetry`] subscribes to the kernel's event bus, so every event reaches all three alike. The
-//! [`AdminService`] serves them to operators.
+//! [`Telemetry`] subscribes to the kernel's event bus, so log, metrics and time line receive the
+//! same events. The [`AdminService`] serves metrics, status and time line to operators.
 
 pub mod admin;
 pub mod budget;
--- a/crates/onyxshed-telemetry/src/line.rs
+++ b/crates/onyxshed-telemetry/src/line.rs
@@ -1,4 +1,4 @@
-//! An event as one line of the log.
+//! Formats an event as one line of the log.
 
 use std::fmt::Write;
 
@@ -15,7 +15,8 @@
     event: &'a Event,
 }
 
-/// Writes an event as a line without its end; people's lines get time and level from the sink.
+/// Formats an event as a line without a line end. In the human format the log's sink adds time and
+/// level.
 pub fn format(event: &Event, format: LogFormat) -> String {
     match format {
         LogFormat::Human => human(event),
@@ -29,7 +30,7 @@
         name: event.kind.name(),
         event,
     };
-    serde_json::to_string(&line).expect("events hold only what JSON can write")
+    serde_json::to_string(&line).expect("an event always serializes to JSON")
 }
 
 fn human(event: &Event) -> String {
@@ -38,10 +39,10 @@
         let _ = write!(line, " submission={submission}");
     }
     if !event.request.is_empty() {
-        let _ = write!(line, " request={}", on_one_line(&event.request));
+        let _ = write!(line, " request={}", without_control_chars(&event.request));
     }
     if !event.job.is_empty() {
-        let _ = write!(line, " job={}", on_one_line(&event.job));
+        let _ = write!(line, " job={}", without_control_chars(&event.job));
     }
     if let Some(index) = event.task_index {
         let _ = write!(line, " task={index}");
@@ -50,23 +51,23 @@
         let _ = write!(line, " class={class}");
     }
     if !event.party.is_empty() {
-        let _ = write!(line, " party={}", on_one_line(&event.party));
+        let _ = write!(line, " party={}", without_control_chars(&event.party));
     }
     if !event.detail.is_empty() {
-        let _ = write!(line, ": {}", on_one_line(&event.detail));
+        let _ = write!(line, ": {}", without_control_chars(&event.detail));
     }
     line
 }
 
-/// Replaces line ends and other control characters.
+/// Replaces line ends and other control characters by spaces.
 ///
-/// Failure guarded against: a text from a caller or upstream that holds a line end forges a line of
-/// the log. Without control characters, one event stays one line.
-fn on_one_line(text: &str) -> String {
+/// A text from a caller or upstream that contains a line end could otherwise forge a line of the
+/// log.
+fn without_control_chars(text: &str) -> String {
     text.replace(char::is_control, " ")
 }
 
-/// Gets a level's word.
+/// Returns the name of a level as it is written in JSON lines.
 pub fn level_name(level: Level) -> &'static str {
     match level {
         Level::Debug => "debug",
--- a/crates/onyxshed-telemetry/src/log.rs
+++ b/crates/onyxshed-telemetry/src/log.rs
@@ -14,49 +14,49 @@
 use spdlog::sink::{AsyncPoolSink, OverflowPolicy, Sink, StdStream, StdStreamSink};
 use spdlog::{LevelFilter, Logger, ThreadPool};
 
-use crate::budget::{Budget, Verdict};
+use crate::budget::{Budget, LineDecision};
 use crate::error::{Error, Result};
 use crate::line;
 
-/// Most lines that wait to be written.
-const LINES_MAX: usize = 8_192;
+/// Largest number of queued lines; any further line is dropped.
+const QUEUED_LINES_MAX: usize = 8_192;
 
-/// Longest wait at the end for lines that still wait.
-const FINISH_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest time that [`Log::flush`] waits for queued lines.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often the end looks whether all is written.
-const FINISH_PAUSE: Duration = Duration::from_millis(2);
+/// How often [`Log::flush`] checks whether all lines are written.
+const FLUSH_CHECK_PERIOD: Duration = Duration::from_millis(2);
 
-/// Writes events as lines, on a thread of the log library's own.
+/// Writes events as lines, on a thread of the log library.
 ///
-/// Failure guarded against: whoever reads standard error stops reading. Symptom: the write blocks
-/// and with it every request of the process. Lines therefore wait in a bounded queue for another
-/// thread; when it is full they are dropped and counted, and requests go on.
+/// If the reader of standard error stops reading, a write to it blocks, and would block every
+/// request of the process. Lines are therefore queued for another thread. When the bounded queue is
+/// full, lines are dropped and counted, and requests continue.
 pub struct Log {
     logger: Logger,
     format: LogFormat,
     level: Level,
     counts: Arc<Counts>,
     pool: Arc<ThreadPool>,
-    opened: Instant,
+    opened_at: Instant,
     budget: Option<RefCell<Budget>>,
 }
 
-/// Lines by what became of them.
+/// Counters of lines: queued, completed (written, failed or dropped from the queue) and dropped.
 #[derive(Debug, Default)]
 struct Counts {
     queued: AtomicU64,
-    ended: AtomicU64,
+    completed: AtomicU64,
     dropped: AtomicU64,
 }
 
 impl Log {
-    /// Tries to open the log on standard error.
+    /// Opens the log on standard error.
     pub fn open(settings: LogSettings) -> Result<Self> {
         Log::open_on(settings, StdStream::Stderr)
     }
 
-    /// Tries to open the log on standard output, for a process that says nothing else there.
+    /// Opens the log on standard output, for a process that writes nothing else there.
     pub fn open_on_stdout(settings: LogSettings) -> Result<Self> {
         Log::open_on(settings, StdStream::Stdout)
     }
@@ -70,19 +70,19 @@
             LogFormat::Json => builder.formatter(PatternFormatter::new(pattern!("{payload}{eol}"))),
         };
         let sink = sink.build_arc().map_err(Error::log)?;
-        Log::with_sink(settings, sink).map(Log::bounded)
+        Log::with_sink(settings, sink).map(Log::rate_limited)
     }
 
-    /// Bounds the lines a second.
-    pub fn bounded(mut self) -> Self {
+    /// Limits the lines per second to the [`Budget`].
+    pub fn rate_limited(mut self) -> Self {
         self.budget = Some(RefCell::default());
         self
     }
 
-    /// Tries to open the log on any sink of the library, without a bound on lines a second.
+    /// Opens the log on any sink of the library, without a limit on lines per second.
     pub fn with_sink(settings: LogSettings, sink: Arc<dyn Sink>) -> Result<Self> {
         let counts = Arc::new(Counts::default());
-        let capacity = NonZeroUsize::new(LINES_MAX).expect("the bound is not zero");
+        let capacity = NonZeroUsize::new(QUEUED_LINES_MAX).expect("QUEUED_LINES_MAX is not zero");
         let pool = ThreadPool::builder()
             .capacity(capacity)
             .build_arc()
@@ -96,29 +96,29 @@
         Ok(Log {
             logger: logger(sink, counts.clone())?,
             format: settings.format,
-            level: level_of(settings.level),
+            level: core_level(settings.level),
             counts,
             pool,
-            opened: Instant::now(),
+            opened_at: Instant::now(),
             budget: None,
         })
     }
 
-    /// Writes an event, if it is loud enough.
+    /// Writes an event if its level is at least the log's level and the budget allows it.
     pub fn write(&self, event: &Event) {
         let level = event.kind.level();
         if level < self.level {
             return;
         }
-        let second = self.opened.elapsed().as_secs();
+        let second = self.opened_at.elapsed().as_secs();
         let budget = self.budget.as_ref();
-        let verdict = budget.map(|budget| budget.borrow_mut().decide(second, level));
-        match verdict.unwrap_or(Verdict::Write) {
-            Verdict::LeaveOut => {
+        let decision = budget.map(|budget| budget.borrow_mut().decide(second, level));
+        match decision.unwrap_or(LineDecision::Write) {
+            LineDecision::Drop => {
                 self.counts.dropped.fetch_add(1, Ordering::Relaxed);
             }
-            Verdict::Write => self.write_line(event),
-            Verdict::WriteAfter(count) => {
+            LineDecision::Write => self.write_line(event),
+            LineDecision::WriteAfterDropped(count) => {
                 let detail = smol_str::format_smolstr!("{count} lines");
                 self.write_line(&Event::new(EventKind::LogLinesLeftOut).detail(detail));
                 self.write_line(event);
@@ -133,41 +133,42 @@
         spdlog::log!(logger: self.logger, level, "{line}");
     }
 
-    /// Gets how many lines were dropped because too many waited.
+    /// Returns how many lines were dropped: over the budget, over the queue's limit or because the
+    /// write failed.
     pub fn dropped(&self) -> u64 {
         self.counts.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits until every line is written, for a bounded time.
-    pub async fn finish(&self) {
+    /// Waits until every queued line is written, for at most one second.
+    pub async fn flush(&self) {
         let start = Instant::now();
-        while self.is_writing() && start.elapsed() < FINISH_TIMEOUT {
-            Timer::after(FINISH_PAUSE).await;
+        while self.has_unwritten_lines() && start.elapsed() < FLUSH_TIMEOUT {
+            Timer::after(FLUSH_CHECK_PERIOD).await;
         }
     }
 
-    fn is_writing(&self) -> bool {
-        let ended = self.counts.ended.load(Ordering::Relaxed);
-        ended < self.counts.queued.load(Ordering::Relaxed)
+    fn has_unwritten_lines(&self) -> bool {
+        let completed = self.counts.completed.load(Ordering::Relaxed);
+        completed < self.counts.queued.load(Ordering::Relaxed)
     }
 }
 
 impl Drop for Log {
-    /// Failure guarded against: the last handle of the pool joins its thread, which hangs for ever
-    /// if nobody reads standard error. Symptom: the process never exits. One handle is left behind
-    /// then; the process's end takes the thread with it.
+    /// Dropping the last handle of the pool joins its thread, which blocks forever if standard
+    /// error is not read, and the process would never exit. In that case one handle is leaked, and
+    /// the thread ends with the process.
     fn drop(&mut self) {
-        if self.is_writing() {
+        if self.has_unwritten_lines() {
             std::mem::forget(self.pool.clone());
         }
     }
 }
 
-/// Makes a logger that counts the lines that find the queue full.
+/// Creates a logger that counts the lines dropped because the queue is full.
 fn logger(sink: Arc<dyn Sink>, counts: Arc<Counts>) -> Result<Logger> {
     let count_dropped = move |_| {
         counts.dropped.fetch_add(1, Ordering::Relaxed);
-        counts.ended.fetch_add(1, Ordering::Relaxed);
+        counts.completed.fetch_add(1, Ordering::Relaxed);
     };
     Logger::builder()
         .sink(sink)
@@ -177,7 +178,7 @@
         .map_err(Error::log)
 }
 
-/// Passes lines on and counts those that have been dealt with.
+/// A sink that passes lines on and counts those that have been processed.
 struct CountingSink {
     inner: Arc<dyn Sink>,
     counts: Arc<Counts>,
@@ -210,8 +211,9 @@
 impl Sink for CountingSink {
     fn log(&self, record: &spdlog::Record) -> spdlog::Result<()> {
         let result = self.inner.log(record);
-        self.counts.ended.fetch_add(1, Ordering::Relaxed);
-        // A closed standard error is no reason to say so on it with every line.
+        self.counts.completed.fetch_add(1, Ordering::Relaxed);
+        // Not returned as an error: if standard error is closed, the library would report it there
+        // with every line.
         if result.is_err() {
             self.counts.dropped.fetch_add(1, Ordering::Relaxed);
         }
@@ -223,7 +225,7 @@
     }
 }
 
-fn level_of(level: LogLevel) -> Level {
+fn core_level(level: LogLevel) -> Level {
     match level {
         LogLevel::Debug => Level::Debug,
         LogLevel::Info => Level::Info,
--- a/crates/onyxshed-telemetry/src/metric.rs
+++ b/crates/onyxshed-telemetry/src/metric.rs
@@ -1,6 +1,6 @@
-//! Metrics in Prometheus text.
+//! Metrics in the Prometheus text format.
 //!
-//! Names follow the field's conventions: base units in the name (`_seconds`, `_bytes`), `_total`
+//! Names follow the Prometheus conventions: base units in the name (`_seconds`, `_bytes`), `_total`
 //! for counters. Every histogram of seconds has the same buckets, from a tenth of a millisecond up.
 
 use std::sync::OnceLock;
@@ -14,13 +14,13 @@
 /// Counter of events by kind.
 pub const EVENTS_TOTAL: &str = "onyxshed_events_total";
 
-/// Counter of log lines dropped because too many waited.
+/// Counter of dropped log lines.
 pub const LOG_DROPPED_TOTAL: &str = "onyxshed_log_lines_dropped_total";
 
-/// Gauge of the time line's memory.
+/// Gauge of the memory used by the time line.
 pub const TIMELINE_BYTES: &str = "onyxshed_timeline_bytes";
 
-/// Counter of time line events dropped for newer ones.
+/// Counter of events dropped from the time line to make room for newer ones.
 pub const TIMELINE_DROPPED_TOTAL: &str = "onyxshed_timeline_dropped_total";
 
 /// Upper bounds of the buckets of every histogram of seconds.
@@ -29,10 +29,10 @@
     5.0, 10.0, 30.0,
 ];
 
-/// The process's one recorder; the library has a single place for it.
+/// The recorder of the process; the library allows only one.
 static RECORDER: OnceLock<Result<PrometheusHandle>> = OnceLock::new();
 
-/// Handle to the process's metrics.
+/// A handle to the metrics of the process.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     handle: PrometheusHandle,
@@ -40,7 +40,7 @@
 }
 
 impl Metrics {
-    /// Tries to set up the process's metrics; a second call shares the first one's.
+    /// Installs the metrics recorder of the process. Further calls share the first one's recorder.
     pub fn install() -> Result<Self> {
         let handle = RECORDER.get_or_init(install_recorder).clone()?;
         metrics::describe_counter!(
@@ -54,20 +54,20 @@
         })
     }
 
-    /// Counts an event.
+    /// Increments the counter of events of this kind.
     pub fn count_event(&self, kind: EventKind) {
         if let Ok(index) = EventKind::ALL.binary_search(&kind) {
             self.events[index].increment(1);
         }
     }
 
-    /// Writes every metric as Prometheus text.
+    /// Renders every metric in the Prometheus text format.
     pub fn render(&self) -> String {
         self.handle.render()
     }
 
-    /// Folds observations into their buckets, so that they take no more memory; due every few
-    /// seconds.
+    /// Merges observations into their histogram buckets, which bounds their memory. To be called
+    /// every few seconds.
     pub fn run_upkeep(&self) {
         self.handle.run_upkeep();
     }
@@ -87,47 +87,47 @@
     metrics::counter!(EVENTS_TOTAL, "kind" => kind.name())
 }
 
-/// Makes a counter; its name ends in `_total`.
-pub fn counter(name: &'static str, text: &'static str) -> Counter {
-    metrics::describe_counter!(name, text);
+/// Returns a counter, whose name must end in `_total`.
+pub fn counter(name: &'static str, description: &'static str) -> Counter {
+    metrics::describe_counter!(name, description);
     metrics::counter!(name)
 }
 
-/// Makes one of several counters that differ in a label; the name ends in `_total`.
+/// Returns a counter with a label, whose name must end in `_total`.
 pub fn labelled_counter(
     name: &'static str,
-    text: &'static str,
+    description: &'static str,
     label: &'static str,
     value: &'static str,
 ) -> Counter {
-    metrics::describe_counter!(name, text);
+    metrics::describe_counter!(name, description);
     metrics::counter!(name, label => value)
 }
 
-/// Makes a gauge; its name ends in its unit.
-pub fn gauge(name: &'static str, text: &'static str) -> Gauge {
-    metrics::describe_gauge!(name, text);
+/// Returns a gauge, whose name must end in its unit.
+pub fn gauge(name: &'static str, description: &'static str) -> Gauge {
+    metrics::describe_gauge!(name, description);
     metrics::gauge!(name)
 }
 
-/// Makes a histogram of spans; its name ends in `_seconds`.
-pub fn seconds_histogram(name: &'static str, text: &'static str) -> Histogram {
-    metrics::describe_histogram!(name, Unit::Seconds, text);
+/// Returns a histogram of durations, whose name must end in `_seconds`.
+pub fn seconds_histogram(name: &'static str, description: &'static str) -> Histogram {
+    metrics::describe_histogram!(name, Unit::Seconds, description);
     metrics::histogram!(name)
 }
 
-/// Makes a histogram of spans for each value of a label; its name ends in `_seconds`.
+/// Returns a histogram of durations with a label, whose name must end in `_seconds`.
 pub fn labelled_seconds_histogram(
     name: &'static str,
-    text: &'static str,
+    description: &'static str,
     label: &'static str,
     value: String,
 ) -> Histogram {
-    metrics::describe_histogram!(name, Unit::Seconds, text);
+    metrics::describe_histogram!(name, Unit::Seconds, description);
     metrics::histogram!(name, label => value)
 }
 
-/// Gets a span in seconds, as histograms take it.
-pub fn seconds(span: Micros) -> f64 {
-    std::time::Duration::from(span).as_secs_f64()
+/// Converts a duration to seconds, the unit of histograms.
+pub fn seconds(duration: Micros) -> f64 {
+    std::time::Duration::from(duration).as_secs_f64()
 }
--- a/crates/onyxshed-telemetry/src/telemetry.rs
+++ b/crates/onyxshed-telemetry/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Log, metrics and time line of one process, fed by its event bus.
+//! The telemetry of a process: log, metrics and time line, all fed by its event bus.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,36 +15,36 @@
 use crate::timeline::{Filter, Timeline};
 use crate::usage;
 
-/// Who the process is and how much it keeps.
+/// The identity of the process and the limits of its telemetry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TelemetryOptions {
-    /// The binary's name.
+    /// The name of the binary.
     pub process: SmolStr,
-    /// Its version.
+    /// The version of the binary.
     pub version: SmolStr,
-    /// The host it runs on.
+    /// The host on which the process runs.
     pub host: SmolStr,
-    /// This run of it.
+    /// The incarnation of the process.
     pub boot: Incarnation,
-    /// The log.
+    /// Format and level of the log.
     pub log: LogSettings,
-    /// Most events kept for the time line.
+    /// Largest number of events kept in the time line.
     pub timeline_events_max: usize,
 }
 
-/// What a kind of process adds to its status.
+/// The parts of the status that depend on the kind of process.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StatusParts {
-    /// The configuration revision in force, if the process has one.
+    /// The configuration revision in force, or `None` if the process has none.
     pub config_revision: Option<Revision>,
-    /// Whatever else operators want to see.
+    /// Further details for operators, as free-form JSON.
     pub details: serde_json::Value,
 }
 
-/// What makes the process's own part of the status.
+/// A function that returns the parts of the status that depend on the kind of process.
 pub type StatusSource = Box<dyn Fn() -> StatusParts>;
 
-/// Everything a process tells about itself.
+/// The log, metrics, time line and status of a process.
 pub struct Telemetry {
     options: TelemetryOptions,
     clock: Clock,
@@ -52,19 +52,20 @@
     log: Log,
     metrics: Metrics,
     timeline: RefCell<Timeline>,
-    status: RefCell<Option<StatusSource>>,
+    status_source: RefCell<Option<StatusSource>>,
     timeline_dropped: Cell<u64>,
     started_ms: UnixMs,
 }
 
 impl Telemetry {
-    /// Tries to open log and metrics, and takes in every event of the kernel's bus from now on.
+    /// Opens log and metrics and subscribes to the kernel's event bus.
     pub fn open(kernel: &Kernel, options: TelemetryOptions) -> Result<Rc<Self>> {
         let log = Log::open(options.log)?;
         Telemetry::with_log(kernel, options, log)
     }
 
-    /// Tries to set up with a log that is open already.
+    /// Sets up the telemetry with a log that is already open and subscribes to the kernel's event
+    /// bus.
     pub fn with_log(kernel: &Kernel, options: TelemetryOptions, log: Log) -> Result<Rc<Self>> {
         let telemetry = Rc::new(Telemetry {
             timeline: RefCell::new(Timeline::new(options.timeline_events_max)),
@@ -73,42 +74,43 @@
             readiness: kernel.readiness().clone(),
             log,
             metrics: Metrics::install()?,
-            status: RefCell::default(),
+            status_source: RefCell::default(),
             timeline_dropped: Cell::new(0),
             started_ms: kernel.clock().now().wall,
         });
-        // Weak, because the kernel, which the bus is part of, holds the telemetry as a service.
-        let taker = Rc::downgrade(&telemetry);
-        let take = move |event: &Event| {
-            if let Some(telemetry) = taker.upgrade() {
-                telemetry.take(event);
+        // Weak, because the kernel owns the bus and also holds the telemetry as a service: a strong
+        // reference would be a cycle.
+        let weak = Rc::downgrade(&telemetry);
+        let handle_event = move |event: &Event| {
+            if let Some(telemetry) = weak.upgrade() {
+                telemetry.handle_event(event);
             }
         };
-        kernel.bus().subscribe(Rc::new(take));
+        kernel.bus().subscribe(Rc::new(handle_event));
         Ok(telemetry)
     }
 
-    fn take(&self, event: &Event) {
+    fn handle_event(&self, event: &Event) {
         self.metrics.count_event(event.kind);
         self.timeline.borrow_mut().record(event);
         self.log.write(event);
     }
 
-    /// Sets what makes the process's own part of the status.
+    /// Sets the function that returns the parts of the status that depend on the kind of process.
     pub fn set_status_source(&self, source: StatusSource) {
-        *self.status.borrow_mut() = Some(source);
+        *self.status_source.borrow_mut() = Some(source);
     }
 
-    /// Gets the log.
+    /// Returns the log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// Gets the status.
+    /// Returns the current status.
     pub fn status(&self) -> Status {
-        let source = self.status.borrow();
+        let source = self.status_source.borrow();
         let parts = source.as_ref().map(|source| source()).unwrap_or_default();
-        let why_not_ready = self.readiness.why_not();
+        let why_not_ready = self.readiness.not_ready_reason();
         let uptime = self.clock.now().mono.since(Mono(0));
         Status {
             process: self.options.process.clone(),
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Gets the events that match.
+    /// Returns the events that match a filter.
     pub fn timeline(&self, filter: &Filter) -> TimelinePage {
         let timeline = self.timeline.borrow();
         let matches = timeline.find(filter);
@@ -140,25 +142,25 @@
         }
     }
 
-    /// Writes every metric as Prometheus text.
+    /// Updates and renders every metric in the Prometheus text format.
     pub fn render_metrics(&self) -> String {
         self.upkeep();
         self.metrics.render()
     }
 
-    /// Brings slow-moving metrics up to date; due every few seconds.
+    /// Updates the metrics that are not counted event by event. To be called every few seconds.
     pub fn upkeep(&self) {
         let timeline = self.timeline.borrow();
         // Exact up to 2^53 bytes.
         let bytes = timeline.memory_bytes() as f64;
         metric::gauge(metric::TIMELINE_BYTES, "Memory of the time line.").set(bytes);
         let dropped = timeline.dropped();
-        let fresh = dropped - self.timeline_dropped.replace(dropped);
+        let newly_dropped = dropped - self.timeline_dropped.replace(dropped);
         metric::counter(
             metric::TIMELINE_DROPPED_TOTAL,
             "Time line events dropped for newer ones.",
         )
-        .increment(fresh);
+        .increment(newly_dropped);
         metric::counter(
             metric::LOG_DROPPED_TOTAL,
             "Log lines dropped because too many waited or standard error is closed.",
--- a/crates/onyxshed-telemetry/src/timeline.rs
+++ b/crates/onyxshed-telemetry/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The time line: the latest events in a bounded ring.
+//! The time line: the latest events of a process in a bounded ring.
 
 use std::collections::VecDeque;
 use std::mem::size_of;
@@ -6,30 +6,31 @@
 use onyxshed_core::{ClassName, Event, SubmissionId, UnixMs};
 use smol_str::SmolStr;
 
-/// Longest party or detail kept, in bytes.
+/// Longest party or detail kept, in bytes; longer texts are truncated.
 ///
-/// Failure guarded against: an upstream's long error text in every event. Symptom: the ring's bound
-/// on events bounds no memory. Cut texts make the bound one on bytes.
+/// An upstream's long error text in every event would otherwise make the memory of the ring
+/// unbounded, although the number of events is bounded.
 const TEXT_MAX_BYTES: usize = 256;
 
-/// Longest text that [`SmolStr`] holds without memory of its own, in bytes.
+/// Longest text that [`SmolStr`] stores inline, without a heap allocation, in bytes.
 const INLINE_BYTES: usize = 23;
 
-/// Most events in one answer.
+/// Largest number of events in one reply.
 pub const LIMIT_MAX: usize = 5_000;
 
-/// Which events are asked for.
+/// A filter on the events of the time line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Filter {
-    /// Only those of this submission, bound or not.
+    /// Only events of this submission. Only the ULID is compared, so the id matches whether or not it
+    /// is bound to an entry host.
     pub submission: Option<SubmissionId>,
-    /// Only those of this class.
+    /// Only events of this class.
     pub class: Option<ClassName>,
-    /// Only those whose other party's name holds this text.
+    /// Only events whose party contains this text.
     pub party: Option<SmolStr>,
-    /// Only those at or after this time.
+    /// Only events at or after this time.
     pub since_ms: UnixMs,
-    /// Most events, the newest being kept. Default 1000.
+    /// Largest number of events, of which the newest are returned. Default 1000.
     pub limit: usize,
 }
 
@@ -46,31 +47,31 @@
 }
 
 impl Filter {
-    /// Tells whether an event is asked for.
-    pub fn takes(&self, event: &Event) -> bool {
-        let same_submission = self.submission.is_none_or(|wanted| {
+    /// Returns whether an event matches every condition of the filter.
+    pub fn matches(&self, event: &Event) -> bool {
+        let submission_matches = self.submission.is_none_or(|expected| {
             event
                 .submission
-                .is_some_and(|found| found.ulid == wanted.ulid)
+                .is_some_and(|found| found.ulid == expected.ulid)
         });
-        let same_class = self
+        let class_matches = self
             .class
             .as_ref()
-            .is_none_or(|wanted| event.class.as_ref() == Some(wanted));
-        let same_party = self
+            .is_none_or(|expected| event.class.as_ref() == Some(expected));
+        let party_matches = self
             .party
             .as_ref()
-            .is_none_or(|wanted| event.party.contains(wanted.as_str()));
-        same_submission && same_class && same_party && event.hlc.wall >= self.since_ms
+            .is_none_or(|expected| event.party.contains(expected.as_str()));
+        submission_matches && class_matches && party_matches && event.hlc.wall >= self.since_ms
     }
 }
 
-/// Events that match a filter.
+/// The events that match a filter.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Matches {
-    /// The newest of them, oldest first.
+    /// The newest matching events, oldest first.
     pub events: Vec<Event>,
-    /// Whether older ones were left out because of the limit.
+    /// Whether older matching events were left out because of the limit.
     pub is_cut: bool,
 }
 
@@ -84,7 +85,7 @@
 }
 
 impl Timeline {
-    /// Makes an empty ring for at most `events_max` events.
+    /// Creates an empty ring for at most `events_max` events, but at least one.
     pub fn new(events_max: usize) -> Self {
         Timeline {
             events: VecDeque::new(),
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Adds an event; the oldest makes room for it.
+    /// Adds an event, dropping the oldest if the ring is full.
     pub fn record(&mut self, event: &Event) {
         while self.events.len() >= self.events_max {
             if let Some(oldest) = self.events.pop_front() {
@@ -102,32 +103,36 @@
                 self.dropped += 1;
             }
         }
-        let event = with_short_texts(event);
+        let event = with_truncated_texts(event);
         self.text_bytes += text_bytes(&event);
         self.events.push_back(event);
     }
 
-    /// Gets the newest events that match.
+    /// Returns the newest events that match, up to the filter's limit and [`LIMIT_MAX`].
     pub fn find(&self, filter: &Filter) -> Matches {
         let limit = filter.limit.min(LIMIT_MAX);
-        let mut matching = self.events.iter().rev().filter(|event| filter.takes(event));
+        let mut matching = self
+            .events
+            .iter()
+            .rev()
+            .filter(|event| filter.matches(event));
         let mut events: Vec<Event> = matching.by_ref().take(limit).cloned().collect();
         events.reverse();
         let is_cut = matching.next().is_some();
         Matches { events, is_cut }
     }
 
-    /// Gets how many events were dropped for newer ones.
+    /// Returns how many events were dropped to make room for newer ones.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Gets the most events kept.
+    /// Returns the largest number of events kept.
     pub fn events_max(&self) -> usize {
         self.events_max
     }
 
-    /// Gets the memory that the events kept take, in bytes.
+    /// Returns the memory used by the events kept, in bytes.
     pub fn memory_bytes(&self) -> u64 {
         (self.events.capacity() * size_of::<Event>() + self.text_bytes) as u64
     }
@@ -141,7 +146,7 @@
         .sum()
 }
 
-fn with_short_texts(event: &Event) -> Event {
+fn with_truncated_texts(event: &Event) -> Event {
     let mut event = event.clone();
     for text in [&mut event.party, &mut event.detail] {
         if text.len() > TEXT_MAX_BYTES {
--- a/crates/onyxshed-telemetry/src/usage.rs
+++ b/crates/onyxshed-telemetry/src/usage.rs
@@ -1,4 +1,4 @@
-//! What the process takes of the machine, as the system tells it.
+//! Resource usage of the process, read from `/proc`.
 
 use std::fs;
 
@@ -9,19 +9,19 @@
 /// Gauge of resident memory.
 const RESIDENT_BYTES: &str = "process_resident_memory_bytes";
 
-/// Gauge of processor time; a gauge, because the library's counters hold whole numbers only.
+/// Gauge of CPU time; not a counter, because the library's counters hold only whole numbers.
 const CPU_SECONDS: &str = "process_cpu_seconds";
 
 /// Gauge of open file descriptors.
 const OPEN_FDS: &str = "process_open_fds";
 
-/// Fields of `/proc/self/stat` behind the command's name: user time, system time, resident pages.
+/// Indexes of fields of `/proc/self/stat`, counted after the command name: user time, system time,
+/// resident pages.
 const USER_TICKS: usize = 11;
 const SYSTEM_TICKS: usize = 12;
 const RESIDENT_PAGES: usize = 21;
 
-/// Brings the metrics of the process itself up to date; what the system does not tell stays as it
-/// was.
+/// Updates the resource usage metrics. A metric whose value can't be read keeps its last value.
 pub(crate) fn update() {
     if let Some(usage) = read() {
         metric::gauge(RESIDENT_BYTES, "Resident memory of the process.").set(usage.resident_bytes);
@@ -45,7 +45,7 @@
 
 fn read() -> Option<Usage> {
     let stat = fs::read_to_string("/proc/self/stat").ok()?;
-    // The command's name may hold spaces and brackets; the last bracket ends it.
+    // The command name may contain spaces and parentheses; the last closing parenthesis ends it.
     let (_, fields) = stat.rsplit_once(')')?;
     let fields: Vec<&str> = fields.split_ascii_whitespace().collect();
     let number = |index: usize| fields.get(index)?.parse::<f64>().ok();
--- a/crates/onyxshed-telemetry/tests/admin.rs
+++ b/crates/onyxshed-telemetry/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin address over real sockets.
+//! The admin service over real sockets.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,10 +19,10 @@
 use serde_json::json;
 
 fn telemetry(kernel: &Kernel) -> Rc<Telemetry> {
-    telemetry_of(kernel, 100)
+    telemetry_with(kernel, 100)
 }
 
-fn telemetry_of(kernel: &Kernel, timeline_events_max: usize) -> Rc<Telemetry> {
+fn telemetry_with(kernel: &Kernel, timeline_events_max: usize) -> Rc<Telemetry> {
     let options = TelemetryOptions {
         process: "onyxshed-test".into(),
         version: "0.0.0".into(),
@@ -43,7 +43,8 @@
     telemetry
 }
 
-/// Starts a process with an admin address, runs `test` against it, then drains it.
+/// Starts a process with an admin address, runs `test` against it, then waits until the process has
+/// been drained.
 fn with_admin(test: impl AsyncFnOnce(Kernel, SocketAddr)) -> RunEnd {
     let kernel = Kernel::new();
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -53,20 +54,20 @@
         has_ready_line: false,
         ..RunOptions::new("onyxshed-test")
     };
-    let life = async {
+    let process = async {
         let process = Process::new(kernel.clone(), services, options);
         let process = process.start().await.expect("the process starts");
         test(kernel.clone(), kernel.addresses()["admin"]).await;
-        process.live().await
+        process.run_until_stopped().await
     };
-    async_io::block_on(kernel.executor().run(life.boxed_local()))
+    async_io::block_on(kernel.executor().run(process.boxed_local()))
 }
 
 async fn call(address: SocketAddr, method: Method, path: &str) -> Reply {
     let timeout = Duration::from_secs(20);
     call_once(address, method, path, Vec::new(), timeout)
         .await
-        .expect("the admin address answers")
+        .expect("the admin address replies to the call")
 }
 
 fn text(reply: &Reply) -> String {
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn tells_what_the_process_does_until_it_is_drained() {
+fn admin_paths_serve_until_the_process_is_drained() {
     let end = with_admin(async |kernel, address| {
         assert_eq!(
             text(&call(address, Method::Get, "/healthz").await),
@@ -127,7 +128,10 @@
         let resident = metrics
             .lines()
             .find_map(|line| line.strip_prefix("process_resident_memory_bytes "));
-        let resident_bytes: f64 = resident.expect("it is told").parse().unwrap();
+        let resident_bytes: f64 = resident
+            .expect("resident memory is reported")
+            .parse()
+            .unwrap();
         assert!(resident_bytes > 1e6, "{resident_bytes}");
 
         let drained = call(address, Method::Post, "/v1/drain").await;
@@ -148,7 +152,7 @@
     r#"404 {"code":3106,"text":"The address has no such path or method. (/metrics)"}"#
 )]
 #[case(Method::Get, "/v1/timeline?limit=-1", r#"400 {"code":3101,"text":"The request can't be read. (limit: invalid digit found in string)"}"#)]
-fn refuses_what_it_does_not_know(
+fn unknown_paths_and_invalid_queries_are_rejected(
     #[case] method: Method,
     #[case] path: &str,
     #[case] expected: &str,
@@ -164,14 +168,25 @@
 #[case::large_body(b"POST /v1/drain HTTP/1.1\r\nhost: a\r\ncontent-length: 9999999\r\n\r\n".to_vec(), "3104")]
 #[case::endless_head([b"GET / HTTP/1.1\r\nx: ".as_slice(), &[b'a'; 20_000]].concat(), "3104")]
 #[case::no_utf8_in_query(b"GET /v1/timeline?class=%ff%fe HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n".to_vec(), "3101")]
-fn bad_input_is_answered_and_hurts_nobody_else(#[case] request: Vec<u8>, #[case] code: &str) {
-    // A scanner or a broken client sends what is no request of ours. It gets a numbered answer,
-    // the process neither drains nor dies, and the next operator is served.
+fn invalid_requests_are_rejected_and_later_requests_served(
+    #[case] request: Vec<u8>,
+    #[case] code: &str,
+) {
+    // A scanner or a faulty client sends bytes that are not a valid request. It gets a reply with a
+    // result code, the process neither drains nor crashes, and the next operator is served.
     with_admin(async |kernel, address| {
-        let mut stream = TcpStream::connect(address).await.expect("it listens");
-        stream.write_all(&request).await.expect("it reads");
+        let mut stream = TcpStream::connect(address)
+            .await
+            .expect("the admin address accepts");
+        stream
+            .write_all(&request)
+            .await
+            .expect("the admin address reads");
         let mut answer = vec![0; 4_096];
-        let count = stream.read(&mut answer).await.expect("it answers");
+        let count = stream
+            .read(&mut answer)
+            .await
+            .expect("the admin address replies");
         let mut answer = String::from_utf8_lossy(&answer[..count]).into_owned();
         if !answer.contains("code") {
             let mut rest = String::new();
@@ -188,10 +203,10 @@
 }
 
 #[test]
-fn the_largest_page_of_the_time_line_fits_what_operators_take() {
-    // Control characters take six bytes each in JSON, so these texts are as long as they get.
+fn largest_timeline_page_fits_the_limit_on_answers() {
+    // Control characters take six bytes each in JSON, so these texts have the largest encoding.
     let kernel = Kernel::new();
-    let telemetry = telemetry_of(&kernel, LIMIT_MAX);
+    let telemetry = telemetry_with(&kernel, LIMIT_MAX);
     let text = "\u{1}".repeat(1_000);
     for _ in 0..LIMIT_MAX {
         let event = Event::new(EventKind::TaskLost).task(u16::MAX);
@@ -207,9 +222,9 @@
 }
 
 #[test]
-fn the_address_is_free_once_the_process_has_stopped() {
-    // A process that ends while its listener lives on looks alive to whoever connects, and gets no
-    // answer. The end is known only by the address being closed.
+fn stopped_process_refuses_connections() {
+    // If the listener outlived the stopped process, peers could still connect but would get no
+    // reply: only a closed address shows that the process has ended.
     let mut served = None;
     with_admin(async |kernel, address| {
         served = Some(address);
@@ -224,7 +239,7 @@
 }
 
 #[test]
-fn an_address_that_is_taken_has_its_own_code() {
+fn address_in_use_has_its_own_code() {
     let kernel = Kernel::new();
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let service = AdminService::new(telemetry(&kernel), taken.local_addr().unwrap());
--- a/crates/onyxshed-telemetry/tests/budget.rs
+++ b/crates/onyxshed-telemetry/tests/budget.rs
@@ -1,31 +1,34 @@
-//! The log's budget of lines.
+//! The budget of log lines per second.
 
 use onyxshed_core::event::Level;
-use onyxshed_telemetry::budget::{Budget, LOUD_LINES_PER_S, QUIET_LINES_PER_S, Verdict};
+use onyxshed_telemetry::budget::{Budget, INFO_LINES_PER_S, LineDecision, WARN_LINES_PER_S};
 
-/// Every request of a second fails and writes its line: those past the budget are left out, and
-/// the first line of the next second says how many.
+/// Every request of a second fails and writes a line. Lines over the budget are dropped, and the
+/// first line of the next second reports how many.
 #[test]
-fn what_is_left_out_is_said_with_the_next_second() {
+fn dropped_lines_are_reported_in_the_next_second() {
     let mut budget = Budget::default();
-    let verdicts: Vec<Verdict> = (0..LOUD_LINES_PER_S + 7)
+    let decisions: Vec<LineDecision> = (0..WARN_LINES_PER_S + 7)
         .map(|_| budget.decide(5, Level::Warn))
         .collect();
-    let written = verdicts
+    let written = decisions
         .iter()
-        .filter(|verdict| **verdict == Verdict::Write);
-    assert_eq!(written.count(), usize::try_from(LOUD_LINES_PER_S).unwrap());
-    assert_eq!(budget.decide(6, Level::Warn), Verdict::WriteAfter(7));
-    assert_eq!(budget.decide(6, Level::Warn), Verdict::Write);
+        .filter(|decision| **decision == LineDecision::Write);
+    assert_eq!(written.count(), usize::try_from(WARN_LINES_PER_S).unwrap());
+    assert_eq!(
+        budget.decide(6, Level::Warn),
+        LineDecision::WriteAfterDropped(7)
+    );
+    assert_eq!(budget.decide(6, Level::Warn), LineDecision::Write);
 }
 
-/// A flood of ordinary lines takes nothing from the lines on failures.
+/// A flood of info lines does not use up the budget of warnings and errors.
 #[test]
-fn failures_have_a_budget_of_their_own() {
+fn flood_of_info_lines_does_not_use_the_budget_of_failures() {
     let mut budget = Budget::default();
-    for _ in 0..QUIET_LINES_PER_S * 2 {
+    for _ in 0..INFO_LINES_PER_S * 2 {
         budget.decide(1, Level::Info);
     }
-    assert_eq!(budget.decide(1, Level::Info), Verdict::LeaveOut);
-    assert_eq!(budget.decide(1, Level::Error), Verdict::Write);
+    assert_eq!(budget.decide(1, Level::Info), LineDecision::Drop);
+    assert_eq!(budget.decide(1, Level::Error), LineDecision::Write);
 }
--- a/crates/onyxshed-telemetry/tests/log.rs
+++ b/crates/onyxshed-telemetry/tests/log.rs
@@ -1,4 +1,4 @@
-//! Lines of the log, and what becomes of them when nobody reads.
+//! The format of log lines, the log's level, and lines dropped while the log is not read.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -33,11 +33,11 @@
     insta::assert_snapshot!(line::format(&event, LogFormat::Json), @r#"{"level":"debug","name":"TaskFinished","hlc":"1700000000123.2","kind":301,"submission":"01JABCDEFGHJKMNPQRSTVWXYZ0","task_index":3,"class":"lock-order","party":"executor-7","detail":"status 500\nE404 forged"}"#);
 }
 
-/// A target that keeps what is written.
+/// A writer that stores what is written.
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct MemoryWriter(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for MemoryWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0
             .lock()
@@ -51,13 +51,13 @@
     }
 }
 
-/// A target whose first write waits until it is let go, as a full pipe does.
-struct Stuck {
+/// A writer whose first write blocks until it is released, like a full pipe.
+struct BlockedWriter {
     entered: Sender<()>,
     release: Receiver<()>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.entered.send(());
         let _ = self.release.recv();
@@ -87,9 +87,9 @@
 #[case(LogLevel::Info, 3)]
 #[case(LogLevel::Warn, 2)]
 #[case(LogLevel::Error, 1)]
-fn quieter_events_are_left_out(#[case] level: LogLevel, #[case] lines: usize) {
-    let kept = Kept::default();
-    let log = open(level, kept.clone());
+fn events_below_the_level_are_not_written(#[case] level: LogLevel, #[case] lines: usize) {
+    let written = MemoryWriter::default();
+    let log = open(level, written.clone());
     let kinds = [
         EventKind::JobReceived,
         EventKind::ProcessReady,
@@ -99,30 +99,30 @@
     for kind in kinds {
         log.write(&Event::new(kind));
     }
-    block_on(log.finish());
-    let text = String::from_utf8(kept.0.lock().unwrap().clone()).unwrap();
+    block_on(log.flush());
+    let text = String::from_utf8(written.0.lock().unwrap().clone()).unwrap();
     assert_eq!(text.lines().count(), lines, "{text}");
     assert!(text.ends_with("error E404 ConfigGap\n"));
 }
 
 #[test]
-fn a_reader_that_stops_costs_lines_and_no_time() {
-    // Whoever reads standard error stops reading, so the first line's write never returns. Callers
-    // must see nothing of it: later lines wait, and once the queue is full they are dropped and
-    // counted. The test would hang if a write waited for room.
-    let (entered, is_stuck) = channel();
+fn blocked_output_drops_lines_without_blocking_writers() {
+    // The reader of standard error stops reading, so the write of the first line never returns.
+    // Callers must not be affected: later lines are queued, and once the queue is full they are
+    // dropped and counted. The test would hang if a write waited for room in the queue.
+    let (entered, is_blocked) = channel();
     let (release, released) = channel();
-    let stuck = Stuck {
+    let blocked = BlockedWriter {
         entered,
         release: released,
     };
-    let log = open(LogLevel::Info, stuck);
+    let log = open(LogLevel::Info, blocked);
     log.write(&Event::new(EventKind::ProcessReady));
-    is_stuck.recv().unwrap();
+    is_blocked.recv().unwrap();
     for _ in 0..8_192 + 10 {
         log.write(&Event::new(EventKind::ProcessReady));
     }
     assert_eq!(log.dropped(), 10);
     drop(release);
-    block_on(log.finish());
+    block_on(log.flush());
 }
--- a/crates/onyxshed-telemetry/tests/timeline.rs
+++ b/crates/onyxshed-telemetry/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The ring of events: its bounds and its filters.
+//! The bounds and filters of the time line.
 
 use onyxshed_core::{Event, EventKind, Hlc, UnixMs};
 use onyxshed_telemetry::{Filter, Timeline};
@@ -35,7 +35,11 @@
 #[case::party(Filter { party: Some("tor-0".into()), ..Filter::default() }, &[4], false)]
 #[case::class(Filter { class: Some("push".parse().unwrap()), ..Filter::default() }, &[], false)]
 #[case::unbound_finds_bound(Filter { submission: Some("01JABCDEFGHJKMNPQRSTVWXYZ0".parse().unwrap()), ..Filter::default() }, &[6], false)]
-fn filters(#[case] filter: Filter, #[case] times: &[u64], #[case] is_cut: bool) {
+fn find_returns_the_newest_matching_events(
+    #[case] filter: Filter,
+    #[case] times: &[u64],
+    #[case] is_cut: bool,
+) {
     let timeline = ring();
     assert_eq!(timeline.dropped(), 2);
     let found = timeline.find(&filter);
