--- a/crates/onyxshed-entry/src/callers.rs
+++ b/crates/onyxshed-entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! Requests of callers, and of peers on their behalf.
+//! Serves the requests of callers, and of peers that forward callers' requests.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,16 +17,16 @@
 use crate::measures;
 use crate::names::{CALLERS, CLAIM_LOG, CONTROL_PORT, ENGINE, PEERS, UPSTREAMS};
 
-/// Which door a request came through.
+/// The listener on which a request arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Door {
-    /// A caller's.
+    /// The listener for callers.
     Caller,
-    /// A peer's, which may pass requests on to us.
+    /// The listener for peers, which may forward requests to this host.
     Peer,
 }
 
-/// What a request asks.
+/// The operation that a request's method and path select.
 enum Route {
     Submit,
     Fetch(SubmissionId),
@@ -34,38 +34,38 @@
     Bad(ResultCode),
 }
 
-/// Where callers and peers are served, and within which limits.
+/// Addresses and limits of the two listeners.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerOptions {
-    /// Where callers are served.
+    /// Address of the listener for callers.
     pub caller_address: SocketAddr,
-    /// Where peers are served.
+    /// Address of the listener for peers.
     pub peer_address: SocketAddr,
-    /// Limits of both.
+    /// Limits that apply to each listener.
     pub server: ServerOptions,
 }
 
-/// Live counts of both doors.
+/// Current counts of both listeners.
 pub struct Callers {
-    /// The callers' door.
+    /// Counts of the listener for callers.
     pub caller: Rc<ServerStats>,
-    /// The peers' door.
+    /// Counts of the listener for peers.
     pub peer: Rc<ServerStats>,
 }
 
-/// Both doors as a service.
+/// The service that runs both listeners.
 pub struct CallerService {
     engine: Rc<Engine>,
     options: CallerOptions,
 }
 
 impl CallerService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(engine: Rc<Engine>, options: CallerOptions) -> Self {
         CallerService { engine, options }
     }
 
-    /// Opens one door.
+    /// Opens one listener and serves the requests that arrive on it.
     async fn open(
         &self,
         kernel: &Kernel,
@@ -110,7 +110,8 @@
         })
     }
 
-    /// Refuses new jobs from now on, gives notice, and waits until every reply in the making has been written.
+    /// Rejects new jobs from now on, waits for [`DRAIN_GRACE`], and then until every pending reply has been
+    /// written.
     fn drain<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async move {
             self.engine.feed(Input::Drain);
@@ -125,14 +126,15 @@
     }
 }
 
-/// How long a drain goes on answering before it looks for its end.
+/// How long a drain keeps answering new requests before it waits for the last reply.
 ///
-/// Failure guarded against: a request whose bytes have arrived but were not read yet when the last
-/// job ended. Symptom: its caller sees a reset, and can't know whether it ran. Readiness has been
-/// false for this long by then, so the balancer sends no more, and each reply closes its connection.
+/// Without this time, a request whose bytes have arrived but were not read when the last job ended gets
+/// a connection reset, and its caller can't know whether the job ran. By the end of this time readiness
+/// has been false for as long, so the load balancer sends no more requests, and each reply closes its
+/// connection.
 const DRAIN_NOTICE: std::time::Duration = std::time::Duration::from_millis(500);
 
-/// How often a drain looks whether the last reply has been written.
+/// How often a drain checks whether the last reply has been written.
 const DRAIN_POLL: std::time::Duration = std::time::Duration::from_millis(10);
 
 async fn handle(engine: &Engine, door: Door, mut call: Call) -> Reply {
@@ -164,7 +166,7 @@
 
 async fn submit(engine: &Engine, body: Vec<u8>, is_forwarded: bool) -> Answer {
     let decoded = Submission::decode(&body);
-    // The job keeps its payloads; the body would take as much again until the answer.
+    // The job owns its payloads; the body would take the same memory again until the answer.
     drop(body);
     match decoded {
         Ok(submission) => {
@@ -201,10 +203,10 @@
     }
 }
 
-/// How long a caller waits before it repeats a request that was turned away at the door.
+/// Time after which a caller may retry a request that was rejected before it was read whole.
 const REPEAT_AFTER: Millis = Millis(1_000);
 
-/// Makes the answer to a request that was turned away at the door.
+/// Creates the answer to a request that was rejected before it was read whole.
 fn turned_away(code: ResultCode) -> Answer {
     let answer = Answer::ended(None, code, "");
     match code {
--- a/crates/onyxshed-entry/src/claim_log.rs
+++ b/crates/onyxshed-entry/src/claim_log.rs
@@ -1,4 +1,4 @@
-//! Claims in the platform's log: appends them, follows everybody's.
+//! Appends this host's claims to the platform's log and follows the claims of all hosts.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,10 +20,10 @@
 /// How long a read waits for the next record.
 const READ_WAIT: Millis = Millis(1_000);
 
-/// How long to wait after a read that failed.
+/// How long to wait after a failed read.
 const READ_PAUSE: Duration = Duration::from_millis(200);
 
-/// Handle to the claims stream.
+/// Handle to the stream of claims.
 pub struct ClaimLog {
     kernel: Kernel,
     engine: Rc<Engine>,
@@ -33,7 +33,7 @@
 }
 
 impl ClaimLog {
-    /// Makes a handle; nothing is opened yet.
+    /// Creates a handle without opening a connection.
     pub fn new(
         kernel: &Kernel,
         engine: Rc<Engine>,
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Appends a batch and reports to the engine how it went.
+    /// Appends a batch of claims and reports the result to the engine.
     pub fn append(self: &Rc<Self>, batch: ClaimBatch) {
         let log = self.clone();
         let run = async move {
@@ -71,8 +71,8 @@
         self.kernel.spawn(run).detach();
     }
 
-    /// Gets how long the next read may wait. Until the end of the stream is known nothing can be
-    /// claimed, so the first read after a start or an outage must not wait for a record to come.
+    /// Returns how long the next read may wait. No claim can be made until the end of the stream has been
+    /// read, so the first read after a start or an outage must not wait for a new record.
     fn read_wait(&self) -> Millis {
         match self.engine.look(Dispatch::is_log_read) {
             true => READ_WAIT,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Follows the stream for as long as the process lives.
+    /// Follows the stream until the process ends.
     async fn follow(self: Rc<Self>) {
         let mut client = PlatformClient::new(self.platform_address, self.options);
         let mut is_lost = false;
@@ -112,13 +112,13 @@
     }
 }
 
-/// The claims stream as a service.
+/// The service around a [`ClaimLog`].
 pub struct ClaimLogService {
     log: Rc<ClaimLog>,
 }
 
 impl ClaimLogService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(log: Rc<ClaimLog>) -> Self {
         ClaimLogService { log }
     }
--- a/crates/onyxshed-entry/src/control_port.rs
+++ b/crates/onyxshed-entry/src/control_port.rs
@@ -1,7 +1,8 @@
-//! Snapshots from the control process of this host.
+//! Receives snapshots from the control process of this host.
 //!
-//! The control process may die, hang or restart at any time: the entry goes on with the last
-//! snapshot, tells that the control process is gone, and shows in its status how old it is.
+//! The control process may crash, hang or restart at any time. The entry process then continues with
+//! the last snapshot, emits an event that the control process is lost, and reports the snapshot's age
+//! in its status.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -22,23 +23,23 @@
 use crate::names::{CONTROL_PORT, ENGINE, UPSTREAMS};
 use crate::upstreams::Upstreams;
 
-/// How long after the last snapshot the control process is held to be gone.
+/// Time since the last snapshot after which the control process counts as lost.
 const LOST_AFTER: Duration = Duration::from_secs(3);
 
-/// Who this entry is and where its control process finds it.
+/// Identity of this entry process, and the address at which its control process connects.
 #[derive(Debug, Clone)]
 pub struct ControlPortOptions {
-    /// The host.
+    /// Name of this host.
     pub host: HostName,
-    /// Its current life.
+    /// Incarnation of this host: this run of its entry process.
     pub incarnation: Incarnation,
-    /// Where the control process connects.
+    /// Address on which the control process connects.
     pub control_address: SocketAddr,
-    /// Told to peers in place of the address listened on, if any.
+    /// Address sent to peers in place of the address of the peer listener, if any.
     pub peer_advertised_address: Option<SocketAddr>,
 }
 
-/// Handle to what came from the control process.
+/// Handle to the connection with the control process.
 pub struct ControlPort {
     kernel: Kernel,
     options: ControlPortOptions,
@@ -49,7 +50,7 @@
 }
 
 impl ControlPort {
-    /// Gets how old the last snapshot is, none before the first.
+    /// Returns the age of the last snapshot, `None` before the first.
     pub fn snapshot_age(&self) -> Option<Duration> {
         self.last_snapshot.get().map(|at| at.elapsed())
     }
@@ -89,12 +90,11 @@
         Ok(self.status(&engine))
     }
 
-    /// Tells whether every listed host was heard, or was waited for long enough.
+    /// Returns whether a heartbeat of every listed host was received, or [`PEERS_WAIT_MAX`] has passed.
     ///
-    /// Failure guarded against: a new host is sent the copy of a job that another one holds, and
-    /// has not heard of that host yet. Symptom: the caller is told that the holder can't be reached
-    /// though it is up. Hosts that are listed and down must not keep a new one out of service, so
-    /// the wait is bounded.
+    /// Without this check, a new host may receive the copy of a job that another host holds before it has
+    /// learned of that host, and would answer that the holder can't be reached although it is up. The wait
+    /// is bounded, so that hosts that are listed and down do not keep a new one out of service.
     fn has_met_peers(&self, heard: usize, live: u32) -> bool {
         let listed = usize::try_from(live).unwrap_or(usize::MAX);
         let since = self.first_snapshot.get();
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Tells once when the control process has gone.
+    /// Emits an event when the control process becomes lost, once for each loss.
     async fn watch(self: Rc<Self>) {
         loop {
             Timer::after(LOST_AFTER / 3).await;
@@ -141,24 +141,24 @@
     }
 }
 
-/// Reason for which readiness is held back until a configuration came.
+/// Why the process is not ready before it has received a configuration.
 pub const WITHOUT_CONFIG: &str = "no configuration yet";
 
 fn count(found: usize) -> u32 {
     u32::try_from(found).unwrap_or(u32::MAX)
 }
 
-/// Reason for which readiness is held back until the platform's list of hosts came.
+/// Why the process is not ready before it has received the platform's list of hosts.
 pub const WITHOUT_EXECUTORS: &str = "no list of executors yet";
 
-/// Reason for which readiness is held back until the other hosts were heard.
+/// Why the process is not ready before it has learned of the other hosts.
 pub const WITHOUT_PEERS: &str = "other hosts are not heard yet";
 
-/// Longest time for which it is held back, from the first list of hosts on: five times what hosts
-/// that start together take to hear each other (190 ms).
+/// Longest time for which readiness waits for the other hosts, counted from the first list of hosts:
+/// five times the 190 ms that hosts which start together take to learn of each other.
 const PEERS_PATIENCE: Millis = Millis(1_000);
 
-/// The interface that the control process calls.
+/// The Cap'n Proto interface that the control process calls.
 struct EntryPort {
     port: Rc<ControlPort>,
 }
@@ -177,13 +177,13 @@
     }
 }
 
-/// The control process's door as a service.
+/// The service that accepts the control process's connection.
 pub struct ControlPortService {
     options: ControlPortOptions,
 }
 
 impl ControlPortService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(options: ControlPortOptions) -> Self {
         ControlPortService { options }
     }
--- a/crates/onyxshed-entry/src/engine.rs
+++ b/crates/onyxshed-entry/src/engine.rs
@@ -1,4 +1,4 @@
-//! The dispatch machine in its process: feeds it events, carries out what it says.
+//! The service that owns the dispatch state machine, feeds it inputs and executes its outputs.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,16 +19,16 @@
 use crate::peers::Peers;
 use crate::upstreams::Upstreams;
 
-/// Longest time between two ticks of the machine.
+/// Longest time between two ticks of the dispatch state machine.
 const TICK_MAX: Duration = Duration::from_millis(100);
 
-/// How often metrics are brought up to date.
+/// How often the metrics are refreshed.
 const MEASURE_EVERY: Duration = Duration::from_secs(1);
 
-/// How often a drain looks whether the last job has ended.
+/// How often a drain checks whether the last job has ended.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
-/// Handle to the dispatch machine.
+/// Handle to the dispatch state machine.
 pub struct Engine {
     kernel: Kernel,
     dispatch: RefCell<Dispatch>,
@@ -39,7 +39,7 @@
 }
 
 impl Engine {
-    /// Makes an engine round a machine.
+    /// Creates an engine that owns `dispatch`.
     pub fn new(kernel: &Kernel, dispatch: Dispatch) -> Rc<Self> {
         Rc::new(Engine {
             kernel: kernel.clone(),
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Feeds the machine one event and carries out what it says.
+    /// Feeds one input to the state machine and executes its outputs.
     pub fn feed(&self, input: Input) {
         let now = self.kernel.clock().now();
         let outputs = self.dispatch.borrow_mut().handle(now, input);
@@ -61,7 +61,7 @@
         self.arm();
     }
 
-    /// Feeds the machine a request and waits for its answer.
+    /// Feeds a request to the state machine and waits for its answer.
     pub async fn ask(&self, make: impl FnOnce(RequestId) -> Input) -> Answer {
         let request = RequestId(self.last_request.get() + 1);
         self.last_request.set(request.0);
@@ -74,17 +74,18 @@
             .expect("the machine answers every request")
     }
 
-    /// Looks into the machine.
+    /// Calls `read` with the state machine and returns its result.
     pub fn look<T>(&self, at: impl FnOnce(&Dispatch) -> T) -> T {
         at(&self.dispatch.borrow())
     }
 
-    /// Gets how many requests wait for an answer.
+    /// Returns the number of requests that wait for an answer.
     pub fn waiting_requests(&self) -> usize {
         self.waiting.borrow().len()
     }
 
-    /// Carries out one output; whatever takes time goes on beside, never within the machine's step.
+    /// Executes one output. Calls that take time are spawned, so that they never delay a step of the state
+    /// machine.
     fn carry_out(&self, output: Output) {
         match output {
             Output::Answer { request, answer } => self.answer(request, answer),
@@ -107,7 +108,7 @@
     fn answer(&self, request: RequestId, answer: Answer) {
         let waiting = self.waiting.borrow_mut().remove(&request);
         if let Some(sender) = waiting {
-            // The channel holds one answer, and a caller that has gone needs none.
+            // The channel has room for the only answer; if the receiver is closed, the caller has disconnected.
             let _ = sender.try_send(answer);
         }
     }
@@ -126,12 +127,12 @@
             (None, _) => false,
         };
         if is_sooner {
-            // A full channel means that the alarm is about to look anyway.
+            // A full channel means that the timer is about to be set again already.
             let _ = self.rearm.0.try_send(());
         }
     }
 
-    /// Brings the metrics up to date for as long as the process lives.
+    /// Refreshes the metrics until the process ends.
     async fn measure(self: Rc<Self>) {
         loop {
             self.look(measures::refresh);
@@ -139,7 +140,8 @@
         }
     }
 
-    /// Ticks the machine whenever it wants to be woken.
+    /// Ticks the state machine at each wake time that it requests, and at least every
+    /// [`TICK_INTERVAL_MAX`].
     async fn tick(self: Rc<Self>) {
         loop {
             let wake_at = self.dispatch.borrow().wake_at();
@@ -162,13 +164,13 @@
     }
 }
 
-/// The engine as a service.
+/// The service around an [`Engine`].
 pub struct EngineService {
     engine: Rc<Engine>,
 }
 
 impl EngineService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(engine: Rc<Engine>) -> Self {
         EngineService { engine }
     }
--- a/crates/onyxshed-entry/src/lib.rs
+++ b/crates/onyxshed-entry/src/lib.rs
@@ -1,9 +1,9 @@
-//! The entry process: faces callers and upstreams.
+//! The entry process: accepts jobs from callers and dispatches their tasks to executors of upstreams.
 //!
-//! [`engine`] owns the deterministic dispatch machine and turns its outputs into calls of the other
-//! services, each of which is a shell round one kind of connection: [`callers`] serves requests,
-//! [`upstreams`] starts and stops tasks, [`claim_log`] appends and follows claims, [`peers`] passes
-//! requests on, [`control_port`] takes snapshots from the control process.
+//! [`engine`] owns the deterministic dispatch state machine and executes its outputs through the other
+//! services, each of which handles one kind of connection: [`callers`] serves requests of callers and
+//! peers, [`upstreams`] starts and stops tasks, [`claim_log`] appends and follows claims, [`peers`]
+//! forwards requests to other hosts, and [`control_port`] receives snapshots from the control process.
 
 pub mod callers;
 pub mod claim_log;
--- a/crates/onyxshed-entry/src/main.rs
+++ b/crates/onyxshed-entry/src/main.rs
@@ -1,4 +1,4 @@
-//! `onyxshed-entry`: faces callers and upstreams on one entry host.
+//! `onyxshed-entry`: serves callers and dispatches their tasks to upstreams on one entry host.
 
 use std::process::ExitCode;
 
@@ -6,8 +6,8 @@
 use onyxshed_entry::process::EntryProcess;
 use onyxshed_process::command;
 
-/// The HTTP library allocates buffers for each message; the system's allocator took a fifth of the
-/// processor time (docs/MEASUREMENTS.md).
+/// The HTTP library allocates buffers for each message. With the system's allocator, that took a fifth
+/// of the processor time (docs/MEASUREMENTS.md).
 #[global_allocator]
 static ALLOCATOR: MiMalloc = MiMalloc;
 
--- a/crates/onyxshed-entry/src/measures.rs
+++ b/crates/onyxshed-entry/src/measures.rs
@@ -1,7 +1,8 @@
-//! Metrics of an entry process: what callers were answered and how soon, and what is under way.
+//! Metrics of the entry process: counts and response times of answers to submissions, and gauges of the
+//! current work.
 //!
-//! Names follow Prometheus: counters end in `_total`, spans in `_seconds`. Jobs of a class that is not
-//! configured are counted under one label, so that callers can't make labels without end.
+//! Names follow the Prometheus conventions: counters end in `_total`, durations in `_seconds`. Jobs of
+//! classes that are not configured share one label, so that callers can't create labels without bound.
 
 use std::time::Duration;
 
@@ -10,19 +11,19 @@
 use onyxshed_telemetry::metric;
 use onyxshed_wire::caller::Answer;
 
-/// Counts answers to submissions by class and code.
+/// Number of answers to submissions, by class and result code.
 pub const JOB_ANSWERS_TOTAL: &str = "onyxshed_job_answers_total";
 
 /// Time from a submission's arrival to its answer, by class.
 pub const JOB_RESPONSE_SECONDS: &str = "onyxshed_job_response_seconds";
 
-/// Counts messages that served no answer, by kind.
+/// Number of messages to executors that contributed to no answer, by kind.
 pub const WASTED_MESSAGES_TOTAL: &str = "onyxshed_wasted_messages_total";
 
-/// Label of classes that are not configured.
+/// Value of the `class` label for jobs of classes that are not configured.
 const NO_CLASS: &str = "none";
 
-/// Counts an answer to a submission and how long it took.
+/// Records an answer to a submission and its response time.
 pub fn answered(class: &ClassName, answer: &Answer, took: Duration) {
     let is_known = !matches!(
         answer.code,
@@ -36,7 +37,7 @@
         .record(took.as_secs_f64());
 }
 
-/// Brings the gauges up to date.
+/// Sets the gauges and the counters of wasted messages to the current values of the state machine.
 pub fn refresh(machine: &Dispatch) {
     metrics::describe_counter!(JOB_ANSWERS_TOTAL, "Answers to submissions.");
     metrics::describe_histogram!(
@@ -72,7 +73,7 @@
         ),
     ];
     for (name, text, value) in gauges {
-        // Exact up to 2^53.
+        // The conversion is exact up to 2^53.
         metric::gauge(name, text).set(value as f64);
     }
     let revision = machine.config().map_or(0, |held| held.revision.0);
--- a/crates/onyxshed-entry/src/names.rs
+++ b/crates/onyxshed-entry/src/names.rs
@@ -1,16 +1,16 @@
-//! Names by which the entry's services find each other.
+//! Names under which the services of the entry process are registered with the kernel.
 
 use onyxshed_kernel::ServiceName;
 
-/// The dispatch machine.
+/// Owns the dispatch state machine: [`crate::engine`].
 pub const ENGINE: ServiceName = ServiceName::new("engine");
-/// Starts and stops of tasks.
+/// Starts and stops tasks on executors: [`crate::upstreams`].
 pub const UPSTREAMS: ServiceName = ServiceName::new("upstreams");
-/// Claims in the platform's log.
+/// Appends and follows claims on the platform's log: [`crate::claim_log`].
 pub const CLAIM_LOG: ServiceName = ServiceName::new("claim-log");
-/// Requests passed on to peers.
+/// Forwards requests to peers: [`crate::peers`].
 pub const PEERS: ServiceName = ServiceName::new("peers");
-/// Snapshots from the control process.
+/// Receives snapshots from the control process: [`crate::control_port`].
 pub const CONTROL_PORT: ServiceName = ServiceName::new("control-port");
-/// Requests of callers and of peers.
+/// Serves requests of callers and of peers: [`crate::callers`].
 pub const CALLERS: ServiceName = ServiceName::new("callers");
--- a/crates/onyxshed-entry/src/peers.rs
+++ b/crates/onyxshed-entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! Requests passed on to the entry host that holds their submission.
+//! Forwards requests to the entry host that holds their submission.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,13 +19,13 @@
 use crate::names::{ENGINE, PEERS};
 use onyxshed_http::connections::{ConnectionPool, ReusePolicy};
 
-/// How long a peer may take to answer before the caller is told that it can't be reached.
+/// How long a peer may take to answer; after that the caller is answered that it can't be reached.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long opening a connection to a peer may take.
+/// Timeout of opening a connection to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How recently a connection to a peer must have answered to be used again.
+/// A connection to a peer is reused only if it has answered within this time.
 const PROVEN_WITHIN: Duration = Duration::from_secs(2);
 
 /// Most idle connections kept to one peer.
@@ -38,7 +38,7 @@
 }
 
 impl Peers {
-    /// Makes a handle without connections.
+    /// Creates a handle without connections.
     pub fn new(kernel: &Kernel) -> Rc<Self> {
         Rc::new(Peers {
             kernel: kernel.clone(),
@@ -46,7 +46,8 @@
         })
     }
 
-    /// Passes a request on and reports the peer's answer to the engine.
+    /// Forwards a request and reports the peer's answer to the engine. The answer is `None` if the peer's
+    /// `address` is not known, or the peer can't be reached.
     pub fn forward(
         self: &Rc<Self>,
         request: RequestId,
@@ -71,7 +72,7 @@
         self.kernel.spawn(run).detach();
     }
 
-    /// Asks a peer; none if it can't be reached or its answer can't be read.
+    /// Calls a peer. Returns `None` if it can't be reached or its answer can't be decoded.
     async fn ask(&self, address: SocketAddr, call: ForwardedCall) -> Option<Answer> {
         let pool = self.pool(address);
         let mut connection = pool
@@ -120,13 +121,13 @@
     }
 }
 
-/// The connections to peers as a service.
+/// The service around [`Peers`].
 pub struct PeerService {
     peers: Rc<Peers>,
 }
 
 impl PeerService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(peers: Rc<Peers>) -> Self {
         PeerService { peers }
     }
--- a/crates/onyxshed-entry/src/process.rs
+++ b/crates/onyxshed-entry/src/process.rs
@@ -1,4 +1,4 @@
-//! The entry process put together from its settings.
+//! Assembles the entry process from its settings.
 
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
 use crate::peers::{PeerService, Peers};
 use crate::upstreams::{UpstreamOptions, UpstreamService, Upstreams};
 
-/// The entry process.
+/// The process `onyxshed-entry`, as run by [`onyxshed_process::command::main`].
 pub struct EntryProcess;
 
 impl Process for EntryProcess {
@@ -50,11 +50,11 @@
     }
 }
 
-/// Makes every service of the process.
+/// Creates the services of the process.
 fn services(parts: &ServiceContext, settings: &EntrySettings) -> Vec<Box<dyn Service>> {
     let kernel = &parts.kernel;
     let telemetry = parts.telemetry.clone();
-    // The entry host's incarnation is this run of its entry process.
+    // The incarnation of the entry host identifies this run of its entry process.
     let incarnation = parts.boot;
     let dispatch = Dispatch::new(incarnation, dispatch_options(settings), rand::random());
     let engine = Engine::new(kernel, dispatch);
@@ -79,7 +79,8 @@
     ]
 }
 
-/// Tells operators the state of the machine and how old what it rests on is.
+/// Registers the status source: the dispatch state machine's counts and the age of the snapshot that
+/// it works with.
 fn set_status(kernel: &Kernel, telemetry: &Telemetry, engine: &Rc<Engine>) {
     let (kernel, engine) = (kernel.clone(), engine.clone());
     telemetry.set_status_source(Box::new(move || {
--- a/crates/onyxshed-entry/src/upstreams.rs
+++ b/crates/onyxshed-entry/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! Starts and stops of tasks on executors.
+//! Starts and stops tasks on the executors of upstreams.
 
 mod call;
 
@@ -19,17 +19,17 @@
 
 pub use call::{StartCall, StopCall};
 
-/// Limits of the connections to executors.
+/// Limits of the calls to executors and of their connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamOptions {
     /// Most idle connections kept to one executor. Default 16.
     pub connections_per_executor: usize,
-    /// How recently a connection must have answered to carry a task that may not run twice.
+    /// A task that may not run twice is sent only over a connection that has answered within this time.
     /// Default 2 s.
     pub proven_within: Duration,
-    /// How long a stop may take. Default 1 s.
+    /// Timeout of a stop and of a status query. Default 1 s.
     pub stop_timeout: Duration,
-    /// What a call may last beyond the task's lease. Default 200 ms.
+    /// How much longer than the task's lease the call of a start may take. Default 200 ms.
     pub call_slack: Duration,
     /// Limits of each connection.
     pub client: ClientOptions,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Handle to the executors' connections.
+/// Handle to the connections to executors.
 pub struct Upstreams {
     kernel: Kernel,
     me: Incarnation,
@@ -56,7 +56,7 @@
 }
 
 impl Upstreams {
-    /// Makes a handle that knows no executor.
+    /// Creates a handle without executors.
     pub fn new(kernel: &Kernel, me: Incarnation, options: UpstreamOptions) -> Rc<Self> {
         let kernel = kernel.clone();
         Rc::new(Upstreams {
@@ -67,12 +67,13 @@
         })
     }
 
-    /// Gets how many executors are known.
+    /// Returns the number of known executors.
     pub fn count(&self) -> usize {
         self.pools.borrow().len()
     }
 
-    /// Sets the executors known; connections to those left out are closed once idle.
+    /// Replaces the set of known executors. Connections to executors that are missing from `executors` are
+    /// closed once they are idle.
     pub fn set_executors(&self, executors: &[ExecutorEntry]) {
         let mut pools = self.pools.borrow_mut();
         let mut known = std::mem::take(&mut *pools);
@@ -104,7 +105,7 @@
         ))
     }
 
-    /// Carries out a start, a stop or a question, and reports its end to the engine.
+    /// Executes a start, a stop or a status query, and reports its end to the engine.
     pub fn carry_out(self: &Rc<Self>, output: Output) {
         let upstreams = self.clone();
         self.kernel
@@ -165,13 +166,13 @@
     }
 }
 
-/// The executors' connections as a service.
+/// The service around [`Upstreams`].
 pub struct UpstreamService {
     upstreams: Rc<Upstreams>,
 }
 
 impl UpstreamService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(upstreams: Rc<Upstreams>) -> Self {
         UpstreamService { upstreams }
     }
--- a/crates/onyxshed-entry/src/upstreams/call.rs
+++ b/crates/onyxshed-entry/src/upstreams/call.rs
@@ -1,4 +1,5 @@
-//! One start or stop as an HTTP call, and what its reply or silence proves.
+//! Start, stop and status calls to executors over HTTP, and the outcome that their reply or failure
+//! proves.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,34 +19,35 @@
 use super::Upstreams;
 use onyxshed_http::connections::{ConnectionPool, ReusePolicy};
 
-/// A start to carry out.
+/// Parameters of a start.
 #[derive(Debug, Clone)]
 pub struct StartCall {
-    /// The attempt.
+    /// The attempt that the call begins.
     pub attempt: AttemptId,
-    /// The task.
+    /// The task to run.
     pub task: TaskId,
-    /// Its class.
+    /// The class of the task.
     pub class: ClassName,
-    /// Its payload.
+    /// The payload of the task, sent as the request's body.
     pub payload: Rc<Vec<u8>>,
-    /// How long the executor may work on it, in milliseconds.
+    /// How long the executor may work on the task, in milliseconds.
     pub lease_ms: Millis,
-    /// Whether it may only go onto a connection that proved of late that it works.
+    /// Whether the call needs a connection that has answered recently, see
+    /// [`super::UpstreamOptions::proven_within`].
     pub needs_proven_connection: bool,
 }
 
-/// A stop to carry out.
+/// Parameters of a stop.
 #[derive(Debug, Clone, Copy)]
 pub struct StopCall {
-    /// The attempt.
+    /// The attempt to stop.
     pub attempt: AttemptId,
-    /// The task.
+    /// The task of the attempt.
     pub task: TaskId,
 }
 
 impl Upstreams {
-    /// Starts a task and waits for its end.
+    /// Starts a task and waits until the attempt has ended.
     pub(super) async fn start(&self, executor: &ExecutorName, call: StartCall) -> AttemptReport {
         let Some(pool) = self.pool(executor) else {
             return ended(AttemptOutcome::Unsent, "the executor is no longer known");
@@ -100,9 +102,9 @@
             .await
     }
 
-    /// Stops a task; none if the executor did not answer.
+    /// Stops an attempt. Returns `None` if the executor sent no valid reply.
     ///
-    /// It always takes a new connection: the one that carried the start may have gone silent.
+    /// It always opens a new connection, since the one that carried the start may no longer deliver data.
     pub(super) async fn stop(&self, executor: &ExecutorName, call: StopCall) -> Option<StopReport> {
         let headers = [
             (STARTER_HEADER, smol_str::format_smolstr!("{}", self.me)),
@@ -121,7 +123,7 @@
         })
     }
 
-    /// Asks what has become of a task; none if the executor did not answer.
+    /// Queries the status of a task. Returns `None` if the executor sent no valid reply.
     pub(super) async fn ask(&self, executor: &ExecutorName, task: TaskId) -> Option<TaskStatus> {
         let reply = self.call_anew(executor, Method::Get, &[], task).await?;
         is_about(task, &reply)
@@ -129,7 +131,7 @@
             .flatten()
     }
 
-    /// Calls about a task on a new connection and keeps that for the next start.
+    /// Calls about a task over a new connection, which is then kept for the next start.
     async fn call_anew(
         &self,
         executor: &ExecutorName,
@@ -161,10 +163,11 @@
     }
 }
 
-/// Judges a call that brought no reply: only one of which no byte left us did not start the task.
+/// Reports a call that got no reply. Only if no byte was sent is it certain that the task was not
+/// started.
 fn broken(pool: &ConnectionPool, error: &CallError) -> AttemptReport {
-    // A connection that went silent was forgotten by something on the way, and its idle
-    // neighbours most likely with it.
+    // After a timeout, something on the path has most likely lost the state of this connection, and that
+    // of the idle connections to the same executor as well.
     if error.is_timeout {
         pool.clear();
     }
@@ -174,7 +177,7 @@
     }
 }
 
-/// Gets the task's state, none if the reply is another task's or tells no state.
+/// Returns the task's state, or `None` if the reply is about another task or contains no valid state.
 fn state_of(task: TaskId, reply: &Reply) -> Option<TaskState> {
     let state = reply.header_value(STATE_HEADER)?.parse().ok()?;
     is_about(task, reply).then_some(state)
@@ -228,7 +231,7 @@
     }
 }
 
-/// Longest reason repeated from an executor, in characters.
+/// Longest part of an executor's reply that is kept as a reason, in characters.
 const REASON_CHARS: usize = 120;
 
 fn excerpt(body: &[u8]) -> SmolStr {
