--- a/crates/onyxshed-control/src/config_follower.rs
+++ b/crates/onyxshed-control/src/config_follower.rs
@@ -16,17 +16,17 @@
 /// How long a read waits for the next record.
 const READ_WAIT: Millis = Millis(1_000);
 
-/// How long to wait after a read that failed.
+/// How long to wait after a failed read.
 const READ_PAUSE: Duration = Duration::from_millis(500);
 
-/// The follower as a service.
+/// The service that follows the stream.
 pub struct ConfigFollower {
     platform_address: SocketAddr,
     options: PlatformOptions,
 }
 
 impl ConfigFollower {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(platform_address: SocketAddr, options: PlatformOptions) -> Self {
         ConfigFollower {
             platform_address,
--- a/crates/onyxshed-control/src/entry_link.rs
+++ b/crates/onyxshed-control/src/entry_link.rs
@@ -1,4 +1,4 @@
-//! Hands snapshots to the entry process of this host.
+//! Sends snapshots to the entry process of this host.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,34 +15,35 @@
 use crate::knowledge::Knowledge;
 use crate::names::{ENTRY_LINK, KNOWLEDGE};
 
-/// Longest time between two snapshots; the entry tells from their absence that we are gone.
+/// Longest time between two snapshots. The entry process detects the loss of the control process by
+/// their absence.
 const HAND_OVER_EVERY: Duration = Duration::from_millis(500);
 
-/// How long the entry may take to take one in.
+/// Timeout of the call that sends a snapshot.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long to wait before connecting again; both processes may start at the same moment.
 const CONNECT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Handle to what the entry process told last.
+/// Handle to the status that the entry process last reported.
 pub struct EntryLink {
     status: RefCell<Option<EntryStatus>>,
 }
 
 impl EntryLink {
-    /// Gets what the entry process told last, none while it can't be reached.
+    /// Returns the status that the entry process last reported, or `None` while it can't be reached.
     pub fn status(&self) -> Option<EntryStatus> {
         self.status.borrow().clone()
     }
 }
 
-/// The link as a service.
+/// The service that sends snapshots.
 pub struct EntryLinkService {
     entry_address: SocketAddr,
 }
 
 impl EntryLinkService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(entry_address: SocketAddr) -> Self {
         EntryLinkService { entry_address }
     }
@@ -75,7 +76,7 @@
     }
 }
 
-/// Connects, hands over, and begins again when the connection breaks.
+/// Connects to the entry process and sends snapshots, and connects again when the connection breaks.
 async fn keep_up(
     kernel: Kernel,
     knowledge: Rc<Knowledge>,
@@ -116,7 +117,7 @@
     }
 }
 
-/// Hands one snapshot over and gets the entry's status; none if the connection is of no use.
+/// Sends one snapshot and returns the entry process's status, or `None` if the call failed or timed out.
 async fn hand_over(knowledge: &Knowledge, client: &entry_port::Client) -> Option<EntryStatus> {
     let mut request = client.install_request();
     snapshot::write(&knowledge.snapshot(), request.get().init_snapshot());
--- a/crates/onyxshed-control/src/host_follower.rs
+++ b/crates/onyxshed-control/src/host_follower.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's lagging list of hosts.
+//! Polls the platform's list of hosts, which lags behind the hosts' actual state.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,11 +15,11 @@
 use crate::names::{HOST_FOLLOWER, KNOWLEDGE, PEERS};
 use crate::peers::Peers;
 
-/// How often the list is read: an executor that is leaving must be known within 2 s, and the reading
-/// takes 122 bytes an executor each time (docs/CAPACITY.md).
+/// How often the list is read. A draining executor must be known within 2 s, and each read takes 122
+/// bytes per executor (docs/CAPACITY.md).
 const READ_EVERY: Duration = Duration::from_secs(1);
 
-/// The follower as a service.
+/// The service that polls the list.
 pub struct HostFollower {
     platform_address: SocketAddr,
     zone: onyxshed_core::ZoneName,
@@ -27,7 +27,7 @@
 }
 
 impl HostFollower {
-    /// Makes the service for a host of `zone`.
+    /// Creates the service for a host of `zone`.
     pub fn new(
         platform_address: SocketAddr,
         zone: onyxshed_core::ZoneName,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Gets the executors of the host's own zone: each zone has its own upstreams.
+/// Returns the executors of the host's own zone; each zone has its own upstreams.
 fn executors_of(list: &HostList, zone: &onyxshed_core::ZoneName) -> Vec<ExecutorEntry> {
     let ours = list
         .executors
--- a/crates/onyxshed-control/src/knowledge.rs
+++ b/crates/onyxshed-control/src/knowledge.rs
@@ -1,4 +1,5 @@
-//! What the control process knows, shared by its services.
+//! State that the services of the control process share, and from which snapshots for the entry process
+//! are made.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,6 +15,7 @@
 
 use crate::names::KNOWLEDGE;
 
+/// The state behind a handle: the folded configuration, the executors and the members.
 #[derive(Debug, Default)]
 struct Facts {
     fold: ConfigFold,
@@ -25,7 +27,7 @@
     live: u32,
 }
 
-/// Handle to what the process knows.
+/// Handle to the state that the services share.
 pub struct Knowledge {
     kernel: Kernel,
     facts: RefCell<Facts>,
@@ -33,7 +35,7 @@
 }
 
 impl Knowledge {
-    /// Makes a handle that knows nothing.
+    /// Creates a handle to an empty state.
     pub fn new(kernel: &Kernel, options: ConfigOptions) -> Rc<Self> {
         let facts = Facts {
             fold: ConfigFold::new(options),
@@ -46,24 +48,24 @@
         })
     }
 
-    /// Gets the offset of the configuration stream to read from next.
+    /// Returns the offset of the configuration stream to read from next.
     pub fn config_next(&self) -> Offset {
         self.facts.borrow().fold.next()
     }
 
-    /// Gets the revision in force, none until the stream was read once.
+    /// Returns the revision in force, or `None` until the end of the stream was read once.
     pub fn revision(&self) -> Option<Revision> {
         let facts = self.facts.borrow();
         facts.has_config.then(|| facts.fold.config().revision)
     }
 
-    /// Gets the configuration in force, none until the stream was read once.
+    /// Returns the configuration in force, or `None` until the end of the stream was read once.
     pub fn config(&self) -> Option<Config> {
         let facts = self.facts.borrow();
         facts.has_config.then(|| facts.fold.config().clone())
     }
 
-    /// Takes in what was read of the configuration stream.
+    /// Folds a page that was read from the configuration stream into the configuration.
     pub fn read(&self, page: &Page) {
         let before = self.revision();
         self.skip_lost(page);
@@ -73,7 +75,7 @@
         }
         let mut facts = self.facts.borrow_mut();
         let is_at_end = facts.fold.next() >= page.next;
-        // A fold that lost records may hold nothing yet; an empty one is no configuration then.
+        // If records were lost, the fold may still be empty, and an empty configuration is not valid then.
         let is_known = facts.fold.is_complete() || facts.fold.config().revision > Revision(0);
         facts.has_config |= is_at_end && is_known;
         drop(facts);
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Notes records that the log lost before they were read here.
+    /// Skips records that the log dropped before they were read here, and emits an event if there are any.
     fn skip_lost(&self, page: &Page) {
         let mut facts = self.facts.borrow_mut();
         if page.oldest <= facts.fold.next() {
@@ -97,12 +99,13 @@
             .emit(Event::new(EventKind::ConfigGap).detail(detail));
     }
 
-    /// Tells whether the configuration is the fold of every record so far; else a peer may know more.
+    /// Returns whether the configuration is the fold of every record so far. If not, a peer may have a more
+    /// complete one.
     pub fn is_complete(&self) -> bool {
         self.facts.borrow().fold.is_complete()
     }
 
-    /// Takes in what a peer handed over.
+    /// Adopts the configuration that a peer handed over.
     pub fn adopt(&self, told: Handover) {
         let step = self.facts.borrow_mut().fold.adopt_handover(told);
         if let FoldOutcome::Accepted(_) = step {
@@ -112,13 +115,13 @@
         }
     }
 
-    /// Gets what a peer needs to go on from here, none while nothing is known.
+    /// Returns what a peer needs to continue from this configuration, or `None` while there is none.
     pub fn handover(&self) -> Option<Handover> {
         let facts = self.facts.borrow();
         facts.has_config.then(|| facts.fold.handover())
     }
 
-    /// Decides whether to publish the configuration again.
+    /// Decides whether to append the configuration to its stream again.
     pub fn republish(&self, now: UnixMs, seed: u64) -> RepublishStep {
         self.facts.borrow_mut().fold.republish(now, seed)
     }
@@ -138,7 +141,7 @@
         self.kernel.emit(event);
     }
 
-    /// Sets the executors known.
+    /// Replaces the list of executors.
     pub fn set_executors(&self, executors: Vec<ExecutorEntry>) {
         let is_new = self.facts.borrow().executors.as_ref() != Some(&executors);
         if is_new {
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Sets the members known and how many of them are live here and everywhere.
+    /// Replaces the members, with the number of live hosts in this zone and of known hosts in all zones.
     pub fn set_members(
         &self,
         members: Vec<Member>,
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Gets the snapshot for the entry process.
+    /// Returns a snapshot for the entry process.
     pub fn snapshot(&self) -> Snapshot {
         let config = self.config();
         let facts = self.facts.borrow();
@@ -183,24 +186,24 @@
         }
     }
 
-    /// Waits until something has changed.
+    /// Waits until the state has changed.
     pub async fn changed(&self) {
         let _ = self.changed.1.recv().await;
     }
 
     fn notify(&self) {
-        // A full channel means that a change is about to be looked at anyway.
+        // A full channel means that a change that was not handled yet is already signalled.
         let _ = self.changed.0.try_send(());
     }
 }
 
-/// The knowledge as a service.
+/// The service around the shared state.
 pub struct KnowledgeService {
     knowledge: Rc<Knowledge>,
 }
 
 impl KnowledgeService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(knowledge: Rc<Knowledge>) -> Self {
         KnowledgeService { knowledge }
     }
--- a/crates/onyxshed-control/src/lib.rs
+++ b/crates/onyxshed-control/src/lib.rs
@@ -1,9 +1,10 @@
-//! The control process: knows what the entry process of its host needs to know.
+//! The control process: supplies the entry process of its host with the state that it works with.
 //!
-//! [`config_follower`] folds the platform's configuration stream, [`host_follower`] reads its lagging
-//! list of hosts, [`peers`] exchanges digests with the control processes of other hosts, and
-//! [`entry_link`] hands the sum, a snapshot, to the entry process. [`knowledge`] is what they share.
-//! This process may die, hang or restart without one request noticing.
+//! [`config_follower`] folds the platform's configuration stream, [`host_follower`] polls the platform's
+//! list of hosts, which lags behind, [`peers`] exchanges gossip with the control processes of other
+//! hosts, [`republisher`] appends the configuration again before its records expire, and [`entry_link`]
+//! sends the combined state to the entry process as a snapshot. [`knowledge`] holds the state that these
+//! services share. A crash, hang or restart of this process does not affect requests.
 
 pub mod config_follower;
 pub mod entry_link;
--- a/crates/onyxshed-control/src/main.rs
+++ b/crates/onyxshed-control/src/main.rs
@@ -1,4 +1,5 @@
-//! `onyxshed-control`: keeps the entry process of one entry host informed.
+//! `onyxshed-control`: supplies the entry process of one entry host with configuration, executors and
+//! peers.
 
 use std::process::ExitCode;
 
--- a/crates/onyxshed-control/src/names.rs
+++ b/crates/onyxshed-control/src/names.rs
@@ -1,16 +1,16 @@
-//! Names by which the control process's services find each other.
+//! Names under which the services of the control process are registered with the kernel.
 
 use onyxshed_kernel::ServiceName;
 
-/// What the process knows.
+/// Holds the state that the other services share: [`crate::knowledge`].
 pub const KNOWLEDGE: ServiceName = ServiceName::new("knowledge");
-/// The configuration stream.
+/// Follows the configuration stream: [`crate::config_follower`].
 pub const CONFIG_FOLLOWER: ServiceName = ServiceName::new("config-follower");
-/// The platform's list of hosts.
+/// Polls the platform's list of hosts: [`crate::host_follower`].
 pub const HOST_FOLLOWER: ServiceName = ServiceName::new("host-follower");
-/// Digests exchanged with peers.
+/// Exchanges gossip with peers: [`crate::peers`].
 pub const PEERS: ServiceName = ServiceName::new("peers");
-/// Snapshots handed to the entry process.
+/// Sends snapshots to the entry process: [`crate::entry_link`].
 pub const ENTRY_LINK: ServiceName = ServiceName::new("entry-link");
-/// The configuration published again in time.
+/// Appends the configuration again before its records expire: [`crate::republisher`].
 pub const REPUBLISHER: ServiceName = ServiceName::new("republisher");
--- a/crates/onyxshed-control/src/peers.rs
+++ b/crates/onyxshed-control/src/peers.rs
@@ -1,7 +1,7 @@
-//! Digests exchanged with the control processes of other hosts.
+//! Exchanges gossip about the members with the control processes of other hosts.
 //!
-//! The heartbeats are the entry process's: this process sends them only while it hears from its
-//! entry, so an entry that is gone or frozen falls silent to its peers within a second.
+//! Each heartbeat stands for the entry process: this process sends heartbeats only while its entry
+//! process answers, so that peers suspect a stopped or frozen entry process within a second.
 
 mod calls;
 mod port;
@@ -26,32 +26,32 @@
 use crate::knowledge::Knowledge;
 use crate::names::{ENTRY_LINK, KNOWLEDGE, PEERS};
 
-/// Rounds in which a new host tells its peers at once that it is there.
+/// Number of rounds at the short interval with which a new host introduces itself to its peers.
 const INTRODUCTORY_ROUNDS: u32 = 20;
 
-/// Time between two of these rounds.
+/// Interval between these rounds.
 const INTRODUCTORY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Who this host is among its peers, and how often it tells them.
+/// Identity of this host among its peers, and the parameters of the gossip.
 #[derive(Debug, Clone)]
 pub struct PeerOptions {
-    /// The host.
+    /// Name of this host.
     pub host: HostName,
-    /// Its zone.
+    /// Zone of this host.
     pub zone: ZoneName,
-    /// Where peers are served.
+    /// Address on which peers are served.
     pub address: SocketAddr,
-    /// Told to peers in place of the address listened on, if any.
+    /// Address sent to peers in place of the address listened on, if any.
     pub advertised_address: Option<SocketAddr>,
-    /// Some peers' addresses.
+    /// Addresses of some peers to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two rounds.
+    /// Interval between two rounds.
     pub heartbeat_ms: Millis,
-    /// Times and bounds of the membership.
+    /// Timeouts and limits of the membership.
     pub members: MemberOptions,
 }
 
-/// Handle to the peers.
+/// Handle to the membership and the connections to peers.
 pub struct Peers {
     kernel: Kernel,
     options: PeerOptions,
@@ -64,17 +64,17 @@
 }
 
 impl Peers {
-    /// Takes in the platform's list of hosts.
+    /// Applies the platform's list of hosts.
     pub fn listed(&self, list: &HostList) {
         if let Some(table) = self.table.borrow_mut().as_mut() {
             table.apply_host_list(self.kernel.clock().now(), list);
         }
         self.last_list.replace(Some(list.clone()));
-        // The entry counts on the number of hosts that comes with the list.
+        // The entry process needs the number of hosts, which comes with the list.
         self.share();
     }
 
-    /// Takes in a peer's message and gets the answer; none while this host has no entry.
+    /// Applies a peer's message and returns the answer, or `None` while this host has no entry process.
     fn hear(&self, gossip: &Gossip) -> Option<Gossip> {
         let now = self.kernel.clock().now();
         let heard = self.table.borrow_mut().as_mut()?.apply_gossip(now, gossip);
@@ -83,7 +83,7 @@
         Some(heard.answer)
     }
 
-    /// Does one round for the entry whose status is given.
+    /// Starts a round on behalf of the entry process with this status; returns the messages to send.
     fn round(&self, status: &EntryStatus) -> Vec<OutgoingGossip> {
         let now = self.kernel.clock().now();
         let mut held = self.table.borrow_mut();
@@ -107,7 +107,7 @@
         outgoing
     }
 
-    /// Makes the table; the list of hosts may have come before the entry's first word.
+    /// Creates the table. The list of hosts may have arrived before the entry process's first status.
     fn new_table(&self, now: Now, status: &EntryStatus) -> MemberTable {
         let me = self.first_heartbeat(status);
         let seeds = self.options.seeds.clone();
@@ -118,7 +118,7 @@
         table
     }
 
-    /// Makes the first heartbeat of the entry whose status is given.
+    /// Creates the first heartbeat of the entry process with this status.
     fn first_heartbeat(&self, status: &EntryStatus) -> Heartbeat {
         Heartbeat {
             host: self.options.host.clone(),
@@ -127,8 +127,8 @@
             started_at_ms: status.started_at_ms,
             control_address: self.address,
             peer_address: status.peer_address,
-            // Counts on from the wall clock, so that a control process that restarts beside a
-            // living entry is not taken for an echo of its own past.
+            // The count continues from the wall clock, so that peers do not take the heartbeats of a control
+            // process that restarts beside a running entry process for old ones of the same incarnation.
             counter: self.kernel.clock().now().wall.0,
             load: status.load,
             config_revision: status.config_revision.unwrap_or_default(),
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Hands what is known of the members on to the entry.
+    /// Passes the current members on to the entry process.
     fn share(&self) {
         let held = self.table.borrow();
         let Some(table) = held.as_ref() else {
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Gets the time until the next round: short while this host is new to its peers, so that a
-    /// request that comes to another host soon after the start finds its way here.
+    /// Returns the time until the next round. It is short while this host is new to its peers, so that a
+    /// request that arrives at another host soon after the start is forwarded to this one.
     fn pause(&self) -> Duration {
         let heartbeat = Duration::from(self.options.heartbeat_ms);
         let is_new = self.rounds.get() < INTRODUCTORY_ROUNDS;
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Tells peers for as long as the process lives.
+    /// Sends gossip to peers until the process ends.
     async fn keep_telling(self: Rc<Self>, link: Rc<EntryLink>) {
         loop {
             Timer::after(self.pause()).await;
@@ -214,13 +214,13 @@
     }
 }
 
-/// The peers as a service.
+/// The service that exchanges gossip with peers.
 pub struct PeerService {
     options: PeerOptions,
 }
 
 impl PeerService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(options: PeerOptions) -> Self {
         PeerService { options }
     }
--- a/crates/onyxshed-control/src/peers/calls.rs
+++ b/crates/onyxshed-control/src/peers/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to peers, each on a connection that is kept while it works.
+//! Calls to peers. The connection to each peer is kept until a call on it fails.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,12 +13,13 @@
 
 use super::Peers;
 
-/// How long a peer may take to answer. A connection that has gone silent is dropped after this and
-/// opened anew in the next round.
+/// How long a peer may take to answer. A connection over which no answer arrives in this time is
+/// dropped, and opened again in the next round.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Peers {
-    /// Tells one peer, takes in its answer, and fetches its configuration if that is newer.
+    /// Sends a message to one peer, applies the answer, and fetches the peer's configuration if it is newer
+    /// or this host's is incomplete.
     pub(super) async fn send(self: Rc<Self>, outgoing: OutgoingGossip) {
         let answer = with_timeout(CALL_TIMEOUT, self.exchange(&outgoing))
             .await
--- a/crates/onyxshed-control/src/peers/port.rs
+++ b/crates/onyxshed-control/src/peers/port.rs
@@ -1,4 +1,4 @@
-//! The interface that peers call.
+//! The Cap'n Proto interface that peers call.
 
 use std::rc::Rc;
 
@@ -8,13 +8,13 @@
 
 use super::Peers;
 
-/// Serves peers.
+/// Implementation of the interface that peers call.
 pub struct Port {
     peers: Rc<Peers>,
 }
 
 impl Port {
-    /// Makes the interface.
+    /// Creates the implementation on top of `peers`.
     pub fn new(peers: Rc<Peers>) -> Self {
         Port { peers }
     }
--- a/crates/onyxshed-control/src/process.rs
+++ b/crates/onyxshed-control/src/process.rs
@@ -1,4 +1,4 @@
-//! The control process put together from its settings.
+//! Assembles the control process from its settings.
 
 use std::rc::Rc;
 
@@ -19,7 +19,7 @@
 use crate::peers::{PeerOptions, PeerService};
 use crate::republisher::Republisher;
 
-/// The control process.
+/// The process `onyxshed-control`, as run by [`onyxshed_process::command::main`].
 pub struct ControlProcess;
 
 impl Process for ControlProcess {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Makes every service of the process.
+/// Creates the services of the process.
 fn services(parts: &ServiceContext, settings: &ControlSettings) -> Vec<Box<dyn Service>> {
     let kernel = &parts.kernel;
     let telemetry = parts.telemetry.clone();
@@ -84,7 +84,7 @@
     }
 }
 
-/// Tells operators what the process knows.
+/// Registers the status source: the configuration's offset and what the entry process last reported.
 fn set_status(kernel: &Kernel, telemetry: &Telemetry, knowledge: &Rc<Knowledge>) {
     let (kernel, knowledge) = (kernel.clone(), knowledge.clone());
     telemetry.set_status_source(Box::new(move || {
--- a/crates/onyxshed-control/src/republisher.rs
+++ b/crates/onyxshed-control/src/republisher.rs
@@ -1,4 +1,4 @@
-//! Publishes the configuration again before its records expire.
+//! Appends the configuration to its stream again before its records expire.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,17 +15,17 @@
 use crate::knowledge::Knowledge;
 use crate::names::{KNOWLEDGE, REPUBLISHER};
 
-/// How often it is decided whether to publish.
+/// How often to check whether the configuration must be appended again.
 const DECIDE_EVERY: Duration = Duration::from_secs(1);
 
-/// The republisher as a service.
+/// The service that appends the configuration again.
 pub struct Republisher {
     platform_address: SocketAddr,
     options: PlatformOptions,
 }
 
 impl Republisher {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(platform_address: SocketAddr, options: PlatformOptions) -> Self {
         Republisher {
             platform_address,
@@ -68,8 +68,8 @@
     }
 }
 
-/// Appends the records; whatever fails is decided anew later, and a record that stands twice tells
-/// nothing new.
+/// Appends the records and returns whether all were appended. A later check repeats what failed, and a
+/// record that is on the log twice has no further effect.
 async fn publish(client: &mut PlatformClient, records: &[ConfigRecord]) -> bool {
     for record in records {
         if client
