--- a/crates/onyxshed-cli/src/args.rs
+++ b/crates/onyxshed-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! From the typed command line to what is to be done.
+//! Turns the parsed command line into an [`Action`].
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,120 +13,120 @@
 
 use crate::error::{Error, Result};
 
-/// What is to be done.
+/// The action that a command line asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Check a settings file.
+    /// Checks a settings file.
     Check {
-        /// The file.
+        /// Path of the settings file.
         file: PathBuf,
-        /// Which process it is for.
+        /// The kind of process that the settings are for.
         kind: SettingsKind,
     },
-    /// Publish a change.
+    /// Publishes a change of the configuration.
     Publish(Publish),
-    /// Show targets.
+    /// Shows the targets of classes.
     Show {
-        /// Where to read them.
+        /// The platform whose log holds the configuration.
         platform: PlatformArgs,
-        /// Only this class.
+        /// Shows only this class, if given.
         class: Option<ClassName>,
     },
-    /// Show the changes on the log.
+    /// Shows the changes on the log.
     History {
-        /// Where to read them.
+        /// The platform whose log holds the configuration.
         platform: PlatformArgs,
-        /// Only those of this class.
+        /// Shows only changes of this class, if given.
         class: Option<ClassName>,
-        /// Only this one.
+        /// Shows only the change with this id, if given.
         change: Option<ChangeId>,
     },
-    /// Show every process.
+    /// Shows the status of every process.
     Status(ProcessArgs),
-    /// Show what happened.
+    /// Shows the events of all processes.
     Timeline(TimelineArgs),
-    /// Take a process out of service.
+    /// Takes a process out of service.
     Drain {
-        /// The process.
+        /// The process to drain.
         process: ProcessAddress,
-        /// Whether to wait for its end.
+        /// Whether to wait until the process has ended.
         is_waiting: bool,
         /// How long to wait, in milliseconds.
         timeout_ms: Millis,
     },
-    /// Explain a number.
+    /// Explains the number of a result code or an event.
     Explain(SmolStr),
-    /// Tell from log files what became of a request or a job.
+    /// Explains the outcome of a request or a job from log files.
     Story {
-        /// Its id.
+        /// Id of the request or the job.
         id: SmolStr,
-        /// The log files of all hosts.
+        /// Paths of the log files of all hosts.
         logs: Vec<PathBuf>,
     },
 }
 
-/// A change to publish.
+/// Parameters of a change to publish.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Publish {
-    /// Where.
+    /// The platform whose log the change is appended to.
     pub platform: PlatformArgs,
-    /// What it does.
+    /// The content of the change.
     pub body: ChangeBody,
-    /// The revision that the operator looked at, if not the newest.
+    /// The revision that the change is based on; `None` for the one in force.
     pub based_on: Option<Revision>,
-    /// Processes to wait for until they have it in force.
+    /// Processes in which the revision must be in force before the command ends.
     pub wait_for: Vec<ProcessAddress>,
 }
 
-/// The platform and how long to ask it.
+/// The platform to call, and the time limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformArgs {
-    /// Its address.
+    /// Address of the platform.
     pub address: SocketAddr,
     /// How long the whole command may take, in milliseconds.
     pub timeout_ms: Millis,
 }
 
-/// Processes and how long to ask them.
+/// The processes to query, and the time limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProcessArgs {
-    /// The processes.
+    /// Names and addresses of the processes.
     pub processes: Vec<ProcessAddress>,
-    /// How long each may take to answer, in milliseconds.
+    /// How long each process may take to answer, in milliseconds.
     pub timeout_ms: Millis,
 }
 
-/// Where events are taken from.
+/// Where events are read from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EventSource {
-    /// The memory of these processes.
+    /// The events that these processes hold in memory.
     Processes(ProcessArgs),
-    /// Log files of all hosts.
+    /// Paths of the log files of all hosts.
     Logs(Vec<PathBuf>),
 }
 
-/// Which events to show.
+/// Which events to show, and how many lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimelineArgs {
-    /// Where they are.
+    /// Where the events are read from.
     pub source: EventSource,
-    /// Only those that concern no single request, job or submission.
+    /// Whether to show only events that concern no single request, job or submission.
     pub beliefs_only: bool,
-    /// Only those of this submission.
+    /// Shows only events of this submission, if given.
     pub submission: Option<SubmissionId>,
-    /// Only those of this class.
+    /// Shows only events of this class, if given.
     pub class: Option<ClassName>,
-    /// Only those whose other party's name holds this.
+    /// Shows only events whose other party's name contains this text, if given.
     pub party: Option<SmolStr>,
-    /// Only those with this upstream's executors, and the platform that knows them.
+    /// Shows only events with this upstream's executors, which the platform lists, if given.
     pub upstream: Option<(UpstreamName, PlatformArgs)>,
-    /// Only those of the last span, in milliseconds.
+    /// Shows only events of the last so many milliseconds, if given.
     pub since_ms: Option<Millis>,
-    /// Most lines shown.
+    /// Maximum number of lines; earlier ones are omitted.
     pub lines: usize,
 }
 
-/// Tries to read an action from what clap took in; settings that it names are loaded.
+/// Tries to build the action from the parsed command line, and loads the settings that it names.
 pub fn action(matches: &ArgMatches) -> Result<Action> {
     match matches.subcommand() {
         Some(("check", args)) => check(args),
@@ -139,7 +139,7 @@
     }
 }
 
-/// Tells whether answers are wanted as JSON.
+/// Returns whether output is requested as JSON.
 pub fn is_json(matches: &ArgMatches) -> bool {
     let mut deepest = matches;
     while let Some((_, inner)) = deepest.subcommand() {
@@ -274,7 +274,7 @@
     Ok(load(required::<PathBuf>(args, "settings"))?)
 }
 
-/// Gets an argument that clap has made sure of.
+/// Returns an argument that clap guarantees to be present.
 fn required<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> T {
     args.get_one::<T>(name)
         .cloned()
--- a/crates/onyxshed-cli/src/ask.rs
+++ b/crates/onyxshed-cli/src/ask.rs
@@ -1,4 +1,4 @@
-//! Asks many processes at the same time.
+//! Queries the admin addresses of many processes concurrently.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 
 use crate::progress::Progress;
 
-/// A process's answer, or why there is none.
+/// The decoded answer of a process, or the reason why there is none.
 pub type Answered<T> = Result<T, SmolStr>;
 
 /// A process and its answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Asked<T> {
-    /// Its name in the settings.
+    /// Name of the process in the settings.
     pub process: SmolStr,
-    /// What it answered.
+    /// The answer, or the reason why there is none.
     pub answer: Answered<T>,
 }
 
-/// Gets a path from every process, in the order given; none waits for another.
+/// Gets `path` from every process concurrently and returns the answers in the order of `processes`.
 pub async fn ask_all<T: 'static>(
     processes: &[ProcessAddress],
     path: &str,
@@ -49,7 +49,7 @@
     executor.run(progress.during(collect)).await
 }
 
-/// Gets the status of every process.
+/// Gets the status of every process concurrently.
 pub async fn ask_status(processes: &[ProcessAddress], timeout: Duration) -> Vec<Asked<Status>> {
     ask_all(processes, STATUS_PATH, timeout, Status::decode).await
 }
--- a/crates/onyxshed-cli/src/catalogue.rs
+++ b/crates/onyxshed-cli/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogues of result codes and events: one number explained, or the whole page.
+//! The catalogues of result codes and events: explains one number, or writes a whole page.
 
 use std::fmt::Write;
 
@@ -34,7 +34,7 @@
 The same text comes from `onyxshed explain E301`.
 ";
 
-/// Heads of the groups of events, by the number's hundreds.
+/// Titles of the groups of events, by the hundreds of their numbers.
 const EVENT_GROUPS: &[(u16, &str)] = &[
     (1, "Jobs and callers"),
     (2, "Claims"),
@@ -46,7 +46,7 @@
     (8, "Pools on the users' platform"),
 ];
 
-/// Heads of the groups of codes, by the number's thousands.
+/// Titles of the groups of result codes, by the thousands of their numbers.
 const CODE_GROUPS: &[(u16, &str)] = &[
     (1, "Complete"),
     (2, "Failed: it ran, or was stopped after a task had started"),
@@ -105,7 +105,7 @@
     })
 }
 
-/// Writes docs/RESULT-CODES.md.
+/// Renders docs/RESULT-CODES.md.
 pub fn codes_page() -> String {
     let mut page = CODES_HEAD.to_owned();
     for (thousands, title) in CODE_GROUPS {
@@ -132,7 +132,7 @@
     page
 }
 
-/// Writes docs/EVENTS.md.
+/// Renders docs/EVENTS.md.
 pub fn events_page() -> String {
     let mut page = EVENTS_HEAD.to_owned();
     for (hundreds, title) in EVENT_GROUPS {
--- a/crates/onyxshed-cli/src/check.rs
+++ b/crates/onyxshed-cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `onyxshed check`: a settings file and its faults.
+//! `onyxshed check`: checks a settings file and reports its faults.
 
 use std::path::Path;
 
@@ -16,7 +16,7 @@
     is_valid: bool,
 }
 
-/// Tries to load the file; the error holds every fault.
+/// Tries to load the file; the error lists every fault.
 pub fn run(file: &Path, kind: SettingsKind, format: Format) -> Result<String> {
     match kind {
         SettingsKind::Entry => load::<EntrySettings>(file).map(drop),
--- a/crates/onyxshed-cli/src/clock.rs
+++ b/crates/onyxshed-cli/src/clock.rs
@@ -1,10 +1,10 @@
-//! The wall clock, read here and nowhere else.
+//! The wall clock. No other module reads it.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use onyxshed_core::UnixMs;
 
-/// Reads the wall clock; a clock before 1970 counts as 1970.
+/// Returns the wall-clock time; times before 1970 become 0.
 pub fn now() -> UnixMs {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/onyxshed-cli/src/command.rs
+++ b/crates/onyxshed-cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line: what may be typed, and the help that teaches it.
+//! Definition of the command line and its help texts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -42,7 +42,7 @@
 the host itself, `kill -TERM` does the same; a second SIGTERM does not shorten it, SIGQUIT ends the
 process at once and cuts off what is in flight.";
 
-/// Makes the whole command line.
+/// Builds the definition of the whole command line.
 pub fn command() -> Command {
     Command::new("onyxshed")
         .version(clap::crate_version!())
@@ -258,7 +258,7 @@
         .arg(json())
 }
 
-/// Adds what every command has that asks the platform.
+/// Adds the arguments of every command that calls the platform.
 fn on_platform(command: Command) -> Command {
     command
         .arg(settings().help("Settings of kind operator, for the platform's address"))
@@ -278,7 +278,7 @@
         .arg(json())
 }
 
-/// Adds what every command has that publishes a change.
+/// Adds the arguments of every command that publishes a change.
 fn published(command: Command) -> Command {
     on_platform(command)
         .arg(
@@ -297,7 +297,7 @@
         )
 }
 
-/// Adds what every command has that asks processes.
+/// Adds the arguments of every command that queries processes.
 fn on_processes(command: Command) -> Command {
     command
         .arg(
--- a/crates/onyxshed-cli/src/drain.rs
+++ b/crates/onyxshed-cli/src/drain.rs
@@ -19,10 +19,10 @@
 /// How long one call may take.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often the process is looked at.
+/// How often to check whether the process has ended.
 const POLL_PERIOD: Duration = Duration::from_millis(200);
 
-/// What became of the process.
+/// State of the process when the command ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum Drained {
@@ -36,7 +36,7 @@
     state: Drained,
 }
 
-/// Asks the process to drain and waits for its end.
+/// Requests a drain of the process and, if `should_wait`, waits until the process has ended.
 pub async fn run(
     process: &ProcessAddress,
     is_waiting: bool,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Waits until the process is gone, or another run of it has taken its place.
+/// Waits until the process has ended, or another run of it has replaced it.
 async fn wait_for_end(
     process: &ProcessAddress,
     first: &Status,
@@ -84,8 +84,8 @@
     })
 }
 
-/// Tells whether that run of the process has ended: nobody listens any more, or another run does.
-/// Silence proves nothing.
+/// Returns whether that run of the process has ended: nothing listens on its address any more, or
+/// another run does. A timeout proves nothing.
 async fn has_ended(process: &ProcessAddress, first: &Status) -> bool {
     let call = call_once(
         process.admin_address,
--- a/crates/onyxshed-cli/src/error.rs
+++ b/crates/onyxshed-cli/src/error.rs
@@ -1,39 +1,39 @@
-//! Errors that an operator sees.
+//! Errors that commands report to the operator.
 
 use onyxshed_core::{ChangeId, ResultCode, Revision};
 use onyxshed_settings::SettingsError;
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// Why a command did not do what it was asked.
+/// Why a command failed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[snafu(display("{reason}"))]
     Usage {
-        /// What is wrong with it.
+        /// The fault in the command line.
         reason: SmolStr,
     },
     /// The settings can't be used.
     #[snafu(display("{source}"), context(false))]
     Settings {
-        /// Every fault.
+        /// The faults in the settings.
         source: SettingsError,
     },
     /// A call of the platform failed.
     #[snafu(display("{source}"), context(false))]
     Platform {
-        /// What happened.
+        /// The error of the call.
         source: onyxshed_platform::Error,
     },
-    /// The change breaks a rule; nothing was sent.
+    /// The change violates a rule of the configuration; nothing was sent.
     #[snafu(display("{reason}; nothing was sent"))]
     ChangeInvalid {
-        /// The rule.
+        /// The violated rule.
         reason: SmolStr,
     },
-    /// Another change came first.
+    /// Another change was accepted first.
     #[snafu(display(
         "another change came first: this one was based on revision {based_on}, in force is {found}; look at it with `onyxshed target list` and publish again"
     ))]
@@ -43,17 +43,17 @@
         /// The revision in force.
         found: Revision,
     },
-    /// It can't be told whether the change was accepted.
+    /// It is not known whether the change was accepted.
     #[snafu(display(
         "can't tell whether the change was accepted ({reason}); ask with `onyxshed target history --change {change_id}` before repeating it"
     ))]
     ChangeUndecided {
-        /// The change.
+        /// Id of the change.
         change_id: ChangeId,
-        /// What happened last.
+        /// The last failure before the command ended.
         reason: SmolStr,
     },
-    /// The log no longer holds what makes up the configuration.
+    /// The log no longer holds every record that makes up the configuration.
     #[snafu(display(
         "the log has lost records of the configuration and holds no snapshot of it yet; a control process publishes one again, try later"
     ))]
@@ -61,45 +61,45 @@
     /// The change is not on the log.
     #[snafu(display("change {change_id} is not on the log so far: it is not accepted"))]
     ChangeNotSeen {
-        /// The change.
+        /// Id of the change.
         change_id: ChangeId,
     },
     /// A log file can't be read.
     #[snafu(display("{file} can't be read: {reason}"))]
     Log {
-        /// The file.
+        /// Path of the log file.
         file: SmolStr,
-        /// What happened.
+        /// The error of the operating system.
         reason: SmolStr,
     },
-    /// No such class.
+    /// The requested item does not exist.
     #[snafu(display("there is no {what}"))]
     NotFound {
-        /// What was looked for.
+        /// Description of the item.
         what: SmolStr,
     },
-    /// The change is accepted but not in force everywhere.
+    /// The change is accepted but not yet in force in every process.
     #[snafu(display(
         "revision {revision} is accepted, but not yet in force in {waiting}; ask with `onyxshed status`"
     ))]
     NotInForce {
-        /// The revision.
+        /// The revision that the change made.
         revision: Revision,
-        /// The processes that lack it, with what they have.
+        /// The processes that lack the revision, with the revision that each has.
         waiting: SmolStr,
     },
     /// A process does not answer.
     #[snafu(display("{process} at its admin address: {reason}"))]
     Process {
-        /// The process's name in the settings.
+        /// Name of the process in the settings.
         process: SmolStr,
-        /// What happened.
+        /// Why the call failed.
         reason: SmolStr,
     },
-    /// A process still drains.
+    /// A process has not finished draining in time.
     #[snafu(display("{process} still drains; ask with `onyxshed status`"))]
     StillDraining {
-        /// The process's name in the settings.
+        /// Name of the process in the settings.
         process: SmolStr,
     },
 }
@@ -119,14 +119,14 @@
 }
 
 impl Error {
-    /// Makes an error for a wrong command line.
+    /// Creates an error for an invalid command line.
     pub fn usage(reason: impl ToString) -> Self {
         Error::Usage {
             reason: reason.to_string().into(),
         }
     }
 
-    /// Gets the numbered code.
+    /// Returns the numbered result code.
     pub fn code(&self) -> ResultCode {
         match self {
             Error::Usage { .. } | Error::Log { .. } => ResultCode::Usage,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Writes the error as people read it.
+    /// Formats the error for people, with its number.
     pub fn explain(&self) -> String {
         match self {
             Error::Settings { source } => source.explain(),
@@ -153,5 +153,5 @@
     }
 }
 
-/// Result of a command.
+/// The result of a command.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-cli/src/exit.rs
+++ b/crates/onyxshed-cli/src/exit.rs
@@ -1,8 +1,8 @@
-//! Exit codes.
+//! Exit codes of the command line.
 
 use onyxshed_core::ResultCode;
 
-/// Explains every exit code, for the help text.
+/// The section of the help text that lists the exit codes.
 pub const EXIT_HELP: &str = "\
 Exit codes:
   0  done
@@ -12,7 +12,7 @@
   4  not known or not finished in time: ask again with the command that the error names
   5  answered in part: some process did not answer";
 
-/// Gets the exit code that goes with an error.
+/// Returns the exit code for a result code.
 pub fn exit_number(code: ResultCode) -> u8 {
     match code {
         ResultCode::Usage
--- a/crates/onyxshed-cli/src/lib.rs
+++ b/crates/onyxshed-cli/src/lib.rs
@@ -1,8 +1,8 @@
 //! `onyxshed`: the operator's command line.
 //!
-//! [`command`] says what may be typed, [`args`] turns it into an [`args::Action`], and one module
-//! for each action carries it out. Answers go to standard output, progress and errors to standard
-//! error, each error with its numbered code.
+//! [`command`] defines the command line, [`args`] turns it into an [`args::Action`], and one module for
+//! each action executes it. Results go to standard output, progress and errors to standard error, each
+//! error with its numbered code.
 
 pub mod args;
 pub mod ask;
--- a/crates/onyxshed-cli/src/logs.rs
+++ b/crates/onyxshed-cli/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log files as events.
+//! Reads log files as events.
 
 use std::path::{Path, PathBuf};
 
@@ -11,24 +11,24 @@
 /// One line of a log.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Logged {
-    /// The host that wrote it.
+    /// The host that wrote the line.
     pub host: SmolStr,
-    /// What it says.
+    /// The event on the line.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// The lines of all logs.
+/// The lines of all log files.
 #[derive(Debug, Default)]
 pub struct Logs {
-    /// In the order of cause: by the hybrid logical clocks, which a time of day that jumps does not
-    /// turn back.
+    /// Lines with events, ordered by their hybrid logical clocks, which keep cause before effect even if a
+    /// host's wall clock jumps back.
     pub lines: Vec<Logged>,
-    /// How many lines hold no event.
+    /// Number of lines that contain no event.
     pub unreadable: usize,
 }
 
-/// Tries to read log files.
+/// Tries to read log files and orders their lines.
 pub fn read_logs(files: &[PathBuf]) -> Result<Logs> {
     let mut logs = Logs::default();
     for file in files {
@@ -48,7 +48,7 @@
 }
 
 impl Logs {
-    /// Takes in the text of a host's log.
+    /// Adds the lines of a host's log.
     pub fn add(&mut self, host: &SmolStr, text: &str) {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             match read_line(host, line) {
@@ -59,8 +59,8 @@
     }
 }
 
-/// Reads a line. A collector may put time and host before the event; the last word before it names
-/// the host then.
+/// Parses a line. A log collector may have put a time and the host before the event; then the last word
+/// before the event names the host.
 fn read_line(host: &SmolStr, line: &str) -> Option<Logged> {
     let begin = line.find('{')?;
     let (prefix, event) = line.split_at(begin);
--- a/crates/onyxshed-cli/src/output.rs
+++ b/crates/onyxshed-cli/src/output.rs
@@ -1,8 +1,8 @@
-//! Answers as people or programs read them.
+//! Formats results for people or for programs.
 
 use serde::Serialize;
 
-/// How answers are written.
+/// Format of results and errors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Format {
     /// Tables and sentences.
@@ -11,12 +11,12 @@
     Json,
 }
 
-/// Writes a JSON document for people's eyes too.
+/// Formats a value as an indented JSON document.
 pub fn json(value: &impl Serialize) -> String {
     serde_json::to_string_pretty(value).expect("answers hold only what JSON can write") + "\n"
 }
 
-/// Writes rows under heads, each column as wide as its widest cell.
+/// Formats rows below headings, with each column as wide as its widest cell.
 pub fn table(heads: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<usize> = heads.iter().map(|head| head.chars().count()).collect();
     for row in rows {
--- a/crates/onyxshed-cli/src/progress.rs
+++ b/crates/onyxshed-cli/src/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of whatever takes more than a second, on standard error.
+//! Reports on standard error what a command waits for if it takes more than a second.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -7,10 +7,10 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 
-/// How often is said what is being waited for.
+/// How often the activity is reported.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// What is being waited for, said every second while the work lasts.
+/// The activity that a command waits for, reported every second while the command runs.
 #[derive(Debug)]
 pub struct Progress {
     what: RefCell<String>,
@@ -18,12 +18,12 @@
 }
 
 impl Progress {
-    /// Starts with what is waited for first.
+    /// Creates a reporter to standard error with the first activity.
     pub fn new(what: impl Into<String>) -> Self {
         Progress::saying_by(what, |what| eprintln!("waiting: {what}"))
     }
 
-    /// Starts with another way to say it.
+    /// Creates a reporter that passes the activity to `report`.
     pub fn saying_by(what: impl Into<String>, say: fn(&str)) -> Self {
         Progress {
             what: RefCell::new(what.into()),
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Sets what is being waited for now.
+    /// Sets the activity that the command waits for now.
     pub fn set(&self, what: impl Into<String>) {
         *self.what.borrow_mut() = what.into();
     }
 
-    /// Does the work, and says every second what it waits for.
+    /// Runs `work` and reports the activity every second until it ends.
     pub async fn during<T>(&self, work: impl Future<Output = T>) -> T {
         let tell = async {
             loop {
--- a/crates/onyxshed-cli/src/run.rs
+++ b/crates/onyxshed-cli/src/run.rs
@@ -1,4 +1,4 @@
-//! The command from its words to its exit code.
+//! Runs a command from its arguments to its exit code.
 
 use std::ffi::OsString;
 use std::io::{self, Write};
@@ -14,12 +14,12 @@
 use crate::output::{Format, json};
 use crate::{catalogue, check, command, drain, status, story, target, timeline};
 
-/// What a command has to say, and the code that goes with it.
+/// The output of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Said {
-    /// For standard output.
+    /// Text for standard output.
     pub text: String,
-    /// Why it is not the whole answer, if it is not.
+    /// Why the output is incomplete; `None` if it is complete.
     pub partly: Option<ResultCode>,
 }
 
@@ -40,7 +40,7 @@
     text: &'a str,
 }
 
-/// Runs the command line from its words, the first being the program's own name.
+/// Runs the command line with these arguments, of which the first is the program's name.
 pub fn main(words: impl IntoIterator<Item = OsString>) -> ExitCode {
     let matches = match command::command().try_get_matches_from(words) {
         Ok(matches) => matches,
@@ -54,7 +54,7 @@
     ExitCode::from(conclude(said, format))
 }
 
-/// Prints help and version as clap made them, and its errors with our number.
+/// Prints clap's help and version texts as they are, and its errors with this program's error number.
 fn not_understood(error: &clap::Error) -> u8 {
     let rendered = error.render().to_string();
     match error.kind() {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Writes to standard output; if nobody reads it (`| head`), that is no failure of the command.
+/// Writes to standard output. A closed pipe (`| head`) is no failure of the command.
 fn say(text: &str) {
     let mut stdout = io::stdout().lock();
     let _ = stdout
--- a/crates/onyxshed-cli/src/span.rs
+++ b/crates/onyxshed-cli/src/span.rs
@@ -1,11 +1,12 @@
-//! Spans as people type them: `500ms`, `2s`, `5m`, `1h`.
+//! Durations as operators type them: `500ms`, `2s`, `5m`, `1h`.
 
 use onyxshed_core::Millis;
 
-/// Units and how many milliseconds each has; `ms` stands before `s` and `m`, which end it too.
+/// Units and their milliseconds. `ms` comes before `s` and `m`, because it also ends in `s`; the first
+/// match counts.
 const UNITS: &[(&str, u64)] = &[("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
 
-/// Tries to read a span.
+/// Tries to parse a duration.
 pub fn parse(text: &str) -> Result<Millis, String> {
     let bad = || {
         format!(
@@ -20,7 +21,7 @@
     number.checked_mul(factor).map(Millis).ok_or_else(bad)
 }
 
-/// Writes a span with the largest unit that holds it in whole numbers.
+/// Formats a duration exactly, with the largest unit that gives a whole number.
 pub fn display(span: Millis) -> String {
     let mut largest_first = UNITS.iter().rev();
     let whole = largest_first.find(|(_, factor)| span.0 > 0 && span.0.is_multiple_of(*factor));
@@ -30,7 +31,7 @@
     }
 }
 
-/// Writes a span with its largest unit, rounded down.
+/// Formats a duration with its largest unit, rounded down.
 pub fn rough(span: Millis) -> String {
     let mut largest_first = UNITS.iter().rev();
     let largest = largest_first.find(|(_, factor)| span.0 >= *factor);
--- a/crates/onyxshed-cli/src/status.rs
+++ b/crates/onyxshed-cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `onyxshed status`: every process, whether it answers or not.
+//! `onyxshed status`: shows the status of every process, or why it did not answer.
 
 use onyxshed_core::ResultCode;
 use onyxshed_wire::admin::Status;
@@ -20,7 +20,7 @@
     no_answer: Option<&'a SmolStr>,
 }
 
-/// Asks every process and shows what each says.
+/// Queries every process and shows their status.
 pub async fn run(ask: &ProcessArgs, format: Format) -> Said {
     let asked = ask_status(&ask.processes, ask.timeout_ms.into()).await;
     let is_whole = asked.iter().all(|asked| asked.answer.is_ok());
@@ -30,7 +30,7 @@
     }
 }
 
-/// Writes what every process said.
+/// Formats the status of every process.
 pub fn render(asked: &[Asked<Status>], format: Format) -> String {
     match format {
         Format::Human => human(asked),
@@ -93,7 +93,7 @@
     }
 }
 
-/// Writes the process's own figures on one line.
+/// Formats the process's own figures as one line.
 fn details(name: &str, status: &Status) -> String {
     let Some(details) = status.details.as_object() else {
         return String::new();
--- a/crates/onyxshed-cli/src/story.rs
+++ b/crates/onyxshed-cli/src/story.rs
@@ -1,7 +1,7 @@
-//! `onyxshed explain ID LOG...`: what became of a request, and why, from the logs of all hosts.
+//! `onyxshed explain ID LOG...`: the outcome of a request and its cause, from the logs of all hosts.
 //!
-//! [`select`] finds those that concern the request and what the hosts
-//! believed meanwhile, [`cause`] names the cause. Nothing is asked of any process.
+//! [`select`] finds the lines that concern the request and those on the state of its hosts at the time,
+//! [`cause`] derives the cause. No process is queried.
 
 pub mod cause;
 pub mod select;
@@ -17,7 +17,7 @@
 use cause::{Cause, cause_of};
 use select::{Story, select};
 
-/// What is told of one request.
+/// The explanation of one request, as JSON.
 #[derive(Debug, Serialize)]
 struct Told<'a> {
     cause: Option<String>,
@@ -26,7 +26,7 @@
     unreadable_lines: usize,
 }
 
-/// Tells what became of a request or a job, by its id.
+/// Explains the outcome of a request or a job, given its id.
 pub fn run(id: &str, logs: &[PathBuf], format: Format) -> Result<String> {
     let logs = read_logs(logs)?;
     let story = select(id, &logs.lines);
--- a/crates/onyxshed-cli/src/story/cause.rs
+++ b/crates/onyxshed-cli/src/story/cause.rs
@@ -1,4 +1,4 @@
-//! Why a request was answered as it was.
+//! Derives why a request got the answer that it got.
 
 use std::fmt;
 
@@ -9,56 +9,56 @@
 use super::select::Story;
 use crate::logs::Logged;
 
-/// How much later than its target a job may end and still be in time, in thousandths: the log knows
-/// the caller's estimate only, which is off by a few hundredths at best.
+/// How late a job may end relative to its target and still count as in time, in thousandths of the
+/// target. The log contains only the caller's estimate, which is off by a few hundredths at best.
 const IN_TIME_MILLIS: u64 = 1_050;
 
 /// The cause of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Cause {
-    /// Nothing was wrong.
+    /// The job ended in time.
     InTime,
-    /// It ended late because runs were lost or stopped; how many, and how the last of them ended.
+    /// The job ended late because runs were lost or stopped: their number, and the end of the last one.
     RunsLost(usize, SmolStr),
-    /// It ended late because it waited for room.
+    /// The job ended late although no run was lost: it waited for capacity.
     WaitedForRoom,
-    /// A task failed as often as it may, on these executors.
+    /// A task reached its limit of failures, on these executors.
     TaskFailed(Vec<SmolStr>),
-    /// The host knew no owner of any pool; what it believed of the pools last.
+    /// The host knew no owner of any pool; with its last event about pools.
     NoOwnerKnown(SmolStr),
-    /// The owner asked was giving its pool up.
+    /// The owner was about to release its pool.
     OwnerStopping,
-    /// Other work would have taken all the time there was.
+    /// Other work left too little time for the job.
     NoTime,
     /// No executor of the pool could run such a task.
     NoExecutor,
-    /// The owner had not heard the host.
+    /// The owner had received nothing from the host for too long.
     OldSession,
-    /// The kind of job is not built.
+    /// This kind of job is not supported.
     NotBuilt(SmolStr),
-    /// The request was declined before it was a job; status and reason.
+    /// The request was rejected before it became a job; with status and reason.
     Declined(SmolStr),
-    /// The owner or the link to it was lost; what was seen of that.
+    /// The owner or the link to it was lost; with the last event about that.
     OwnerLost(SmolStr),
-    /// The owner stood still.
+    /// The owner's process was paused; with the last event about that.
     OwnerPaused(SmolStr),
-    /// The owner did not hear the host.
+    /// The owner received nothing more from the host.
     HostNotHeard,
-    /// The caller's time ran out; whether runs of it were lost.
+    /// The caller's time limit expired; with the number of runs that were lost.
     OutOfTime(usize),
-    /// The caller gave it up or left.
+    /// The caller cancelled the request or disconnected.
     CallerLeft,
-    /// The caller sent it again meanwhile.
+    /// The caller sent the request again while it ran.
     SentAgain,
     /// The host was stopped.
     HostStopped,
     /// Operators have evacuated the zone, or all zones.
     ZoneEvacuated,
-    /// No executor answered that could run the rest of it.
+    /// No executor that could run the remaining tasks responded.
     ExecutorsLost,
 }
 
-/// Names the cause of the last answer; none if the logs hold no answer.
+/// Derives the cause of the last answer, or `None` if the logs contain no answer.
 pub fn cause_of(story: &Story<'_>) -> Option<Cause> {
     let (line, summary) = story.answers.last()?;
     let Some(summary) = summary else {
@@ -72,7 +72,7 @@
     })
 }
 
-/// Reads the answers that are told in words of their own.
+/// Derives the cause of an answer whose detail is not a [`JobSummary`].
 fn without_summary(line: &Logged) -> Cause {
     match line.event.kind {
         EventKind::PoolJobRefused if line.event.detail.starts_with("status ") => {
@@ -150,7 +150,7 @@
     failed.map(|line| line.event.party.clone()).collect()
 }
 
-/// Gets what the newest line of some kinds says, by the answer's time.
+/// Describes the newest event of these kinds, or says that the logs contain none.
 fn last_of(story: &Story<'_>, kinds: &[EventKind]) -> SmolStr {
     let mut lines = story.lines.iter().rev();
     let found = lines.find(|line| kinds.contains(&line.event.kind));
@@ -173,7 +173,7 @@
 }
 
 impl Cause {
-    /// Tells where an engineer looks next.
+    /// Returns where to look next.
     pub fn look_next(&self) -> &'static str {
         match self {
             Cause::InTime | Cause::SentAgain => "nothing; the id may be of another request",
--- a/crates/onyxshed-cli/src/story/select.rs
+++ b/crates/onyxshed-cli/src/story/select.rs
@@ -1,4 +1,4 @@
-//! The lines that concern one request.
+//! Selects the log lines that concern one request.
 
 use std::collections::BTreeSet;
 
@@ -8,29 +8,29 @@
 
 use crate::logs::Logged;
 
-/// How long before the request's first line beliefs matter: a host is replaced, or an executor given
-/// up, within two seconds.
+/// How long before the request's first line other events count as context: a host is replaced, or the
+/// pool stops using an executor, within two seconds.
 const BEFORE: Millis = Millis(3_000);
 
-/// How long after its last line they do: the reason may be written a moment later elsewhere.
+/// How long after the request's last line: another host may log the reason a moment later.
 const AFTER: Millis = Millis(500);
 
-/// Most lines on beliefs that are shown, the newest.
+/// Maximum number of context lines; the oldest are omitted.
 const BELIEFS_MAX: usize = 40;
 
-/// What the logs hold of a request.
+/// The log lines that concern one request.
 #[derive(Debug, Default)]
 pub struct Story<'a> {
-    /// Its lines and those on beliefs, in the order of cause.
+    /// The request's own lines and the context lines, ordered by their hybrid logical clocks.
     pub lines: Vec<&'a Logged>,
-    /// Lines on beliefs that are not among them.
+    /// Number of context lines that were omitted.
     pub left_out: usize,
-    /// The answers that callers were given, the latest last; none of the summary where the caller
-    /// left.
+    /// The answers to callers, the latest last. The summary is `None` for a line whose detail is not a
+    /// [`JobSummary`], such as that of a caller that disconnected.
     pub answers: Vec<(&'a Logged, Option<JobSummary>)>,
 }
 
-/// Finds the lines about a request, or a job, by its id.
+/// Selects the lines about a request or a job, given its id.
 pub fn select<'a>(id: &str, lines: &'a [Logged]) -> Story<'a> {
     let jobs = jobs_of(id, lines);
     let own: Vec<&Logged> = lines
@@ -65,7 +65,7 @@
     }
 }
 
-/// Gets when the request arrived: its answer tells how long it took.
+/// Returns when the request arrived, computed from the duration in its answer if there is one.
 fn began_at(first: &Logged, answers: &[(&Logged, Option<JobSummary>)]) -> UnixMs {
     let told = answers.first().and_then(|(line, summary)| {
         let took = summary.as_ref()?.took;
@@ -88,7 +88,7 @@
     summaries.map(|summary| summary.pool.clone()).collect()
 }
 
-/// Tells whether an event is the answer to a caller.
+/// Returns whether an event is the answer to a caller.
 fn is_answer(kind: EventKind) -> bool {
     matches!(
         kind,
@@ -96,7 +96,7 @@
     )
 }
 
-/// When and where beliefs matter to a request.
+/// Time, hosts, parties and pools that make an event context of a request.
 struct Around<'a> {
     from: UnixMs,
     to: UnixMs,
@@ -112,7 +112,7 @@
             return false;
         }
         match event.kind {
-            // Who owns a pool matters on every host.
+            // The owner of a pool matters on every host.
             EventKind::PoolOwned
             | EventKind::PoolGivenUp
             | EventKind::PoolHandoverBegun
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Tells whether a text is about a pool that the request was handed to; where it was handed to
-    /// none, every pool matters.
+    /// Returns whether a detail names a pool to which the request was handed over. If it was handed over to
+    /// none, every pool counts.
     fn names_a_pool(&self, detail: &str) -> bool {
         let is_named = |pool: &SmolStr| detail.contains(pool.as_str());
         let known: Vec<&SmolStr> = self
--- a/crates/onyxshed-cli/src/target/log.rs
+++ b/crates/onyxshed-cli/src/target/log.rs
@@ -1,4 +1,4 @@
-//! The configuration as the command line reads it from the log.
+//! Reads and appends to the platform's log of the configuration.
 
 use std::time::{Duration, Instant};
 
@@ -15,35 +15,35 @@
 /// Longest time for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What became of a change on the log.
+/// Outcome of a change on the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fate {
-    /// It made this revision.
+    /// The change was accepted and made this revision.
     Accepted(Revision),
-    /// It was based on another revision than the one it found.
+    /// The change was based on another revision than this one, which was in force.
     Raced(Revision),
-    /// It broke a rule.
+    /// The change violated a rule.
     Ignored,
-    /// It is a copy of one that was accepted before.
+    /// The change is a duplicate of one that had been accepted, with the revision that it made.
     Copy(Revision),
-    /// The log has lost what it takes to judge it.
+    /// The log has lost records that are needed to determine the outcome.
     Unjudged,
 }
 
-/// A change as it stands on the log.
+/// A change on the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Logged {
-    /// Where it stands.
+    /// Offset of the record.
     pub offset: Offset,
-    /// When the log took it.
+    /// When the log appended the record.
     pub at: UnixMs,
-    /// The change.
+    /// The change in the record.
     pub change: ConfigChange,
-    /// What became of it.
+    /// Outcome of the change.
     pub fate: Fate,
 }
 
-/// The `config` stream, read and appended to within a time limit.
+/// A client of the `config` stream that reads and appends within a time limit.
 #[derive(Debug)]
 pub struct ConfigLog {
     client: PlatformClient,
@@ -53,7 +53,7 @@
 }
 
 impl ConfigLog {
-    /// Makes a reader that has read nothing yet.
+    /// Creates a client that has not read anything yet.
     pub fn new(args: PlatformArgs) -> Self {
         let options = PlatformOptions {
             timeout: CALL_TIMEOUT.min(args.timeout_ms.into()),
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Gets the fold of what was read.
+    /// Returns the fold of the records read so far.
     pub fn fold(&self) -> &ConfigFold {
         &self.fold
     }
 
-    /// Gets every change read, in order, and what became of it.
+    /// Returns every change read so far, in the order of the log, with its outcome.
     pub fn changes(&self) -> Vec<Logged> {
         let mut changes = self.changes.clone();
         for logged in &mut changes {
@@ -83,13 +83,13 @@
         changes
     }
 
-    /// Tells whether the time is up.
+    /// Returns whether the time limit has passed.
     pub fn is_late(&self) -> bool {
         Instant::now() >= self.give_up
     }
 
-    /// Reads to the end of the stream, waiting up to `wait` if there is nothing new; gets the
-    /// offset of the next append as the log told it.
+    /// Reads to the end of the stream, waiting up to `wait` for a new record if there is none. Returns the
+    /// offset of the next append as reported by the log.
     pub async fn read_to_end(&mut self, wait: Millis) -> onyxshed_platform::Result<Offset> {
         loop {
             let page = self
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Reads everything; an error if what the log still holds does not make up the configuration.
+    /// Reads the whole stream. Fails if the records that the log still holds do not make up the
+    /// configuration.
     pub async fn read_all(&mut self) -> Result<()> {
         self.read_to_end(Millis(0)).await?;
         match self.fold.is_complete() {
@@ -117,8 +118,8 @@
         self.client.append(CONFIG_STREAM, record.into_bytes()).await
     }
 
-    /// Judges a change that told nothing new when it was read: a copy of an earlier one, or one
-    /// that a later snapshot gave the ground for.
+    /// Determines the outcome of a change that had no effect when it was read: a duplicate of an earlier
+    /// one, or one whose base is known only from a later snapshot.
     fn fate_in_hindsight(&self, logged: &Logged) -> Fate {
         let is_copy = self.changes.iter().any(|earlier| {
             earlier.change.change_id == logged.change.change_id && earlier.offset < logged.offset
--- a/crates/onyxshed-cli/src/target/publish.rs
+++ b/crates/onyxshed-cli/src/target/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes a change: carries out what [`Proposal`] decides, within the command's time.
+//! Publishes a change: executes the steps that [`Proposal`] decides, within the command's time limit.
 
 use std::time::Duration;
 
@@ -19,10 +19,10 @@
 use crate::output::{Format, json};
 use crate::progress::Progress;
 
-/// How long one read waits for the change to show.
+/// How long one read waits for the change to appear on the log.
 const READ_WAIT: Millis = Millis(500);
 
-/// How long to wait before another try.
+/// How long to wait before the next attempt.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 #[derive(Serialize)]
@@ -32,26 +32,26 @@
     is_in_force_everywhere: Option<bool>,
 }
 
-/// What to do next about a change.
+/// The next step for a change.
 enum Next {
-    /// Append it (again).
+    /// Append the change, possibly again.
     Append(Proposal<Ready>),
-    /// It may be on the log: read on.
+    /// The change may be on the log: read on.
     Read(Proposal<Sent>),
-    /// It is accepted.
+    /// The change is accepted and made this revision.
     Done(Revision),
 }
 
-/// A change on its way.
+/// A change that is being sent.
 struct Sending<'a> {
     log: &'a mut ConfigLog,
     change_id: ChangeId,
-    /// Whether a copy may be on its way or on the log.
+    /// Whether the change may have been sent, and so may be or become part of the log.
     may_be_sent: bool,
     progress: &'a Progress,
 }
 
-/// Publishes a change and waits until it is in force, if that is asked for.
+/// Publishes a change and, if processes to wait for are given, waits until it is in force in them.
 pub async fn publish(publish: Publish, format: Format) -> Result<String> {
     let progress = Progress::new("the platform's log");
     let processes = publish.wait_for.len();
@@ -92,7 +92,7 @@
     })
 }
 
-/// Tries to prepare a change: whatever can be refused is refused here, before anything is sent.
+/// Tries to prepare a change. Every fault that can be detected here fails before anything is sent.
 pub fn prepare(
     log: &ConfigLog,
     body: ChangeBody,
@@ -106,7 +106,8 @@
     Ok(Proposal::prepare(change, log.fold())?)
 }
 
-/// Sends a change until its fate is known or the time is up; gets the revision that it made.
+/// Sends a change until its outcome is known or the time limit passes. Returns the revision that it
+/// made.
 pub async fn send(
     log: &mut ConfigLog,
     proposal: Proposal<Ready>,
@@ -164,14 +165,14 @@
             }
             ProposalStatus::Repeat(proposal) => Ok(Next::Append(proposal)),
             ProposalStatus::Undecided(proposal) => {
-                // A log that does not wait for records as asked is not asked without a pause.
+                // Without this pause, a log that ignores the requested wait would be read in a busy loop.
                 Timer::after(RETRY_PAUSE).await;
                 Ok(Next::Read(proposal))
             }
         }
     }
 
-    /// Waits before another try; an error once the time is up.
+    /// Waits before the next attempt. Fails once the time limit has passed.
     async fn pause(&mut self, error: &onyxshed_platform::Error) -> Result<()> {
         if self.log.is_late() {
             return Err(match self.may_be_sent {
--- a/crates/onyxshed-cli/src/target/show.rs
+++ b/crates/onyxshed-cli/src/target/show.rs
@@ -1,4 +1,4 @@
-//! Shows targets, and the changes that made them.
+//! Shows targets, and the changes on the log.
 
 use onyxshed_core::{ChangeId, ClassName, ClassTarget, Offset, ResultCode, Revision, UnixMs};
 use onyxshed_state::ChangeOutcome;
@@ -22,7 +22,7 @@
 #[derive(Serialize)]
 struct History<'a> {
     changes: Vec<Change<'a>>,
-    /// Records that nobody can read; every reader ignores them alike.
+    /// Number of records that can't be decoded; every reader ignores the same ones.
     unreadable: u64,
 }
 
@@ -87,7 +87,7 @@
     )
 }
 
-/// Shows the changes that the log still holds, or those of one class, or one of them.
+/// Shows the changes that the log still holds, optionally only those of one class or with one id.
 pub async fn history(
     platform: PlatformArgs,
     class: Option<ClassName>,
@@ -116,7 +116,7 @@
     })
 }
 
-/// Reads the log, also if it has lost records: what it still holds is of use.
+/// Reads the log even if it has lost records, since the remaining records are useful too.
 async fn read_what_is_left(platform: PlatformArgs) -> Result<ConfigLog> {
     let mut log = ConfigLog::new(platform);
     let progress = Progress::new("the platform's log");
@@ -126,7 +126,7 @@
     }
 }
 
-/// Tells what became of a change whose record is not on the log: a snapshot may still know it.
+/// Shows the outcome of a change whose record is no longer on the log, which a snapshot may contain.
 fn expired(log: &ConfigLog, change_id: ChangeId, format: Format) -> Result<String> {
     match log.fold().find_change(change_id) {
         ChangeOutcome::Accepted(revision) => Ok(match format {
--- a/crates/onyxshed-cli/src/target/wait.rs
+++ b/crates/onyxshed-cli/src/target/wait.rs
@@ -14,10 +14,10 @@
 /// How long a process may take to answer.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often processes are asked.
+/// How often processes are queried.
 const POLL_PERIOD: Duration = Duration::from_millis(100);
 
-/// Waits until every process has the revision in force, or `is_late` says that the time is up.
+/// Waits until every process has the revision in force. Fails once `is_late` returns `true`.
 pub async fn wait_in_force(
     processes: &[ProcessAddress],
     revision: Revision,
--- a/crates/onyxshed-cli/src/timeline.rs
+++ b/crates/onyxshed-cli/src/timeline.rs
@@ -1,4 +1,4 @@
-//! `onyxshed timeline`: the events of all processes, merged.
+//! `onyxshed timeline`: the events of all processes, merged into one order.
 
 pub mod collapse;
 pub mod merge;
@@ -21,10 +21,10 @@
 use crate::progress::Progress;
 use crate::run::Said;
 
-/// Most events that one process is asked for.
+/// Maximum number of events requested from one process.
 const EVENTS_MAX: usize = 5_000;
 
-/// Gathers the events of all processes and shows them as one time line.
+/// Collects the events of all processes or logs and shows them as one time line.
 pub async fn run(args: &TimelineArgs, format: Format) -> Result<Said> {
     let (mut merged, is_whole) = match &args.source {
         EventSource::Processes(ask) => gather(args, ask).await?,
@@ -43,7 +43,7 @@
     })
 }
 
-/// Asks every process for its events; tells whether all have answered.
+/// Queries every process for its events. The flag is `true` if all have answered.
 async fn gather(args: &TimelineArgs, ask: &ProcessArgs) -> Result<(merge::Merged, bool)> {
     let executors = match &args.upstream {
         Some((upstream, platform)) => Some(executors_of(upstream, *platform).await?),
@@ -60,7 +60,7 @@
     Ok((merged, is_whole))
 }
 
-/// Gets the names of an upstream's executors from the platform's host list.
+/// Returns the names of an upstream's executors from the platform's host list.
 async fn executors_of(
     upstream: &UpstreamName,
     platform: PlatformArgs,
@@ -79,7 +79,7 @@
     Ok(serving.map(|host| host.name.as_str().into()).collect())
 }
 
-/// Makes the path and query that ask a process for the events wanted.
+/// Builds the path and query that request the wanted events from a process.
 pub fn query(args: &TimelineArgs, now: UnixMs) -> String {
     let mut url = Url::parse("http://process").expect("the base is a URL");
     url.set_path(TIMELINE_PATH);
--- a/crates/onyxshed-cli/src/timeline/collapse.rs
+++ b/crates/onyxshed-cli/src/timeline/collapse.rs
@@ -1,4 +1,4 @@
-//! Many events in few lines: those that only differ in their task share one.
+//! Collapses events that differ only in their task into one line.
 
 use std::collections::BTreeSet;
 
@@ -7,43 +7,43 @@
 
 use super::merge::Entry;
 
-/// How far events may lie apart that share a line.
+/// How far apart events may be that share a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reach {
-    /// Nothing else may have happened between them.
+    /// Only consecutive events share a line.
     Neighbours,
-    /// Anywhere in the time line.
+    /// Events share a line wherever they are in the time line.
     Anywhere,
 }
 
-/// One line: an event, or several that only differ in their task.
+/// One line: an event, or several that differ only in their task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line {
-    /// When the first happened.
+    /// Clock of the first event.
     pub first: Hlc,
-    /// When the last happened.
+    /// Clock of the last event.
     pub last: Hlc,
-    /// Where.
+    /// Name of the process in which the events happened.
     pub process: SmolStr,
-    /// What.
+    /// Kind of the events.
     pub kind: EventKind,
-    /// To which submission.
+    /// Submission that the events concern, if any.
     pub submission: Option<SubmissionId>,
-    /// To which job of a pool.
+    /// Id of the job of a pool that the events concern; empty if none.
     pub job: SmolStr,
-    /// To which class, as text.
+    /// Name of the class that the events concern; empty if none.
     pub class: SmolStr,
-    /// To which tasks.
+    /// Indexes of the tasks that the events concern.
     pub tasks: BTreeSet<u16>,
-    /// The other parties.
+    /// Other parties of the events, such as executors or peers.
     pub parties: BTreeSet<SmolStr>,
-    /// The particulars of the first.
+    /// Detail of the first event.
     pub detail: SmolStr,
-    /// How many events share the line.
+    /// Number of events that share the line.
     pub count: usize,
 }
 
-/// Puts events that only differ in their task on one line, as far apart as `reach` says.
+/// Collapses events that differ only in their task into one line, if `scope` allows it.
 pub fn collapse(entries: &[Entry], reach: Reach) -> Vec<Line> {
     let mut lines: Vec<Line> = Vec::new();
     for entry in entries {
--- a/crates/onyxshed-cli/src/timeline/merge.rs
+++ b/crates/onyxshed-cli/src/timeline/merge.rs
@@ -1,4 +1,4 @@
-//! Events of several processes in one order, and what is missing from them.
+//! Merges the events of several processes into one order and records where events are missing.
 
 use std::collections::BTreeSet;
 
@@ -11,10 +11,10 @@
 use crate::ask::Asked;
 use crate::logs::Logs;
 
-/// An event and the process that it happened in.
+/// An event and the process in which it happened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Entry {
-    /// The process's name in the settings.
+    /// Name of the process in the settings, or of the host for events from logs.
     pub process: SmolStr,
     /// The event.
     #[serde(flatten)]
@@ -25,38 +25,38 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Missing {
-    /// It did not answer: none of its events are shown.
+    /// The process did not answer, with the reason; none of its events are shown.
     NoAnswer(SmolStr),
-    /// It started then: an earlier run's events are gone.
+    /// The process started at this time; events of an earlier run are lost.
     #[serde(rename = "started_at_ms")]
     StartedAt(UnixMs),
-    /// So many of its oldest events were dropped for newer ones.
+    /// The process dropped this number of its oldest events to make room for newer ones.
     Dropped(u64),
-    /// More events match than it was asked for; the oldest are left out.
+    /// More events match than were requested; the oldest are omitted.
     TooMany,
-    /// So many lines of its logs hold no event.
+    /// This number of lines of the logs contain no event.
     Unreadable(usize),
 }
 
 /// A gap in the time line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Gap {
-    /// The process's name in the settings.
+    /// Name of the process in the settings.
     pub process: SmolStr,
     /// Why events may be missing.
     pub missing: Missing,
 }
 
-/// One time line over all processes.
+/// The events of all processes in one order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Merged {
     /// Gaps, in the order of the processes.
     pub gaps: Vec<Gap>,
-    /// Events, in the order of their clocks.
+    /// Events, ordered by their hybrid logical clocks.
     pub events: Vec<Entry>,
 }
 
-/// Merges what the processes answered.
+/// Merges the answers of processes.
 pub fn merge(asked: Vec<Asked<TimelinePage>>) -> Merged {
     let mut merged = Merged::default();
     for asked in asked {
@@ -66,7 +66,7 @@
             Ok(page) => merged.add_page(&process, page),
         }
     }
-    // Stable: events of one process with the same stamp stay in their order.
+    // The sort is stable: events of one process with the same stamp keep their order.
     merged.events.sort_by_key(|entry| entry.event.hlc);
     merged
 }
@@ -86,7 +86,8 @@
 }
 
 impl Merged {
-    /// Keeps only the events that are asked for; a process leaves out the others itself.
+    /// Retains only the events that match the filters. Needed for logs only, since processes filter their
+    /// events themselves.
     pub fn keep_wanted(&mut self, args: &TimelineArgs) {
         let last = self.events.last().map(|entry| entry.event.hlc.wall);
         let since = args.since_ms.zip(last).map(|(span, last)| last - span);
@@ -104,7 +105,7 @@
         });
     }
 
-    /// Keeps only the events that concern no single request, job or submission.
+    /// Retains only the events that concern no single request, job or submission.
     pub fn keep_beliefs(&mut self) {
         self.events.retain(|entry| {
             let event = &entry.event;
@@ -112,7 +113,7 @@
         });
     }
 
-    /// Keeps only the events whose other party is one of these.
+    /// Retains only the events whose other party is in `parties`.
     pub fn keep_parties(&mut self, parties: &BTreeSet<SmolStr>) {
         self.events
             .retain(|entry| parties.contains(&entry.event.party));
--- a/crates/onyxshed-cli/src/timeline/render.rs
+++ b/crates/onyxshed-cli/src/timeline/render.rs
@@ -1,4 +1,4 @@
-//! The time line on one screen.
+//! Formats the time line, as a table that fits one screen or as JSON.
 
 use std::collections::BTreeSet;
 use std::fmt::Display;
@@ -10,7 +10,7 @@
 use crate::args::TimelineArgs;
 use crate::output::{Format, json, table};
 
-/// Writes the time line as people or programs read it.
+/// Formats the time line for people or for programs.
 pub fn render(merged: &Merged, args: &TimelineArgs, format: Format) -> String {
     match format {
         Format::Human => human(merged, args),
@@ -102,7 +102,7 @@
     }
 }
 
-/// Names the first of several things and counts the rest.
+/// Names the first of several items and counts the others.
 fn some_of(things: &BTreeSet<impl Display + Ord>) -> String {
     match (things.first(), things.len()) {
         (None, _) => String::new(),
@@ -111,7 +111,7 @@
     }
 }
 
-/// Writes a gap, or nothing if it lies before all that is shown.
+/// Describes a gap. Returns an empty text if the gap is before all events that are shown.
 fn gap_line(gap: &Gap, earliest: Option<UnixMs>) -> String {
     let process = &gap.process;
     match &gap.missing {
@@ -131,7 +131,7 @@
     }
 }
 
-/// Writes the time of day.
+/// Formats the time of day in UTC, with milliseconds.
 pub fn time_of_day(at: UnixMs) -> String {
     let of_day_ms = at.0 % 86_400_000;
     let (seconds, millis) = (of_day_ms / 1_000, of_day_ms % 1_000);
--- a/crates/onyxshed-cli/tests/processes.rs
+++ b/crates/onyxshed-cli/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Commands that ask running processes, over real sockets.
+//! Commands that query running processes over real sockets.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
 use onyxshed_settings::{LogSettings, OperatorSettings, load};
 use onyxshed_telemetry::{AdminService, StatusParts, Telemetry, TelemetryOptions};
 
-/// Tells the test where the process listens, once it does.
+/// A service that reports the admin address to the test once it is known.
 struct Announcer(Sender<SocketAddr>);
 
 impl Service for Announcer {
@@ -59,7 +59,7 @@
     kernel.run(services, options)
 }
 
-/// A running process, a closed address, and the settings that name both.
+/// A running process, an address on which nothing listens, and the settings that name both.
 struct Fleet {
     process: JoinHandle<RunEnd>,
     settings: PathBuf,
@@ -97,7 +97,7 @@
             .expect("the binary runs")
     }
 
-    /// Drains the process by command and waits for its end.
+    /// Drains the process by command and waits until it has ended.
     fn end(self) {
         let drained = self.ask(&["drain", "entry-1", "--timeout", "60s"]);
         assert_eq!(text(&drained), "entry-1 has drained and ended\n");
@@ -149,8 +149,8 @@
 
 #[test]
 fn waiting_for_a_revision_names_who_lacks_it() {
-    // The change is accepted; one process has an older revision and another does not answer. The
-    // operator must learn both: that it is accepted, and where it is not in force yet.
+    // The change is accepted, but one process has an older revision and another does not answer. The
+    // error must name both, and must not suggest that the change was rejected.
     let fleet = Fleet::start("wait");
     let settings = load::<OperatorSettings>(&fleet.settings).unwrap();
     let progress = Progress::new("the processes");
--- a/crates/onyxshed-cli/tests/publish.rs
+++ b/crates/onyxshed-cli/tests/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing a change against the platform's stand-in and its faults.
+//! Publishing a change to the stand-in of the platform, which injects faults.
 
 #[path = "support/standin.rs"]
 mod standin;
@@ -91,9 +91,9 @@
 #[case::dropped(json!({ "drop_append": 2 }))]
 #[case::both(json!({ "drop_append": 1, "lose_append_answer": 1 }))]
 fn an_append_without_an_answer_is_looked_up_and_takes_effect_once(#[case] faults: Value) {
-    // The connection closes after the append was sent. The operator must not be told "refused",
-    // and a blind repeat would put the change twice. The log is read to its end: what stands there
-    // is not sent again, what does not is sent again under the same id.
+    // The connection closes after the append was sent. The command must not report a rejection, and
+    // must not append the change twice: it reads the log to its end, and sends the change again, with
+    // the same id, only if it is not there.
     standin::with_platform(async |standin| {
         standin.control("/control/faults", &faults).await;
         assert_eq!(revision(publish(standin, put(2_000), 60_000).await), 1);
@@ -103,8 +103,8 @@
 
 #[test]
 fn the_loser_of_a_race_is_told() {
-    // Two operators look at revision 0 and both publish. The log puts one first; the second's
-    // change is on the log too, so only reading it back tells that it was not accepted.
+    // Two operators publish changes based on revision 0. Both changes are on the log, so only reading
+    // the second one back shows that it was not accepted.
     standin::with_platform(async |standin| {
         let mut log = ConfigLog::new(args(standin, 60_000));
         log.read_all().await.unwrap();
@@ -125,7 +125,7 @@
             "{error}"
         );
         assert_eq!(fates(standin).await, ["accepted", "raced"]);
-        // Who looked at an old revision is told before anything is sent.
+        // A change based on an old revision fails before anything is sent.
         let stale = prepare(&log, put(9_000), Some(Revision(0))).unwrap_err();
         assert_eq!(stale.code().number(), 5008);
     });
@@ -150,9 +150,9 @@
 
 #[test]
 fn an_append_into_silence_is_undecided_and_its_id_finds_it_later() {
-    // The platform takes the append in and hangs before it answers, until the command's time is
-    // up. Neither "accepted" nor "refused" would be true; the error names the command that tells
-    // later, and that command finds the change once the platform is back.
+    // The platform appends the change and hangs before it answers, until the command's time limit
+    // passes. Neither "accepted" nor "rejected" would be true. The error names the command that shows
+    // the outcome later, and that command finds the change once the platform answers again.
     standin::with_platform(async |standin| {
         let change = prepare(&ConfigLog::new(args(standin, 0)), put(2_000), None).unwrap();
         let change_id = change.change().change_id;
@@ -181,8 +181,8 @@
 
 #[test]
 fn a_log_that_reads_stale_is_read_on_and_not_appended_to_again() {
-    // The log answers the append, but reads show the time before it. Saying "accepted" would trust
-    // an append that was not read back, and a second append would put the change twice.
+    // The log acknowledges the append, but reads return its state before the append. The command must
+    // not report success before the change was read back, and must not append it a second time.
     standin::with_platform(async |standin| {
         let change = prepare(&ConfigLog::new(args(standin, 0)), put(2_000), None).unwrap();
         let stale = json!({ "stale_reads": true });
@@ -217,7 +217,7 @@
 #[test]
 fn records_that_expired_are_not_taken_for_an_empty_configuration() {
     // The log lost its first record and holds no snapshot. Reading on would show revision 0 and let
-    // the operator publish on top of a configuration that nobody has.
+    // the operator publish a change based on a configuration that is in force nowhere.
     standin::with_platform(async |standin| {
         assert_eq!(revision(publish(standin, put(2_000), 60_000).await), 1);
         let lost = json!({ "truncate": { "stream": "config", "to": 1 } });
@@ -233,8 +233,8 @@
 
 #[test]
 fn garbage_on_the_log_is_ignored_and_counted() {
-    // Something else appended to our stream: no JSON, a kind nobody knows, a change that breaks the
-    // rules. Every reader ignores the same records, so publishing goes on around them.
+    // Another program appended to the stream: text that is not JSON, a record of an unknown kind, a
+    // change that violates the rules. Every reader ignores the same records, so publishing still works.
     standin::with_platform(async |standin| {
         let mut log = ConfigLog::new(args(standin, 60_000));
         for garbage in ["", "{\"change_v9\":{}}", "[[[[", "\u{0}"] {
@@ -254,8 +254,8 @@
 
 #[test]
 fn a_snapshot_stands_in_for_records_that_expired() {
-    // A control process publishes the configuration again, then the changes that made it expire.
-    // The operator sees the same targets and may go on from the same revision.
+    // A control process publishes the configuration as a snapshot, then the records of its changes
+    // expire. The operator sees the same targets and can continue from the same revision.
     standin::with_platform(async |standin| {
         assert_eq!(revision(publish(standin, put(2_000), 60_000).await), 1);
         let mut log = ConfigLog::new(args(standin, 60_000));
--- a/crates/onyxshed-cli/tests/story.rs
+++ b/crates/onyxshed-cli/tests/story.rs
@@ -1,4 +1,4 @@
-//! `onyxshed explain ID LOG...` on logs written here.
+//! `onyxshed explain ID LOG...` on log files that the tests write.
 
 use std::fs;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
 const REQUEST: &str = "c6dac14d911944c5";
 const JOB: &str = "06a5bd5c32a4c5eb";
 
-/// Logs of hosts, in a folder of their own.
+/// Log files of hosts in a temporary folder.
 struct Logs {
     folder: TempDir,
     files: Vec<PathBuf>,
@@ -81,8 +81,8 @@
         .detail(format!("run 1: {why}, token 16"))
 }
 
-/// Every answer that is no success has a cause in words and a place to look next, from its own line
-/// alone.
+/// Every answer other than a success has a cause and a place to look next, even if the logs contain only
+/// the line of the answer.
 #[test]
 fn every_answer_has_a_cause() {
     let not_run = NotRunReason::ALL.map(|reason| JobEnd::NotRun(reason, Millis(100)));
@@ -97,8 +97,8 @@
     insta::assert_snapshot!(text);
 }
 
-/// A caller's job is late because an executor fell silent. Its own line says only that it was late;
-/// the owner's log has the run that was lost, and what was believed of the executor.
+/// A job is late because an executor became unresponsive. The line of its answer shows only that it was
+/// late; the owner's log contains the lost run and the events about the executor.
 #[test]
 fn a_late_job_is_traced_over_two_hosts() {
     let silent = Event::new(EventKind::PoolExecutorSilent).party("i-1");
@@ -123,7 +123,8 @@
     assert_eq!(logs.explain(REQUEST), logs.explain(JOB));
 }
 
-/// The zone's owner died, and callers hear 503 until there is a new one: the host's own link tells.
+/// The zone's owner has stopped, and callers get status 503 until there is a new one. The log of the host
+/// that answered contains the loss of its link to the owner.
 #[test]
 fn a_refused_job_is_traced_to_the_lost_link() {
     let down = Event::new(EventKind::PoolLinkDown).party("10.0.0.1:7500");
@@ -133,8 +134,8 @@
     insta::assert_snapshot!(logs.explain(REQUEST));
 }
 
-/// A collector has merged all logs into one file, with time and host before each line, and other
-/// lines between.
+/// A log collector has merged all logs into one file, with the time and the host before each line, and
+/// lines of other programs in between.
 #[test]
 fn a_merged_log_names_its_hosts() {
     let mut event = answer(JobEnd::Failed, 100, "a/0");
@@ -158,8 +159,8 @@
     assert!(story::run(id, &logs.files, Format::Human).is_err());
 }
 
-/// A caller is refused by a host that has just started and can't read the store: it was no job yet, so
-/// the line names the status and the reason alone.
+/// A host that has just started and can't read the store rejects a request before it becomes a job, so
+/// the line contains only the status and the reason.
 #[test]
 fn a_request_declined_before_it_was_a_job_names_its_reason() {
     let declined = Event::new(EventKind::PoolJobRefused)
--- a/crates/onyxshed-cli/tests/support/standin.rs
+++ b/crates/onyxshed-cli/tests/support/standin.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in on the test's own thread.
+//! The stand-in of the platform, served on the test's own thread.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use onyxshed_standins::serve;
 use serde_json::Value;
 
-/// The stand-in and where it listens.
+/// A running stand-in.
 pub struct Standin {
     pub address: SocketAddr,
 }
@@ -23,7 +23,7 @@
         self.send(method, path, Vec::new()).await
     }
 
-    /// Posts to a control path.
+    /// Posts a body to a control path.
     pub async fn control(&self, path: &str, body: &Value) {
         let reply = self
             .send(Method::Post, path, body.to_string().into_bytes())
@@ -31,7 +31,7 @@
         assert_eq!(reply.status, 200);
     }
 
-    /// Gets the counts of calls.
+    /// Returns the numbers of calls that the stand-in has counted.
     pub async fn counts(&self) -> Value {
         let reply = self.call(Method::Get, "/control/counts").await;
         serde_json::from_slice(&reply.body).expect("counts are JSON")
@@ -44,7 +44,7 @@
     }
 }
 
-/// Runs a test beside a fresh stand-in.
+/// Runs a test with a new stand-in.
 pub fn with_platform(test: impl AsyncFnOnce(&Standin)) {
     let executor = Rc::new(LocalExecutor::new());
     let life = async {
--- a/crates/onyxshed-cli/tests/timeline.rs
+++ b/crates/onyxshed-cli/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! The merged time line: order, gaps, and one submission on one screen.
+//! The merged time line: its order, its gaps, and one submission on one screen.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -10,7 +10,7 @@
 use onyxshed_core::{Event, EventKind, Hlc, Incarnation, Millis, SubmissionId, UnixMs};
 use onyxshed_wire::admin::TimelinePage;
 
-/// 12:00:00 UTC of some day.
+/// 12:00:00 UTC on an arbitrary day.
 const NOON_MS: u64 = 1_700_049_600_000;
 
 fn id() -> SubmissionId {
@@ -66,7 +66,8 @@
     }
 }
 
-/// A job of three tasks: refused by one host's log record, run by another.
+/// Answers about a job of three tasks that one host runs and another forwards, with a gap of each kind
+/// that a process may have.
 fn story() -> Vec<Asked<TimelinePage>> {
     let mut first = vec![at(0, Event::new(EventKind::JobReceived).detail("3 tasks"))];
     first.push(at(
@@ -113,7 +114,7 @@
 
 #[test]
 fn a_big_job_still_fits_one_screen() {
-    // 550 tasks that start and finish in turn: no two neighbours look alike.
+    // 550 tasks start and finish alternately, so that no two consecutive events can share a line.
     let mut events = vec![at(0, Event::new(EventKind::JobReceived))];
     for index in 0..550 {
         let offset_ms = 1 + u64::from(index);
@@ -175,8 +176,9 @@
     );
 }
 
-/// The logs of two hosts, whose processes are long gone, as one time line of what they believed: in the
-/// order of their hybrid clocks, lines on requests left out, and one that holds no event told of.
+/// The logs of two hosts whose processes have ended, merged into one time line without the lines on
+/// single requests: in the order of their hybrid logical clocks, with a count of the lines that contain no
+/// event.
 #[test]
 fn beliefs_are_merged_from_the_logs_of_all_hosts() {
     let folder = tempfile::tempdir().expect("a folder");
--- a/crates/onyxshed-cli/tests/words.rs
+++ b/crates/onyxshed-cli/tests/words.rs
@@ -1,4 +1,4 @@
-//! What the command line says without asking anybody: help, catalogues, spans, refusals.
+//! Output of the command line that needs no process: help, catalogues, durations and usage errors.
 
 use std::process::{Command, Output};
 use std::sync::Mutex;
@@ -19,7 +19,7 @@
         .expect("the binary runs")
 }
 
-/// Writes exit code, standard output and standard error as one text.
+/// Formats exit code, standard output and standard error as one text.
 fn transcript(output: &Output) -> String {
     let out = String::from_utf8_lossy(&output.stdout);
     let err = String::from_utf8_lossy(&output.stderr);
@@ -120,7 +120,7 @@
     let progress = Progress::saying_by("the platform", |what| {
         SAID.lock().expect("nobody panics").push(what.to_owned());
     });
-    // The work ends once something was said, and would never end otherwise.
+    // The work ends once something was reported, and would never end otherwise.
     let work = async {
         while SAID.lock().unwrap().is_empty() {
             Timer::after(Duration::from_millis(5)).await;
