--- a/crates/onyxshed-entry/src/callers.rs
+++ b/crates/onyxshed-entry/src/callers.rs
@@ -19,7 +19,7 @@
 
 /// The listener on which a request arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Door {
+enum ListenerKind {
     /// The listener for callers.
     Caller,
     /// The listener for peers, which may forward requests to this host.
@@ -31,7 +31,7 @@
     Submit,
     Fetch(SubmissionId),
     Cancel(SubmissionId),
-    Bad(ResultCode),
+    Invalid(ResultCode),
 }
 
 /// Addresses and limits of the two listeners.
@@ -71,14 +71,14 @@
         kernel: &Kernel,
         name: &'static str,
         address: SocketAddr,
-        door: Door,
+        listener: ListenerKind,
     ) -> Result<Rc<ServerStats>> {
         let engine = self.engine.clone();
         let handle = move |call| {
             let engine = engine.clone();
-            async move { handle(&engine, door, call).await }
+            async move { handle(&engine, listener, call).await }
         };
-        let reject = |code| reply_of(&turned_away(code));
+        let reject = |code| reply_of(&rejection(code));
         let options = self.options.server;
         serve_requests(kernel, CALLERS, name, address, options, handle, reject).await
     }
@@ -97,10 +97,15 @@
         Box::pin(async move {
             let options = &self.options;
             let caller = self
-                .open(kernel, "caller", options.caller_address, Door::Caller)
+                .open(
+                    kernel,
+                    "caller",
+                    options.caller_address,
+                    ListenerKind::Caller,
+                )
                 .await?;
             let peer = self
-                .open(kernel, "peer", options.peer_address, Door::Peer)
+                .open(kernel, "peer", options.peer_address, ListenerKind::Peer)
                 .await?;
             let descriptor = Descriptor {
                 name: CALLERS,
@@ -115,12 +120,12 @@
     fn drain<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async move {
             self.engine.feed(Input::Drain);
-            Timer::after(DRAIN_NOTICE).await;
+            Timer::after(DRAIN_GRACE).await;
             let Ok(callers) = kernel.find::<Callers>(CALLERS) else {
                 return;
             };
             while callers.caller.in_flight.get() + callers.peer.in_flight.get() > 0 {
-                Timer::after(DRAIN_POLL).await;
+                Timer::after(DRAIN_POLL_INTERVAL).await;
             }
         })
     }
@@ -132,18 +137,18 @@
 /// a connection reset, and its caller can't know whether the job ran. By the end of this time readiness
 /// has been false for as long, so the load balancer sends no more requests, and each reply closes its
 /// connection.
-const DRAIN_NOTICE: std::time::Duration = std::time::Duration::from_millis(500);
+const DRAIN_GRACE: std::time::Duration = std::time::Duration::from_millis(500);
 
 /// How often a drain checks whether the last reply has been written.
-const DRAIN_POLL: std::time::Duration = std::time::Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(10);
 
-async fn handle(engine: &Engine, door: Door, mut call: Call) -> Reply {
-    let is_forwarded = door == Door::Peer && call.header(FORWARDED_HEADER).is_some();
+async fn handle(engine: &Engine, listener: ListenerKind, mut call: Call) -> Reply {
+    let is_forwarded = listener == ListenerKind::Peer && call.header(FORWARDED_HEADER).is_some();
     let answer = match route(&call) {
         Route::Submit => submit(engine, std::mem::take(&mut call.body), is_forwarded).await,
         Route::Fetch(id) => {
             engine
-                .ask(|request| Input::Fetch {
+                .request(|request| Input::Fetch {
                     request,
                     id,
                     is_forwarded,
@@ -152,14 +157,14 @@
         }
         Route::Cancel(id) => {
             engine
-                .ask(|request| Input::Cancel {
+                .request(|request| Input::Cancel {
                     request,
                     id,
                     is_forwarded,
                 })
                 .await
         }
-        Route::Bad(code) => Answer::ended(None, code, ""),
+        Route::Invalid(code) => Answer::ended(None, code, ""),
     };
     reply_of(&answer)
 }
@@ -170,14 +175,14 @@
     drop(body);
     match decoded {
         Ok(submission) => {
-            let (class, arrived) = (submission.class.clone(), Instant::now());
-            let make = |request| Input::Submit {
+            let (class, arrived_at) = (submission.class.clone(), Instant::now());
+            let make_input = |request| Input::Submit {
                 request,
                 submission,
                 is_forwarded,
             };
-            let answer = engine.ask(make).await;
-            measures::answered(&class, &answer, arrived.elapsed());
+            let answer = engine.request(make_input).await;
+            measures::record_answer(&class, &answer, arrived_at.elapsed());
             answer
         }
         Err(error) => Answer::ended(None, error.code(), &error.to_string()),
@@ -186,32 +191,32 @@
 
 fn route(call: &Call) -> Route {
     let Some(rest) = call.path().strip_prefix(JOBS_PATH) else {
-        return Route::Bad(ResultCode::NoSuchPath);
+        return Route::Invalid(ResultCode::NoSuchPath);
     };
     if rest.is_empty() {
         return match call.method() {
             Method::Post => Route::Submit,
-            _ => Route::Bad(ResultCode::NoSuchPath),
+            _ => Route::Invalid(ResultCode::NoSuchPath),
         };
     }
     let id = rest.strip_prefix('/').and_then(|text| text.parse().ok());
     match (call.method(), id) {
         (Method::Get, Some(id)) => Route::Fetch(id),
         (Method::Delete, Some(id)) => Route::Cancel(id),
-        (Method::Get | Method::Delete, None) => Route::Bad(ResultCode::BadRequest),
-        _ => Route::Bad(ResultCode::NoSuchPath),
+        (Method::Get | Method::Delete, None) => Route::Invalid(ResultCode::BadRequest),
+        _ => Route::Invalid(ResultCode::NoSuchPath),
     }
 }
 
 /// Time after which a caller may retry a request that was rejected before it was read whole.
-const REPEAT_AFTER: Millis = Millis(1_000);
+const RETRY_AFTER: Millis = Millis(1_000);
 
 /// Creates the answer to a request that was rejected before it was read whole.
-fn turned_away(code: ResultCode) -> Answer {
+fn rejection(code: ResultCode) -> Answer {
     let answer = Answer::ended(None, code, "");
     match code {
         ResultCode::TooSlow | ResultCode::TooManyConnections | ResultCode::EntryFull => {
-            answer.retry_after(REPEAT_AFTER)
+            answer.retry_after(RETRY_AFTER)
         }
         _ => answer,
     }
@@ -220,7 +225,7 @@
 fn reply_of(answer: &Answer) -> Reply {
     let reply = Reply::json(answer.http_status(), answer);
     match answer.retry_after_ms {
-        Some(wait) => reply.retry_after_ms(wait.0),
+        Some(delay) => reply.retry_after_ms(delay.0),
         None => reply,
     }
 }
--- a/crates/onyxshed-entry/src/claim_log.rs
+++ b/crates/onyxshed-entry/src/claim_log.rs
@@ -21,7 +21,7 @@
 const READ_WAIT: Millis = Millis(1_000);
 
 /// How long to wait after a failed read.
-const READ_PAUSE: Duration = Duration::from_millis(200);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Handle to the stream of claims.
 pub struct ClaimLog {
@@ -53,28 +53,28 @@
     /// Appends a batch of claims and reports the result to the engine.
     pub fn append(self: &Rc<Self>, batch: ClaimBatch) {
         let log = self.clone();
-        let run = async move {
-            let number = batch.batch;
+        let appending = async move {
+            let batch_number = batch.batch;
             let record = ClaimRecord::ClaimsV1(batch).encode();
             let mut appender = log.appender.lock().await;
-            let appended = appender.append(CLAIMS_STREAM, record.into_bytes()).await;
+            let append_result = appender.append(CLAIMS_STREAM, record.into_bytes()).await;
             drop(appender);
-            let result = appended.map_err(|error| match error.may_have_taken_effect() {
+            let result = append_result.map_err(|error| match error.may_have_taken_effect() {
                 true => AppendFailure::AnswerLost,
                 false => AppendFailure::NotAppended,
             });
             log.engine.feed(Input::AppendEnded {
-                batch: number,
+                batch: batch_number,
                 result,
             });
         };
-        self.kernel.spawn(run).detach();
+        self.kernel.spawn(appending).detach();
     }
 
     /// Returns how long the next read may wait. No claim can be made until the end of the stream has been
     /// read, so the first read after a start or an outage must not wait for a new record.
     fn read_wait(&self) -> Millis {
-        match self.engine.look(Dispatch::is_log_read) {
+        match self.engine.inspect(Dispatch::is_log_read) {
             true => READ_WAIT,
             false => Millis(0),
         }
@@ -85,7 +85,7 @@
         let mut client = PlatformClient::new(self.platform_address, self.options);
         let mut is_lost = false;
         loop {
-            let from = self.engine.look(Dispatch::next_log_offset);
+            let from = self.engine.inspect(Dispatch::next_log_offset);
             match client.read(CLAIMS_STREAM, from, self.read_wait()).await {
                 Ok(page) => {
                     if std::mem::replace(&mut is_lost, false) {
@@ -105,7 +105,7 @@
                         self.kernel.emit(event.detail(error.to_string()));
                         self.engine.feed(Input::LogLost);
                     }
-                    Timer::after(READ_PAUSE).await;
+                    Timer::after(READ_RETRY_DELAY).await;
                 }
             }
         }
--- a/crates/onyxshed-entry/src/control_port.rs
+++ b/crates/onyxshed-entry/src/control_port.rs
@@ -68,13 +68,13 @@
                 .set_executors(&executors);
             let infos = executors.into_iter().map(|entry| entry.info).collect();
             engine.feed(Input::Executors(infos));
-            self.kernel.readiness().clear_not_ready(WITHOUT_EXECUTORS);
+            self.kernel.readiness().clear_not_ready(NO_EXECUTORS_YET);
             let live_members = snapshot
                 .members
                 .iter()
                 .filter(|member| member.state == MemberState::Live);
-            if self.has_met_peers(live_members.count(), snapshot.live_hosts) {
-                self.kernel.readiness().clear_not_ready(WITHOUT_PEERS);
+            if self.has_learned_of_peers(live_members.count(), snapshot.live_hosts) {
+                self.kernel.readiness().clear_not_ready(PEERS_NOT_KNOWN_YET);
             }
         }
         engine.feed(Input::Members {
@@ -85,7 +85,7 @@
         });
         if let Some(config) = snapshot.config {
             engine.feed(Input::Configured(config));
-            self.kernel.readiness().clear_not_ready(WITHOUT_CONFIG);
+            self.kernel.readiness().clear_not_ready(NO_CONFIG_YET);
         }
         Ok(self.status(&engine))
     }
@@ -95,8 +95,8 @@
     /// Without this check, a new host may receive the copy of a job that another host holds before it has
     /// learned of that host, and would answer that the holder can't be reached although it is up. The wait
     /// is bounded, so that hosts that are listed and down do not keep a new one out of service.
-    fn has_met_peers(&self, heard: usize, live: u32) -> bool {
-        let listed = usize::try_from(live).unwrap_or(usize::MAX);
+    fn has_learned_of_peers(&self, live_peers: usize, listed_hosts: u32) -> bool {
+        let listed = usize::try_from(listed_hosts).unwrap_or(usize::MAX);
         let since = self.first_snapshot.get();
         let since = since.unwrap_or_else(|| {
             let now = self.kernel.clock().now().mono;
@@ -104,24 +104,28 @@
             now
         });
         let waited = self.kernel.clock().now().mono.since(since);
-        let has_heard_all = live > 0 && heard + 1 >= listed;
-        has_heard_all || waited >= PEERS_PATIENCE.into()
+        let has_all = listed_hosts > 0 && live_peers + 1 >= listed;
+        has_all || waited >= PEERS_WAIT_MAX.into()
     }
 
     fn status(&self, engine: &Engine) -> EntryStatus {
         let addresses = self.kernel.addresses();
-        let listened = addresses
+        let listener_address = addresses
             .get("peer")
             .copied()
             .unwrap_or(self.options.control_address);
         EntryStatus {
             host: self.options.host.clone(),
             incarnation: self.options.incarnation,
-            peer_address: self.options.peer_advertised_address.unwrap_or(listened),
-            config_revision: engine.look(|machine| machine.config().map(|held| held.revision)),
+            peer_address: self
+                .options
+                .peer_advertised_address
+                .unwrap_or(listener_address),
+            config_revision: engine
+                .inspect(|machine| machine.config().map(|config| config.revision)),
             load: LoadDigest {
-                running_tasks: count(engine.look(Dispatch::live_attempts)),
-                queued_tasks: count(engine.look(Dispatch::queued_tasks)),
+                running_tasks: saturating_u32(engine.inspect(Dispatch::live_attempts)),
+                queued_tasks: saturating_u32(engine.inspect(Dispatch::queued_tasks)),
             },
             started_at_ms: self.started_at_ms,
             is_draining: self.kernel.readiness().is_draining(),
@@ -142,21 +146,21 @@
 }
 
 /// Why the process is not ready before it has received a configuration.
-pub const WITHOUT_CONFIG: &str = "no configuration yet";
+pub const NO_CONFIG_YET: &str = "no configuration yet";
 
-fn count(found: usize) -> u32 {
-    u32::try_from(found).unwrap_or(u32::MAX)
+fn saturating_u32(value: usize) -> u32 {
+    u32::try_from(value).unwrap_or(u32::MAX)
 }
 
 /// Why the process is not ready before it has received the platform's list of hosts.
-pub const WITHOUT_EXECUTORS: &str = "no list of executors yet";
+pub const NO_EXECUTORS_YET: &str = "no list of executors yet";
 
 /// Why the process is not ready before it has learned of the other hosts.
-pub const WITHOUT_PEERS: &str = "other hosts are not heard yet";
+pub const PEERS_NOT_KNOWN_YET: &str = "other hosts are not heard yet";
 
 /// Longest time for which readiness waits for the other hosts, counted from the first list of hosts:
 /// five times the 190 ms that hosts which start together take to learn of each other.
-const PEERS_PATIENCE: Millis = Millis(1_000);
+const PEERS_WAIT_MAX: Millis = Millis(1_000);
 
 /// The Cap'n Proto interface that the control process calls.
 struct EntryPort {
@@ -171,8 +175,8 @@
     ) -> capnp::Result<()> {
         let snapshot = snapshot::read(params.get()?.get_snapshot()?)?;
         let installed = self.port.install(snapshot);
-        let found = installed.map_err(|error| capnp::Error::failed(error.to_string()))?;
-        status::write(&found, results.get().init_status());
+        let entry_status = installed.map_err(|error| capnp::Error::failed(error.to_string()))?;
+        status::write(&entry_status, results.get().init_status());
         Ok(())
     }
 }
@@ -200,9 +204,9 @@
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
         Box::pin(async move {
-            kernel.readiness().set_not_ready(WITHOUT_CONFIG);
-            kernel.readiness().set_not_ready(WITHOUT_EXECUTORS);
-            kernel.readiness().set_not_ready(WITHOUT_PEERS);
+            kernel.readiness().set_not_ready(NO_CONFIG_YET);
+            kernel.readiness().set_not_ready(NO_EXECUTORS_YET);
+            kernel.readiness().set_not_ready(PEERS_NOT_KNOWN_YET);
             let port = Rc::new(ControlPort {
                 kernel: kernel.clone(),
                 options: self.options.clone(),
--- a/crates/onyxshed-entry/src/engine.rs
+++ b/crates/onyxshed-entry/src/engine.rs
@@ -20,19 +20,19 @@
 use crate::upstreams::Upstreams;
 
 /// Longest time between two ticks of the dispatch state machine.
-const TICK_MAX: Duration = Duration::from_millis(100);
+const TICK_INTERVAL_MAX: Duration = Duration::from_millis(100);
 
 /// How often the metrics are refreshed.
-const MEASURE_EVERY: Duration = Duration::from_secs(1);
+const METRICS_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often a drain checks whether the last job has ended.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Handle to the dispatch state machine.
 pub struct Engine {
     kernel: Kernel,
     dispatch: RefCell<Dispatch>,
-    waiting: RefCell<HashMap<RequestId, Sender<Answer>>>,
+    pending: RefCell<HashMap<RequestId, Sender<Answer>>>,
     last_request: Cell<u64>,
     armed_for: Cell<Option<Mono>>,
     rearm: (Sender<()>, Receiver<()>),
@@ -44,7 +44,7 @@
         Rc::new(Engine {
             kernel: kernel.clone(),
             dispatch: RefCell::new(dispatch),
-            waiting: RefCell::default(),
+            pending: RefCell::default(),
             last_request: Cell::new(0),
             armed_for: Cell::new(None),
             rearm: async_channel::bounded(1),
@@ -56,37 +56,37 @@
         let now = self.kernel.clock().now();
         let outputs = self.dispatch.borrow_mut().handle(now, input);
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
-        self.arm();
+        self.arm_timer();
     }
 
     /// Feeds a request to the state machine and waits for its answer.
-    pub async fn ask(&self, make: impl FnOnce(RequestId) -> Input) -> Answer {
+    pub async fn request(&self, make_input: impl FnOnce(RequestId) -> Input) -> Answer {
         let request = RequestId(self.last_request.get() + 1);
         self.last_request.set(request.0);
         let (sender, receiver) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(request, sender);
-        self.feed(make(request));
+        self.pending.borrow_mut().insert(request, sender);
+        self.feed(make_input(request));
         receiver
             .recv()
             .await
-            .expect("the machine answers every request")
+            .expect("the dispatch state machine answers every request")
     }
 
     /// Calls `read` with the state machine and returns its result.
-    pub fn look<T>(&self, at: impl FnOnce(&Dispatch) -> T) -> T {
-        at(&self.dispatch.borrow())
+    pub fn inspect<T>(&self, read: impl FnOnce(&Dispatch) -> T) -> T {
+        read(&self.dispatch.borrow())
     }
 
     /// Returns the number of requests that wait for an answer.
-    pub fn waiting_requests(&self) -> usize {
-        self.waiting.borrow().len()
+    pub fn pending_requests(&self) -> usize {
+        self.pending.borrow().len()
     }
 
     /// Executes one output. Calls that take time are spawned, so that they never delay a step of the state
     /// machine.
-    fn carry_out(&self, output: Output) {
+    fn execute(&self, output: Output) {
         match output {
             Output::Answer { request, answer } => self.answer(request, answer),
             Output::Emit(event) => self.kernel.emit(event),
@@ -100,14 +100,14 @@
                 self.service::<Peers>(PEERS).forward(request, address, call);
             }
             output @ (Output::Start { .. } | Output::Stop { .. } | Output::Query { .. }) => {
-                self.service::<Upstreams>(UPSTREAMS).carry_out(output);
+                self.service::<Upstreams>(UPSTREAMS).execute(output);
             }
         }
     }
 
     fn answer(&self, request: RequestId, answer: Answer) {
-        let waiting = self.waiting.borrow_mut().remove(&request);
-        if let Some(sender) = waiting {
+        let pending = self.pending.borrow_mut().remove(&request);
+        if let Some(sender) = pending {
             // The channel has room for the only answer; if the receiver is closed, the caller has disconnected.
             let _ = sender.try_send(answer);
         }
@@ -116,13 +116,13 @@
     fn service<T: 'static>(&self, name: ServiceName) -> Rc<T> {
         self.kernel
             .find(name)
-            .expect("every service is started before a request comes in")
+            .expect("every service starts before the first request arrives")
     }
 
-    fn arm(&self) {
-        let wanted = self.dispatch.borrow().wake_at();
-        let is_sooner = match (wanted, self.armed_for.get()) {
-            (Some(wanted), Some(armed)) => wanted < armed,
+    fn arm_timer(&self) {
+        let wake_at = self.dispatch.borrow().wake_at();
+        let is_sooner = match (wake_at, self.armed_for.get()) {
+            (Some(wake_at), Some(armed)) => wake_at < armed,
             (Some(_), None) => true,
             (None, _) => false,
         };
@@ -133,10 +133,10 @@
     }
 
     /// Refreshes the metrics until the process ends.
-    async fn measure(self: Rc<Self>) {
+    async fn refresh_metrics(self: Rc<Self>) {
         loop {
-            self.look(measures::refresh);
-            Timer::after(MEASURE_EVERY).await;
+            self.inspect(measures::refresh);
+            Timer::after(METRICS_REFRESH_INTERVAL).await;
         }
     }
 
@@ -146,19 +146,19 @@
         loop {
             let wake_at = self.dispatch.borrow().wake_at();
             self.armed_for.set(wake_at);
-            let alarm = async {
+            let wake = async {
                 match wake_at {
                     Some(at) => self.kernel.clock().sleep_until(at).await,
                     None => std::future::pending().await,
                 }
             };
-            let sooner = async {
+            let rearmed = async {
                 let _ = self.rearm.1.recv().await;
             };
-            let at_latest = async {
-                Timer::after(TICK_MAX).await;
+            let interval_elapsed = async {
+                Timer::after(TICK_INTERVAL_MAX).await;
             };
-            sooner.or(alarm).or(at_latest).await;
+            rearmed.or(wake).or(interval_elapsed).await;
             self.feed(Input::Tick);
         }
     }
@@ -185,19 +185,19 @@
         Box::pin(async move {
             let descriptor = Descriptor {
                 name: ENGINE,
-                summary: "the dispatch machine",
+                summary: "dispatch state machine",
             };
             kernel.register(descriptor, self.engine.clone())?;
             kernel.spawn(self.engine.clone().tick()).detach();
-            kernel.spawn(self.engine.clone().measure()).detach();
+            kernel.spawn(self.engine.clone().refresh_metrics()).detach();
             Ok(())
         })
     }
 
     fn drain<'a>(&'a self, _kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async move {
-            while self.engine.look(Dispatch::live_jobs) > 0 {
-                Timer::after(DRAIN_POLL).await;
+            while self.engine.inspect(Dispatch::live_jobs) > 0 {
+                Timer::after(DRAIN_POLL_INTERVAL).await;
             }
         })
     }
--- a/crates/onyxshed-entry/src/measures.rs
+++ b/crates/onyxshed-entry/src/measures.rs
@@ -21,20 +21,24 @@
 pub const WASTED_MESSAGES_TOTAL: &str = "onyxshed_wasted_messages_total";
 
 /// Value of the `class` label for jobs of classes that are not configured.
-const NO_CLASS: &str = "none";
+const UNCONFIGURED_CLASS: &str = "none";
 
 /// Records an answer to a submission and its response time.
-pub fn answered(class: &ClassName, answer: &Answer, took: Duration) {
+pub fn record_answer(class: &ClassName, answer: &Answer, elapsed: Duration) {
     let is_known = !matches!(
         answer.code,
         Some(ResultCode::UnknownClass | ResultCode::NotReady)
     );
-    let class = if is_known { class.as_str() } else { NO_CLASS };
+    let class = if is_known {
+        class.as_str()
+    } else {
+        UNCONFIGURED_CLASS
+    };
     let code = answer.code.map_or(0, ResultCode::number);
     let labels = [("class", class.to_owned()), ("code", code.to_string())];
     metrics::counter!(JOB_ANSWERS_TOTAL, &labels).increment(1);
     metrics::histogram!(JOB_RESPONSE_SECONDS, "class" => class.to_owned())
-        .record(took.as_secs_f64());
+        .record(elapsed.as_secs_f64());
 }
 
 /// Sets the gauges and the counters of wasted messages to the current values of the state machine.
@@ -76,20 +80,20 @@
         // The conversion is exact up to 2^53.
         metric::gauge(name, text).set(value as f64);
     }
-    let revision = machine.config().map_or(0, |held| held.revision.0);
+    let revision = machine.config().map_or(0, |config| config.revision.0);
     metric::gauge("onyxshed_config_revision", "The configuration in force.").set(revision as f64);
-    refresh_waste(machine);
+    refresh_wasted_messages(machine);
 }
 
-fn refresh_waste(machine: &Dispatch) {
-    let waste = machine.waste();
+fn refresh_wasted_messages(machine: &Dispatch) {
+    let wasted = machine.waste();
     let kinds = [
-        ("refusal", waste.refusals),
-        ("unsent", waste.unsent),
-        ("retry", waste.retries),
-        ("hedge", waste.hedges),
-        ("failed_probe", waste.failed_probes),
-        ("stop", waste.stopped),
+        ("refusal", wasted.refusals),
+        ("unsent", wasted.unsent),
+        ("retry", wasted.retries),
+        ("hedge", wasted.hedges),
+        ("failed_probe", wasted.failed_probes),
+        ("stop", wasted.stopped),
     ];
     for (kind, count) in kinds {
         let text = "Messages to executors that served no answer.";
--- a/crates/onyxshed-entry/src/peers.rs
+++ b/crates/onyxshed-entry/src/peers.rs
@@ -26,7 +26,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A connection to a peer is reused only if it has answered within this time.
-const PROVEN_WITHIN: Duration = Duration::from_secs(2);
+const REUSE_WITHIN: Duration = Duration::from_secs(2);
 
 /// Most idle connections kept to one peer.
 const IDLE_MAX: usize = 32;
@@ -55,10 +55,10 @@
         call: ForwardedCall,
     ) {
         let peers = self.clone();
-        let run = async move {
-            let id = id_of(&call);
+        let forwarding = async move {
+            let id = submission_id_of(&call);
             let answer = match address {
-                Some(address) => peers.ask(address, call).await,
+                Some(address) => peers.call(address, call).await,
                 None => None,
             };
             if let Ok(engine) = peers.kernel.find::<Engine>(ENGINE) {
@@ -69,17 +69,17 @@
                 });
             }
         };
-        self.kernel.spawn(run).detach();
+        self.kernel.spawn(forwarding).detach();
     }
 
     /// Calls a peer. Returns `None` if it can't be reached or its answer can't be decoded.
-    async fn ask(&self, address: SocketAddr, call: ForwardedCall) -> Option<Answer> {
+    async fn call(&self, address: SocketAddr, call: ForwardedCall) -> Option<Answer> {
         let pool = self.pool(address);
         let mut connection = pool
-            .get(ReusePolicy::AnsweredWithin(PROVEN_WITHIN))
+            .get(ReusePolicy::AnsweredWithin(REUSE_WITHIN))
             .await
             .ok()?;
-        let (method, path, body) = request_of(call);
+        let (method, path, body) = http_request_of(call);
         let headers = [(FORWARDED_HEADER, SmolStr::new_static("1"))];
         let reply = connection
             .call(method, &path, &headers, body, ANSWER_TIMEOUT)
@@ -103,14 +103,14 @@
     }
 }
 
-fn id_of(call: &ForwardedCall) -> SubmissionId {
+fn submission_id_of(call: &ForwardedCall) -> SubmissionId {
     match call {
         ForwardedCall::Submit(submission) => submission.submission,
         ForwardedCall::Fetch(id) | ForwardedCall::Cancel(id) => *id,
     }
 }
 
-fn request_of(call: ForwardedCall) -> (Method, String, Vec<u8>) {
+fn http_request_of(call: ForwardedCall) -> (Method, String, Vec<u8>) {
     match call {
         ForwardedCall::Submit(submission) => {
             let body = serde_json::to_vec(&submission).unwrap_or_default();
@@ -146,7 +146,7 @@
         Box::pin(async move {
             let descriptor = Descriptor {
                 name: PEERS,
-                summary: "requests passed on to peers",
+                summary: "requests forwarded to peers",
             };
             kernel.register(descriptor, self.peers.clone())
         })
--- a/crates/onyxshed-entry/src/process.rs
+++ b/crates/onyxshed-entry/src/process.rs
@@ -31,7 +31,8 @@
 
     const NAME: &'static str = "onyxshed-entry";
 
-    const ABOUT: &'static str = "Faces callers and upstreams on one entry host";
+    const ABOUT: &'static str =
+        "Serves callers and dispatches their tasks to upstreams on one entry host";
 
     const SIGNALS: &'static str = "Signals: SIGTERM or SIGINT drain it (readiness goes false, work in flight finishes, new jobs are \
                            answered \"not run\"); SIGQUIT ends it at once.";
@@ -58,7 +59,7 @@
     let incarnation = parts.boot;
     let dispatch = Dispatch::new(incarnation, dispatch_options(settings), rand::random());
     let engine = Engine::new(kernel, dispatch);
-    set_status(kernel, &telemetry, &engine);
+    register_status_source(kernel, &telemetry, &engine);
     let upstreams = Upstreams::new(kernel, incarnation, upstream_options(settings));
     let platform = PlatformOptions::default();
     let claims = ClaimLog::new(kernel, engine.clone(), settings.platform_address, platform);
@@ -81,7 +82,7 @@
 
 /// Registers the status source: the dispatch state machine's counts and the age of the snapshot that
 /// it works with.
-fn set_status(kernel: &Kernel, telemetry: &Telemetry, engine: &Rc<Engine>) {
+fn register_status_source(kernel: &Kernel, telemetry: &Telemetry, engine: &Rc<Engine>) {
     let (kernel, engine) = (kernel.clone(), engine.clone());
     telemetry.set_status_source(Box::new(move || {
         let age_ms = kernel
@@ -91,9 +92,10 @@
             .map(|age| age.as_millis());
         let executors = kernel
             .find::<Upstreams>(UPSTREAMS)
-            .map_or(0, |found| found.count());
-        let config_revision = engine.look(|machine| machine.config().map(|held| held.revision));
-        let details = engine.look(|machine| {
+            .map_or(0, |upstreams| upstreams.count());
+        let config_revision =
+            engine.inspect(|machine| machine.config().map(|config| config.revision));
+        let details = engine.inspect(|machine| {
             json!({
                 "is_log_read": machine.is_log_read(),
                 "live_jobs": machine.live_jobs(),
--- a/crates/onyxshed-entry/src/upstreams.rs
+++ b/crates/onyxshed-entry/src/upstreams.rs
@@ -50,18 +50,18 @@
 /// Handle to the connections to executors.
 pub struct Upstreams {
     kernel: Kernel,
-    me: Incarnation,
+    incarnation: Incarnation,
     options: UpstreamOptions,
     pools: RefCell<BTreeMap<ExecutorName, Rc<ConnectionPool>>>,
 }
 
 impl Upstreams {
     /// Creates a handle without executors.
-    pub fn new(kernel: &Kernel, me: Incarnation, options: UpstreamOptions) -> Rc<Self> {
+    pub fn new(kernel: &Kernel, incarnation: Incarnation, options: UpstreamOptions) -> Rc<Self> {
         let kernel = kernel.clone();
         Rc::new(Upstreams {
             kernel,
-            me,
+            incarnation,
             options,
             pools: RefCell::default(),
         })
@@ -76,21 +76,21 @@
     /// closed once they are idle.
     pub fn set_executors(&self, executors: &[ExecutorEntry]) {
         let mut pools = self.pools.borrow_mut();
-        let mut known = std::mem::take(&mut *pools);
+        let mut previous = std::mem::take(&mut *pools);
         for entry in executors {
             let name = entry.info.name.clone();
-            let kept = known
+            let kept = previous
                 .remove(&name)
                 .filter(|pool| pool.address() == entry.address);
-            let joined = kept.is_none();
+            let is_new = kept.is_none();
             let pool = kept.unwrap_or_else(|| self.new_pool(entry));
             pools.insert(name.clone(), pool);
-            if joined {
+            if is_new {
                 self.kernel
                     .emit(Event::new(EventKind::UpstreamJoined).party(name.as_str()));
             }
         }
-        for name in known.keys() {
+        for name in previous.keys() {
             self.kernel
                 .emit(Event::new(EventKind::UpstreamGone).party(name.as_str()));
         }
@@ -106,7 +106,7 @@
     }
 
     /// Executes a start, a stop or a status query, and reports its end to the engine.
-    pub fn carry_out(self: &Rc<Self>, output: Output) {
+    pub fn execute(self: &Rc<Self>, output: Output) {
         let upstreams = self.clone();
         self.kernel
             .spawn(async move { upstreams.call_and_report(output).await })
@@ -148,7 +148,7 @@
                 task,
                 executor,
             } => {
-                let status = self.ask(&executor, task).await;
+                let status = self.query_status(&executor, task).await;
                 self.report(Input::QueryEnded { attempt, status });
             }
             _ => {}
--- a/crates/onyxshed-entry/src/upstreams/call.rs
+++ b/crates/onyxshed-entry/src/upstreams/call.rs
@@ -50,7 +50,7 @@
     /// Starts a task and waits until the attempt has ended.
     pub(super) async fn start(&self, executor: &ExecutorName, call: StartCall) -> AttemptReport {
         let Some(pool) = self.pool(executor) else {
-            return ended(AttemptOutcome::Unsent, "the executor is no longer known");
+            return report_without_reply(AttemptOutcome::Unsent, "the executor is no longer known");
         };
         let health = match call.needs_proven_connection {
             true => ReusePolicy::AnsweredWithin(self.options.proven_within),
@@ -58,7 +58,7 @@
         };
         let mut connection = match pool.get(health).await {
             Ok(connection) => connection,
-            Err(error) => return ended(AttemptOutcome::Unsent, error.reason),
+            Err(error) => return report_without_reply(AttemptOutcome::Unsent, error.reason),
         };
         match self.send_start(&mut connection, &call).await {
             Ok(reply) => {
@@ -68,7 +68,7 @@
                 }
                 report
             }
-            Err(error) => broken(&pool, &error),
+            Err(error) => report_failed_call(&pool, &error),
         }
     }
 
@@ -83,7 +83,10 @@
                 LEASE_HEADER,
                 smol_str::format_smolstr!("{}", call.lease_ms.0),
             ),
-            (STARTER_HEADER, smol_str::format_smolstr!("{}", self.me)),
+            (
+                STARTER_HEADER,
+                smol_str::format_smolstr!("{}", self.incarnation),
+            ),
             (
                 ATTEMPT_HEADER,
                 smol_str::format_smolstr!("{}", call.attempt),
@@ -107,14 +110,17 @@
     /// It always opens a new connection, since the one that carried the start may no longer deliver data.
     pub(super) async fn stop(&self, executor: &ExecutorName, call: StopCall) -> Option<StopReport> {
         let headers = [
-            (STARTER_HEADER, smol_str::format_smolstr!("{}", self.me)),
+            (
+                STARTER_HEADER,
+                smol_str::format_smolstr!("{}", self.incarnation),
+            ),
             (
                 ATTEMPT_HEADER,
                 smol_str::format_smolstr!("{}", call.attempt),
             ),
         ];
         let reply = self
-            .call_anew(executor, Method::Delete, &headers, call.task)
+            .call_on_new_connection(executor, Method::Delete, &headers, call.task)
             .await?;
         let state = state_of(call.task, &reply)?;
         Some(StopReport {
@@ -124,15 +130,21 @@
     }
 
     /// Queries the status of a task. Returns `None` if the executor sent no valid reply.
-    pub(super) async fn ask(&self, executor: &ExecutorName, task: TaskId) -> Option<TaskStatus> {
-        let reply = self.call_anew(executor, Method::Get, &[], task).await?;
+    pub(super) async fn query_status(
+        &self,
+        executor: &ExecutorName,
+        task: TaskId,
+    ) -> Option<TaskStatus> {
+        let reply = self
+            .call_on_new_connection(executor, Method::Get, &[], task)
+            .await?;
         is_about(task, &reply)
             .then(|| reply.header_value(STATE_HEADER)?.parse().ok())
             .flatten()
     }
 
     /// Calls about a task over a new connection, which is then kept for the next start.
-    async fn call_anew(
+    async fn call_on_new_connection(
         &self,
         executor: &ExecutorName,
         method: Method,
@@ -153,9 +165,9 @@
     }
 }
 
-fn ended(verdict: AttemptOutcome, detail: impl Into<SmolStr>) -> AttemptReport {
+fn report_without_reply(outcome: AttemptOutcome, detail: impl Into<SmolStr>) -> AttemptReport {
     AttemptReport {
-        outcome: verdict,
+        outcome,
         body: Vec::new(),
         service_us: None,
         load: None,
@@ -165,15 +177,15 @@
 
 /// Reports a call that got no reply. Only if no byte was sent is it certain that the task was not
 /// started.
-fn broken(pool: &ConnectionPool, error: &CallError) -> AttemptReport {
+fn report_failed_call(pool: &ConnectionPool, error: &CallError) -> AttemptReport {
     // After a timeout, something on the path has most likely lost the state of this connection, and that
     // of the idle connections to the same executor as well.
     if error.is_timeout {
         pool.clear();
     }
     match error.sent {
-        SendState::NotSent => ended(AttemptOutcome::Unsent, error.reason.clone()),
-        SendState::MaybeSent => ended(AttemptOutcome::Lost, error.reason.clone()),
+        SendState::NotSent => report_without_reply(AttemptOutcome::Unsent, error.reason.clone()),
+        SendState::MaybeSent => report_without_reply(AttemptOutcome::Lost, error.reason.clone()),
     }
 }
 
@@ -191,39 +203,39 @@
 
 fn read_report(task: TaskId, reply: Reply) -> AttemptReport {
     let Some(state) = state_of(task, &reply) else {
-        return ended(
+        return report_without_reply(
             AttemptOutcome::Lost,
             "the answer is foreign or tells no state",
         );
     };
-    let verdict = match state {
+    let outcome = match state {
         TaskState::Finished => AttemptOutcome::Finished,
         TaskState::Failed => AttemptOutcome::Failed,
         TaskState::Refused => AttemptOutcome::Refused,
         TaskState::Stopped => AttemptOutcome::Stopped,
         TaskState::Lapsed => AttemptOutcome::Lapsed,
     };
-    let number = |name| {
+    let parse_number = |name| {
         reply
             .header_value(name)
             .and_then(|found| found.parse::<u64>().ok())
     };
     let load = LoadReport {
-        running: number(RUNNING_HEADER)
+        running: parse_number(RUNNING_HEADER)
             .and_then(|n| u32::try_from(n).ok())
             .unwrap_or_default(),
-        queued: number(QUEUED_HEADER)
+        queued: parse_number(QUEUED_HEADER)
             .and_then(|n| u32::try_from(n).ok())
             .unwrap_or_default(),
         is_draining: reply.header_value(DRAINING_HEADER) == Some("1"),
     };
-    let detail = match verdict {
+    let detail = match outcome {
         AttemptOutcome::Finished => SmolStr::default(),
         _ => excerpt(&reply.body),
     };
-    let service_us = number(SERVICE_HEADER).map(Micros);
+    let service_us = parse_number(SERVICE_HEADER).map(Micros);
     AttemptReport {
-        outcome: verdict,
+        outcome,
         body: reply.body,
         service_us,
         load: Some(load),
@@ -232,11 +244,11 @@
 }
 
 /// Longest part of an executor's reply that is kept as a reason, in characters.
-const REASON_CHARS: usize = 120;
+const REASON_MAX_CHARS: usize = 120;
 
 fn excerpt(body: &[u8]) -> SmolStr {
     String::from_utf8_lossy(body)
         .chars()
-        .take(REASON_CHARS)
+        .take(REASON_MAX_CHARS)
         .collect()
 }
