--- a/crates/onyxshed-control/src/config_follower.rs
+++ b/crates/onyxshed-control/src/config_follower.rs
@@ -10,14 +10,14 @@
 use onyxshed_platform::{PlatformClient, PlatformOptions};
 use onyxshed_wire::platform::CONFIG_STREAM;
 
-use crate::knowledge::Knowledge;
-use crate::names::{CONFIG_FOLLOWER, KNOWLEDGE};
+use crate::names::{CONFIG_FOLLOWER, SHARED_STATE};
+use crate::shared_state::SharedState;
 
 /// How long a read waits for the next record.
 const READ_WAIT: Millis = Millis(1_000);
 
 /// How long to wait after a failed read.
-const READ_PAUSE: Duration = Duration::from_millis(500);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The service that follows the stream.
 pub struct ConfigFollower {
@@ -41,40 +41,40 @@
     }
 
     fn dependencies(&self) -> &[ServiceName] {
-        &[KNOWLEDGE]
+        &[SHARED_STATE]
     }
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
         Box::pin(async move {
-            let knowledge = kernel.find(KNOWLEDGE)?;
+            let shared_state = kernel.find(SHARED_STATE)?;
             let client = PlatformClient::new(self.platform_address, self.options);
             kernel
-                .spawn(follow(kernel.clone(), knowledge, client))
+                .spawn(follow(kernel.clone(), shared_state, client))
                 .detach();
             Ok(())
         })
     }
 }
 
-async fn follow(kernel: Kernel, knowledge: Rc<Knowledge>, mut client: PlatformClient) {
+async fn follow(kernel: Kernel, shared_state: Rc<SharedState>, mut client: PlatformClient) {
     let mut is_lost = false;
     loop {
         match client
-            .read(CONFIG_STREAM, knowledge.config_next(), READ_WAIT)
+            .read(CONFIG_STREAM, shared_state.next_config_offset(), READ_WAIT)
             .await
         {
             Ok(page) => {
                 if std::mem::replace(&mut is_lost, false) {
                     kernel.emit(Event::new(EventKind::PlatformBack).party("platform"));
                 }
-                knowledge.read(&page);
+                shared_state.apply_page(&page);
             }
             Err(error) => {
                 if !std::mem::replace(&mut is_lost, true) {
                     let event = Event::new(EventKind::PlatformLost).party("platform");
                     kernel.emit(event.detail(error.to_string()));
                 }
-                Timer::after(READ_PAUSE).await;
+                Timer::after(READ_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/onyxshed-control/src/entry_link.rs
+++ b/crates/onyxshed-control/src/entry_link.rs
@@ -12,18 +12,18 @@
 use onyxshed_proto::onyxshed_capnp::entry_port;
 use onyxshed_proto::{EntryStatus, rpc, snapshot, status};
 
-use crate::knowledge::Knowledge;
-use crate::names::{ENTRY_LINK, KNOWLEDGE};
+use crate::names::{ENTRY_LINK, SHARED_STATE};
+use crate::shared_state::SharedState;
 
 /// Longest time between two snapshots. The entry process detects the loss of the control process by
 /// their absence.
-const HAND_OVER_EVERY: Duration = Duration::from_millis(500);
+const SNAPSHOT_INTERVAL_MAX: Duration = Duration::from_millis(500);
 
 /// Timeout of the call that sends a snapshot.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long to wait before connecting again; both processes may start at the same moment.
-const CONNECT_PAUSE: Duration = Duration::from_millis(50);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
 /// Handle to the status that the entry process last reported.
 pub struct EntryLink {
@@ -55,79 +55,82 @@
     }
 
     fn dependencies(&self) -> &[ServiceName] {
-        &[KNOWLEDGE]
+        &[SHARED_STATE]
     }
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
         Box::pin(async move {
-            let knowledge: Rc<Knowledge> = kernel.find(KNOWLEDGE)?;
+            let shared_state: Rc<SharedState> = kernel.find(SHARED_STATE)?;
             let link = Rc::new(EntryLink {
                 status: RefCell::default(),
             });
             let descriptor = Descriptor {
                 name: ENTRY_LINK,
-                summary: "snapshots handed to the entry process",
+                summary: "snapshots sent to the entry process",
             };
             kernel.register(descriptor, link.clone())?;
-            let run = keep_up(kernel.clone(), knowledge, link, self.entry_address);
-            kernel.spawn(run).detach();
+            let sending = send_snapshots(kernel.clone(), shared_state, link, self.entry_address);
+            kernel.spawn(sending).detach();
             Ok(())
         })
     }
 }
 
 /// Connects to the entry process and sends snapshots, and connects again when the connection breaks.
-async fn keep_up(
+async fn send_snapshots(
     kernel: Kernel,
-    knowledge: Rc<Knowledge>,
+    shared_state: Rc<SharedState>,
     link: Rc<EntryLink>,
     address: SocketAddr,
 ) {
     loop {
         let connected = rpc::connect::<entry_port::Client>(address, &kernel.executor()).await;
         if let Ok(client) = connected {
-            hand_over_until_broken(&kernel, &knowledge, &link, &client).await;
+            send_until_disconnected(&kernel, &shared_state, &link, &client).await;
         }
         link.status.replace(None);
-        Timer::after(CONNECT_PAUSE).await;
+        Timer::after(RECONNECT_DELAY).await;
     }
 }
 
-async fn hand_over_until_broken(
+async fn send_until_disconnected(
     kernel: &Kernel,
-    knowledge: &Knowledge,
+    shared_state: &SharedState,
     link: &EntryLink,
     client: &entry_port::Client,
 ) {
     let mut is_first = true;
     loop {
-        let Some(found) = hand_over(knowledge, client).await else {
+        let Some(entry_status) = send_snapshot(shared_state, client).await else {
             return;
         };
-        kernel.clock().observe(found.hlc);
+        kernel.clock().observe(entry_status.hlc);
         if std::mem::replace(&mut is_first, false) {
-            let party = smol_str::format_smolstr!("{}", found.incarnation);
+            let party = smol_str::format_smolstr!("{}", entry_status.incarnation);
             kernel.emit(Event::new(EventKind::ControlConnected).party(party));
         }
-        link.status.replace(Some(found));
+        link.status.replace(Some(entry_status));
         let pause = async {
-            Timer::after(HAND_OVER_EVERY).await;
+            Timer::after(SNAPSHOT_INTERVAL_MAX).await;
         };
-        knowledge.changed().or(pause).await;
+        shared_state.wait_for_change().or(pause).await;
     }
 }
 
 /// Sends one snapshot and returns the entry process's status, or `None` if the call failed or timed out.
-async fn hand_over(knowledge: &Knowledge, client: &entry_port::Client) -> Option<EntryStatus> {
+async fn send_snapshot(
+    shared_state: &SharedState,
+    client: &entry_port::Client,
+) -> Option<EntryStatus> {
     let mut request = client.install_request();
-    snapshot::write(&knowledge.snapshot(), request.get().init_snapshot());
+    snapshot::write(&shared_state.snapshot(), request.get().init_snapshot());
     let call = async {
         let reply = request.send().promise.await.ok()?;
         status::read(reply.get().ok()?.get_status().ok()?).ok()
     };
-    let give_up = async {
+    let timeout = async {
         Timer::after(CALL_TIMEOUT).await;
         None
     };
-    call.or(give_up).await
+    call.or(timeout).await
 }
--- a/crates/onyxshed-control/src/host_follower.rs
+++ b/crates/onyxshed-control/src/host_follower.rs
@@ -11,13 +11,13 @@
 use onyxshed_proto::ExecutorEntry;
 use onyxshed_wire::platform::{ExecutorHost, HostList, HostState};
 
-use crate::knowledge::Knowledge;
-use crate::names::{HOST_FOLLOWER, KNOWLEDGE, PEERS};
+use crate::names::{HOST_FOLLOWER, PEERS, SHARED_STATE};
 use crate::peers::Peers;
+use crate::shared_state::SharedState;
 
 /// How often the list is read. A draining executor must be known within 2 s, and each read takes 122
 /// bytes per executor (docs/CAPACITY.md).
-const READ_EVERY: Duration = Duration::from_secs(1);
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The service that polls the list.
 pub struct HostFollower {
@@ -47,22 +47,22 @@
     }
 
     fn dependencies(&self) -> &[ServiceName] {
-        &[KNOWLEDGE, PEERS]
+        &[SHARED_STATE, PEERS]
     }
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
         Box::pin(async move {
-            let knowledge: Rc<Knowledge> = kernel.find(KNOWLEDGE)?;
+            let shared_state: Rc<SharedState> = kernel.find(SHARED_STATE)?;
             let peers: Rc<Peers> = kernel.find(PEERS)?;
             let zone = self.zone.clone();
             let mut client = PlatformClient::new(self.platform_address, self.options);
             let follow = async move {
                 loop {
                     if let Ok(list) = client.hosts().await {
-                        peers.listed(&list);
-                        knowledge.set_executors(executors_of(&list, &zone));
+                        peers.apply_host_list(&list);
+                        shared_state.set_executors(executors_of(&list, &zone));
                     }
-                    Timer::after(READ_EVERY).await;
+                    Timer::after(READ_INTERVAL).await;
                 }
             };
             kernel.spawn(follow).detach();
@@ -73,11 +73,11 @@
 
 /// Returns the executors of the host's own zone; each zone has its own upstreams.
 fn executors_of(list: &HostList, zone: &onyxshed_core::ZoneName) -> Vec<ExecutorEntry> {
-    let ours = list
+    let own_zone = list
         .executors
         .iter()
         .filter(|executor| executor.zone == *zone);
-    ours.map(entry_of).collect()
+    own_zone.map(entry_of).collect()
 }
 
 fn entry_of(host: &ExecutorHost) -> ExecutorEntry {
--- a/crates/onyxshed-control/src/names.rs
+++ b/crates/onyxshed-control/src/names.rs
@@ -2,8 +2,8 @@
 
 use onyxshed_kernel::ServiceName;
 
-/// Holds the state that the other services share: [`crate::knowledge`].
-pub const KNOWLEDGE: ServiceName = ServiceName::new("knowledge");
+/// Holds the state that the other services share: [`crate::shared_state`].
+pub const SHARED_STATE: ServiceName = ServiceName::new("knowledge");
 /// Follows the configuration stream: [`crate::config_follower`].
 pub const CONFIG_FOLLOWER: ServiceName = ServiceName::new("config-follower");
 /// Polls the platform's list of hosts: [`crate::host_follower`].
--- a/crates/onyxshed-control/src/peers.rs
+++ b/crates/onyxshed-control/src/peers.rs
@@ -23,14 +23,14 @@
 use onyxshed_wire::platform::HostList;
 
 use crate::entry_link::EntryLink;
-use crate::knowledge::Knowledge;
-use crate::names::{ENTRY_LINK, KNOWLEDGE, PEERS};
+use crate::names::{ENTRY_LINK, PEERS, SHARED_STATE};
+use crate::shared_state::SharedState;
 
 /// Number of rounds at the short interval with which a new host introduces itself to its peers.
 const INTRODUCTORY_ROUNDS: u32 = 20;
 
 /// Interval between these rounds.
-const INTRODUCTORY_PAUSE: Duration = Duration::from_millis(100);
+const INTRODUCTORY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Identity of this host among its peers, and the parameters of the gossip.
 #[derive(Debug, Clone)]
@@ -56,63 +56,68 @@
     kernel: Kernel,
     options: PeerOptions,
     address: SocketAddr,
-    knowledge: Rc<Knowledge>,
+    shared_state: Rc<SharedState>,
     table: RefCell<Option<MemberTable>>,
-    last_list: RefCell<Option<HostList>>,
+    last_host_list: RefCell<Option<HostList>>,
     clients: RefCell<BTreeMap<SocketAddr, peer_port::Client>>,
     rounds: Cell<u32>,
 }
 
 impl Peers {
     /// Applies the platform's list of hosts.
-    pub fn listed(&self, list: &HostList) {
+    pub fn apply_host_list(&self, list: &HostList) {
         if let Some(table) = self.table.borrow_mut().as_mut() {
             table.apply_host_list(self.kernel.clock().now(), list);
         }
-        self.last_list.replace(Some(list.clone()));
+        self.last_host_list.replace(Some(list.clone()));
         // The entry process needs the number of hosts, which comes with the list.
-        self.share();
+        self.update_members();
     }
 
     /// Applies a peer's message and returns the answer, or `None` while this host has no entry process.
-    fn hear(&self, gossip: &Gossip) -> Option<Gossip> {
+    fn apply_gossip(&self, gossip: &Gossip) -> Option<Gossip> {
         let now = self.kernel.clock().now();
-        let heard = self.table.borrow_mut().as_mut()?.apply_gossip(now, gossip);
-        self.tell(heard.events);
-        self.share();
-        Some(heard.answer)
+        let outcome = self.table.borrow_mut().as_mut()?.apply_gossip(now, gossip);
+        self.emit_events(outcome.events);
+        self.update_members();
+        Some(outcome.answer)
     }
 
     /// Starts a round on behalf of the entry process with this status; returns the messages to send.
-    fn round(&self, status: &EntryStatus) -> Vec<OutgoingGossip> {
+    fn start_round(&self, status: &EntryStatus) -> Vec<OutgoingGossip> {
         let now = self.kernel.clock().now();
-        let mut held = self.table.borrow_mut();
-        let mut notes = Vec::new();
-        let table = match held.take() {
-            None => held.insert(self.new_table(now, status)),
+        let mut slot = self.table.borrow_mut();
+        let mut events = Vec::new();
+        let table = match slot.take() {
+            None => slot.insert(self.new_table(now, status)),
             Some(mut table) => {
-                if !is_of(&table, status) {
-                    notes = table.restart(now, self.first_heartbeat(status));
+                if !is_heartbeat_of(&table, status) {
+                    events = table.restart(now, self.first_heartbeat(status));
                 }
-                held.insert(table)
+                slot.insert(table)
             }
         };
         let revision = status.config_revision.unwrap_or_default();
         table.set_own_status(status.load, revision, status.is_draining);
-        notes.extend(table.tick(now));
+        events.extend(table.tick(now));
         let outgoing = table.start_round(now);
-        drop(held);
-        self.tell(notes);
-        self.share();
+        drop(slot);
+        self.emit_events(events);
+        self.update_members();
         outgoing
     }
 
     /// Creates the table. The list of hosts may have arrived before the entry process's first status.
     fn new_table(&self, now: Now, status: &EntryStatus) -> MemberTable {
-        let me = self.first_heartbeat(status);
+        let heartbeat = self.first_heartbeat(status);
         let seeds = self.options.seeds.clone();
-        let mut table = MemberTable::new(me, self.options.members.clone(), seeds, rand::random());
-        if let Some(list) = self.last_list.borrow().as_ref() {
+        let mut table = MemberTable::new(
+            heartbeat,
+            self.options.members.clone(),
+            seeds,
+            rand::random(),
+        );
+        if let Some(list) = self.last_host_list.borrow().as_ref() {
             table.apply_host_list(now, list);
         }
         table
@@ -137,80 +142,82 @@
     }
 
     /// Passes the current members on to the entry process.
-    fn share(&self) {
-        let held = self.table.borrow();
-        let Some(table) = held.as_ref() else {
+    fn update_members(&self) {
+        let slot = self.table.borrow();
+        let Some(table) = slot.as_ref() else {
             return;
         };
-        let count = |found: usize| u32::try_from(found).unwrap_or(u32::MAX);
-        let (sharers, live) = (
-            count(table.live_hosts_in_zone()),
-            count(table.known_hosts()),
+        let saturating_u32 = |value: usize| u32::try_from(value).unwrap_or(u32::MAX);
+        let (zone_hosts, live_hosts) = (
+            saturating_u32(table.live_hosts_in_zone()),
+            saturating_u32(table.known_hosts()),
         );
-        self.knowledge
-            .set_members(table.members(), table.gone(), sharers, live);
+        self.shared_state
+            .set_members(table.members(), table.gone(), zone_hosts, live_hosts);
     }
 
-    fn tell(&self, notes: Vec<MembershipEvent>) {
-        for note in notes {
-            self.kernel.emit(event_of(&note));
+    fn emit_events(&self, events: Vec<MembershipEvent>) {
+        for event in events {
+            self.kernel.emit(event_of(&event));
         }
     }
 
     /// Returns the time until the next round. It is short while this host is new to its peers, so that a
     /// request that arrives at another host soon after the start is forwarded to this one.
-    fn pause(&self) -> Duration {
+    fn round_interval(&self) -> Duration {
         let heartbeat = Duration::from(self.options.heartbeat_ms);
         let is_new = self.rounds.get() < INTRODUCTORY_ROUNDS;
         if is_new {
-            heartbeat.min(INTRODUCTORY_PAUSE)
+            heartbeat.min(INTRODUCTORY_INTERVAL)
         } else {
             heartbeat
         }
     }
 
     /// Sends gossip to peers until the process ends.
-    async fn keep_telling(self: Rc<Self>, link: Rc<EntryLink>) {
+    async fn gossip_periodically(self: Rc<Self>, link: Rc<EntryLink>) {
         loop {
-            Timer::after(self.pause()).await;
+            Timer::after(self.round_interval()).await;
             let Some(status) = link.status() else {
                 continue;
             };
             self.rounds.set(self.rounds.get() + 1);
-            for outgoing in self.round(&status) {
+            for outgoing in self.start_round(&status) {
                 self.kernel.spawn(self.clone().send(outgoing)).detach();
             }
         }
     }
 }
 
-fn is_of(table: &MemberTable, status: &EntryStatus) -> bool {
+fn is_heartbeat_of(table: &MemberTable, status: &EntryStatus) -> bool {
     table.own_heartbeat().incarnation == status.incarnation
         && table.own_heartbeat().peer_address == status.peer_address
 }
 
-fn event_of(note: &MembershipEvent) -> Event {
-    let (kind, party, detail) = match note {
-        MembershipEvent::Joined(who) => (EventKind::PeerJoined, Some(who), ""),
-        MembershipEvent::Suspected(who) => (EventKind::PeerSuspected, Some(who), ""),
-        MembershipEvent::Refuted(who) => (EventKind::PeerJoined, Some(who), "heard again"),
-        MembershipEvent::Gone(who) => (EventKind::PeerGone, Some(who), ""),
-        MembershipEvent::Paused(_) => (EventKind::PauseDetected, None, ""),
-        MembershipEvent::DeclaredGone => (
-            EventKind::PeerGone,
-            None,
-            "a peer holds this host to be gone",
+fn event_of(event: &MembershipEvent) -> Event {
+    let (kind, party, detail) = match event {
+        MembershipEvent::Joined(peer) => (EventKind::PeerJoined, Some(peer), ""),
+        MembershipEvent::Suspected(peer) => (EventKind::PeerSuspected, Some(peer), ""),
+        MembershipEvent::Refuted(peer) => (
+            EventKind::PeerJoined,
+            Some(peer),
+            "heartbeats received again",
         ),
+        MembershipEvent::Gone(peer) => (EventKind::PeerGone, Some(peer), ""),
+        MembershipEvent::Paused(_) => (EventKind::PauseDetected, None, ""),
+        MembershipEvent::DeclaredGone => {
+            (EventKind::PeerGone, None, "a peer declared this host gone")
+        }
     };
-    let event = match note {
+    let described = match event {
         MembershipEvent::Paused(span) => {
             Event::new(kind).detail(smol_str::format_smolstr!("{span}"))
         }
         _ => Event::new(kind).detail(detail),
     };
     match party {
-        Some(who) => event.party(smol_str::format_smolstr!("{who}")),
-        None => event,
+        Some(peer) => described.party(smol_str::format_smolstr!("{peer}")),
+        None => described,
     }
 }
 
@@ -231,20 +238,20 @@
             kernel: kernel.clone(),
             options: self.options.clone(),
             address: self.options.advertised_address.unwrap_or(address),
-            knowledge: kernel.find(KNOWLEDGE)?,
+            shared_state: kernel.find(SHARED_STATE)?,
             table: RefCell::default(),
-            last_list: RefCell::default(),
+            last_host_list: RefCell::default(),
             clients: RefCell::default(),
             rounds: Cell::new(0),
         });
         let client: peer_port::Client = capnp_rpc::new_client(port::Port::new(peers.clone()));
         serve_rpc(kernel, listener, client.client, rpc::CONNECTIONS_MAX);
         kernel
-            .spawn(peers.clone().keep_telling(kernel.find(ENTRY_LINK)?))
+            .spawn(peers.clone().gossip_periodically(kernel.find(ENTRY_LINK)?))
             .detach();
         let descriptor = Descriptor {
             name: PEERS,
-            summary: "digests exchanged with peers",
+            summary: "gossip exchanged with peers",
         };
         kernel.register(descriptor, peers)
     }
@@ -256,7 +263,7 @@
     }
 
     fn dependencies(&self) -> &[ServiceName] {
-        &[KNOWLEDGE, ENTRY_LINK]
+        &[SHARED_STATE, ENTRY_LINK]
     }
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
--- a/crates/onyxshed-control/src/peers/calls.rs
+++ b/crates/onyxshed-control/src/peers/calls.rs
@@ -28,15 +28,15 @@
             self.clients.borrow_mut().remove(&outgoing.to);
             return;
         };
-        let theirs = answer.from.config_revision;
-        self.hear(&answer);
-        if self.is_newer(theirs) || !self.knowledge.is_complete() {
+        let peer_revision = answer.from.config_revision;
+        self.apply_gossip(&answer);
+        if self.is_newer_than_own(peer_revision) || !self.shared_state.is_complete() {
             self.fetch_config(outgoing.to).await;
         }
     }
 
-    fn is_newer(&self, theirs: Revision) -> bool {
-        self.knowledge.revision().unwrap_or_default() < theirs
+    fn is_newer_than_own(&self, peer_revision: Revision) -> bool {
+        self.shared_state.revision().unwrap_or_default() < peer_revision
     }
 
     async fn exchange(&self, outgoing: &OutgoingGossip) -> Option<Gossip> {
@@ -51,12 +51,13 @@
     }
 
     async fn fetch_config(&self, from: SocketAddr) {
-        if let Some(Some(told)) = with_timeout(CALL_TIMEOUT, self.handover(from)).await {
-            self.knowledge.adopt(told);
+        if let Some(Some(handover)) = with_timeout(CALL_TIMEOUT, self.request_handover(from)).await
+        {
+            self.shared_state.adopt_handover(handover);
         }
     }
 
-    async fn handover(&self, from: SocketAddr) -> Option<Handover> {
+    async fn request_handover(&self, from: SocketAddr) -> Option<Handover> {
         let client = self.client(from).await?;
         let reply = client.handover_request().send().promise.await.ok()?;
         let reply = reply.get().ok()?;
--- a/crates/onyxshed-control/src/peers/port.rs
+++ b/crates/onyxshed-control/src/peers/port.rs
@@ -26,9 +26,9 @@
         params: peer_port::ExchangeParams,
         mut results: peer_port::ExchangeResults,
     ) -> capnp::Result<()> {
-        let (told, hlc) = gossip::read(params.get()?.get_gossip()?)?;
+        let (message, hlc) = gossip::read(params.get()?.get_gossip()?)?;
         self.peers.kernel.clock().observe(hlc);
-        let Some(answer) = self.peers.hear(&told) else {
+        let Some(answer) = self.peers.apply_gossip(&message) else {
             return Err(capnp::Error::failed(
                 "this host has no entry process now".to_owned(),
             ));
@@ -43,8 +43,8 @@
         _params: peer_port::HandoverParams,
         mut results: peer_port::HandoverResults,
     ) -> capnp::Result<()> {
-        if let Some(found) = self.peers.knowledge.handover() {
-            handover::write(&found, results.get().init_handover());
+        if let Some(current) = self.peers.shared_state.handover() {
+            handover::write(&current, results.get().init_handover());
         }
         Ok(())
     }
--- a/crates/onyxshed-control/src/process.rs
+++ b/crates/onyxshed-control/src/process.rs
@@ -14,10 +14,10 @@
 use crate::config_follower::ConfigFollower;
 use crate::entry_link::{EntryLink, EntryLinkService};
 use crate::host_follower::HostFollower;
-use crate::knowledge::{Knowledge, KnowledgeService};
 use crate::names::ENTRY_LINK;
 use crate::peers::{PeerOptions, PeerService};
 use crate::republisher::Republisher;
+use crate::shared_state::{SharedState, SharedStateService};
 
 /// The process `onyxshed-control`, as run by [`onyxshed_process::command::main`].
 pub struct ControlProcess;
@@ -27,10 +27,11 @@
 
     const NAME: &'static str = "onyxshed-control";
 
-    const ABOUT: &'static str = "Keeps the entry process of one entry host informed";
+    const ABOUT: &'static str =
+        "Supplies the entry process of one entry host with configuration, executors and peers";
 
-    const SIGNALS: &'static str = "It may die, hang or restart without one request noticing: the entry process goes on with the last \
-                           state it was handed.\nSignals: SIGTERM or SIGINT stop it in order; SIGQUIT ends it at once.";
+    const SIGNALS: &'static str = "It may crash, hang or restart without affecting requests: the entry process continues with the last \
+                           state that it received.\nSignals: SIGTERM or SIGINT stop it gracefully; SIGQUIT ends it at once.";
 
     fn common_settings(settings: &ControlSettings) -> CommonSettings {
         CommonSettings {
@@ -53,13 +54,13 @@
     let options = ConfigOptions {
         retention_ms: settings.platform_retention_ms,
     };
-    let knowledge = Knowledge::new(kernel, options);
-    set_status(kernel, &telemetry, &knowledge);
+    let shared_state = SharedState::new(kernel, options);
+    register_status_source(kernel, &telemetry, &shared_state);
     let platform = PlatformOptions::default();
     let address = settings.platform_address;
     vec![
         Box::new(AdminService::new(telemetry, settings.admin_address)),
-        Box::new(KnowledgeService::new(knowledge)),
+        Box::new(SharedStateService::new(shared_state)),
         Box::new(ConfigFollower::new(address, platform)),
         Box::new(Republisher::new(address, platform)),
         Box::new(PeerService::new(peer_options(settings))),
@@ -85,20 +86,20 @@
 }
 
 /// Registers the status source: the configuration's offset and what the entry process last reported.
-fn set_status(kernel: &Kernel, telemetry: &Telemetry, knowledge: &Rc<Knowledge>) {
-    let (kernel, knowledge) = (kernel.clone(), knowledge.clone());
+fn register_status_source(kernel: &Kernel, telemetry: &Telemetry, shared_state: &Rc<SharedState>) {
+    let (kernel, shared_state) = (kernel.clone(), shared_state.clone());
     telemetry.set_status_source(Box::new(move || {
         let entry = kernel
             .find::<EntryLink>(ENTRY_LINK)
             .ok()
             .and_then(|link| link.status());
         let details = json!({
-            "config_next_offset": knowledge.config_next(),
-            "entry_incarnation": entry.as_ref().map(|found| found.incarnation.to_string()),
-            "entry_config_revision": entry.and_then(|found| found.config_revision),
+            "config_next_offset": shared_state.next_config_offset(),
+            "entry_incarnation": entry.as_ref().map(|status| status.incarnation.to_string()),
+            "entry_config_revision": entry.and_then(|status| status.config_revision),
         });
         StatusParts {
-            config_revision: knowledge.revision(),
+            config_revision: shared_state.revision(),
             details,
         }
     }));
--- a/crates/onyxshed-control/src/republisher.rs
+++ b/crates/onyxshed-control/src/republisher.rs
@@ -12,11 +12,11 @@
 use onyxshed_wire::platform::CONFIG_STREAM;
 use onyxshed_wire::record::ConfigRecord;
 
-use crate::knowledge::Knowledge;
-use crate::names::{KNOWLEDGE, REPUBLISHER};
+use crate::names::{REPUBLISHER, SHARED_STATE};
+use crate::shared_state::SharedState;
 
 /// How often to check whether the configuration must be appended again.
-const DECIDE_EVERY: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The service that appends the configuration again.
 pub struct Republisher {
@@ -40,27 +40,31 @@
     }
 
     fn dependencies(&self) -> &[ServiceName] {
-        &[KNOWLEDGE]
+        &[SHARED_STATE]
     }
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
         Box::pin(async move {
-            let knowledge: Rc<Knowledge> = kernel.find(KNOWLEDGE)?;
+            let shared_state: Rc<SharedState> = kernel.find(SHARED_STATE)?;
             let client = PlatformClient::new(self.platform_address, self.options);
             kernel
-                .spawn(keep_published(kernel.clone(), knowledge, client))
+                .spawn(republish_when_due(kernel.clone(), shared_state, client))
                 .detach();
             Ok(())
         })
     }
 }
 
-async fn keep_published(kernel: Kernel, knowledge: Rc<Knowledge>, mut client: PlatformClient) {
+async fn republish_when_due(
+    kernel: Kernel,
+    shared_state: Rc<SharedState>,
+    mut client: PlatformClient,
+) {
     let seed = rand::random();
     loop {
-        Timer::after(DECIDE_EVERY).await;
+        Timer::after(CHECK_INTERVAL).await;
         let now = kernel.clock().now().wall;
-        if let RepublishStep::Publish(records) = knowledge.republish(now, seed)
+        if let RepublishStep::Publish(records) = shared_state.republish(now, seed)
             && publish(&mut client, &records).await
         {
             kernel.emit(Event::new(EventKind::ConfigRepublished).party("platform"));
--- a/crates/onyxshed-control/src/knowledge.rs
+++ b/crates/onyxshed-control/src/shared_state.rs
@@ -13,88 +13,88 @@
 };
 use onyxshed_wire::platform::Page;
 
-use crate::names::KNOWLEDGE;
+use crate::names::SHARED_STATE;
 
 /// The state behind a handle: the folded configuration, the executors and the members.
 #[derive(Debug, Default)]
-struct Facts {
+struct State {
     fold: ConfigFold,
     has_config: bool,
     executors: Option<Vec<ExecutorEntry>>,
     members: Vec<Member>,
     gone: Vec<Incarnation>,
-    sharers: u32,
-    live: u32,
+    zone_hosts: u32,
+    live_hosts: u32,
 }
 
 /// Handle to the state that the services share.
-pub struct Knowledge {
+pub struct SharedState {
     kernel: Kernel,
-    facts: RefCell<Facts>,
-    changed: (Sender<()>, Receiver<()>),
+    state: RefCell<State>,
+    change_signal: (Sender<()>, Receiver<()>),
 }
 
-impl Knowledge {
+impl SharedState {
     /// Creates a handle to an empty state.
     pub fn new(kernel: &Kernel, options: ConfigOptions) -> Rc<Self> {
-        let facts = Facts {
+        let state = State {
             fold: ConfigFold::new(options),
-            ..Facts::default()
+            ..State::default()
         };
-        Rc::new(Knowledge {
+        Rc::new(SharedState {
             kernel: kernel.clone(),
-            facts: RefCell::new(facts),
-            changed: async_channel::bounded(1),
+            state: RefCell::new(state),
+            change_signal: async_channel::bounded(1),
         })
     }
 
     /// Returns the offset of the configuration stream to read from next.
-    pub fn config_next(&self) -> Offset {
-        self.facts.borrow().fold.next()
+    pub fn next_config_offset(&self) -> Offset {
+        self.state.borrow().fold.next()
     }
 
     /// Returns the revision in force, or `None` until the end of the stream was read once.
     pub fn revision(&self) -> Option<Revision> {
-        let facts = self.facts.borrow();
-        facts.has_config.then(|| facts.fold.config().revision)
+        let state = self.state.borrow();
+        state.has_config.then(|| state.fold.config().revision)
     }
 
     /// Returns the configuration in force, or `None` until the end of the stream was read once.
     pub fn config(&self) -> Option<Config> {
-        let facts = self.facts.borrow();
-        facts.has_config.then(|| facts.fold.config().clone())
+        let state = self.state.borrow();
+        state.has_config.then(|| state.fold.config().clone())
     }
 
     /// Folds a page that was read from the configuration stream into the configuration.
-    pub fn read(&self, page: &Page) {
+    pub fn apply_page(&self, page: &Page) {
         let before = self.revision();
-        self.skip_lost(page);
+        self.skip_lost_records(page);
         for record in &page.records {
-            let step = self.facts.borrow_mut().fold.apply_record(record);
-            self.tell(&step, record.offset);
+            let outcome = self.state.borrow_mut().fold.apply_record(record);
+            self.emit_outcome(&outcome, record.offset);
         }
-        let mut facts = self.facts.borrow_mut();
-        let is_at_end = facts.fold.next() >= page.next;
+        let mut state = self.state.borrow_mut();
+        let is_at_end = state.fold.next() >= page.next;
         // If records were lost, the fold may still be empty, and an empty configuration is not valid then.
-        let is_known = facts.fold.is_complete() || facts.fold.config().revision > Revision(0);
-        facts.has_config |= is_at_end && is_known;
-        drop(facts);
+        let is_usable = state.fold.is_complete() || state.fold.config().revision > Revision(0);
+        state.has_config |= is_at_end && is_usable;
+        drop(state);
         if self.revision() != before {
             self.notify();
         }
     }
 
     /// Skips records that the log dropped before they were read here, and emits an event if there are any.
-    fn skip_lost(&self, page: &Page) {
-        let mut facts = self.facts.borrow_mut();
-        if page.oldest <= facts.fold.next() {
+    fn skip_lost_records(&self, page: &Page) {
+        let mut state = self.state.borrow_mut();
+        if page.oldest <= state.fold.next() {
             return;
         }
-        let detail = smol_str::format_smolstr!("{} to {}", facts.fold.next(), page.oldest);
-        facts
+        let detail = smol_str::format_smolstr!("{} to {}", state.fold.next(), page.oldest);
+        state
             .fold
             .skip_to(page.oldest, self.kernel.clock().now().wall);
-        drop(facts);
+        drop(state);
         self.kernel
             .emit(Event::new(EventKind::ConfigGap).detail(detail));
     }
@@ -102,32 +102,32 @@
     /// Returns whether the configuration is the fold of every record so far. If not, a peer may have a more
     /// complete one.
     pub fn is_complete(&self) -> bool {
-        self.facts.borrow().fold.is_complete()
+        self.state.borrow().fold.is_complete()
     }
 
     /// Adopts the configuration that a peer handed over.
-    pub fn adopt(&self, told: Handover) {
-        let step = self.facts.borrow_mut().fold.adopt_handover(told);
-        if let FoldOutcome::Accepted(_) = step {
-            self.facts.borrow_mut().has_config = true;
-            self.tell(&step, Offset::default());
+    pub fn adopt_handover(&self, handover: Handover) {
+        let outcome = self.state.borrow_mut().fold.adopt_handover(handover);
+        if let FoldOutcome::Accepted(_) = outcome {
+            self.state.borrow_mut().has_config = true;
+            self.emit_outcome(&outcome, Offset::default());
             self.notify();
         }
     }
 
     /// Returns what a peer needs to continue from this configuration, or `None` while there is none.
     pub fn handover(&self) -> Option<Handover> {
-        let facts = self.facts.borrow();
-        facts.has_config.then(|| facts.fold.handover())
+        let state = self.state.borrow();
+        state.has_config.then(|| state.fold.handover())
     }
 
     /// Decides whether to append the configuration to its stream again.
     pub fn republish(&self, now: UnixMs, seed: u64) -> RepublishStep {
-        self.facts.borrow_mut().fold.republish(now, seed)
+        self.state.borrow_mut().fold.republish(now, seed)
     }
 
-    fn tell(&self, step: &FoldOutcome, offset: Offset) {
-        let event = match step {
+    fn emit_outcome(&self, outcome: &FoldOutcome, offset: Offset) {
+        let event = match outcome {
             FoldOutcome::Accepted(revision) => Event::new(EventKind::ConfigInForce)
                 .detail(smol_str::format_smolstr!("revision {revision}")),
             FoldOutcome::Raced { based_on, found } => Event::new(EventKind::ConfigChangeLost)
@@ -143,9 +143,9 @@
 
     /// Replaces the list of executors.
     pub fn set_executors(&self, executors: Vec<ExecutorEntry>) {
-        let is_new = self.facts.borrow().executors.as_ref() != Some(&executors);
-        if is_new {
-            self.facts.borrow_mut().executors = Some(executors);
+        let has_changed = self.state.borrow().executors.as_ref() != Some(&executors);
+        if has_changed {
+            self.state.borrow_mut().executors = Some(executors);
             self.notify();
         }
     }
@@ -155,18 +155,18 @@
         &self,
         members: Vec<Member>,
         gone: Vec<Incarnation>,
-        sharers: u32,
-        live: u32,
+        zone_hosts: u32,
+        live_hosts: u32,
     ) {
-        let mut facts = self.facts.borrow_mut();
-        let is_new = facts.members != members
-            || facts.gone != gone
-            || facts.sharers != sharers
-            || facts.live != live;
-        (facts.members, facts.gone) = (members, gone);
-        (facts.sharers, facts.live) = (sharers, live);
-        drop(facts);
-        if is_new {
+        let mut state = self.state.borrow_mut();
+        let has_changed = state.members != members
+            || state.gone != gone
+            || state.zone_hosts != zone_hosts
+            || state.live_hosts != live_hosts;
+        (state.members, state.gone) = (members, gone);
+        (state.zone_hosts, state.live_hosts) = (zone_hosts, live_hosts);
+        drop(state);
+        if has_changed {
             self.notify();
         }
     }
@@ -174,53 +174,53 @@
     /// Returns a snapshot for the entry process.
     pub fn snapshot(&self) -> Snapshot {
         let config = self.config();
-        let facts = self.facts.borrow();
+        let state = self.state.borrow();
         Snapshot {
             config,
-            executors: facts.executors.clone(),
-            members: facts.members.clone(),
-            gone: facts.gone.clone(),
-            zone_hosts: facts.sharers.max(1),
-            live_hosts: facts.live.max(1),
+            executors: state.executors.clone(),
+            members: state.members.clone(),
+            gone: state.gone.clone(),
+            zone_hosts: state.zone_hosts.max(1),
+            live_hosts: state.live_hosts.max(1),
             hlc: self.kernel.clock().stamp(),
         }
     }
 
     /// Waits until the state has changed.
-    pub async fn changed(&self) {
-        let _ = self.changed.1.recv().await;
+    pub async fn wait_for_change(&self) {
+        let _ = self.change_signal.1.recv().await;
     }
 
     fn notify(&self) {
         // A full channel means that a change that was not handled yet is already signalled.
-        let _ = self.changed.0.try_send(());
+        let _ = self.change_signal.0.try_send(());
     }
 }
 
 /// The service around the shared state.
-pub struct KnowledgeService {
-    knowledge: Rc<Knowledge>,
+pub struct SharedStateService {
+    shared_state: Rc<SharedState>,
 }
 
-impl KnowledgeService {
+impl SharedStateService {
     /// Creates the service.
-    pub fn new(knowledge: Rc<Knowledge>) -> Self {
-        KnowledgeService { knowledge }
+    pub fn new(shared_state: Rc<SharedState>) -> Self {
+        SharedStateService { shared_state }
     }
 }
 
-impl Service for KnowledgeService {
+impl Service for SharedStateService {
     fn name(&self) -> ServiceName {
-        KNOWLEDGE
+        SHARED_STATE
     }
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
         Box::pin(async move {
             let descriptor = Descriptor {
-                name: KNOWLEDGE,
-                summary: "what this process knows",
+                name: SHARED_STATE,
+                summary: "state shared by the services",
             };
-            kernel.register(descriptor, self.knowledge.clone())
+            kernel.register(descriptor, self.shared_state.clone())
         })
     }
 }
