--- a/crates/onyxshed-cli/examples/catalogue-page.rs
+++ b/crates/onyxshed-cli/examples/catalogue-page.rs
@@ -6,6 +6,6 @@
     match std::env::args().nth(1).as_deref() {
         Some("codes") => print!("{}", codes_page()),
         Some("events") => print!("{}", events_page()),
-        _ => eprintln!("give codes or events"),
+        _ => eprintln!("expected the argument `codes` or `events`"),
     }
 }
--- a/crates/onyxshed-cli/src/args.rs
+++ b/crates/onyxshed-cli/src/args.rs
@@ -50,14 +50,14 @@
         /// The process to drain.
         process: ProcessAddress,
         /// Whether to wait until the process has ended.
-        is_waiting: bool,
+        should_wait: bool,
         /// How long to wait, in milliseconds.
         timeout_ms: Millis,
     },
     /// Explains the number of a result code or an event.
     Explain(SmolStr),
     /// Explains the outcome of a request or a job from log files.
-    Story {
+    Trace {
         /// Id of the request or the job.
         id: SmolStr,
         /// Paths of the log files of all hosts.
@@ -149,12 +149,12 @@
 }
 
 fn explain(args: &ArgMatches) -> Action {
-    let what = SmolStr::from(required::<String>(args, "what"));
+    let subject = SmolStr::from(required::<String>(args, "what"));
     let logs = args.get_many::<PathBuf>("logs").unwrap_or_default();
     let logs: Vec<PathBuf> = logs.cloned().collect();
     match logs.is_empty() {
-        true => Action::Explain(what),
-        false => Action::Story { id: what, logs },
+        true => Action::Explain(subject),
+        false => Action::Trace { id: subject, logs },
     }
 }
 
@@ -241,7 +241,7 @@
     let mut matching = known.into_iter().filter(|process| process.name == name);
     Ok(Action::Drain {
         process: matching.next().ok_or_else(|| Error::usage(unknown))?,
-        is_waiting: !args.get_flag("no-wait"),
+        should_wait: !args.get_flag("no-wait"),
         timeout_ms: required(args, "timeout"),
     })
 }
@@ -278,5 +278,5 @@
 fn required<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> T {
     args.get_one::<T>(name)
         .cloned()
-        .expect("the command line requires it or has a default")
+        .expect("the command line requires the argument or has a default for it")
 }
--- a/crates/onyxshed-cli/src/catalogue.rs
+++ b/crates/onyxshed-cli/src/catalogue.rs
@@ -56,7 +56,7 @@
 ];
 
 #[derive(Serialize)]
-struct Explained {
+struct Explanation {
     number: u16,
     name: String,
     text: &'static str,
@@ -66,30 +66,30 @@
 
 /// Explains a result code (`3004`) or an event (`E301`).
 pub fn explain(number: &str, format: Format) -> Result<String> {
-    let explained = explained(number).ok_or_else(|| {
+    let explanation = find_explanation(number).ok_or_else(|| {
         Error::usage(format_args!(
             "{number:?} is neither a result code nor an event"
         ))
     })?;
-    Ok(match (format, &explained.outcome) {
-        (Format::Json, _) => json(&explained),
+    Ok(match (format, &explanation.outcome) {
+        (Format::Json, _) => json(&explanation),
         (Format::Human, Some(outcome)) => format!(
             "{} {} (outcome {outcome}): {}\n",
-            explained.number, explained.name, explained.text
+            explanation.number, explanation.name, explanation.text
         ),
         (Format::Human, None) => {
             format!(
                 "{} {}: {}\n",
-                explained.number, explained.name, explained.text
+                explanation.number, explanation.name, explanation.text
             )
         }
     })
 }
 
-fn explained(text: &str) -> Option<Explained> {
+fn find_explanation(text: &str) -> Option<Explanation> {
     if let Some(digits) = text.strip_prefix(['E', 'e']) {
         let kind = EventKind::try_from(digits.parse::<u16>().ok()?).ok()?;
-        return Some(Explained {
+        return Some(Explanation {
             number: kind.number(),
             name: kind.name().to_owned(),
             text: kind.text(),
@@ -97,7 +97,7 @@
         });
     }
     let code = ResultCode::try_from(text.parse::<u16>().ok()?).ok()?;
-    Some(Explained {
+    Some(Explanation {
         number: code.number(),
         name: format!("{code:?}"),
         text: code.text(),
--- a/crates/onyxshed-cli/src/check.rs
+++ b/crates/onyxshed-cli/src/check.rs
@@ -10,7 +10,7 @@
 use crate::output::{Format, json};
 
 #[derive(Serialize)]
-struct Checked {
+struct CheckReport {
     file: SmolStr,
     kind: &'static str,
     is_valid: bool,
@@ -26,7 +26,7 @@
     let name = file.display();
     Ok(match format {
         Format::Human => format!("{name}: valid {kind} settings\n"),
-        Format::Json => json(&Checked {
+        Format::Json => json(&CheckReport {
             file: name.to_string().into(),
             kind: kind.as_str(),
             is_valid: true,
--- a/crates/onyxshed-cli/src/command.rs
+++ b/crates/onyxshed-cli/src/command.rs
@@ -11,7 +11,7 @@
 use crate::span;
 
 const ABOUT: &str =
-    "Operates onyxshed: classes of work and their targets, and what the processes do";
+    "Operates onyxshed: manages classes of work and their targets, and shows what the processes do";
 
 const EXAMPLES: &str = "\
 Examples:
@@ -21,20 +21,21 @@
   onyxshed timeline --settings operator.jsonc --submission 01JABCDEFGHJKMNPQRSTVWXYZ0
 
 Answers go to standard output (with --json as one JSON document), progress and errors to standard
-error. Every error has a number; `onyxshed explain NUMBER` tells more.
+error. Every error has a number; `onyxshed explain NUMBER` describes it.
 ";
 
 const TARGET_LONG: &str = "\
 Reads and publishes targets. A class of work has one target: how soon its jobs must be finished and
 whether its tasks may ever run twice. A target is published as a change on the platform's log, based
-on the revision that the operator saw. The log's order decides races: the change that comes second
-is not accepted, and its operator is told. A change counts as accepted only when it was read back.";
+on the revision that the operator saw. The order of the log decides races: of two changes based on
+the same revision the second is not accepted, and the command reports it. A change counts as
+accepted only after it was read back.";
 
 const TIMELINE_LONG: &str = "\
-Shows what happened, over all processes in the settings, in the order of their hybrid logical
+Shows the events of all processes in the settings, in the order of their hybrid logical
 clocks. Each process keeps its latest events in memory only: a process that does not answer, one
-that started since, and events that were dropped are shown as gaps. Log files hold what processes
-have forgotten; `--since` counts from their last event then.";
+that started since, and events that were dropped are shown as gaps. Log files also hold events that
+the processes have dropped; with log files, `--since` counts back from the last event in them.";
 
 const DRAIN_LONG: &str = "\
 Takes a process out of service, as SIGTERM does: its readiness goes false, new work is answered as
@@ -89,21 +90,21 @@
         .arg_required_else_help(true)
         .subcommand(target_put())
         .subcommand(
-            on_platform(Command::new("get"))
+            with_platform_args(Command::new("get"))
                 .about("Shows one class's target")
                 .arg(class()),
         )
-        .subcommand(on_platform(Command::new("list")).about("Shows every class's target"))
+        .subcommand(with_platform_args(Command::new("list")).about("Shows every class's target"))
         .subcommand(target_history())
         .subcommand(
-            published(Command::new("remove"))
-                .about("Removes a class; its jobs are then refused as of an unknown class")
+            with_publish_args(Command::new("remove"))
+                .about("Removes a class; its jobs are then rejected as of an unknown class")
                 .arg(class()),
         )
 }
 
 fn target_put() -> Command {
-    published(Command::new("put"))
+    with_publish_args(Command::new("put"))
         .about("Creates a class or replaces its target")
         .arg(class())
         .arg(
@@ -131,8 +132,8 @@
 }
 
 fn target_history() -> Command {
-    on_platform(Command::new("history"))
-        .about("Shows the changes that the log still holds, and what became of each")
+    with_platform_args(Command::new("history"))
+        .about("Shows the changes that the log still holds, with the outcome of each")
         .arg(
             Arg::new("class")
                 .value_name("CLASS")
@@ -144,19 +145,19 @@
                 .long("change")
                 .value_name("CHANGE")
                 .value_parser(value_parser!(ChangeId))
-                .help("Only this change; tells what became of one whose answer was lost"),
+                .help("Only this change; shows the outcome of a change whose answer was lost"),
         )
 }
 
 fn status() -> Command {
-    on_processes(Command::new("status"))
-        .about("Shows every process: ready or not, the revision in force, its own figures")
+    with_process_args(Command::new("status"))
+        .about("Shows every process: its readiness, the revision in force and its own figures")
         .arg(timeout("3s", "How long a process may take to answer"))
 }
 
 fn timeline() -> Command {
     Command::new("timeline")
-        .about("Shows what happened, over all processes")
+        .about("Shows the events of all processes")
         .long_about(TIMELINE_LONG)
         .arg(
             settings()
@@ -171,7 +172,7 @@
                 .value_parser(value_parser!(PathBuf))
                 .conflicts_with_all(["settings", "upstream"])
                 .help(
-                    "Log files of all hosts, one a host or merged, in place of the processes' memory",
+                    "Log files of all hosts, one per host or merged, in place of the processes' memory",
                 ),
         )
         .arg(json())
@@ -189,7 +190,7 @@
                 .default_value("40")
                 .value_parser(value_parser!(u16).range(1..))
                 .help(
-                    "Most lines shown, the newest; events that only differ in their task share one",
+                    "Maximum number of lines, the newest; events that differ only in their task share one",
                 ),
         )
         .arg(timeout("3s", "How long a process may take to answer"))
@@ -204,13 +205,13 @@
             .value_parser(value_parser!(ClassName))
             .help("Only events of this class"),
         filter("party", "TEXT")
-            .help("Only events whose other party's name holds this: an executor, a peer"),
+            .help("Only events whose other party (an executor, a peer) has this text in its name"),
         filter("upstream", "UPSTREAM")
             .value_parser(value_parser!(UpstreamName))
             .help("Only events with this upstream's executors, as the platform lists them now"),
         filter("since", "SPAN")
             .value_parser(span::parse)
-            .help("Only events of the last span, such as 5m"),
+            .help("Only events of the last so much time, such as 5m"),
     ]
 }
 
@@ -219,7 +220,7 @@
 }
 
 fn drain() -> Command {
-    on_processes(Command::new("drain"))
+    with_process_args(Command::new("drain"))
         .about("Takes a process out of service without cutting off work")
         .long_about(DRAIN_LONG)
         .arg(
@@ -239,12 +240,12 @@
 
 fn explain() -> Command {
     Command::new("explain")
-        .about("Explains a result code (3004), an event (E301), or from logs a request or a job")
+        .about("Explains a result code (3004), an event (E301) or, from log files, a request or a job")
         .arg(
             Arg::new("what")
                 .value_name("WHAT")
                 .required(true)
-                .help("A result code such as 3004, an event such as E301, or with logs an id"),
+                .help("A result code such as 3004, an event such as E301, or with log files an id"),
         )
         .arg(
             Arg::new("logs")
@@ -252,14 +253,14 @@
                 .num_args(0..)
                 .value_parser(value_parser!(PathBuf))
                 .help(
-                    "Log files of all hosts, one a host or merged; the file's name names the host",
+                    "Log files of all hosts, one per host or merged; the file's name names the host",
                 ),
         )
         .arg(json())
 }
 
 /// Adds the arguments of every command that calls the platform.
-fn on_platform(command: Command) -> Command {
+fn with_platform_args(command: Command) -> Command {
     command
         .arg(settings().help("Settings of kind operator, for the platform's address"))
         .arg(
@@ -279,14 +280,14 @@
 }
 
 /// Adds the arguments of every command that publishes a change.
-fn published(command: Command) -> Command {
-    on_platform(command)
+fn with_publish_args(command: Command) -> Command {
+    with_platform_args(command)
         .arg(
             Arg::new("based-on")
                 .long("based-on")
                 .value_name("REVISION")
                 .value_parser(value_parser!(Revision))
-                .help("The revision that you looked at; without this, the one in force now"),
+                .help("Revision that the change is based on; by default the one in force now"),
         )
         .arg(
             Arg::new("wait")
@@ -298,7 +299,7 @@
 }
 
 /// Adds the arguments of every command that queries processes.
-fn on_processes(command: Command) -> Command {
+fn with_process_args(command: Command) -> Command {
     command
         .arg(
             settings()
--- a/crates/onyxshed-cli/src/drain.rs
+++ b/crates/onyxshed-cli/src/drain.rs
@@ -25,7 +25,7 @@
 /// State of the process when the command ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-enum Drained {
+enum DrainState {
     Draining,
     Ended,
 }
@@ -33,19 +33,19 @@
 #[derive(Serialize)]
 struct Answer<'a> {
     process: &'a SmolStr,
-    state: Drained,
+    state: DrainState,
 }
 
 /// Requests a drain of the process and, if `should_wait`, waits until the process has ended.
 pub async fn run(
     process: &ProcessAddress,
-    is_waiting: bool,
+    should_wait: bool,
     timeout_ms: Millis,
     format: Format,
 ) -> Result<String> {
-    let progress = Progress::new(format!("{} finishes its work in flight", process.name));
+    let progress = Progress::new(format!("{} to finish its work in flight", process.name));
     let state = progress
-        .during(drain(process, is_waiting, timeout_ms))
+        .during(drain(process, should_wait, timeout_ms))
         .await?;
     let name = &process.name;
     Ok(match (format, state) {
@@ -53,29 +53,33 @@
             process: name,
             state,
         }),
-        (Format::Human, Drained::Draining) => format!("{name} drains\n"),
-        (Format::Human, Drained::Ended) => format!("{name} has drained and ended\n"),
+        (Format::Human, DrainState::Draining) => format!("{name} is draining\n"),
+        (Format::Human, DrainState::Ended) => format!("{name} has drained and ended\n"),
     })
 }
 
-async fn drain(process: &ProcessAddress, is_waiting: bool, timeout_ms: Millis) -> Result<Drained> {
+async fn drain(
+    process: &ProcessAddress,
+    should_wait: bool,
+    timeout_ms: Millis,
+) -> Result<DrainState> {
     let status = call(process, Method::Post, DRAIN_PATH).await?;
-    match is_waiting {
+    match should_wait {
         true => wait_for_end(process, &status, timeout_ms).await,
-        false => Ok(Drained::Draining),
+        false => Ok(DrainState::Draining),
     }
 }
 
 /// Waits until the process has ended, or another run of it has replaced it.
 async fn wait_for_end(
     process: &ProcessAddress,
-    first: &Status,
+    initial: &Status,
     timeout_ms: Millis,
-) -> Result<Drained> {
-    let give_up = Instant::now() + Duration::from(timeout_ms);
-    while Instant::now() < give_up {
-        if has_ended(process, first).await {
-            return Ok(Drained::Ended);
+) -> Result<DrainState> {
+    let deadline = Instant::now() + Duration::from(timeout_ms);
+    while Instant::now() < deadline {
+        if has_ended(process, initial).await {
+            return Ok(DrainState::Ended);
         }
         Timer::after(POLL_PERIOD).await;
     }
@@ -86,7 +90,7 @@
 
 /// Returns whether that run of the process has ended: nothing listens on its address any more, or
 /// another run does. A timeout proves nothing.
-async fn has_ended(process: &ProcessAddress, first: &Status) -> bool {
+async fn has_ended(process: &ProcessAddress, initial: &Status) -> bool {
     let call = call_once(
         process.admin_address,
         Method::Get,
@@ -95,13 +99,13 @@
         CALL_TIMEOUT,
     );
     match call.await {
-        Ok(reply) => Status::decode(&reply.body).is_ok_and(|status| status.boot != first.boot),
+        Ok(reply) => Status::decode(&reply.body).is_ok_and(|status| status.boot != initial.boot),
         Err(error) => error.sent == SendState::NotSent && !error.is_timeout,
     }
 }
 
 async fn call(process: &ProcessAddress, method: Method, path: &str) -> Result<Status> {
-    let failed = |reason: SmolStr| Error::Process {
+    let process_error = |reason: SmolStr| Error::Process {
         process: process.name.clone(),
         reason,
     };
@@ -112,11 +116,13 @@
         Vec::new(),
         CALL_TIMEOUT,
     );
-    let reply = call.await.map_err(|error| failed(error.reason))?;
+    let reply = call.await.map_err(|error| process_error(error.reason))?;
     match reply.status {
         200 | 202 => {
-            Status::decode(&reply.body).map_err(|error| failed(format_smolstr!("{error}")))
+            Status::decode(&reply.body).map_err(|error| process_error(format_smolstr!("{error}")))
         }
-        status => Err(failed(format_smolstr!("answered with status {status}"))),
+        status => Err(process_error(format_smolstr!(
+            "answered with status {status}"
+        ))),
     }
 }
--- a/crates/onyxshed-cli/src/error.rs
+++ b/crates/onyxshed-cli/src/error.rs
@@ -35,7 +35,7 @@
     },
     /// Another change was accepted first.
     #[snafu(display(
-        "another change came first: this one was based on revision {based_on}, in force is {found}; look at it with `onyxshed target list` and publish again"
+        "another change was accepted first: this one is based on revision {based_on}, but {found} is in force; check it with `onyxshed target list` and publish again"
     ))]
     ChangeRaced {
         /// The revision that the change was based on.
@@ -45,7 +45,7 @@
     },
     /// It is not known whether the change was accepted.
     #[snafu(display(
-        "can't tell whether the change was accepted ({reason}); ask with `onyxshed target history --change {change_id}` before repeating it"
+        "it is not known whether the change was accepted ({reason}); check with `onyxshed target history --change {change_id}` before repeating it"
     ))]
     ChangeUndecided {
         /// Id of the change.
@@ -55,17 +55,17 @@
     },
     /// The log no longer holds every record that makes up the configuration.
     #[snafu(display(
-        "the log has lost records of the configuration and holds no snapshot of it yet; a control process publishes one again, try later"
+        "the log has lost records of the configuration and holds no snapshot of it yet; a control process will publish one, try again later"
     ))]
     ConfigIncomplete,
     /// The change is not on the log.
-    #[snafu(display("change {change_id} is not on the log so far: it is not accepted"))]
+    #[snafu(display("change {change_id} is not on the log yet, so it is not accepted"))]
     ChangeNotSeen {
         /// Id of the change.
         change_id: ChangeId,
     },
     /// A log file can't be read.
-    #[snafu(display("{file} can't be read: {reason}"))]
+    #[snafu(display("log file {file} can't be read: {reason}"))]
     Log {
         /// Path of the log file.
         file: SmolStr,
@@ -73,14 +73,14 @@
         reason: SmolStr,
     },
     /// The requested item does not exist.
-    #[snafu(display("there is no {what}"))]
+    #[snafu(display("there is no {item}"))]
     NotFound {
         /// Description of the item.
-        what: SmolStr,
+        item: SmolStr,
     },
     /// The change is accepted but not yet in force in every process.
     #[snafu(display(
-        "revision {revision} is accepted, but not yet in force in {waiting}; ask with `onyxshed status`"
+        "revision {revision} is accepted, but not yet in force in {waiting}; check with `onyxshed status`"
     ))]
     NotInForce {
         /// The revision that the change made.
@@ -89,7 +89,7 @@
         waiting: SmolStr,
     },
     /// A process does not answer.
-    #[snafu(display("{process} at its admin address: {reason}"))]
+    #[snafu(display("call to {process} at its admin address failed: {reason}"))]
     Process {
         /// Name of the process in the settings.
         process: SmolStr,
@@ -97,7 +97,7 @@
         reason: SmolStr,
     },
     /// A process has not finished draining in time.
-    #[snafu(display("{process} still drains; ask with `onyxshed status`"))]
+    #[snafu(display("{process} is still draining; check with `onyxshed status`"))]
     StillDraining {
         /// Name of the process in the settings.
         process: SmolStr,
--- a/crates/onyxshed-cli/src/lib.rs
+++ b/crates/onyxshed-cli/src/lib.rs
@@ -5,7 +5,6 @@
 //! error with its numbered code.
 
 pub mod args;
-pub mod ask;
 pub mod catalogue;
 pub mod check;
 pub mod clock;
@@ -16,12 +15,13 @@
 pub mod logs;
 pub mod output;
 pub mod progress;
+pub mod query;
 pub mod run;
 pub mod span;
 pub mod status;
-pub mod story;
 pub mod target;
 pub mod timeline;
+pub mod trace;
 
 pub use error::{Error, Result};
 pub use run::main;
--- a/crates/onyxshed-cli/src/logs.rs
+++ b/crates/onyxshed-cli/src/logs.rs
@@ -10,7 +10,7 @@
 
 /// One line of a log.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Logged {
+pub struct LogLine {
     /// The host that wrote the line.
     pub host: SmolStr,
     /// The event on the line.
@@ -23,7 +23,7 @@
 pub struct Logs {
     /// Lines with events, ordered by their hybrid logical clocks, which keep cause before effect even if a
     /// host's wall clock jumps back.
-    pub lines: Vec<Logged>,
+    pub lines: Vec<LogLine>,
     /// Number of lines that contain no event.
     pub unreadable: usize,
 }
@@ -61,11 +61,11 @@
 
 /// Parses a line. A log collector may have put a time and the host before the event; then the last word
 /// before the event names the host.
-fn read_line(host: &SmolStr, line: &str) -> Option<Logged> {
+fn read_line(host: &SmolStr, line: &str) -> Option<LogLine> {
     let begin = line.find('{')?;
     let (prefix, event) = line.split_at(begin);
     let named = prefix.split_whitespace().last();
-    Some(Logged {
+    Some(LogLine {
         host: named.map_or_else(|| host.clone(), SmolStr::from),
         event: serde_json::from_str(event).ok()?,
     })
--- a/crates/onyxshed-cli/src/output.rs
+++ b/crates/onyxshed-cli/src/output.rs
@@ -13,19 +13,26 @@
 
 /// Formats a value as an indented JSON document.
 pub fn json(value: &impl Serialize) -> String {
-    serde_json::to_string_pretty(value).expect("answers hold only what JSON can write") + "\n"
+    serde_json::to_string_pretty(value).expect("every value of a result can be written as JSON")
+        + "\n"
 }
 
 /// Formats rows below headings, with each column as wide as its widest cell.
-pub fn table(heads: &[&str], rows: &[Vec<String>]) -> String {
-    let mut widths: Vec<usize> = heads.iter().map(|head| head.chars().count()).collect();
+pub fn table(headings: &[&str], rows: &[Vec<String>]) -> String {
+    let mut widths: Vec<usize> = headings
+        .iter()
+        .map(|heading| heading.chars().count())
+        .collect();
     for row in rows {
         for (width, cell) in widths.iter_mut().zip(row) {
             *width = (*width).max(cell.chars().count());
         }
     }
-    let heads: Vec<String> = heads.iter().map(|head| (*head).to_owned()).collect();
-    let mut text = line(&heads, &widths);
+    let headings: Vec<String> = headings
+        .iter()
+        .map(|heading| (*heading).to_owned())
+        .collect();
+    let mut text = line(&headings, &widths);
     for row in rows {
         text.push_str(&line(row, &widths));
     }
--- a/crates/onyxshed-cli/src/ask.rs
+++ b/crates/onyxshed-cli/src/query.rs
@@ -12,46 +12,49 @@
 use crate::progress::Progress;
 
 /// The decoded answer of a process, or the reason why there is none.
-pub type Answered<T> = Result<T, SmolStr>;
+pub type ProcessAnswer<T> = Result<T, SmolStr>;
 
 /// A process and its answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asked<T> {
+pub struct ProcessReply<T> {
     /// Name of the process in the settings.
     pub process: SmolStr,
     /// The answer, or the reason why there is none.
-    pub answer: Answered<T>,
+    pub answer: ProcessAnswer<T>,
 }
 
 /// Gets `path` from every process concurrently and returns the answers in the order of `processes`.
-pub async fn ask_all<T: 'static>(
+pub async fn query_all<T: 'static>(
     processes: &[ProcessAddress],
     path: &str,
     timeout: Duration,
     decode: fn(&[u8]) -> onyxshed_wire::Result<T>,
-) -> Vec<Asked<T>> {
+) -> Vec<ProcessReply<T>> {
     let executor = LocalExecutor::new();
-    let mut asking = Vec::new();
+    let mut queries = Vec::new();
     for process in processes {
-        let answer = executor.spawn(ask(process, path, timeout, decode));
-        asking.push((process.name.clone(), answer));
+        let answer = executor.spawn(query_process(process, path, timeout, decode));
+        queries.push((process.name.clone(), answer));
     }
     let progress = Progress::new("the first process's answer");
     let collect = async {
-        let mut asked = Vec::new();
-        for (process, answer) in asking {
+        let mut replies = Vec::new();
+        for (process, answer) in queries {
             progress.set(format!("{process} to answer"));
             let answer = answer.await;
-            asked.push(Asked { process, answer });
+            replies.push(ProcessReply { process, answer });
         }
-        asked
+        replies
     };
     executor.run(progress.during(collect)).await
 }
 
 /// Gets the status of every process concurrently.
-pub async fn ask_status(processes: &[ProcessAddress], timeout: Duration) -> Vec<Asked<Status>> {
-    ask_all(processes, STATUS_PATH, timeout, Status::decode).await
+pub async fn query_status(
+    processes: &[ProcessAddress],
+    timeout: Duration,
+) -> Vec<ProcessReply<Status>> {
+    query_all(processes, STATUS_PATH, timeout, Status::decode).await
 }
 
 async fn get(process: &ProcessAddress, path: &str, timeout: Duration) -> Result<Reply, CallError> {
@@ -65,12 +68,12 @@
         .await
 }
 
-async fn ask<T>(
+async fn query_process<T>(
     process: &ProcessAddress,
     path: &str,
     timeout: Duration,
     decode: fn(&[u8]) -> onyxshed_wire::Result<T>,
-) -> Answered<T> {
+) -> ProcessAnswer<T> {
     let reply = get(process, path, timeout)
         .await
         .map_err(|error| error.reason)?;
--- a/crates/onyxshed-cli/src/run.rs
+++ b/crates/onyxshed-cli/src/run.rs
@@ -12,20 +12,23 @@
 use crate::error::{Error, Result};
 use crate::exit::exit_number;
 use crate::output::{Format, json};
-use crate::{catalogue, check, command, drain, status, story, target, timeline};
+use crate::{catalogue, check, command, drain, status, target, timeline, trace};
 
 /// The output of a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Said {
+pub struct CommandOutput {
     /// Text for standard output.
     pub text: String,
     /// Why the output is incomplete; `None` if it is complete.
-    pub partly: Option<ResultCode>,
+    pub incomplete: Option<ResultCode>,
 }
 
-impl From<String> for Said {
+impl From<String> for CommandOutput {
     fn from(text: String) -> Self {
-        Said { text, partly: None }
+        CommandOutput {
+            text,
+            incomplete: None,
+        }
     }
 }
 
@@ -41,25 +44,25 @@
 }
 
 /// Runs the command line with these arguments, of which the first is the program's name.
-pub fn main(words: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let matches = match command::command().try_get_matches_from(words) {
+pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
+    let matches = match command::command().try_get_matches_from(arguments) {
         Ok(matches) => matches,
-        Err(error) => return ExitCode::from(not_understood(&error)),
+        Err(error) => return ExitCode::from(report_parse_error(&error)),
     };
     let format = match args::is_json(&matches) {
         true => Format::Json,
         false => Format::Human,
     };
-    let said = args::action(&matches).and_then(|action| act(action, format));
-    ExitCode::from(conclude(said, format))
+    let output = args::action(&matches).and_then(|action| execute(action, format));
+    ExitCode::from(print_result(output, format))
 }
 
 /// Prints clap's help and version texts as they are, and its errors with this program's error number.
-fn not_understood(error: &clap::Error) -> u8 {
+fn report_parse_error(error: &clap::Error) -> u8 {
     let rendered = error.render().to_string();
     match error.kind() {
         ErrorKind::DisplayHelp | ErrorKind::DisplayVersion => {
-            say(&rendered);
+            print_text(&rendered);
             0
         }
         ErrorKind::DisplayHelpOnMissingArgumentOrSubcommand => {
@@ -67,69 +70,69 @@
             exit_number(ResultCode::Usage)
         }
         _ => {
-            let words = rendered.strip_prefix("error: ").unwrap_or(&rendered);
-            eprint!("error {}: {words}", ResultCode::Usage);
+            let text = rendered.strip_prefix("error: ").unwrap_or(&rendered);
+            eprint!("error {}: {text}", ResultCode::Usage);
             exit_number(ResultCode::Usage)
         }
     }
 }
 
-fn conclude(said: Result<Said>, format: Format) -> u8 {
-    match said {
-        Ok(said) => {
-            say(&said.text);
-            said.partly.map_or(0, exit_number)
+fn print_result(output: Result<CommandOutput>, format: Format) -> u8 {
+    match output {
+        Ok(output) => {
+            print_text(&output.text);
+            output.incomplete.map_or(0, exit_number)
         }
         Err(error) => {
-            complain(&error, format);
+            print_error(&error, format);
             exit_number(error.code())
         }
     }
 }
 
-fn act(action: Action, format: Format) -> Result<Said> {
+fn execute(action: Action, format: Format) -> Result<CommandOutput> {
     match action {
-        Action::Check { file, kind } => check::run(&file, kind, format).map(Said::from),
-        Action::Explain(number) => catalogue::explain(&number, format).map(Said::from),
-        Action::Story { id, logs } => story::run(&id, &logs, format).map(Said::from),
+        Action::Check { file, kind } => check::run(&file, kind, format).map(CommandOutput::from),
+        Action::Explain(number) => catalogue::explain(&number, format).map(CommandOutput::from),
+        Action::Trace { id, logs } => trace::run(&id, &logs, format).map(CommandOutput::from),
         Action::Publish(publish) => {
-            async_io::block_on(target::publish(publish, format)).map(Said::from)
+            async_io::block_on(target::publish(publish, format)).map(CommandOutput::from)
         }
         Action::Show { platform, class } => {
-            async_io::block_on(target::show(platform, class, format)).map(Said::from)
+            async_io::block_on(target::show(platform, class, format)).map(CommandOutput::from)
         }
         Action::History {
             platform,
             class,
             change,
-        } => async_io::block_on(target::history(platform, class, change, format)).map(Said::from),
-        Action::Status(ask) => Ok(async_io::block_on(status::run(&ask, format))),
+        } => async_io::block_on(target::history(platform, class, change, format))
+            .map(CommandOutput::from),
+        Action::Status(args) => Ok(async_io::block_on(status::run(&args, format))),
         Action::Timeline(args) => async_io::block_on(timeline::run(&args, format)),
         Action::Drain {
             process,
-            is_waiting,
+            should_wait,
             timeout_ms,
-        } => {
-            async_io::block_on(drain::run(&process, is_waiting, timeout_ms, format)).map(Said::from)
-        }
+        } => async_io::block_on(drain::run(&process, should_wait, timeout_ms, format))
+            .map(CommandOutput::from),
     }
 }
 
 /// Writes to standard output. A closed pipe (`| head`) is no failure of the command.
-fn say(text: &str) {
+fn print_text(text: &str) {
     let mut stdout = io::stdout().lock();
     let _ = stdout
         .write_all(text.as_bytes())
         .and_then(|()| stdout.flush());
 }
 
-fn complain(error: &Error, format: Format) {
+fn print_error(error: &Error, format: Format) {
     match format {
         Format::Human => eprintln!("{}", error.explain()),
         Format::Json => {
-            let explained = error.explain();
-            let head = format!("error {}: ", error.code());
-            let text = explained.strip_prefix(&head).unwrap_or(&explained);
+            let explanation = error.explain();
+            let prefix = format!("error {}: ", error.code());
+            let text = explanation.strip_prefix(&prefix).unwrap_or(&explanation);
             let body = JsonErrorBody {
                 code: error.code(),
                 text,
--- a/crates/onyxshed-cli/src/span.rs
+++ b/crates/onyxshed-cli/src/span.rs
@@ -10,7 +10,7 @@
 pub fn parse(text: &str) -> Result<Millis, String> {
     let bad = || {
         format!(
-            "{text:?} is no span: allowed is a whole number with ms, s, m or h, such as 500ms or 2s"
+            "{text:?} is not a duration: expected a whole number followed by ms, s, m or h, such as 500ms or 2s"
         )
     };
     let with_unit = UNITS
@@ -32,7 +32,7 @@
 }
 
 /// Formats a duration with its largest unit, rounded down.
-pub fn rough(span: Millis) -> String {
+pub fn display_rounded(span: Millis) -> String {
     let mut largest_first = UNITS.iter().rev();
     let largest = largest_first.find(|(_, factor)| span.0 >= *factor);
     match largest {
--- a/crates/onyxshed-cli/src/status.rs
+++ b/crates/onyxshed-cli/src/status.rs
@@ -6,9 +6,9 @@
 use smol_str::SmolStr;
 
 use crate::args::ProcessArgs;
-use crate::ask::{Asked, ask_status};
 use crate::output::{Format, json, table};
-use crate::run::Said;
+use crate::query::{ProcessReply, query_status};
+use crate::run::CommandOutput;
 use crate::span;
 
 #[derive(Serialize)]
@@ -21,55 +21,55 @@
 }
 
 /// Queries every process and shows their status.
-pub async fn run(ask: &ProcessArgs, format: Format) -> Said {
-    let asked = ask_status(&ask.processes, ask.timeout_ms.into()).await;
-    let is_whole = asked.iter().all(|asked| asked.answer.is_ok());
-    Said {
-        text: render(&asked, format),
-        partly: (!is_whole).then_some(ResultCode::PeerUnreachable),
+pub async fn run(args: &ProcessArgs, format: Format) -> CommandOutput {
+    let replies = query_status(&args.processes, args.timeout_ms.into()).await;
+    let is_complete = replies.iter().all(|reply| reply.answer.is_ok());
+    CommandOutput {
+        text: render(&replies, format),
+        incomplete: (!is_complete).then_some(ResultCode::PeerUnreachable),
     }
 }
 
 /// Formats the status of every process.
-pub fn render(asked: &[Asked<Status>], format: Format) -> String {
+pub fn render(replies: &[ProcessReply<Status>], format: Format) -> String {
     match format {
-        Format::Human => human(asked),
+        Format::Human => human(replies),
         Format::Json => {
-            let rows: Vec<Row<'_>> = asked.iter().map(row).collect();
+            let rows: Vec<Row<'_>> = replies.iter().map(row).collect();
             json(&rows)
         }
     }
 }
 
-fn row(asked: &Asked<Status>) -> Row<'_> {
+fn row(reply: &ProcessReply<Status>) -> Row<'_> {
     Row {
-        name: &asked.process,
-        status: asked.answer.as_ref().ok(),
-        no_answer: asked.answer.as_ref().err(),
+        name: &reply.process,
+        status: reply.answer.as_ref().ok(),
+        no_answer: reply.answer.as_ref().err(),
     }
 }
 
-fn human(asked: &[Asked<Status>]) -> String {
-    let heads = [
+fn human(replies: &[ProcessReply<Status>]) -> String {
+    let headings = [
         "NAME", "PROCESS", "HOST", "STATE", "REVISION", "UPTIME", "VERSION", "BOOT",
     ];
-    let rows: Vec<Vec<String>> = asked.iter().map(cells).collect();
-    let mut text = table(&heads, &rows);
-    for asked in asked {
-        match &asked.answer {
-            Ok(status) => text.push_str(&details(&asked.process, status)),
+    let rows: Vec<Vec<String>> = replies.iter().map(cells).collect();
+    let mut text = table(&headings, &rows);
+    for reply in replies {
+        match &reply.answer {
+            Ok(status) => text.push_str(&details(&reply.process, status)),
             Err(reason) => {
                 let code = ResultCode::PeerUnreachable;
-                text.push_str(&format!("{}: error {code}: {reason}\n", asked.process));
+                text.push_str(&format!("{}: error {code}: {reason}\n", reply.process));
             }
         }
     }
     text
 }
 
-fn cells(asked: &Asked<Status>) -> Vec<String> {
-    let name = asked.process.to_string();
-    match &asked.answer {
+fn cells(reply: &ProcessReply<Status>) -> Vec<String> {
+    let name = reply.process.to_string();
+    match &reply.answer {
         Err(_) => vec![name, "-".into(), "-".into(), "no answer".into()],
         Ok(status) => vec![
             name,
@@ -79,7 +79,7 @@
             status
                 .config_revision
                 .map_or_else(|| "-".to_owned(), |revision| revision.to_string()),
-            span::rough(status.uptime_ms),
+            span::display_rounded(status.uptime_ms),
             status.version.to_string(),
             status.boot.to_string(),
         ],
--- a/crates/onyxshed-cli/src/target/log.rs
+++ b/crates/onyxshed-cli/src/target/log.rs
@@ -17,7 +17,7 @@
 
 /// Outcome of a change on the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum RecordOutcome {
     /// The change was accepted and made this revision.
     Accepted(Revision),
     /// The change was based on another revision than this one, which was in force.
@@ -25,14 +25,14 @@
     /// The change violated a rule.
     Ignored,
     /// The change is a duplicate of one that had been accepted, with the revision that it made.
-    Copy(Revision),
+    Duplicate(Revision),
     /// The log has lost records that are needed to determine the outcome.
-    Unjudged,
+    Undetermined,
 }
 
 /// A change on the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Logged {
+pub struct LoggedChange {
     /// Offset of the record.
     pub offset: Offset,
     /// When the log appended the record.
@@ -40,7 +40,7 @@
     /// The change in the record.
     pub change: ConfigChange,
     /// Outcome of the change.
-    pub fate: Fate,
+    pub outcome: RecordOutcome,
 }
 
 /// A client of the `config` stream that reads and appends within a time limit.
@@ -48,8 +48,8 @@
 pub struct ConfigLog {
     client: PlatformClient,
     fold: ConfigFold,
-    changes: Vec<Logged>,
-    give_up: Instant,
+    changes: Vec<LoggedChange>,
+    deadline: Instant,
 }
 
 impl ConfigLog {
@@ -63,7 +63,7 @@
             client: PlatformClient::new(args.address, options),
             fold: ConfigFold::default(),
             changes: Vec::new(),
-            give_up: Instant::now() + Duration::from(args.timeout_ms),
+            deadline: Instant::now() + Duration::from(args.timeout_ms),
         }
     }
 
@@ -73,11 +73,11 @@
     }
 
     /// Returns every change read so far, in the order of the log, with its outcome.
-    pub fn changes(&self) -> Vec<Logged> {
+    pub fn changes(&self) -> Vec<LoggedChange> {
         let mut changes = self.changes.clone();
-        for logged in &mut changes {
-            if logged.fate == Fate::Unjudged {
-                logged.fate = self.fate_in_hindsight(logged);
+        for entry in &mut changes {
+            if entry.outcome == RecordOutcome::Undetermined {
+                entry.outcome = self.outcome_in_retrospect(entry);
             }
         }
         changes
@@ -85,7 +85,7 @@
 
     /// Returns whether the time limit has passed.
     pub fn is_late(&self) -> bool {
-        Instant::now() >= self.give_up
+        Instant::now() >= self.deadline
     }
 
     /// Reads to the end of the stream, waiting up to `wait` for a new record if there is none. Returns the
@@ -96,7 +96,7 @@
                 .client
                 .read(CONFIG_STREAM, self.fold.next(), wait)
                 .await?;
-            self.take_in(&page);
+            self.apply_page(&page);
             if page.records.is_empty() || self.fold.next() >= page.next {
                 return Ok(page.next);
             }
@@ -120,42 +120,42 @@
 
     /// Determines the outcome of a change that had no effect when it was read: a duplicate of an earlier
     /// one, or one whose base is known only from a later snapshot.
-    fn fate_in_hindsight(&self, logged: &Logged) -> Fate {
+    fn outcome_in_retrospect(&self, entry: &LoggedChange) -> RecordOutcome {
         let is_copy = self.changes.iter().any(|earlier| {
-            earlier.change.change_id == logged.change.change_id && earlier.offset < logged.offset
+            earlier.change.change_id == entry.change.change_id && earlier.offset < entry.offset
         });
-        match self.fold.find_change(logged.change.change_id) {
-            ChangeOutcome::Accepted(revision) if is_copy => Fate::Copy(revision),
-            ChangeOutcome::Accepted(revision) => Fate::Accepted(revision),
-            ChangeOutcome::Raced { found, .. } => Fate::Raced(found),
-            ChangeOutcome::Invalid => Fate::Ignored,
-            ChangeOutcome::NotSeen => Fate::Unjudged,
+        match self.fold.find_change(entry.change.change_id) {
+            ChangeOutcome::Accepted(revision) if is_copy => RecordOutcome::Duplicate(revision),
+            ChangeOutcome::Accepted(revision) => RecordOutcome::Accepted(revision),
+            ChangeOutcome::Raced { found, .. } => RecordOutcome::Raced(found),
+            ChangeOutcome::Invalid => RecordOutcome::Ignored,
+            ChangeOutcome::NotSeen => RecordOutcome::Undetermined,
         }
     }
 
-    fn take_in(&mut self, page: &Page) {
+    fn apply_page(&mut self, page: &Page) {
         self.fold.skip_to(page.oldest, clock::now());
         for record in &page.records {
-            let step = self.fold.apply_record(record);
-            self.note(record, step);
+            let fold_outcome = self.fold.apply_record(record);
+            self.record_change(record, fold_outcome);
         }
     }
 
-    fn note(&mut self, record: &Record, step: FoldOutcome) {
+    fn record_change(&mut self, record: &Record, fold_outcome: FoldOutcome) {
         let Ok(ConfigRecord::ChangeV1(change)) = ConfigRecord::decode(&record.data) else {
             return;
         };
-        let fate = match step {
-            FoldOutcome::Accepted(revision) => Fate::Accepted(revision),
-            FoldOutcome::Raced { found, .. } => Fate::Raced(found),
-            FoldOutcome::Ignored => Fate::Ignored,
-            FoldOutcome::Nothing => Fate::Unjudged,
+        let outcome = match fold_outcome {
+            FoldOutcome::Accepted(revision) => RecordOutcome::Accepted(revision),
+            FoldOutcome::Raced { found, .. } => RecordOutcome::Raced(found),
+            FoldOutcome::Ignored => RecordOutcome::Ignored,
+            FoldOutcome::Nothing => RecordOutcome::Undetermined,
         };
-        self.changes.push(Logged {
+        self.changes.push(LoggedChange {
             offset: record.offset,
             at: record.at_ms,
             change,
-            fate,
+            outcome,
         });
     }
 }
--- a/crates/onyxshed-cli/src/target/publish.rs
+++ b/crates/onyxshed-cli/src/target/publish.rs
@@ -33,7 +33,7 @@
 }
 
 /// The next step for a change.
-enum Next {
+enum NextStep {
     /// Append the change, possibly again.
     Append(Proposal<Ready>),
     /// The change may be on the log: read on.
@@ -55,7 +55,7 @@
 pub async fn publish(publish: Publish, format: Format) -> Result<String> {
     let progress = Progress::new("the platform's log");
     let processes = publish.wait_for.len();
-    let published = progress.during(carry_out(publish, &progress)).await?;
+    let published = progress.during(publish_change(publish, &progress)).await?;
     Ok(match (format, &published) {
         (Format::Json, published) => json(published),
         (
@@ -75,20 +75,20 @@
     })
 }
 
-async fn carry_out(publish: Publish, progress: &Progress) -> Result<Published> {
+async fn publish_change(publish: Publish, progress: &Progress) -> Result<Published> {
     let mut log = ConfigLog::new(publish.platform);
     log.read_all().await?;
     let change = prepare(&log, publish.body, publish.based_on)?;
     let change_id = change.change().change_id;
     let revision = send(&mut log, change, progress).await?;
-    let is_waiting = !publish.wait_for.is_empty();
-    if is_waiting {
+    let should_wait = !publish.wait_for.is_empty();
+    if should_wait {
         wait_in_force(&publish.wait_for, revision, || log.is_late(), progress).await?;
     }
     Ok(Published {
         change_id,
         revision,
-        is_in_force_everywhere: is_waiting.then_some(true),
+        is_in_force_everywhere: should_wait.then_some(true),
     })
 }
 
@@ -119,55 +119,57 @@
         may_be_sent: false,
         progress,
     };
-    let mut next = Next::Append(proposal);
+    let mut next = NextStep::Append(proposal);
     loop {
         next = match next {
-            Next::Append(proposal) => sending.append(proposal).await?,
-            Next::Read(proposal) => sending.read(proposal).await?,
-            Next::Done(revision) => return Ok(revision),
+            NextStep::Append(proposal) => sending.append(proposal).await?,
+            NextStep::Read(proposal) => sending.read(proposal).await?,
+            NextStep::Done(revision) => return Ok(revision),
         };
     }
 }
 
 impl Sending<'_> {
-    async fn append(&mut self, proposal: Proposal<Ready>) -> Result<Next> {
-        let appended = self.log.append(proposal.record()).await;
-        let result = appended.as_ref().copied().map_err(failure);
+    async fn append(&mut self, proposal: Proposal<Ready>) -> Result<NextStep> {
+        let append_result = self.log.append(proposal.record()).await;
+        let result = append_result.as_ref().copied().map_err(append_failure);
         let step = proposal.apply_append_result(result);
         self.may_be_sent |= matches!(step, AppendStep::Sent(_));
-        if let Err(error) = appended {
+        if let Err(error) = append_result {
             self.pause(&error).await?;
         }
         Ok(match step {
-            AppendStep::Retry(proposal) => Next::Append(proposal),
-            AppendStep::Sent(proposal) => Next::Read(proposal),
+            AppendStep::Retry(proposal) => NextStep::Append(proposal),
+            AppendStep::Sent(proposal) => NextStep::Read(proposal),
         })
     }
 
-    async fn read(&mut self, proposal: Proposal<Sent>) -> Result<Next> {
+    async fn read(&mut self, proposal: Proposal<Sent>) -> Result<NextStep> {
         let end = match self.log.read_to_end(READ_WAIT).await {
             Ok(end) => end,
             Err(error) => {
                 self.pause(&error).await?;
-                return Ok(Next::Read(proposal));
+                return Ok(NextStep::Read(proposal));
             }
         };
         match proposal.resolve(self.log.fold(), end) {
-            ProposalStatus::Accepted(revision) => Ok(Next::Done(revision)),
+            ProposalStatus::Accepted(revision) => Ok(NextStep::Done(revision)),
             ProposalStatus::Raced { based_on, found } => {
                 Err(Error::ChangeRaced { based_on, found })
             }
             ProposalStatus::Invalid => Err(Error::ChangeInvalid {
-                reason: SmolStr::new_static("by the time it was read, the change broke a rule"),
+                reason: SmolStr::new_static(
+                    "the change violated a rule by the time it was read back",
+                ),
             }),
             ProposalStatus::Repeat(_) | ProposalStatus::Undecided(_) if self.log.is_late() => {
                 Err(self.undecided("it was not read back"))
             }
-            ProposalStatus::Repeat(proposal) => Ok(Next::Append(proposal)),
+            ProposalStatus::Repeat(proposal) => Ok(NextStep::Append(proposal)),
             ProposalStatus::Undecided(proposal) => {
                 // Without this pause, a log that ignores the requested wait would be read in a busy loop.
                 Timer::after(RETRY_PAUSE).await;
-                Ok(Next::Read(proposal))
+                Ok(NextStep::Read(proposal))
             }
         }
     }
@@ -195,7 +197,7 @@
     }
 }
 
-fn failure(error: &onyxshed_platform::Error) -> AppendFailure {
+fn append_failure(error: &onyxshed_platform::Error) -> AppendFailure {
     match error.may_have_taken_effect() {
         true => AppendFailure::AnswerLost,
         false => AppendFailure::NotAppended,
--- a/crates/onyxshed-cli/src/target/show.rs
+++ b/crates/onyxshed-cli/src/target/show.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use smol_str::format_smolstr;
 
-use super::log::{ConfigLog, Fate, Logged};
+use super::log::{ConfigLog, LoggedChange, RecordOutcome};
 use crate::args::PlatformArgs;
 use crate::error::{Error, Result};
 use crate::output::{Format, json, table};
@@ -59,7 +59,7 @@
     let classes: Vec<&ClassTarget> = config.classes.values().filter(wanted).collect();
     if let (Some(class), true) = (&class, classes.is_empty()) {
         return Err(Error::NotFound {
-            what: format_smolstr!("class {class} in revision {}", config.revision),
+            item: format_smolstr!("class {class} in revision {}", config.revision),
         });
     }
     let revision = config.revision;
@@ -94,22 +94,22 @@
     change: Option<ChangeId>,
     format: Format,
 ) -> Result<String> {
-    let log = read_what_is_left(platform).await?;
-    let is_wanted = |logged: &&Logged| {
+    let log = read_remaining(platform).await?;
+    let is_wanted = |entry: &&LoggedChange| {
         class
             .as_ref()
-            .is_none_or(|class| class_of(&logged.change.body) == class)
-            && change.is_none_or(|change| logged.change.change_id == change)
+            .is_none_or(|class| class_of(&entry.change.body) == class)
+            && change.is_none_or(|change| entry.change.change_id == change)
     };
     let all = log.changes();
-    let changes: Vec<&Logged> = all.iter().filter(is_wanted).collect();
+    let changes: Vec<&LoggedChange> = all.iter().filter(is_wanted).collect();
     if let (Some(change), true) = (change, changes.is_empty()) {
-        return expired(&log, change, format);
+        return show_expired(&log, change, format);
     }
     let unreadable = log.fold().counts().unreadable;
     Ok(match format {
         Format::Json => json(&History {
-            changes: changes.iter().map(|logged| as_json(logged)).collect(),
+            changes: changes.iter().map(|entry| as_json(entry)).collect(),
             unreadable,
         }),
         Format::Human => history_table(&changes) + &unreadable_line(unreadable),
@@ -117,7 +117,7 @@
 }
 
 /// Reads the log even if it has lost records, since the remaining records are useful too.
-async fn read_what_is_left(platform: PlatformArgs) -> Result<ConfigLog> {
+async fn read_remaining(platform: PlatformArgs) -> Result<ConfigLog> {
     let mut log = ConfigLog::new(platform);
     let progress = Progress::new("the platform's log");
     match progress.during(log.read_all()).await {
@@ -127,7 +127,7 @@
 }
 
 /// Shows the outcome of a change whose record is no longer on the log, which a snapshot may contain.
-fn expired(log: &ConfigLog, change_id: ChangeId, format: Format) -> Result<String> {
+fn show_expired(log: &ConfigLog, change_id: ChangeId, format: Format) -> Result<String> {
     match log.fold().find_change(change_id) {
         ChangeOutcome::Accepted(revision) => Ok(match format {
             Format::Json => json(&Expired {
@@ -154,53 +154,53 @@
     }
 }
 
-fn history_table(changes: &[&Logged]) -> String {
+fn history_table(changes: &[&LoggedChange]) -> String {
     let rows: Vec<Vec<String>> = changes
         .iter()
-        .map(|logged| {
-            let change = &logged.change;
+        .map(|entry| {
+            let change = &entry.change;
             vec![
-                logged.offset.to_string(),
+                entry.offset.to_string(),
                 change.change_id.to_string(),
                 change.based_on.to_string(),
-                fate_words(logged.fate),
-                body_words(&change.body),
+                describe_outcome(entry.outcome),
+                describe_body(&change.body),
             ]
         })
         .collect();
     table(&["OFFSET", "CHANGE", "BASED ON", "FATE", "WHAT"], &rows)
 }
 
-fn as_json(logged: &Logged) -> Change<'_> {
-    let (fate, revision) = match logged.fate {
-        Fate::Accepted(revision) => ("accepted", Some(revision)),
-        Fate::Raced(_) => ("raced", None),
-        Fate::Ignored => ("ignored", None),
-        Fate::Copy(revision) => ("copy", Some(revision)),
-        Fate::Unjudged => ("unjudged", None),
+fn as_json(entry: &LoggedChange) -> Change<'_> {
+    let (fate, revision) = match entry.outcome {
+        RecordOutcome::Accepted(revision) => ("accepted", Some(revision)),
+        RecordOutcome::Raced(_) => ("raced", None),
+        RecordOutcome::Ignored => ("ignored", None),
+        RecordOutcome::Duplicate(revision) => ("copy", Some(revision)),
+        RecordOutcome::Undetermined => ("unjudged", None),
     };
     Change {
-        offset: logged.offset,
-        at_ms: logged.at,
-        change_id: logged.change.change_id,
-        based_on: logged.change.based_on,
-        body: &logged.change.body,
+        offset: entry.offset,
+        at_ms: entry.at,
+        change_id: entry.change.change_id,
+        based_on: entry.change.based_on,
+        body: &entry.change.body,
         fate,
         revision,
     }
 }
 
-fn fate_words(fate: Fate) -> String {
-    match fate {
-        Fate::Accepted(revision) => format!("revision {revision}"),
-        Fate::Raced(found) => format!("raced, found {found}"),
-        Fate::Ignored => "ignored, breaks a rule".to_owned(),
-        Fate::Copy(revision) => format!("copy, revision {revision}"),
-        Fate::Unjudged => "not to be judged, records are lost".to_owned(),
+fn describe_outcome(outcome: RecordOutcome) -> String {
+    match outcome {
+        RecordOutcome::Accepted(revision) => format!("revision {revision}"),
+        RecordOutcome::Raced(found) => format!("raced, found {found}"),
+        RecordOutcome::Ignored => "ignored, violates a rule".to_owned(),
+        RecordOutcome::Duplicate(revision) => format!("copy, revision {revision}"),
+        RecordOutcome::Undetermined => "undetermined, records are lost".to_owned(),
     }
 }
 
-fn body_words(body: &ChangeBody) -> String {
+fn describe_body(body: &ChangeBody) -> String {
     match body {
         ChangeBody::Remove(class) => format!("remove {class}"),
         ChangeBody::Put(target) => format!(
--- a/crates/onyxshed-cli/src/target/wait.rs
+++ b/crates/onyxshed-cli/src/target/wait.rs
@@ -7,12 +7,12 @@
 use onyxshed_settings::ProcessAddress;
 use onyxshed_wire::admin::Status;
 
-use crate::ask::{Asked, ask_status};
 use crate::error::{Error, Result};
 use crate::progress::Progress;
+use crate::query::{ProcessReply, query_status};
 
 /// How long a process may take to answer.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How often processes are queried.
 const POLL_PERIOD: Duration = Duration::from_millis(100);
@@ -25,12 +25,12 @@
     progress: &Progress,
 ) -> Result<()> {
     loop {
-        let asked = ask_status(processes, ASK_TIMEOUT).await;
-        let lacking = lacking(&asked, revision);
+        let replies = query_status(processes, QUERY_TIMEOUT).await;
+        let lacking = lacking(&replies, revision);
         if lacking.is_empty() {
             return Ok(());
         }
-        let (all, done) = (asked.len(), asked.len() - lacking.len());
+        let (total, done) = (replies.len(), replies.len() - lacking.len());
         let waiting = lacking.join(", ");
         if is_late() {
             return Err(Error::NotInForce {
@@ -39,20 +39,22 @@
             });
         }
         progress.set(format!(
-            "{done} of {all} processes have revision {revision}; not yet {waiting}"
+            "{done} of {total} processes have revision {revision}; not yet {waiting}"
         ));
         Timer::after(POLL_PERIOD).await;
     }
 }
 
 /// Describes every process that lacks the revision.
-fn lacking(asked: &[Asked<Status>], revision: Revision) -> Vec<String> {
-    let lacking = asked.iter().filter(|asked| !has_revision(asked, revision));
+fn lacking(replies: &[ProcessReply<Status>], revision: Revision) -> Vec<String> {
+    let lacking = replies
+        .iter()
+        .filter(|reply| !has_revision(reply, revision));
     lacking.map(describe).collect()
 }
 
-fn has_revision(asked: &Asked<Status>, revision: Revision) -> bool {
-    let found = asked
+fn has_revision(reply: &ProcessReply<Status>, revision: Revision) -> bool {
+    let found = reply
         .answer
         .as_ref()
         .ok()
@@ -60,9 +62,9 @@
     found.is_some_and(|found| found >= revision)
 }
 
-fn describe(asked: &Asked<Status>) -> String {
-    let name = &asked.process;
-    match &asked.answer {
+fn describe(reply: &ProcessReply<Status>) -> String {
+    let name = &reply.process;
+    match &reply.answer {
         Err(reason) => format!("{name} (no answer: {reason})"),
         Ok(status) => match status.config_revision {
             Some(revision) => format!("{name} (revision {revision})"),
--- a/crates/onyxshed-cli/src/timeline.rs
+++ b/crates/onyxshed-cli/src/timeline.rs
@@ -13,51 +13,51 @@
 use smol_str::SmolStr;
 
 use crate::args::{EventSource, PlatformArgs, ProcessArgs, TimelineArgs};
-use crate::ask::ask_all;
 use crate::clock;
 use crate::error::Result;
 use crate::logs::read_logs;
 use crate::output::Format;
 use crate::progress::Progress;
-use crate::run::Said;
+use crate::query::query_all;
+use crate::run::CommandOutput;
 
 /// Maximum number of events requested from one process.
 const EVENTS_MAX: usize = 5_000;
 
 /// Collects the events of all processes or logs and shows them as one time line.
-pub async fn run(args: &TimelineArgs, format: Format) -> Result<Said> {
-    let (mut merged, is_whole) = match &args.source {
-        EventSource::Processes(ask) => gather(args, ask).await?,
+pub async fn run(args: &TimelineArgs, format: Format) -> Result<CommandOutput> {
+    let (mut merged, is_complete) = match &args.source {
+        EventSource::Processes(processes) => gather(args, processes).await?,
         EventSource::Logs(files) => {
             let mut merged = merge::merge_logs(read_logs(files)?);
-            merged.keep_wanted(args);
+            merged.retain_matching(args);
             (merged, true)
         }
     };
     if args.beliefs_only {
-        merged.keep_beliefs();
+        merged.retain_beliefs();
     }
-    Ok(Said {
+    Ok(CommandOutput {
         text: render::render(&merged, args, format),
-        partly: (!is_whole).then_some(ResultCode::PeerUnreachable),
+        incomplete: (!is_complete).then_some(ResultCode::PeerUnreachable),
     })
 }
 
 /// Queries every process for its events. The flag is `true` if all have answered.
-async fn gather(args: &TimelineArgs, ask: &ProcessArgs) -> Result<(merge::Merged, bool)> {
+async fn gather(args: &TimelineArgs, processes: &ProcessArgs) -> Result<(merge::Timeline, bool)> {
     let executors = match &args.upstream {
         Some((upstream, platform)) => Some(executors_of(upstream, *platform).await?),
         None => None,
     };
-    let path = query(args, clock::now());
-    let timeout = ask.timeout_ms.into();
-    let asked = ask_all(&ask.processes, &path, timeout, TimelinePage::decode).await;
-    let is_whole = asked.iter().all(|asked| asked.answer.is_ok());
-    let mut merged = merge::merge(asked);
+    let path = request_path(args, clock::now());
+    let timeout = processes.timeout_ms.into();
+    let replies = query_all(&processes.processes, &path, timeout, TimelinePage::decode).await;
+    let is_complete = replies.iter().all(|reply| reply.answer.is_ok());
+    let mut merged = merge::merge(replies);
     if let Some(executors) = executors {
-        merged.keep_parties(&executors);
+        merged.retain_parties(&executors);
     }
-    Ok((merged, is_whole))
+    Ok((merged, is_complete))
 }
 
 /// Returns the names of an upstream's executors from the platform's host list.
@@ -80,7 +80,7 @@
 }
 
 /// Builds the path and query that request the wanted events from a process.
-pub fn query(args: &TimelineArgs, now: UnixMs) -> String {
+pub fn request_path(args: &TimelineArgs, now: UnixMs) -> String {
     let mut url = Url::parse("http://process").expect("the base is a URL");
     url.set_path(TIMELINE_PATH);
     let mut pairs = url.query_pairs_mut();
--- a/crates/onyxshed-cli/src/timeline/collapse.rs
+++ b/crates/onyxshed-cli/src/timeline/collapse.rs
@@ -9,7 +9,7 @@
 
 /// How far apart events may be that share a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reach {
+pub enum CollapseScope {
     /// Only consecutive events share a line.
     Neighbours,
     /// Events share a line wherever they are in the time line.
@@ -44,13 +44,13 @@
 }
 
 /// Collapses events that differ only in their task into one line, if `scope` allows it.
-pub fn collapse(entries: &[Entry], reach: Reach) -> Vec<Line> {
+pub fn collapse(entries: &[Entry], scope: CollapseScope) -> Vec<Line> {
     let mut lines: Vec<Line> = Vec::new();
     for entry in entries {
         let mut candidates = lines.iter_mut().rev();
-        let same = match reach {
-            Reach::Neighbours => candidates.next().filter(|line| line.takes(entry)),
-            Reach::Anywhere => candidates.find(|line| line.takes(entry)),
+        let same = match scope {
+            CollapseScope::Neighbours => candidates.next().filter(|line| line.can_add(entry)),
+            CollapseScope::Anywhere => candidates.find(|line| line.can_add(entry)),
         };
         match same {
             Some(line) => line.add(entry),
@@ -81,7 +81,7 @@
         line
     }
 
-    fn takes(&self, entry: &Entry) -> bool {
+    fn can_add(&self, entry: &Entry) -> bool {
         let event = &entry.event;
         event.task_index.is_some()
             && !self.tasks.is_empty()
--- a/crates/onyxshed-cli/src/timeline/merge.rs
+++ b/crates/onyxshed-cli/src/timeline/merge.rs
@@ -8,8 +8,8 @@
 use smol_str::SmolStr;
 
 use crate::args::TimelineArgs;
-use crate::ask::Asked;
 use crate::logs::Logs;
+use crate::query::ProcessReply;
 
 /// An event and the process in which it happened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -24,7 +24,7 @@
 /// Why events of a process may be missing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Missing {
+pub enum GapReason {
     /// The process did not answer, with the reason; none of its events are shown.
     NoAnswer(SmolStr),
     /// The process started at this time; events of an earlier run are lost.
@@ -44,12 +44,12 @@
     /// Name of the process in the settings.
     pub process: SmolStr,
     /// Why events may be missing.
-    pub missing: Missing,
+    pub missing: GapReason,
 }
 
 /// The events of all processes in one order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Merged {
+pub struct Timeline {
     /// Gaps, in the order of the processes.
     pub gaps: Vec<Gap>,
     /// Events, ordered by their hybrid logical clocks.
@@ -57,12 +57,12 @@
 }
 
 /// Merges the answers of processes.
-pub fn merge(asked: Vec<Asked<TimelinePage>>) -> Merged {
-    let mut merged = Merged::default();
-    for asked in asked {
-        let process = asked.process;
-        match asked.answer {
-            Err(reason) => merged.add_gap(&process, Missing::NoAnswer(reason)),
+pub fn merge(replies: Vec<ProcessReply<TimelinePage>>) -> Timeline {
+    let mut merged = Timeline::default();
+    for reply in replies {
+        let process = reply.process;
+        match reply.answer {
+            Err(reason) => merged.add_gap(&process, GapReason::NoAnswer(reason)),
             Ok(page) => merged.add_page(&process, page),
         }
     }
@@ -72,10 +72,10 @@
 }
 
 /// Merges the lines of log files.
-pub fn merge_logs(logs: Logs) -> Merged {
-    let mut merged = Merged::default();
+pub fn merge_logs(logs: Logs) -> Timeline {
+    let mut merged = Timeline::default();
     if logs.unreadable > 0 {
-        merged.add_gap(&"the logs".into(), Missing::Unreadable(logs.unreadable));
+        merged.add_gap(&"the logs".into(), GapReason::Unreadable(logs.unreadable));
     }
     let entries = logs.lines.into_iter().map(|line| Entry {
         process: line.host,
@@ -85,10 +85,10 @@
     merged
 }
 
-impl Merged {
+impl Timeline {
     /// Retains only the events that match the filters. Needed for logs only, since processes filter their
     /// events themselves.
-    pub fn keep_wanted(&mut self, args: &TimelineArgs) {
+    pub fn retain_matching(&mut self, args: &TimelineArgs) {
         let last = self.events.last().map(|entry| entry.event.hlc.wall);
         let since = args.since_ms.zip(last).map(|(span, last)| last - span);
         self.events.retain(|entry| {
@@ -106,7 +106,7 @@
     }
 
     /// Retains only the events that concern no single request, job or submission.
-    pub fn keep_beliefs(&mut self) {
+    pub fn retain_beliefs(&mut self) {
         self.events.retain(|entry| {
             let event = &entry.event;
             event.submission.is_none() && event.request.is_empty() && event.job.is_empty()
@@ -114,18 +114,18 @@
     }
 
     /// Retains only the events whose other party is in `parties`.
-    pub fn keep_parties(&mut self, parties: &BTreeSet<SmolStr>) {
+    pub fn retain_parties(&mut self, parties: &BTreeSet<SmolStr>) {
         self.events
             .retain(|entry| parties.contains(&entry.event.party));
     }
 
     fn add_page(&mut self, process: &SmolStr, page: TimelinePage) {
-        self.add_gap(process, Missing::StartedAt(page.started_ms));
+        self.add_gap(process, GapReason::StartedAt(page.started_ms));
         if page.dropped > 0 {
-            self.add_gap(process, Missing::Dropped(page.dropped));
+            self.add_gap(process, GapReason::Dropped(page.dropped));
         }
         if page.is_cut {
-            self.add_gap(process, Missing::TooMany);
+            self.add_gap(process, GapReason::TooMany);
         }
         let entries = page.events.into_iter().map(|event| Entry {
             process: process.clone(),
@@ -134,10 +134,10 @@
         self.events.extend(entries);
     }
 
-    fn add_gap(&mut self, process: &SmolStr, missing: Missing) {
+    fn add_gap(&mut self, process: &SmolStr, reason: GapReason) {
         self.gaps.push(Gap {
             process: process.clone(),
-            missing,
+            missing: reason,
         });
     }
 }
--- a/crates/onyxshed-cli/src/timeline/render.rs
+++ b/crates/onyxshed-cli/src/timeline/render.rs
@@ -5,51 +5,51 @@
 
 use onyxshed_core::UnixMs;
 
-use super::collapse::{Line, Reach, collapse};
-use super::merge::{Gap, Merged, Missing};
+use super::collapse::{CollapseScope, Line, collapse};
+use super::merge::{Gap, GapReason, Timeline};
 use crate::args::TimelineArgs;
 use crate::output::{Format, json, table};
 
 /// Formats the time line for people or for programs.
-pub fn render(merged: &Merged, args: &TimelineArgs, format: Format) -> String {
+pub fn render(timeline: &Timeline, args: &TimelineArgs, format: Format) -> String {
     match format {
-        Format::Human => human(merged, args),
-        Format::Json => json(merged),
+        Format::Human => human(timeline, args),
+        Format::Json => json(timeline),
     }
 }
 
-fn human(merged: &Merged, args: &TimelineArgs) -> String {
-    let mut lines = collapse(&merged.events, Reach::Neighbours);
+fn human(timeline: &Timeline, args: &TimelineArgs) -> String {
+    let mut lines = collapse(&timeline.events, CollapseScope::Neighbours);
     if args.submission.is_some() && lines.len() > args.lines {
-        lines = collapse(&merged.events, Reach::Anywhere);
+        lines = collapse(&timeline.events, CollapseScope::Anywhere);
     }
-    let left_out = lines.len().saturating_sub(args.lines);
-    let shown = &lines[left_out..];
+    let omitted = lines.len().saturating_sub(args.lines);
+    let shown = &lines[omitted..];
     let mut text = String::new();
-    if left_out > 0 {
+    if omitted > 0 {
         text.push_str(&format!(
-            "{left_out} earlier lines left out; --lines shows more\n"
+            "{omitted} earlier lines omitted; --lines shows more\n"
         ));
     }
     text.push_str(&match args.submission {
         Some(_) => one_submission(shown),
         None => many_submissions(shown),
     });
-    let earliest = merged.events.first().map(|entry| entry.event.hlc.wall);
-    for gap in &merged.gaps {
+    let earliest = timeline.events.first().map(|entry| entry.event.hlc.wall);
+    for gap in &timeline.gaps {
         text.push_str(&gap_line(gap, earliest));
     }
     text
 }
 
 fn one_submission(lines: &[Line]) -> String {
-    let heads = ["TIME (UTC)", "PROCESS", "EVENT", "TASKS", "PARTY", "DETAIL"];
+    let headings = ["TIME (UTC)", "PROCESS", "EVENT", "TASKS", "PARTY", "DETAIL"];
     let rows: Vec<Vec<String>> = lines.iter().map(cells).collect();
-    table(&heads, &rows)
+    table(&headings, &rows)
 }
 
 fn many_submissions(lines: &[Line]) -> String {
-    let heads = [
+    let headings = [
         "TIME (UTC)",
         "PROCESS",
         "EVENT",
@@ -60,7 +60,7 @@
         "DETAIL",
     ];
     let rows: Vec<Vec<String>> = lines.iter().map(cells_with_submission).collect();
-    table(&heads, &rows)
+    table(&headings, &rows)
 }
 
 fn cells(line: &Line) -> Vec<String> {
@@ -69,7 +69,7 @@
         line.process.to_string(),
         line.kind.to_string(),
         tasks_cell(line),
-        some_of(&line.parties),
+        first_and_count(&line.parties),
         line.detail.replace(char::is_control, " "),
     ]
 }
@@ -103,8 +103,8 @@
 }
 
 /// Names the first of several items and counts the others.
-fn some_of(things: &BTreeSet<impl Display + Ord>) -> String {
-    match (things.first(), things.len()) {
+fn first_and_count(items: &BTreeSet<impl Display + Ord>) -> String {
+    match (items.first(), items.len()) {
         (None, _) => String::new(),
         (Some(first), 1) => first.to_string(),
         (Some(first), count) => format!("{first} +{}", count - 1),
@@ -115,19 +115,23 @@
 fn gap_line(gap: &Gap, earliest: Option<UnixMs>) -> String {
     let process = &gap.process;
     match &gap.missing {
-        Missing::NoAnswer(reason) => {
+        GapReason::NoAnswer(reason) => {
             format!("gap: {process} does not answer, its events are missing ({reason})\n")
         }
-        Missing::StartedAt(at) if earliest.is_some_and(|earliest| *at > earliest) => format!(
-            "gap: {process} started at {}, nothing is known of it before\n",
+        GapReason::StartedAt(at) if earliest.is_some_and(|earliest| *at > earliest) => format!(
+            "gap: {process} started at {}, its earlier events are missing\n",
             time_of_day(*at)
         ),
-        Missing::StartedAt(_) => String::new(),
-        Missing::Dropped(count) => {
+        GapReason::StartedAt(_) => String::new(),
+        GapReason::Dropped(count) => {
             format!("gap: {process} dropped its {count} oldest events\n")
         }
-        Missing::Unreadable(count) => format!("gap: {count} lines of {process} hold no event\n"),
-        Missing::TooMany => format!("gap: {process} has older events that match, left out\n"),
+        GapReason::Unreadable(count) => {
+            format!("gap: {count} lines of {process} contain no event\n")
+        }
+        GapReason::TooMany => {
+            format!("gap: {process} has older matching events, which are omitted\n")
+        }
     }
 }
 
--- a/crates/onyxshed-cli/src/story.rs
+++ b/crates/onyxshed-cli/src/trace.rs
@@ -11,52 +11,52 @@
 use serde::Serialize;
 
 use crate::error::{Error, Result};
-use crate::logs::{Logged, read_logs};
+use crate::logs::{LogLine, read_logs};
 use crate::output::{Format, json, table};
 use crate::timeline::render::time_of_day;
 use cause::{Cause, cause_of};
-use select::{Story, select};
+use select::{RequestTrace, select};
 
 /// The explanation of one request, as JSON.
 #[derive(Debug, Serialize)]
-struct Told<'a> {
+struct Explanation<'a> {
     cause: Option<String>,
     look_next: &'static str,
-    lines: Vec<&'a Logged>,
+    lines: Vec<&'a LogLine>,
     unreadable_lines: usize,
 }
 
 /// Explains the outcome of a request or a job, given its id.
 pub fn run(id: &str, logs: &[PathBuf], format: Format) -> Result<String> {
     let logs = read_logs(logs)?;
-    let story = select(id, &logs.lines);
-    if story.lines.is_empty() {
-        let what = format!("line about {id:?} in the logs");
-        return Err(Error::NotFound { what: what.into() });
+    let trace = select(id, &logs.lines);
+    if trace.lines.is_empty() {
+        let item = format!("line about {id:?} in the logs");
+        return Err(Error::NotFound { item: item.into() });
     }
-    let cause = cause_of(&story);
+    let cause = cause_of(&trace);
     Ok(match format {
-        Format::Human => human(&story, cause, logs.unreadable),
-        Format::Json => json(&Told {
+        Format::Human => human(&trace, cause, logs.unreadable),
+        Format::Json => json(&Explanation {
             cause: cause.as_ref().map(ToString::to_string),
-            look_next: look_next(cause.as_ref()),
-            lines: story.lines,
+            look_next: next_check(cause.as_ref()),
+            lines: trace.lines,
             unreadable_lines: logs.unreadable,
         }),
     })
 }
 
-fn human(story: &Story<'_>, cause: Option<Cause>, unreadable: usize) -> String {
-    let heads = ["TIME (UTC)", "HOST", "EVENT", "TASK", "PARTY", "DETAIL"];
-    let rows: Vec<Vec<String>> = story.lines.iter().map(|line| cells(line)).collect();
-    let mut text = table(&heads, &rows);
-    if story.left_out > 0 {
-        text += &format!("{} more lines on beliefs left out\n", story.left_out);
+fn human(trace: &RequestTrace<'_>, cause: Option<Cause>, unreadable: usize) -> String {
+    let headings = ["TIME (UTC)", "HOST", "EVENT", "TASK", "PARTY", "DETAIL"];
+    let rows: Vec<Vec<String>> = trace.lines.iter().map(|line| cells(line)).collect();
+    let mut text = table(&headings, &rows);
+    if trace.omitted > 0 {
+        text += &format!("{} more lines of context omitted\n", trace.omitted);
     }
     if unreadable > 0 {
         text += &format!("{unreadable} lines of the logs are no events\n");
     }
-    let next = look_next(cause.as_ref());
+    let next = next_check(cause.as_ref());
     match cause {
         Some(cause) => text += &format!("cause: {cause}\n"),
         None => text += "cause: no answer to a caller is in the logs\n",
@@ -64,14 +64,14 @@
     text + &format!("look next: {next}\n")
 }
 
-fn look_next(cause: Option<&Cause>) -> &'static str {
+fn next_check(cause: Option<&Cause>) -> &'static str {
     match cause {
-        Some(cause) => cause.look_next(),
+        Some(cause) => cause.next_check(),
         None => "the logs of the other hosts, and E607: lines may have been left out",
     }
 }
 
-fn cells(line: &Logged) -> Vec<String> {
+fn cells(line: &LogLine) -> Vec<String> {
     let event = &line.event;
     let task = event
         .task_index
--- a/crates/onyxshed-cli/src/story/cause.rs
+++ b/crates/onyxshed-cli/src/trace/cause.rs
@@ -6,8 +6,8 @@
 use onyxshed_pool::{JobEnd, JobSummary, NotRunReason, UnknownReason};
 use smol_str::SmolStr;
 
-use super::select::Story;
-use crate::logs::Logged;
+use super::select::RequestTrace;
+use crate::logs::LogLine;
 
 /// How late a job may end relative to its target and still count as in time, in thousandths of the
 /// target. The log contains only the caller's estimate, which is off by a few hundredths at best.
@@ -21,13 +21,13 @@
     /// The job ended late because runs were lost or stopped: their number, and the end of the last one.
     RunsLost(usize, SmolStr),
     /// The job ended late although no run was lost: it waited for capacity.
-    WaitedForRoom,
+    WaitedForCapacity,
     /// A task reached its limit of failures, on these executors.
     TaskFailed(Vec<SmolStr>),
     /// The host knew no owner of any pool; with its last event about pools.
     NoOwnerKnown(SmolStr),
     /// The owner was about to release its pool.
-    OwnerStopping,
+    OwnerReleasing,
     /// Other work left too little time for the job.
     NoTime,
     /// No executor of the pool could run such a task.
@@ -35,21 +35,21 @@
     /// The owner had received nothing from the host for too long.
     OldSession,
     /// This kind of job is not supported.
-    NotBuilt(SmolStr),
+    Unsupported(SmolStr),
     /// The request was rejected before it became a job; with status and reason.
-    Declined(SmolStr),
+    Rejected(SmolStr),
     /// The owner or the link to it was lost; with the last event about that.
     OwnerLost(SmolStr),
     /// The owner's process was paused; with the last event about that.
     OwnerPaused(SmolStr),
     /// The owner received nothing more from the host.
-    HostNotHeard,
+    HostUnresponsive,
     /// The caller's time limit expired; with the number of runs that were lost.
-    OutOfTime(usize),
+    TimeLimitExpired(usize),
     /// The caller cancelled the request or disconnected.
-    CallerLeft,
+    CallerCancelled,
     /// The caller sent the request again while it ran.
-    SentAgain,
+    Superseded,
     /// The host was stopped.
     HostStopped,
     /// Operators have evacuated the zone, or all zones.
@@ -59,49 +59,49 @@
 }
 
 /// Derives the cause of the last answer, or `None` if the logs contain no answer.
-pub fn cause_of(story: &Story<'_>) -> Option<Cause> {
-    let (line, summary) = story.answers.last()?;
+pub fn cause_of(trace: &RequestTrace<'_>) -> Option<Cause> {
+    let (line, summary) = trace.answers.last()?;
     let Some(summary) = summary else {
-        return Some(without_summary(line));
+        return Some(cause_without_summary(line));
     };
     Some(match summary.end {
-        JobEnd::Completed => completed(story, summary),
-        JobEnd::Failed => Cause::TaskFailed(failed_on(story)),
-        JobEnd::NotRun(reason, _) => not_run(story, summary, reason),
-        JobEnd::Unknown(reason) => unknown(story, reason),
+        JobEnd::Completed => completed(trace, summary),
+        JobEnd::Failed => Cause::TaskFailed(failed_executors(trace)),
+        JobEnd::NotRun(reason, _) => not_run(trace, summary, reason),
+        JobEnd::Unknown(reason) => unknown(trace, reason),
     })
 }
 
 /// Derives the cause of an answer whose detail is not a [`JobSummary`].
-fn without_summary(line: &Logged) -> Cause {
+fn cause_without_summary(line: &LogLine) -> Cause {
     match line.event.kind {
         EventKind::PoolJobRefused if line.event.detail.starts_with("status ") => {
-            Cause::Declined(line.event.detail.clone())
+            Cause::Rejected(line.event.detail.clone())
         }
-        EventKind::PoolJobRefused => Cause::NotBuilt(line.event.detail.clone()),
-        _ => Cause::CallerLeft,
+        EventKind::PoolJobRefused => Cause::Unsupported(line.event.detail.clone()),
+        _ => Cause::CallerCancelled,
     }
 }
 
-fn completed(story: &Story<'_>, summary: &JobSummary) -> Cause {
+fn completed(trace: &RequestTrace<'_>, summary: &JobSummary) -> Cause {
     if summary.took.0 * 1_000 <= summary.target.0 * IN_TIME_MILLIS {
         return Cause::InTime;
     }
-    let lost = runs_lost(story);
+    let lost = lost_runs(trace);
     match lost.last() {
-        Some(line) => Cause::RunsLost(lost.len(), words_of(line)),
-        None => Cause::WaitedForRoom,
+        Some(line) => Cause::RunsLost(lost.len(), describe(line)),
+        None => Cause::WaitedForCapacity,
     }
 }
 
-fn not_run(story: &Story<'_>, summary: &JobSummary, reason: NotRunReason) -> Cause {
+fn not_run(trace: &RequestTrace<'_>, summary: &JobSummary, reason: NotRunReason) -> Cause {
     match reason {
         NotRunReason::NoTime => Cause::NoTime,
         NotRunReason::NoExecutor => Cause::NoExecutor,
         NotRunReason::OldSession => Cause::OldSession,
         NotRunReason::NotOwner if summary.pool == "none" => {
-            let seen = last_of(
-                story,
+            let seen = describe_last(
+                trace,
                 &[
                     EventKind::PoolGivenUp,
                     EventKind::PoolLinkDown,
@@ -111,39 +111,39 @@
             );
             Cause::NoOwnerKnown(seen)
         }
-        NotRunReason::NotOwner => Cause::OwnerStopping,
+        NotRunReason::NotOwner => Cause::OwnerReleasing,
         NotRunReason::ZoneEvacuated => Cause::ZoneEvacuated,
     }
 }
 
-fn unknown(story: &Story<'_>, reason: UnknownReason) -> Cause {
+fn unknown(trace: &RequestTrace<'_>, reason: UnknownReason) -> Cause {
     match reason {
-        UnknownReason::OwnerChanged => Cause::OwnerLost(last_of(
-            story,
+        UnknownReason::OwnerChanged => Cause::OwnerLost(describe_last(
+            trace,
             &[EventKind::PoolGivenUp, EventKind::PoolLinkDown],
         )),
         UnknownReason::OwnerPaused => {
-            Cause::OwnerPaused(last_of(story, &[EventKind::PauseDetected]))
+            Cause::OwnerPaused(describe_last(trace, &[EventKind::PauseDetected]))
         }
-        UnknownReason::PeerSilent => Cause::HostNotHeard,
-        UnknownReason::TimeOut => Cause::OutOfTime(runs_lost(story).len()),
-        UnknownReason::Cancelled => Cause::CallerLeft,
-        UnknownReason::Superseded => Cause::SentAgain,
+        UnknownReason::PeerSilent => Cause::HostUnresponsive,
+        UnknownReason::TimeOut => Cause::TimeLimitExpired(lost_runs(trace).len()),
+        UnknownReason::Cancelled => Cause::CallerCancelled,
+        UnknownReason::Superseded => Cause::Superseded,
         UnknownReason::EntryStopped => Cause::HostStopped,
         UnknownReason::ZoneEvacuated => Cause::ZoneEvacuated,
         UnknownReason::ExecutorsLost => Cause::ExecutorsLost,
     }
 }
 
-fn runs_lost<'a>(story: &Story<'a>) -> Vec<&'a Logged> {
-    let lines = story.lines.iter().copied();
+fn lost_runs<'a>(trace: &RequestTrace<'a>) -> Vec<&'a LogLine> {
+    let lines = trace.lines.iter().copied();
     lines
         .filter(|line| line.event.kind == EventKind::PoolRunEnded)
         .collect()
 }
 
-fn failed_on(story: &Story<'_>) -> Vec<SmolStr> {
-    let lost = runs_lost(story);
+fn failed_executors(trace: &RequestTrace<'_>) -> Vec<SmolStr> {
+    let lost = lost_runs(trace);
     let failed = lost
         .iter()
         .filter(|line| line.event.detail.contains("failed"));
@@ -151,16 +151,16 @@
 }
 
 /// Describes the newest event of these kinds, or says that the logs contain none.
-fn last_of(story: &Story<'_>, kinds: &[EventKind]) -> SmolStr {
-    let mut lines = story.lines.iter().rev();
+fn describe_last(trace: &RequestTrace<'_>, kinds: &[EventKind]) -> SmolStr {
+    let mut lines = trace.lines.iter().rev();
     let found = lines.find(|line| kinds.contains(&line.event.kind));
     found.map_or_else(
         || SmolStr::new_static("nothing in these logs"),
-        |line| words_of(line),
+        |line| describe(line),
     )
 }
 
-fn words_of(line: &Logged) -> SmolStr {
+fn describe(line: &LogLine) -> SmolStr {
     let event = &line.event;
     let parts = [
         line.host.as_str(),
@@ -174,27 +174,27 @@
 
 impl Cause {
     /// Returns where to look next.
-    pub fn look_next(&self) -> &'static str {
+    pub fn next_check(&self) -> &'static str {
         match self {
-            Cause::InTime | Cause::SentAgain => "nothing; the id may be of another request",
+            Cause::InTime | Cause::Superseded => "nothing; the id may be of another request",
             Cause::RunsLost(..) => "E821 and E823 of the executors named",
-            Cause::WaitedForRoom | Cause::NoTime => {
+            Cause::WaitedForCapacity | Cause::NoTime => {
                 "the load: onyxshed_pool_job_seconds, and E821, E823 for executors out of use"
             }
             Cause::TaskFailed(_) => "the task itself, since it failed on several executors",
             Cause::NoOwnerKnown(_) => "E810 and E811 of the zone's hosts, E841 of the store",
-            Cause::OwnerStopping => "E602 and E813 at the owner",
+            Cause::OwnerReleasing => "E602 and E813 at the owner",
             Cause::NoExecutor => "E820, E824, E825, and the manifest's upstream for the route",
-            Cause::OldSession | Cause::HostNotHeard => "E503 at this host, E830 at the owner",
-            Cause::NotBuilt(_) => "docs/PLATFORM-DESIGN.md, for what is not built",
-            Cause::Declined(_) => {
+            Cause::OldSession | Cause::HostUnresponsive => "E503 at this host, E830 at the owner",
+            Cause::Unsupported(_) => "docs/PLATFORM-DESIGN.md, for what is not built",
+            Cause::Rejected(_) => {
                 "E840 and E845 at this host: which manifest it had by then, and E841 if it had none"
             }
             Cause::OwnerLost(_) => "the old owner's log: killed, cut off, or refused its token",
             Cause::OwnerPaused(_) => "the owner's processor: frozen, or at its limit",
-            Cause::OutOfTime(0) => "the caller's time limit against the tasks' run time",
-            Cause::OutOfTime(_) => "E821 and E823 of the executors on which its runs ended",
-            Cause::CallerLeft => "the caller",
+            Cause::TimeLimitExpired(0) => "the caller's time limit against the tasks' run time",
+            Cause::TimeLimitExpired(_) => "E821 and E823 of the executors on which its runs ended",
+            Cause::CallerCancelled => "the caller",
             Cause::HostStopped => "who stopped the host, and how long its callers' jobs take",
             Cause::ExecutorsLost => "E821, E824 and E825: which executors the pool lost",
             Cause::ZoneEvacuated => "E846 and E847: which zones are evacuated, and since when",
@@ -205,20 +205,22 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Cause::InTime => f.write_str("it was answered in time"),
+            Cause::InTime => f.write_str("answered in time"),
             Cause::RunsLost(count, last) => {
                 write!(
                     f,
                     "late: {count} runs were lost or stopped, the last: {last}"
                 )
             }
-            Cause::WaitedForRoom => f.write_str("late: no run was lost, so it waited for room"),
-            Cause::TaskFailed(executors) if executors.is_empty() => {
-                f.write_str("a task failed as often as it may; the owner's log is not here")
+            Cause::WaitedForCapacity => {
+                f.write_str("late: no run was lost, so it waited for capacity")
             }
+            Cause::TaskFailed(executors) if executors.is_empty() => f.write_str(
+                "a task reached its limit of failures; the owner's log is not among the files",
+            ),
             Cause::TaskFailed(executors) => write!(
                 f,
-                "a task failed as often as it may, on {}",
+                "a task reached its limit of failures, on {}",
                 executors.join(", ")
             ),
             Cause::NoOwnerKnown(seen) => {
@@ -227,28 +229,36 @@
                     "not run: the host knew no owner of a pool; last seen: {seen}"
                 )
             }
-            Cause::OwnerStopping => f.write_str("not run: the owner asked was giving its pool up"),
-            Cause::NoTime => f.write_str("not run: other work left it no time"),
+            Cause::OwnerReleasing => {
+                f.write_str("not run: the owner was about to release its pool")
+            }
+            Cause::NoTime => f.write_str("not run: other work left too little time for it"),
             Cause::NoExecutor => f.write_str("not run: no executor could run such a task"),
             Cause::OldSession => {
-                f.write_str("not run: the owner had not heard the host for too long")
+                f.write_str("not run: the owner had received nothing from the host for too long")
             }
-            Cause::NotBuilt(what) | Cause::Declined(what) => write!(f, "not run: {what}"),
+            Cause::Unsupported(reason) | Cause::Rejected(reason) => write!(f, "not run: {reason}"),
             Cause::OwnerLost(seen) => write!(f, "unknown: the owner was lost; {seen}"),
-            Cause::OwnerPaused(seen) => write!(f, "unknown: the owner stood still; {seen}"),
-            Cause::HostNotHeard => f.write_str("unknown: the owner no longer heard the host"),
-            Cause::OutOfTime(0) => f.write_str("unknown: its caller's time ran out"),
-            Cause::OutOfTime(lost) => {
+            Cause::OwnerPaused(seen) => {
+                write!(f, "unknown: the owner's process was paused; {seen}")
+            }
+            Cause::HostUnresponsive => {
+                f.write_str("unknown: the owner received nothing more from the host")
+            }
+            Cause::TimeLimitExpired(0) => f.write_str("unknown: the caller's time limit expired"),
+            Cause::TimeLimitExpired(lost) => {
                 write!(
                     f,
-                    "unknown: its caller's time ran out; {lost} runs were lost or stopped"
+                    "unknown: the caller's time limit expired; {lost} runs were lost or stopped"
                 )
             }
-            Cause::CallerLeft => f.write_str("its caller left"),
-            Cause::SentAgain => f.write_str("its caller sent it again while it ran"),
-            Cause::HostStopped => f.write_str("unknown: the host was stopped before it ended"),
+            Cause::CallerCancelled => {
+                f.write_str("the caller cancelled the request or disconnected")
+            }
+            Cause::Superseded => f.write_str("the caller sent it again while it ran"),
+            Cause::HostStopped => f.write_str("unknown: the host was stopped before the job ended"),
             Cause::ExecutorsLost => {
-                f.write_str("unknown: no executor answered that could run the rest of it")
+                f.write_str("unknown: no executor that could run the remaining tasks responded")
             }
             Cause::ZoneEvacuated => f.write_str("its zone, or every zone, is evacuated"),
         }
--- a/crates/onyxshed-cli/src/story/select.rs
+++ b/crates/onyxshed-cli/src/trace/select.rs
@@ -6,75 +6,78 @@
 use onyxshed_pool::JobSummary;
 use smol_str::SmolStr;
 
-use crate::logs::Logged;
+use crate::logs::LogLine;
 
 /// How long before the request's first line other events count as context: a host is replaced, or the
 /// pool stops using an executor, within two seconds.
-const BEFORE: Millis = Millis(3_000);
+const CONTEXT_BEFORE: Millis = Millis(3_000);
 
 /// How long after the request's last line: another host may log the reason a moment later.
-const AFTER: Millis = Millis(500);
+const CONTEXT_AFTER: Millis = Millis(500);
 
 /// Maximum number of context lines; the oldest are omitted.
-const BELIEFS_MAX: usize = 40;
+const CONTEXT_LINES_MAX: usize = 40;
 
 /// The log lines that concern one request.
 #[derive(Debug, Default)]
-pub struct Story<'a> {
+pub struct RequestTrace<'a> {
     /// The request's own lines and the context lines, ordered by their hybrid logical clocks.
-    pub lines: Vec<&'a Logged>,
+    pub lines: Vec<&'a LogLine>,
     /// Number of context lines that were omitted.
-    pub left_out: usize,
+    pub omitted: usize,
     /// The answers to callers, the latest last. The summary is `None` for a line whose detail is not a
     /// [`JobSummary`], such as that of a caller that disconnected.
-    pub answers: Vec<(&'a Logged, Option<JobSummary>)>,
+    pub answers: Vec<(&'a LogLine, Option<JobSummary>)>,
 }
 
 /// Selects the lines about a request or a job, given its id.
-pub fn select<'a>(id: &str, lines: &'a [Logged]) -> Story<'a> {
+pub fn select<'a>(id: &str, lines: &'a [LogLine]) -> RequestTrace<'a> {
     let jobs = jobs_of(id, lines);
-    let own: Vec<&Logged> = lines
+    let own: Vec<&LogLine> = lines
         .iter()
         .filter(|line| line.event.request == id || jobs.contains(&line.event.job))
         .collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
-        return Story::default();
+        return RequestTrace::default();
     };
     let answers: Vec<_> = own
         .iter()
         .filter(|line| is_answer(line.event.kind))
         .map(|line| (*line, line.event.detail.parse().ok()))
         .collect();
-    let around = Around {
-        from: began_at(first, &answers) - BEFORE,
-        to: last.event.hlc.wall + AFTER,
+    let filter = ContextFilter {
+        from: arrived_at(first, &answers) - CONTEXT_BEFORE,
+        to: last.event.hlc.wall + CONTEXT_AFTER,
         hosts: own.iter().map(|line| &line.host).collect(),
         parties: own.iter().map(|line| &line.event.party).collect(),
         pools: pools_of(&answers),
     };
-    let mut beliefs: Vec<&Logged> = lines.iter().filter(|line| around.matters(line)).collect();
-    let left_out = beliefs.len().saturating_sub(BELIEFS_MAX);
-    beliefs.drain(..left_out);
+    let mut context: Vec<&LogLine> = lines
+        .iter()
+        .filter(|line| filter.is_context(line))
+        .collect();
+    let omitted = context.len().saturating_sub(CONTEXT_LINES_MAX);
+    context.drain(..omitted);
     let mut lines = own;
-    lines.extend(beliefs);
+    lines.extend(context);
     lines.sort_by_key(|line| line.event.hlc);
-    Story {
+    RequestTrace {
         lines,
-        left_out,
+        omitted,
         answers,
     }
 }
 
 /// Returns when the request arrived, computed from the duration in its answer if there is one.
-fn began_at(first: &Logged, answers: &[(&Logged, Option<JobSummary>)]) -> UnixMs {
-    let told = answers.first().and_then(|(line, summary)| {
+fn arrived_at(first: &LogLine, answers: &[(&LogLine, Option<JobSummary>)]) -> UnixMs {
+    let computed = answers.first().and_then(|(line, summary)| {
         let took = summary.as_ref()?.took;
         Some(line.event.hlc.wall - took)
     });
-    told.map_or(first.event.hlc.wall, |at| at.min(first.event.hlc.wall))
+    computed.map_or(first.event.hlc.wall, |at| at.min(first.event.hlc.wall))
 }
 
-fn jobs_of<'a>(id: &'a str, lines: &'a [Logged]) -> BTreeSet<&'a SmolStr> {
+fn jobs_of<'a>(id: &'a str, lines: &'a [LogLine]) -> BTreeSet<&'a SmolStr> {
     lines
         .iter()
         .filter(|line| line.event.request == id || line.event.job == id)
@@ -83,7 +86,7 @@
         .collect()
 }
 
-fn pools_of(answers: &[(&Logged, Option<JobSummary>)]) -> BTreeSet<SmolStr> {
+fn pools_of(answers: &[(&LogLine, Option<JobSummary>)]) -> BTreeSet<SmolStr> {
     let summaries = answers.iter().filter_map(|(_, summary)| summary.as_ref());
     summaries.map(|summary| summary.pool.clone()).collect()
 }
@@ -97,7 +100,7 @@
 }
 
 /// Time, hosts, parties and pools that make an event context of a request.
-struct Around<'a> {
+struct ContextFilter<'a> {
     from: UnixMs,
     to: UnixMs,
     hosts: BTreeSet<&'a SmolStr>,
@@ -105,8 +108,8 @@
     pools: BTreeSet<SmolStr>,
 }
 
-impl Around<'_> {
-    fn matters(&self, line: &Logged) -> bool {
+impl ContextFilter<'_> {
+    fn is_context(&self, line: &LogLine) -> bool {
         let event = &line.event;
         if event.hlc.wall < self.from || event.hlc.wall > self.to {
             return false;
@@ -124,7 +127,7 @@
             | EventKind::PoolExecutorDraining
             | EventKind::PoolExecutorGone => self.parties.contains(&event.party),
             EventKind::PoolLinkUp | EventKind::PoolLinkDown | EventKind::PoolOwnerChanged => {
-                self.hosts.contains(&line.host) && self.names_a_pool(&event.detail)
+                self.hosts.contains(&line.host) && self.names_pool(&event.detail)
             }
             EventKind::ProcessStarted
             | EventKind::ProcessReady
@@ -141,7 +144,7 @@
 
     /// Returns whether a detail names a pool to which the request was handed over. If it was handed over to
     /// none, every pool counts.
-    fn names_a_pool(&self, detail: &str) -> bool {
+    fn names_pool(&self, detail: &str) -> bool {
         let is_named = |pool: &SmolStr| detail.contains(pool.as_str());
         let known: Vec<&SmolStr> = self
             .pools
--- a/crates/onyxshed-cli/tests/processes.rs
+++ b/crates/onyxshed-cli/tests/processes.rs
@@ -35,7 +35,7 @@
     }
 }
 
-fn life(sender: Sender<SocketAddr>) -> RunEnd {
+fn run_process(sender: Sender<SocketAddr>) -> RunEnd {
     let kernel = Kernel::new();
     let options = TelemetryOptions {
         process: "onyxshed-entry".into(),
@@ -68,7 +68,7 @@
 impl Fleet {
     fn start(test: &str) -> Self {
         let (sender, address) = channel();
-        let process = thread::spawn(|| life(sender));
+        let process = thread::spawn(|| run_process(sender));
         let address = address.recv().expect("the process starts");
         let closed = std::net::TcpListener::bind("127.0.0.1:0")
             .and_then(|listener| listener.local_addr())
@@ -88,7 +88,7 @@
         Fleet { process, settings }
     }
 
-    fn ask(&self, words: &[&str]) -> Output {
+    fn run(&self, words: &[&str]) -> Output {
         Command::new(env!("CARGO_BIN_EXE_onyxshed"))
             .args(words)
             .arg("--settings")
@@ -99,7 +99,7 @@
 
     /// Drains the process by command and waits until it has ended.
     fn end(self) {
-        let drained = self.ask(&["drain", "entry-1", "--timeout", "60s"]);
+        let drained = self.run(&["drain", "entry-1", "--timeout", "60s"]);
         assert_eq!(text(&drained), "entry-1 has drained and ended\n");
         assert_eq!(drained.status.code(), Some(0));
         assert_eq!(self.process.join().expect("no panic"), RunEnd::Drained);
@@ -112,9 +112,9 @@
 }
 
 #[test]
-fn status_shows_who_answers_and_who_does_not() {
+fn status_shows_answering_and_unreachable_processes() {
     let fleet = Fleet::start("status");
-    let shown = fleet.ask(&["status"]);
+    let shown = fleet.run(&["status"]);
     assert_eq!(shown.status.code(), Some(5));
     let shown = text(&shown);
     let lines: Vec<Vec<&str>> = shown
@@ -132,9 +132,9 @@
 }
 
 #[test]
-fn timeline_shows_events_and_the_gap_of_a_dead_process() {
+fn timeline_shows_events_and_the_gap_of_an_unreachable_process() {
     let fleet = Fleet::start("timeline");
-    let shown = fleet.ask(&["timeline", "--party", "entry-2"]);
+    let shown = fleet.run(&["timeline", "--party", "entry-2"]);
     assert_eq!(shown.status.code(), Some(5));
     let shown = text(&shown);
     let lines: Vec<&str> = shown.lines().collect();
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn waiting_for_a_revision_names_who_lacks_it() {
+fn waiting_for_a_revision_names_the_processes_that_lack_it() {
     // The change is accepted, but one process has an older revision and another does not answer. The
     // error must name both, and must not suggest that the change was rejected.
     let fleet = Fleet::start("wait");
@@ -169,22 +169,27 @@
         text.contains("not yet in force in entry-1 (revision 3), entry-2 (no answer: "),
         "{text}"
     );
-    let one = &settings.processes[..1];
-    let done = async_io::block_on(wait_in_force(one, Revision(3), || true, &progress));
+    let first_process = &settings.processes[..1];
+    let done = async_io::block_on(wait_in_force(
+        first_process,
+        Revision(3),
+        || true,
+        &progress,
+    ));
     assert_eq!(done, Ok(()));
     fleet.end();
 }
 
 #[test]
-fn drain_knows_only_the_processes_in_the_settings() {
+fn drain_of_a_process_that_is_not_in_the_settings_fails() {
     let fleet = Fleet::start("drain");
-    let unknown = fleet.ask(&["drain", "entry-9"]);
+    let unknown = fleet.run(&["drain", "entry-9"]);
     assert_eq!(unknown.status.code(), Some(2));
     assert_eq!(
         String::from_utf8_lossy(&unknown.stderr),
         "error 5014: no process \"entry-9\" in the settings: there are entry-1, entry-2\n"
     );
-    let dead = fleet.ask(&["drain", "entry-2"]);
-    assert_eq!(dead.status.code(), Some(5));
+    let unreachable = fleet.run(&["drain", "entry-2"]);
+    assert_eq!(unreachable.status.code(), Some(5));
     fleet.end();
 }
--- a/crates/onyxshed-cli/tests/publish.rs
+++ b/crates/onyxshed-cli/tests/publish.rs
@@ -45,14 +45,14 @@
     target::publish(publish, Format::Json).await
 }
 
-fn revision(said: Result<String>) -> Value {
-    let said = said.expect("the change is accepted");
-    serde_json::from_str::<Value>(&said).expect("JSON")["revision"].clone()
+fn revision(output: Result<String>) -> Value {
+    let output = output.expect("the change is accepted");
+    serde_json::from_str::<Value>(&output).expect("JSON")["revision"].clone()
 }
 
-async fn fates(standin: &Standin) -> Vec<Value> {
-    let said = target::history(args(standin, 60_000), None, None, Format::Json).await;
-    let history: Value = serde_json::from_str(&said.expect("a history")).expect("JSON");
+async fn outcomes(standin: &Standin) -> Vec<Value> {
+    let output = target::history(args(standin, 60_000), None, None, Format::Json).await;
+    let history: Value = serde_json::from_str(&output.expect("a history")).expect("JSON");
     let changes = history["changes"].as_array().expect("a list").clone();
     changes
         .into_iter()
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn changes_follow_each_other() {
+fn successive_changes_make_successive_revisions() {
     standin::with_platform(async |standin| {
         assert_eq!(revision(publish(standin, put(2_000), 60_000).await), 1);
         assert_eq!(revision(publish(standin, put(3_000), 60_000).await), 2);
@@ -90,19 +90,19 @@
 #[case::answer_lost(json!({ "lose_append_answer": 1 }))]
 #[case::dropped(json!({ "drop_append": 2 }))]
 #[case::both(json!({ "drop_append": 1, "lose_append_answer": 1 }))]
-fn an_append_without_an_answer_is_looked_up_and_takes_effect_once(#[case] faults: Value) {
+fn append_without_an_answer_is_read_back_and_takes_effect_once(#[case] faults: Value) {
     // The connection closes after the append was sent. The command must not report a rejection, and
     // must not append the change twice: it reads the log to its end, and sends the change again, with
     // the same id, only if it is not there.
     standin::with_platform(async |standin| {
         standin.control("/control/faults", &faults).await;
         assert_eq!(revision(publish(standin, put(2_000), 60_000).await), 1);
-        assert_eq!(fates(standin).await, ["accepted"]);
+        assert_eq!(outcomes(standin).await, ["accepted"]);
     });
 }
 
 #[test]
-fn the_loser_of_a_race_is_told() {
+fn second_change_of_a_race_is_reported_as_raced() {
     // Two operators publish changes based on revision 0. Both changes are on the log, so only reading
     // the second one back shows that it was not accepted.
     standin::with_platform(async |standin| {
@@ -124,7 +124,7 @@
             ),
             "{error}"
         );
-        assert_eq!(fates(standin).await, ["accepted", "raced"]);
+        assert_eq!(outcomes(standin).await, ["accepted", "raced"]);
         // A change based on an old revision fails before anything is sent.
         let stale = prepare(&log, put(9_000), Some(Revision(0))).unwrap_err();
         assert_eq!(stale.code().number(), 5008);
@@ -137,7 +137,7 @@
     "the change is invalid: finish_within_ms is 600001: allowed is 1 to 600000; nothing was sent"
 )]
 #[case::no_class(ChangeBody::Remove("none".parse().expect("a name")), "the change is invalid: there is no class none; nothing was sent")]
-fn an_invalid_change_is_refused_before_the_append(#[case] body: ChangeBody, #[case] text: &str) {
+fn invalid_change_fails_before_the_append(#[case] body: ChangeBody, #[case] text: &str) {
     standin::with_platform(async |standin| {
         let error = publish(standin, body, 60_000).await.unwrap_err();
         assert_eq!(
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn an_append_into_silence_is_undecided_and_its_id_finds_it_later() {
+fn append_that_hangs_is_undecided_and_found_by_its_id_later() {
     // The platform appends the change and hangs before it answers, until the command's time limit
     // passes. Neither "accepted" nor "rejected" would be true. The error names the command that shows
     // the outcome later, and that command finds the change once the platform answers again.
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_log_that_reads_stale_is_read_on_and_not_appended_to_again() {
+fn stale_reads_do_not_repeat_the_append() {
     // The log acknowledges the append, but reads return its state before the append. The command must
     // not report success before the change was read back, and must not append it a second time.
     standin::with_platform(async |standin| {
@@ -194,12 +194,12 @@
         assert_eq!(error.code().number(), 5010);
         assert_eq!(standin.counts().await["appends"], 1);
         standin.control("/control/faults", &json!({})).await;
-        assert_eq!(fates(standin).await, ["accepted"]);
+        assert_eq!(outcomes(standin).await, ["accepted"]);
     });
 }
 
 #[test]
-fn a_refusal_is_no_doubt() {
+fn rejected_append_is_reported_as_not_accepted() {
     standin::with_platform(async |standin| {
         let mut log = ConfigLog::new(args(standin, 200));
         let change = prepare(&log, put(2_000), None).unwrap();
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn records_that_expired_are_not_taken_for_an_empty_configuration() {
+fn expired_records_are_not_read_as_an_empty_configuration() {
     // The log lost its first record and holds no snapshot. Reading on would show revision 0 and let
     // the operator publish a change based on a configuration that is in force nowhere.
     standin::with_platform(async |standin| {
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn garbage_on_the_log_is_ignored_and_counted() {
+fn unreadable_records_are_ignored_and_counted() {
     // Another program appended to the stream: text that is not JSON, a record of an unknown kind, a
     // change that violates the rules. Every reader ignores the same records, so publishing still works.
     standin::with_platform(async |standin| {
@@ -241,19 +241,19 @@
             log.append(garbage.to_owned()).await.unwrap();
         }
         assert_eq!(revision(publish(standin, put(2_000), 60_000).await), 1);
-        let said = target::history(args(standin, 60_000), None, None, Format::Human).await;
-        let said = said.unwrap();
-        let last = said.lines().last();
+        let output = target::history(args(standin, 60_000), None, None, Format::Human).await;
+        let output = output.unwrap();
+        let last = output.lines().last();
         let counted = "4 records can't be read and are ignored by all (error 5013)";
-        assert_eq!(last, Some(counted), "{said}");
+        assert_eq!(last, Some(counted), "{output}");
         let unknown = Some(ChangeId::from_str("01JABCDEFGHJKMNPQRSTVWXYZ0").unwrap());
-        let said = target::history(args(standin, 60_000), None, unknown, Format::Human).await;
-        assert_eq!(said.unwrap_err().code().number(), 5010);
+        let output = target::history(args(standin, 60_000), None, unknown, Format::Human).await;
+        assert_eq!(output.unwrap_err().code().number(), 5010);
     });
 }
 
 #[test]
-fn a_snapshot_stands_in_for_records_that_expired() {
+fn snapshot_replaces_expired_records() {
     // A control process publishes the configuration as a snapshot, then the records of its changes
     // expire. The operator sees the same targets and can continue from the same revision.
     standin::with_platform(async |standin| {
@@ -270,9 +270,9 @@
         }
         let lost = json!({ "truncate": { "stream": "config", "to": 1 } });
         standin.control("/control/faults", &lost).await;
-        let said = target::history(args(standin, 60_000), None, Some(first), Format::Human);
+        let output = target::history(args(standin, 60_000), None, Some(first), Format::Human);
         let expected = format!("change {first} made revision 1; its record has expired\n");
-        assert_eq!(said.await, Ok(expected));
+        assert_eq!(output.await, Ok(expected));
         assert_eq!(revision(publish(standin, put(3_000), 60_000).await), 2);
     });
 }
--- a/crates/onyxshed-cli/tests/story.rs
+++ b/crates/onyxshed-cli/tests/story.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use onyxshed_cli::output::Format;
-use onyxshed_cli::story;
+use onyxshed_cli::trace;
 use onyxshed_core::{Event, EventKind, Hlc, Millis, UnixMs};
 use onyxshed_pool::{JobEnd, JobSummary, NotRunReason, Resources, UnknownReason};
 use rstest::rstest;
@@ -43,7 +43,7 @@
     }
 
     fn explain(&self, id: &str) -> String {
-        story::run(id, &self.files, Format::Human).expect("it is in the logs")
+        trace::run(id, &self.files, Format::Human).expect("the id is in the logs")
     }
 }
 
@@ -73,12 +73,12 @@
         .detail(summary.to_string())
 }
 
-fn run_ended(executor: &str, why: &str) -> Event {
+fn run_ended(executor: &str, reason: &str) -> Event {
     Event::new(EventKind::PoolRunEnded)
         .job(JOB)
         .task(2)
         .party(executor)
-        .detail(format!("run 1: {why}, token 16"))
+        .detail(format!("run 1: {reason}, token 16"))
 }
 
 /// Every answer other than a success has a cause and a place to look next, even if the logs contain only
@@ -90,8 +90,8 @@
     let mut text = String::new();
     for end in not_run.into_iter().chain(unknown).chain([JobEnd::Failed]) {
         let logs = Logs::new().host("a-1", &[(500, answer(end, 30, "a/0"))]);
-        let told = logs.explain(REQUEST);
-        let tail: Vec<&str> = told.lines().rev().take(2).collect();
+        let output = logs.explain(REQUEST);
+        let tail: Vec<&str> = output.lines().rev().take(2).collect();
         text += &format!("{end}\n  {}\n  {}\n", tail[1], tail[0]);
     }
     insta::assert_snapshot!(text);
@@ -101,9 +101,9 @@
 /// late; the owner's log contains the lost run and the events about the executor.
 #[test]
 fn a_late_job_is_traced_over_two_hosts() {
-    let silent = Event::new(EventKind::PoolExecutorSilent).party("i-1");
-    let elsewhere = Event::new(EventKind::PoolExecutorSilent).party("i-9");
-    let back = Event::new(EventKind::PoolExecutorBack).party("i-1");
+    let unresponsive = Event::new(EventKind::PoolExecutorSilent).party("i-1");
+    let other_executor = Event::new(EventKind::PoolExecutorSilent).party("i-9");
+    let recovered = Event::new(EventKind::PoolExecutorBack).party("i-1");
     let logs = Logs::new()
         .host("b-1", &[(1_400, answer(JobEnd::Completed, 900, "a/0"))])
         .host(
@@ -113,9 +113,9 @@
                     0,
                     Event::new(EventKind::PoolOwned).detail("pool a/0, token 16"),
                 ),
-                (10, back),
-                (600, silent),
-                (610, elsewhere),
+                (10, recovered),
+                (600, unresponsive),
+                (610, other_executor),
                 (1_250, run_ended("i-1", "its lease ended in silence")),
             ],
         );
@@ -147,30 +147,33 @@
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("all.log");
     fs::write(&file, format!("  12.5 a-7 {line}\nsomething else\n")).expect("a file");
-    let told = story::run(REQUEST, &[file], Format::Human).expect("it is there");
-    assert!(told.contains(" a-7 "), "{told}");
-    assert!(told.contains("1 lines of the logs are no events"), "{told}");
+    let output = trace::run(REQUEST, &[file], Format::Human).expect("the id is in the log");
+    assert!(output.contains(" a-7 "), "{output}");
+    assert!(
+        output.contains("1 lines of the logs are no events"),
+        "{output}"
+    );
 }
 
 #[rstest]
 #[case::no_such_request("0000000000000000")]
-fn what_is_not_in_the_logs_is_an_error(#[case] id: &str) {
+fn id_that_is_not_in_the_logs_is_an_error(#[case] id: &str) {
     let logs = Logs::new().host("a-1", &[(0, answer(JobEnd::Failed, 100, "a/0"))]);
-    assert!(story::run(id, &logs.files, Format::Human).is_err());
+    assert!(trace::run(id, &logs.files, Format::Human).is_err());
 }
 
 /// A host that has just started and can't read the store rejects a request before it becomes a job, so
 /// the line contains only the status and the reason.
 #[test]
-fn a_request_declined_before_it_was_a_job_names_its_reason() {
-    let declined = Event::new(EventKind::PoolJobRefused)
+fn request_rejected_before_it_was_a_job_names_its_reason() {
+    let rejected = Event::new(EventKind::PoolJobRefused)
         .request(REQUEST)
         .detail("status 503: no manifest is known yet");
-    let logs = Logs::new().host("edge-1", &[(5, declined)]);
-    let told = logs.explain(REQUEST);
+    let logs = Logs::new().host("edge-1", &[(5, rejected)]);
+    let output = logs.explain(REQUEST);
     assert!(
-        told.contains("cause: not run: status 503: no manifest is known yet"),
-        "{told}"
+        output.contains("cause: not run: status 503: no manifest is known yet"),
+        "{output}"
     );
-    assert!(told.contains("E841"), "{told}");
+    assert!(output.contains("E841"), "{output}");
 }
--- a/crates/onyxshed-cli/tests/support/standin.rs
+++ b/crates/onyxshed-cli/tests/support/standin.rs
@@ -47,7 +47,7 @@
 /// Runs a test with a new stand-in.
 pub fn with_platform(test: impl AsyncFnOnce(&Standin)) {
     let executor = Rc::new(LocalExecutor::new());
-    let life = async {
+    let run = async {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let listener = serve::listen(any).await.expect("an address is free");
         let standin = Standin {
@@ -57,5 +57,5 @@
         let _serving = executor.spawn(serve::serve(listener, executor.clone(), handler));
         test(&standin).await;
     };
-    async_io::block_on(executor.run(life));
+    async_io::block_on(executor.run(run));
 }
--- a/crates/onyxshed-cli/tests/timeline.rs
+++ b/crates/onyxshed-cli/tests/timeline.rs
@@ -3,10 +3,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use onyxshed_cli::args::{EventSource, ProcessArgs, TimelineArgs};
-use onyxshed_cli::ask::Asked;
 use onyxshed_cli::output::Format;
+use onyxshed_cli::query::ProcessReply;
 use onyxshed_cli::timeline::merge::merge;
-use onyxshed_cli::timeline::{query, render};
+use onyxshed_cli::timeline::{render, request_path};
 use onyxshed_core::{Event, EventKind, Hlc, Incarnation, Millis, SubmissionId, UnixMs};
 use onyxshed_wire::admin::TimelinePage;
 
@@ -43,8 +43,8 @@
     }
 }
 
-fn asked(process: &str, answer: Result<TimelinePage, &str>) -> Asked<TimelinePage> {
-    Asked {
+fn reply(process: &str, answer: Result<TimelinePage, &str>) -> ProcessReply<TimelinePage> {
+    ProcessReply {
         process: process.into(),
         answer: answer.map_err(Into::into),
     }
@@ -68,7 +68,7 @@
 
 /// Answers about a job of three tasks that one host runs and another forwards, with a gap of each kind
 /// that a process may have.
-fn story() -> Vec<Asked<TimelinePage>> {
+fn answers() -> Vec<ProcessReply<TimelinePage>> {
     let mut first = vec![at(0, Event::new(EventKind::JobReceived).detail("3 tasks"))];
     first.push(at(
         1,
@@ -93,27 +93,27 @@
     let mut late = page(Vec::new());
     late.started_ms = UnixMs(NOON_MS + 50);
     vec![
-        asked("entry-1", Ok(page(first))),
-        asked("entry-2", Ok(second)),
-        asked("control-1", Ok(late)),
-        asked("entry-3", Err("connection refused")),
+        reply("entry-1", Ok(page(first))),
+        reply("entry-2", Ok(second)),
+        reply("control-1", Ok(late)),
+        reply("entry-3", Err("connection refused")),
     ]
 }
 
 #[test]
 fn one_submission_from_caller_to_upstream_and_back() {
-    let shown = render::render(&merge(story()), &args(Some(id()), 40), Format::Human);
+    let shown = render::render(&merge(answers()), &args(Some(id()), 40), Format::Human);
     insta::assert_snapshot!(shown);
 }
 
 #[test]
 fn many_submissions_name_each() {
-    let shown = render::render(&merge(story()), &args(None, 3), Format::Human);
+    let shown = render::render(&merge(answers()), &args(None, 3), Format::Human);
     insta::assert_snapshot!(shown);
 }
 
 #[test]
-fn a_big_job_still_fits_one_screen() {
+fn job_of_many_tasks_fits_one_screen() {
     // 550 tasks start and finish alternately, so that no two consecutive events can share a line.
     let mut events = vec![at(0, Event::new(EventKind::JobReceived))];
     for index in 0..550 {
@@ -128,7 +128,7 @@
         ));
     }
     events.push(at(600, Event::new(EventKind::JobAnswered)));
-    let merged = merge(vec![asked("entry-1", Ok(page(events)))]);
+    let merged = merge(vec![reply("entry-1", Ok(page(events)))]);
     let shown = render::render(&merged, &args(Some(id()), 40), Format::Human);
     insta::assert_snapshot!(shown, @"
     TIME (UTC)           PROCESS  EVENT              TASKS         PARTY  DETAIL
@@ -140,9 +140,9 @@
 }
 
 #[test]
-fn only_the_executors_of_an_upstream_are_kept() {
-    let mut merged = merge(story());
-    merged.keep_parties(&["executor-1".into()].into());
+fn retain_parties_keeps_only_the_given_executors() {
+    let mut merged = merge(answers());
+    merged.retain_parties(&["executor-1".into()].into());
     let shown: Vec<String> = merged
         .events
         .iter()
@@ -159,19 +159,19 @@
 
 #[test]
 fn json_keeps_every_event_and_gap() {
-    let shown = render::render(&merge(story()), &args(Some(id()), 1), Format::Json);
+    let shown = render::render(&merge(answers()), &args(Some(id()), 1), Format::Json);
     let shown: serde_json::Value = serde_json::from_str(&shown).unwrap();
     assert_eq!(shown["events"].as_array().unwrap().len(), 11);
     insta::assert_json_snapshot!(shown["gaps"]);
 }
 
 #[test]
-fn the_query_names_only_what_was_asked() {
+fn request_path_contains_only_the_given_filters() {
     let mut wanted = args(Some(id()), 40);
     wanted.party = Some("a&b".into());
     wanted.since_ms = Some(Millis(500));
     insta::assert_snapshot!(
-        query(&wanted, UnixMs(2_000)),
+        request_path(&wanted, UnixMs(2_000)),
         @"/v1/timeline?limit=5000&submission=01JABCDEFGHJKMNPQRSTVWXYZ0&party=a%26b&since_ms=1500"
     );
 }
@@ -200,6 +200,6 @@
         beliefs_only: true,
         ..args(None, 40)
     };
-    let said = async_io::block_on(onyxshed_cli::timeline::run(&args, Format::Human));
-    insta::assert_snapshot!(said.expect("a time line").text);
+    let output = async_io::block_on(onyxshed_cli::timeline::run(&args, Format::Human));
+    insta::assert_snapshot!(output.expect("a time line").text);
 }
--- a/crates/onyxshed-cli/tests/words.rs
+++ b/crates/onyxshed-cli/tests/words.rs
@@ -27,10 +27,13 @@
 }
 
 #[test]
-fn result_codes_page_agrees_with_the_code() {
+fn result_codes_page_matches_the_code() {
     let found = include_str!("../../../docs/RESULT-CODES.md");
     let written = catalogue::codes_page();
-    assert!(found == written, "write it again: see the page's head");
+    assert!(
+        found == written,
+        "the page is out of date: its head says how to write it again"
+    );
     for code in onyxshed_core::ResultCode::ALL {
         assert!(
             written.contains(&format!("| {code} | `{code:?}` |")),
@@ -40,10 +43,13 @@
 }
 
 #[test]
-fn events_page_agrees_with_the_code() {
+fn events_page_matches_the_code() {
     let found = include_str!("../../../docs/EVENTS.md");
     let written = catalogue::events_page();
-    assert!(found == written, "write it again: see the page's head");
+    assert!(
+        found == written,
+        "the page is out of date: its head says how to write it again"
+    );
     for kind in onyxshed_core::EventKind::ALL {
         let row = format!("| E{} | `{}` |", kind.number(), kind.name());
         assert!(written.contains(&row), "{kind} is left out");
@@ -115,30 +121,33 @@
 }
 
 #[test]
-fn progress_is_said_while_work_lasts() {
-    static SAID: Mutex<Vec<String>> = Mutex::new(Vec::new());
-    let progress = Progress::saying_by("the platform", |what| {
-        SAID.lock().expect("nobody panics").push(what.to_owned());
+fn progress_is_reported_while_work_lasts() {
+    static REPORTED: Mutex<Vec<String>> = Mutex::new(Vec::new());
+    let progress = Progress::with_reporter("the platform", |activity| {
+        REPORTED
+            .lock()
+            .expect("nobody panics")
+            .push(activity.to_owned());
     });
     // The work ends once something was reported, and would never end otherwise.
     let work = async {
-        while SAID.lock().unwrap().is_empty() {
+        while REPORTED.lock().unwrap().is_empty() {
             Timer::after(Duration::from_millis(5)).await;
         }
     };
     async_io::block_on(progress.during(work));
-    assert_eq!(*SAID.lock().unwrap(), ["the platform"]);
+    assert_eq!(*REPORTED.lock().unwrap(), ["the platform"]);
 }
 
 proptest! {
     #[test]
-    fn spans_are_read_back(span_ms in 0_u64..10_000_000) {
+    fn displayed_duration_parses_to_the_same_value(span_ms in 0_u64..10_000_000) {
         let span = Millis(span_ms);
         prop_assert_eq!(span::parse(&span::display(span)), Ok(span));
     }
 
     #[test]
-    fn no_span_panics(text in ".{0,30}") {
+    fn parsing_any_text_does_not_panic(text in ".{0,30}") {
         let _ = span::parse(&text);
     }
 }
