--- a/crates/onyxshed-entry/src/callers.rs
+++ b/crates/onyxshed-entry/src/callers.rs
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Rejects new jobs from now on, waits for [`DRAIN_GRACE`], and then until every pending reply has been
+    /// Rejects new jobs from now on, waits for `DRAIN_GRACE`, and then until every pending reply has been
     /// written.
     fn drain<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async move {
--- a/crates/onyxshed-entry/src/control_port.rs
+++ b/crates/onyxshed-entry/src/control_port.rs
@@ -145,17 +145,17 @@
     }
 }
 
-/// Why the process is not ready before it has received a configuration.
+/// Reason shown while the process is not ready because it has received no configuration.
 pub const NO_CONFIG_YET: &str = "no configuration yet";
 
 fn saturating_u32(value: usize) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
 
-/// Why the process is not ready before it has received the platform's list of hosts.
+/// Reason shown while the process is not ready because it has received no list of hosts from the platform.
 pub const NO_EXECUTORS_YET: &str = "no list of executors yet";
 
-/// Why the process is not ready before it has learned of the other hosts.
+/// Reason shown while the process is not ready because it has not learned of the other hosts.
 pub const PEERS_NOT_KNOWN_YET: &str = "other hosts are not heard yet";
 
 /// Longest time for which readiness waits for the other hosts, counted from the first list of hosts:
--- a/crates/onyxshed-entry/src/process.rs
+++ b/crates/onyxshed-entry/src/process.rs
@@ -46,17 +46,17 @@
         }
     }
 
-    fn services(settings: &EntrySettings, parts: ServiceContext) -> Vec<Box<dyn Service>> {
-        services(&parts, settings)
+    fn services(settings: &EntrySettings, context: ServiceContext) -> Vec<Box<dyn Service>> {
+        services(&context, settings)
     }
 }
 
 /// Creates the services of the process.
-fn services(parts: &ServiceContext, settings: &EntrySettings) -> Vec<Box<dyn Service>> {
-    let kernel = &parts.kernel;
-    let telemetry = parts.telemetry.clone();
+fn services(context: &ServiceContext, settings: &EntrySettings) -> Vec<Box<dyn Service>> {
+    let kernel = &context.kernel;
+    let telemetry = context.telemetry.clone();
     // The incarnation of the entry host identifies this run of its entry process.
-    let incarnation = parts.boot;
+    let incarnation = context.boot;
     let dispatch = Dispatch::new(incarnation, dispatch_options(settings), rand::random());
     let engine = Engine::new(kernel, dispatch);
     register_status_source(kernel, &telemetry, &engine);
