--- a/crates/onyxshed-control/src/process.rs
+++ b/crates/onyxshed-control/src/process.rs
@@ -42,15 +42,15 @@
         }
     }
 
-    fn services(settings: &ControlSettings, parts: ServiceContext) -> Vec<Box<dyn Service>> {
-        services(&parts, settings)
+    fn services(settings: &ControlSettings, context: ServiceContext) -> Vec<Box<dyn Service>> {
+        services(&context, settings)
     }
 }
 
 /// Creates the services of the process.
-fn services(parts: &ServiceContext, settings: &ControlSettings) -> Vec<Box<dyn Service>> {
-    let kernel = &parts.kernel;
-    let telemetry = parts.telemetry.clone();
+fn services(context: &ServiceContext, settings: &ControlSettings) -> Vec<Box<dyn Service>> {
+    let kernel = &context.kernel;
+    let telemetry = context.telemetry.clone();
     let options = ConfigOptions {
         retention_ms: settings.platform_retention_ms,
     };
