--- a/crates/onyxshed-cli/src/args.rs
+++ b/crates/onyxshed-cli/src/args.rs
@@ -96,7 +96,7 @@
     pub timeout_ms: Millis,
 }
 
-/// Where events are read from.
+/// Source of the events of a time line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EventSource {
     /// The events that these processes hold in memory.
@@ -105,12 +105,12 @@
     Logs(Vec<PathBuf>),
 }
 
-/// Which events to show, and how many lines.
+/// Source, filters and length of a time line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimelineArgs {
-    /// Where the events are read from.
+    /// Source of the events.
     pub source: EventSource,
-    /// Whether to show only events that concern no single request, job or submission.
+    /// Whether to show only events that concern no single request, job or submission (`--beliefs`).
     pub beliefs_only: bool,
     /// Shows only events of this submission, if given.
     pub submission: Option<SubmissionId>,
@@ -120,7 +120,7 @@
     pub party: Option<SmolStr>,
     /// Shows only events with this upstream's executors, which the platform lists, if given.
     pub upstream: Option<(UpstreamName, PlatformArgs)>,
-    /// Shows only events of the last so many milliseconds, if given.
+    /// Shows only events at most this old, in milliseconds, if given.
     pub since_ms: Option<Millis>,
     /// Maximum number of lines; earlier ones are omitted.
     pub lines: usize,
--- a/crates/onyxshed-cli/src/command.rs
+++ b/crates/onyxshed-cli/src/command.rs
@@ -211,7 +211,7 @@
             .help("Only events with this upstream's executors, as the platform lists them now"),
         filter("since", "SPAN")
             .value_parser(span::parse)
-            .help("Only events of the last so much time, such as 5m"),
+            .help("Only events that are at most this old, such as 5m"),
     ]
 }
 
--- a/crates/onyxshed-cli/src/error.rs
+++ b/crates/onyxshed-cli/src/error.rs
@@ -5,7 +5,7 @@
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -93,7 +93,7 @@
     Process {
         /// Name of the process in the settings.
         process: SmolStr,
-        /// Why the call failed.
+        /// Reason of the failure.
         reason: SmolStr,
     },
     /// A process has not finished draining in time.
--- a/crates/onyxshed-cli/src/logs.rs
+++ b/crates/onyxshed-cli/src/logs.rs
@@ -52,7 +52,7 @@
     pub fn add(&mut self, host: &SmolStr, text: &str) {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             match read_line(host, line) {
-                Some(logged) => self.lines.push(logged),
+                Some(parsed) => self.lines.push(parsed),
                 None => self.unreadable += 1,
             }
         }
@@ -64,9 +64,9 @@
 fn read_line(host: &SmolStr, line: &str) -> Option<LogLine> {
     let begin = line.find('{')?;
     let (prefix, event) = line.split_at(begin);
-    let named = prefix.split_whitespace().last();
+    let host_word = prefix.split_whitespace().last();
     Some(LogLine {
-        host: named.map_or_else(|| host.clone(), SmolStr::from),
+        host: host_word.map_or_else(|| host.clone(), SmolStr::from),
         event: serde_json::from_str(event).ok()?,
     })
 }
--- a/crates/onyxshed-cli/src/query.rs
+++ b/crates/onyxshed-cli/src/query.rs
@@ -68,6 +68,7 @@
         .await
 }
 
+/// Gets `path` from one process and decodes the answer.
 async fn query_process<T>(
     process: &ProcessAddress,
     path: &str,
--- a/crates/onyxshed-cli/src/run.rs
+++ b/crates/onyxshed-cli/src/run.rs
@@ -19,7 +19,7 @@
 pub struct CommandOutput {
     /// Text for standard output.
     pub text: String,
-    /// Why the output is incomplete; `None` if it is complete.
+    /// Code of the error that made the output incomplete; `None` if it is complete.
     pub incomplete: Option<ResultCode>,
 }
 
@@ -77,6 +77,7 @@
     }
 }
 
+/// Prints the output or the error of a command and returns the exit code.
 fn print_result(output: Result<CommandOutput>, format: Format) -> u8 {
     match output {
         Ok(output) => {
@@ -90,6 +91,7 @@
     }
 }
 
+/// Executes an action with the module that implements it.
 fn execute(action: Action, format: Format) -> Result<CommandOutput> {
     match action {
         Action::Check { file, kind } => check::run(&file, kind, format).map(CommandOutput::from),
@@ -126,6 +128,7 @@
         .and_then(|()| stdout.flush());
 }
 
+/// Writes an error to standard error.
 fn print_error(error: &Error, format: Format) {
     match format {
         Format::Human => eprintln!("{}", error.explain()),
--- a/crates/onyxshed-cli/src/target/publish.rs
+++ b/crates/onyxshed-cli/src/target/publish.rs
@@ -23,7 +23,7 @@
 const READ_WAIT: Millis = Millis(500);
 
 /// How long to wait before the next attempt.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 #[derive(Serialize)]
 struct Published {
@@ -46,7 +46,7 @@
 struct Sending<'a> {
     log: &'a mut ConfigLog,
     change_id: ChangeId,
-    /// Whether the change may have been sent, and so may be or become part of the log.
+    /// Whether a copy of the change may be on the log or still reach it.
     may_be_sent: bool,
     progress: &'a Progress,
 }
@@ -168,7 +168,7 @@
             ProposalStatus::Repeat(proposal) => Ok(NextStep::Append(proposal)),
             ProposalStatus::Undecided(proposal) => {
                 // Without this pause, a log that ignores the requested wait would be read in a busy loop.
-                Timer::after(RETRY_PAUSE).await;
+                Timer::after(RETRY_DELAY).await;
                 Ok(NextStep::Read(proposal))
             }
         }
@@ -185,7 +185,7 @@
             });
         }
         self.progress.set(format!("the platform ({error})"));
-        Timer::after(RETRY_PAUSE).await;
+        Timer::after(RETRY_DELAY).await;
         Ok(())
     }
 
--- a/crates/onyxshed-cli/src/timeline/collapse.rs
+++ b/crates/onyxshed-cli/src/timeline/collapse.rs
@@ -7,7 +7,7 @@
 
 use super::merge::Entry;
 
-/// How far apart events may be that share a line.
+/// Distance allowed between events that share a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CollapseScope {
     /// Only consecutive events share a line.
--- a/crates/onyxshed-cli/src/timeline/merge.rs
+++ b/crates/onyxshed-cli/src/timeline/merge.rs
@@ -21,7 +21,7 @@
     pub event: Event,
 }
 
-/// Why events of a process may be missing.
+/// Reason why events of a process may be missing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GapReason {
@@ -43,7 +43,7 @@
 pub struct Gap {
     /// Name of the process in the settings.
     pub process: SmolStr,
-    /// Why events may be missing.
+    /// Reason for the gap.
     pub missing: GapReason,
 }
 
@@ -105,7 +105,7 @@
         });
     }
 
-    /// Retains only the events that concern no single request, job or submission.
+    /// Retains only the events that concern no single request, job or submission (`--beliefs`).
     pub fn retain_beliefs(&mut self) {
         self.events.retain(|entry| {
             let event = &entry.event;
--- a/crates/onyxshed-cli/src/trace.rs
+++ b/crates/onyxshed-cli/src/trace.rs
@@ -1,6 +1,6 @@
 //! `onyxshed explain ID LOG...`: the outcome of a request and its cause, from the logs of all hosts.
 //!
-//! [`select`] finds the lines that concern the request and those on the state of its hosts at the time,
+//! [`mod@select`] finds the lines that concern the request and those on the state of its hosts at the time,
 //! [`cause`] derives the cause. No process is queried.
 
 pub mod cause;
@@ -64,6 +64,7 @@
     text + &format!("look next: {next}\n")
 }
 
+/// Returns the suggestion for an engineer about what to check next.
 fn next_check(cause: Option<&Cause>) -> &'static str {
     match cause {
         Some(cause) => cause.next_check(),
--- a/crates/onyxshed-cli/src/trace/cause.rs
+++ b/crates/onyxshed-cli/src/trace/cause.rs
@@ -1,4 +1,4 @@
-//! Derives why a request got the answer that it got.
+//! Derives the cause of the answer to a request.
 
 use std::fmt;
 
@@ -173,7 +173,7 @@
 }
 
 impl Cause {
-    /// Returns where to look next.
+    /// Returns the events, metrics or documents to check next.
     pub fn next_check(&self) -> &'static str {
         match self {
             Cause::InTime | Cause::Superseded => "nothing; the id may be of another request",
--- a/crates/onyxshed-cli/tests/timeline.rs
+++ b/crates/onyxshed-cli/tests/timeline.rs
@@ -66,8 +66,8 @@
     }
 }
 
-/// Answers about a job of three tasks that one host runs and another forwards, with a gap of each kind
-/// that a process may have.
+/// Answers of four processes about a job of three tasks: one runs it, one has forwarded it and dropped
+/// events, one started later, and one does not answer.
 fn answers() -> Vec<ProcessReply<TimelinePage>> {
     let mut first = vec![at(0, Event::new(EventKind::JobReceived).detail("3 tasks"))];
     first.push(at(
