--- a/crates/onyxshed-cli/src/args.rs
+++ b/crates/onyxshed-cli/src/args.rs
@@ -1,4 +1,4 @@
-//! From the typed command line to what is to be done.
+//! Turns the parsed command line into an [`Action`].
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,120 +13,120 @@
 
 use crate::error::{Error, Result};
 
-/// What is to be done.
+/// The action that a command line asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Check a settings file.
+    /// Checks a settings file.
     Check {
-        /// The file.
+        /// Path of the settings file.
         file: PathBuf,
-        /// Which process it is for.
+        /// The kind of process that the settings are for.
         kind: SettingsKind,
     },
-    /// Publish a change.
+    /// Publishes a change of the configuration.
     Publish(Publish),
-    /// Show targets.
+    /// Shows the targets of classes.
     Show {
-        /// Where to read them.
+        /// The platform whose log holds the configuration.
         platform: PlatformArgs,
-        /// Only this class.
+        /// Shows only this class, if given.
         class: Option<ClassName>,
     },
-    /// Show the changes on the log.
+    /// Shows the changes on the log.
     History {
-        /// Where to read them.
+        /// The platform whose log holds the configuration.
         platform: PlatformArgs,
-        /// Only those of this class.
+        /// Shows only changes of this class, if given.
         class: Option<ClassName>,
-        /// Only this one.
+        /// Shows only the change with this id, if given.
         change: Option<ChangeId>,
     },
-    /// Show every process.
+    /// Shows the status of every process.
     Status(ProcessArgs),
-    /// Show what happened.
+    /// Shows the events of all processes.
     Timeline(TimelineArgs),
-    /// Take a process out of service.
+    /// Takes a process out of service.
     Drain {
-        /// The process.
+        /// The process to drain.
         process: ProcessAddress,
-        /// Whether to wait for its end.
-        is_waiting: bool,
+        /// Whether to wait until the process has ended.
+        should_wait: bool,
         /// How long to wait, in milliseconds.
         timeout_ms: Millis,
     },
-    /// Explain a number.
+    /// Explains the number of a result code or an event.
     Explain(SmolStr),
-    /// Tell from log files what became of a request or a job.
-    Story {
-        /// Its id.
+    /// Explains the outcome of a request or a job from log files.
+    Trace {
+        /// Id of the request or the job.
         id: SmolStr,
-        /// The log files of all hosts.
+        /// Paths of the log files of all hosts.
         logs: Vec<PathBuf>,
     },
 }
 
-/// A change to publish.
+/// Parameters of a change to publish.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Publish {
-    /// Where.
+    /// The platform whose log the change is appended to.
     pub platform: PlatformArgs,
-    /// What it does.
+    /// The content of the change.
     pub body: ChangeBody,
-    /// The revision that the operator looked at, if not the newest.
+    /// The revision that the change is based on; `None` for the one in force.
     pub based_on: Option<Revision>,
-    /// Processes to wait for until they have it in force.
+    /// Processes in which the revision must be in force before the command ends.
     pub wait_for: Vec<ProcessAddress>,
 }
 
-/// The platform and how long to ask it.
+/// The platform to call, and the time limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformArgs {
-    /// Its address.
+    /// Address of the platform.
     pub address: SocketAddr,
     /// How long the whole command may take, in milliseconds.
     pub timeout_ms: Millis,
 }
 
-/// Processes and how long to ask them.
+/// The processes to query, and the time limit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProcessArgs {
-    /// The processes.
+    /// Names and addresses of the processes.
     pub processes: Vec<ProcessAddress>,
-    /// How long each may take to answer, in milliseconds.
+    /// How long each process may take to answer, in milliseconds.
     pub timeout_ms: Millis,
 }
 
-/// Where events are taken from.
+/// Source of the events of a time line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EventSource {
-    /// The memory of these processes.
+    /// The events that these processes hold in memory.
     Processes(ProcessArgs),
-    /// Log files of all hosts.
+    /// Paths of the log files of all hosts.
     Logs(Vec<PathBuf>),
 }
 
-/// Which events to show.
+/// Source, filters and length of a time line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimelineArgs {
-    /// Where they are.
+    /// Source of the events.
     pub source: EventSource,
-    /// Only those that concern no single request, job or submission.
+    /// Whether to show only events that concern no single request, job or submission (`--beliefs`).
     pub beliefs_only: bool,
-    /// Only those of this submission.
+    /// Shows only events of this submission, if given.
     pub submission: Option<SubmissionId>,
-    /// Only those of this class.
+    /// Shows only events of this class, if given.
     pub class: Option<ClassName>,
-    /// Only those whose other party's name holds this.
+    /// Shows only events whose other party's name contains this text, if given.
     pub party: Option<SmolStr>,
-    /// Only those with this upstream's executors, and the platform that knows them.
+    /// Shows only events with this upstream's executors, which the platform lists, if given.
     pub upstream: Option<(UpstreamName, PlatformArgs)>,
-    /// Only those of the last span, in milliseconds.
+    /// Shows only events at most this old, in milliseconds, if given.
     pub since_ms: Option<Millis>,
-    /// Most lines shown.
+    /// Maximum number of lines; earlier ones are omitted.
     pub lines: usize,
 }
 
-/// Tries to read an action from what clap took in; settings that it names are loaded.
+/// Tries to build the action from the parsed command line, and loads the settings that it names.
 pub fn action(matches: &ArgMatches) -> Result<Action> {
     match matches.subcommand() {
         Some(("check", args)) => check(args),
@@ -139,7 +139,7 @@
     }
 }
 
-/// Tells whether answers are wanted as JSON.
+/// Returns whether output is requested as JSON.
 pub fn is_json(matches: &ArgMatches) -> bool {
     let mut deepest = matches;
     while let Some((_, inner)) = deepest.subcommand() {
@@ -149,12 +149,12 @@
 }
 
 fn explain(args: &ArgMatches) -> Action {
-    let what = SmolStr::from(required::<String>(args, "what"));
+    let subject = SmolStr::from(required::<String>(args, "what"));
     let logs = args.get_many::<PathBuf>("logs").unwrap_or_default();
     let logs: Vec<PathBuf> = logs.cloned().collect();
     match logs.is_empty() {
-        true => Action::Explain(what),
-        false => Action::Story { id: what, logs },
+        true => Action::Explain(subject),
+        false => Action::Trace { id: subject, logs },
     }
 }
 
@@ -241,7 +241,7 @@
     let mut matching = known.into_iter().filter(|process| process.name == name);
     Ok(Action::Drain {
         process: matching.next().ok_or_else(|| Error::usage(unknown))?,
-        is_waiting: !args.get_flag("no-wait"),
+        should_wait: !args.get_flag("no-wait"),
         timeout_ms: required(args, "timeout"),
     })
 }
@@ -274,9 +274,9 @@
     Ok(load(required::<PathBuf>(args, "settings"))?)
 }
 
-/// Gets an argument that clap has made sure of.
+/// Returns an argument that clap guarantees to be present.
 fn required<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> T {
     args.get_one::<T>(name)
         .cloned()
-        .expect("the command line requires it or has a default")
+        .expect("the command line requires the argument or has a default for it")
 }
--- a/crates/onyxshed-cli/src/catalogue.rs
+++ b/crates/onyxshed-cli/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogues of result codes and events: one number explained, or the whole page.
+//! The catalogues of result codes and events: explains one number, or writes a whole page.
 
 use std::fmt::Write;
 
@@ -34,7 +34,7 @@
 The same text comes from `onyxshed explain E301`.
 ";
 
-/// Heads of the groups of events, by the number's hundreds.
+/// Titles of the groups of events, by the hundreds of their numbers.
 const EVENT_GROUPS: &[(u16, &str)] = &[
     (1, "Jobs and callers"),
     (2, "Claims"),
@@ -46,7 +46,7 @@
     (8, "Pools on the users' platform"),
 ];
 
-/// Heads of the groups of codes, by the number's thousands.
+/// Titles of the groups of result codes, by the thousands of their numbers.
 const CODE_GROUPS: &[(u16, &str)] = &[
     (1, "Complete"),
     (2, "Failed: it ran, or was stopped after a task had started"),
@@ -56,7 +56,7 @@
 ];
 
 #[derive(Serialize)]
-struct Explained {
+struct Explanation {
     number: u16,
     name: String,
     text: &'static str,
@@ -66,30 +66,30 @@
 
 /// Explains a result code (`3004`) or an event (`E301`).
 pub fn explain(number: &str, format: Format) -> Result<String> {
-    let explained = explained(number).ok_or_else(|| {
+    let explanation = find_explanation(number).ok_or_else(|| {
         Error::usage(format_args!(
             "{number:?} is neither a result code nor an event"
         ))
     })?;
-    Ok(match (format, &explained.outcome) {
-        (Format::Json, _) => json(&explained),
+    Ok(match (format, &explanation.outcome) {
+        (Format::Json, _) => json(&explanation),
         (Format::Human, Some(outcome)) => format!(
             "{} {} (outcome {outcome}): {}\n",
-            explained.number, explained.name, explained.text
+            explanation.number, explanation.name, explanation.text
         ),
         (Format::Human, None) => {
             format!(
                 "{} {}: {}\n",
-                explained.number, explained.name, explained.text
+                explanation.number, explanation.name, explanation.text
             )
         }
     })
 }
 
-fn explained(text: &str) -> Option<Explained> {
+fn find_explanation(text: &str) -> Option<Explanation> {
     if let Some(digits) = text.strip_prefix(['E', 'e']) {
         let kind = EventKind::try_from(digits.parse::<u16>().ok()?).ok()?;
-        return Some(Explained {
+        return Some(Explanation {
             number: kind.number(),
             name: kind.name().to_owned(),
             text: kind.text(),
@@ -97,7 +97,7 @@
         });
     }
     let code = ResultCode::try_from(text.parse::<u16>().ok()?).ok()?;
-    Some(Explained {
+    Some(Explanation {
         number: code.number(),
         name: format!("{code:?}"),
         text: code.text(),
@@ -105,7 +105,7 @@
     })
 }
 
-/// Writes docs/RESULT-CODES.md.
+/// Renders docs/RESULT-CODES.md.
 pub fn codes_page() -> String {
     let mut page = CODES_HEAD.to_owned();
     for (thousands, title) in CODE_GROUPS {
@@ -132,7 +132,7 @@
     page
 }
 
-/// Writes docs/EVENTS.md.
+/// Renders docs/EVENTS.md.
 pub fn events_page() -> String {
     let mut page = EVENTS_HEAD.to_owned();
     for (hundreds, title) in EVENT_GROUPS {
--- a/crates/onyxshed-cli/src/check.rs
+++ b/crates/onyxshed-cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `onyxshed check`: a settings file and its faults.
+//! `onyxshed check`: checks a settings file and reports its faults.
 
 use std::path::Path;
 
@@ -10,13 +10,13 @@
 use crate::output::{Format, json};
 
 #[derive(Serialize)]
-struct Checked {
+struct CheckReport {
     file: SmolStr,
     kind: &'static str,
     is_valid: bool,
 }
 
-/// Tries to load the file; the error holds every fault.
+/// Tries to load the file; the error lists every fault.
 pub fn run(file: &Path, kind: SettingsKind, format: Format) -> Result<String> {
     match kind {
         SettingsKind::Entry => load::<EntrySettings>(file).map(drop),
@@ -26,7 +26,7 @@
     let name = file.display();
     Ok(match format {
         Format::Human => format!("{name}: valid {kind} settings\n"),
-        Format::Json => json(&Checked {
+        Format::Json => json(&CheckReport {
             file: name.to_string().into(),
             kind: kind.as_str(),
             is_valid: true,
--- a/crates/onyxshed-cli/src/lib.rs
+++ b/crates/onyxshed-cli/src/lib.rs
@@ -1,11 +1,10 @@
 //! `onyxshed`: the operator's command line.
 //!
-//! [`command`] says what may be typed, [`args`] turns it into an [`args::Action`], and one module
-//! for each action carries it out. Answers go to standard output, progress and errors to standard
-//! error, each error with its numbered code.
+//! [`command`] defines the command line, [`args`] turns it into an [`args::Action`], and one module for
+//! each action executes it. Results go to standard output, progress and errors to standard error, each
+//! error with its numbered code.
 
 pub mod args;
-pub mod ask;
 pub mod catalogue;
 pub mod check;
 pub mod clock;
@@ -16,12 +15,13 @@
 pub mod logs;
 pub mod output;
 pub mod progress;
+pub mod query;
 pub mod run;
 pub mod span;
 pub mod status;
-pub mod story;
 pub mod target;
 pub mod timeline;
+pub mod trace;
 
 pub use error::{Error, Result};
 pub use run::main;
--- a/crates/onyxshed-cli/src/logs.rs
+++ b/crates/onyxshed-cli/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log files as events.
+//! Reads log files as events.
 
 use std::path::{Path, PathBuf};
 
@@ -10,25 +10,25 @@
 
 /// One line of a log.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Logged {
-    /// The host that wrote it.
+pub struct LogLine {
+    /// The host that wrote the line.
     pub host: SmolStr,
-    /// What it says.
+    /// The event on the line.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// The lines of all logs.
+/// The lines of all log files.
 #[derive(Debug, Default)]
 pub struct Logs {
-    /// In the order of cause: by the hybrid logical clocks, which a time of day that jumps does not
-    /// turn back.
-    pub lines: Vec<Logged>,
-    /// How many lines hold no event.
+    /// Lines with events, ordered by their hybrid logical clocks, which keep cause before effect even if a
+    /// host's wall clock jumps back.
+    pub lines: Vec<LogLine>,
+    /// Number of lines that contain no event.
     pub unreadable: usize,
 }
 
-/// Tries to read log files.
+/// Tries to read log files and orders their lines.
 pub fn read_logs(files: &[PathBuf]) -> Result<Logs> {
     let mut logs = Logs::default();
     for file in files {
@@ -48,25 +48,25 @@
 }
 
 impl Logs {
-    /// Takes in the text of a host's log.
+    /// Adds the lines of a host's log.
     pub fn add(&mut self, host: &SmolStr, text: &str) {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
             match read_line(host, line) {
-                Some(logged) => self.lines.push(logged),
+                Some(parsed) => self.lines.push(parsed),
                 None => self.unreadable += 1,
             }
         }
     }
 }
 
-/// Reads a line. A collector may put time and host before the event; the last word before it names
-/// the host then.
-fn read_line(host: &SmolStr, line: &str) -> Option<Logged> {
+/// Parses a line. A log collector may have put a time and the host before the event; then the last word
+/// before the event names the host.
+fn read_line(host: &SmolStr, line: &str) -> Option<LogLine> {
     let begin = line.find('{')?;
     let (prefix, event) = line.split_at(begin);
-    let named = prefix.split_whitespace().last();
-    Some(Logged {
-        host: named.map_or_else(|| host.clone(), SmolStr::from),
+    let host_word = prefix.split_whitespace().last();
+    Some(LogLine {
+        host: host_word.map_or_else(|| host.clone(), SmolStr::from),
         event: serde_json::from_str(event).ok()?,
     })
 }
--- a/crates/onyxshed-cli/src/progress.rs
+++ b/crates/onyxshed-cli/src/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of whatever takes more than a second, on standard error.
+//! Reports on standard error activity a command waits for if it takes more than a second.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -7,43 +7,43 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 
-/// How often is said what is being waited for.
-const PERIOD: Duration = Duration::from_secs(1);
+/// How often the activity is reported.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is being waited for, said every second while the work lasts.
+/// The activity that a command waits for, reported every second while the command runs.
 #[derive(Debug)]
 pub struct Progress {
-    what: RefCell<String>,
-    say: fn(&str),
+    activity: RefCell<String>,
+    report: fn(&str),
 }
 
 impl Progress {
-    /// Starts with what is waited for first.
-    pub fn new(what: impl Into<String>) -> Self {
-        Progress::saying_by(what, |what| eprintln!("waiting: {what}"))
+    /// Creates a reporter to standard error with the first activity.
+    pub fn new(activity: impl Into<String>) -> Self {
+        Progress::with_reporter(activity, |activity| eprintln!("waiting: {activity}"))
     }
 
-    /// Starts with another way to say it.
-    pub fn saying_by(what: impl Into<String>, say: fn(&str)) -> Self {
+    /// Creates a reporter that passes the activity to `report`.
+    pub fn with_reporter(activity: impl Into<String>, report: fn(&str)) -> Self {
         Progress {
-            what: RefCell::new(what.into()),
-            say,
+            activity: RefCell::new(activity.into()),
+            report,
         }
     }
 
-    /// Sets what is being waited for now.
-    pub fn set(&self, what: impl Into<String>) {
-        *self.what.borrow_mut() = what.into();
+    /// Sets the activity that the command waits for now.
+    pub fn set(&self, activity: impl Into<String>) {
+        *self.activity.borrow_mut() = activity.into();
     }
 
-    /// Does the work, and says every second what it waits for.
+    /// Runs `work` and reports the activity every second until it ends.
     pub async fn during<T>(&self, work: impl Future<Output = T>) -> T {
-        let tell = async {
+        let reporting = async {
             loop {
-                Timer::after(PERIOD).await;
-                (self.say)(&self.what.borrow());
+                Timer::after(REPORT_INTERVAL).await;
+                (self.report)(&self.activity.borrow());
             }
         };
-        work.or(tell).await
+        work.or(reporting).await
     }
 }
--- a/crates/onyxshed-cli/src/target/log.rs
+++ b/crates/onyxshed-cli/src/target/log.rs
@@ -1,4 +1,4 @@
-//! The configuration as the command line reads it from the log.
+//! Reads and appends to the platform's log of the configuration.
 
 use std::time::{Duration, Instant};
 
@@ -15,45 +15,45 @@
 /// Longest time for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What became of a change on the log.
+/// Outcome of a change on the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    /// It made this revision.
+pub enum RecordOutcome {
+    /// The change was accepted and made this revision.
     Accepted(Revision),
-    /// It was based on another revision than the one it found.
+    /// The change was based on another revision than this one, which was in force.
     Raced(Revision),
-    /// It broke a rule.
+    /// The change violated a rule.
     Ignored,
-    /// It is a copy of one that was accepted before.
-    Copy(Revision),
-    /// The log has lost what it takes to judge it.
-    Unjudged,
+    /// The change is a duplicate of one that had been accepted, with the revision that it made.
+    Duplicate(Revision),
+    /// The log has lost records that are needed to determine the outcome.
+    Undetermined,
 }
 
-/// A change as it stands on the log.
+/// A change on the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Logged {
-    /// Where it stands.
+pub struct LoggedChange {
+    /// Offset of the record.
     pub offset: Offset,
-    /// When the log took it.
+    /// When the log appended the record.
     pub at: UnixMs,
-    /// The change.
+    /// The change in the record.
     pub change: ConfigChange,
-    /// What became of it.
-    pub fate: Fate,
+    /// Outcome of the change.
+    pub outcome: RecordOutcome,
 }
 
-/// The `config` stream, read and appended to within a time limit.
+/// A client of the `config` stream that reads and appends within a time limit.
 #[derive(Debug)]
 pub struct ConfigLog {
     client: PlatformClient,
     fold: ConfigFold,
-    changes: Vec<Logged>,
-    give_up: Instant,
+    changes: Vec<LoggedChange>,
+    deadline: Instant,
 }
 
 impl ConfigLog {
-    /// Makes a reader that has read nothing yet.
+    /// Creates a client that has not read anything yet.
     pub fn new(args: PlatformArgs) -> Self {
         let options = PlatformOptions {
             timeout: CALL_TIMEOUT.min(args.timeout_ms.into()),
@@ -63,47 +63,48 @@
             client: PlatformClient::new(args.address, options),
             fold: ConfigFold::default(),
             changes: Vec::new(),
-            give_up: Instant::now() + Duration::from(args.timeout_ms),
+            deadline: Instant::now() + Duration::from(args.timeout_ms),
         }
     }
 
-    /// Gets the fold of what was read.
+    /// Returns the fold of the records read so far.
     pub fn fold(&self) -> &ConfigFold {
         &self.fold
     }
 
-    /// Gets every change read, in order, and what became of it.
-    pub fn changes(&self) -> Vec<Logged> {
+    /// Returns every change read so far, in the order of the log, with its outcome.
+    pub fn changes(&self) -> Vec<LoggedChange> {
         let mut changes = self.changes.clone();
-        for logged in &mut changes {
-            if logged.fate == Fate::Unjudged {
-                logged.fate = self.fate_in_hindsight(logged);
+        for entry in &mut changes {
+            if entry.outcome == RecordOutcome::Undetermined {
+                entry.outcome = self.outcome_in_retrospect(entry);
             }
         }
         changes
     }
 
-    /// Tells whether the time is up.
+    /// Returns whether the time limit has passed.
     pub fn is_late(&self) -> bool {
-        Instant::now() >= self.give_up
+        Instant::now() >= self.deadline
     }
 
-    /// Reads to the end of the stream, waiting up to `wait` if there is nothing new; gets the
-    /// offset of the next append as the log told it.
+    /// Reads to the end of the stream, waiting up to `wait` for a new record if there is none. Returns the
+    /// offset of the next append as reported by the log.
     pub async fn read_to_end(&mut self, wait: Millis) -> onyxshed_platform::Result<Offset> {
         loop {
             let page = self
                 .client
                 .read(CONFIG_STREAM, self.fold.next(), wait)
                 .await?;
-            self.take_in(&page);
+            self.apply_page(&page);
             if page.records.is_empty() || self.fold.next() >= page.next {
                 return Ok(page.next);
             }
         }
     }
 
-    /// Reads everything; an error if what the log still holds does not make up the configuration.
+    /// Reads the whole stream. Fails if the records that the log still holds do not make up the
+    /// configuration.
     pub async fn read_all(&mut self) -> Result<()> {
         self.read_to_end(Millis(0)).await?;
         match self.fold.is_complete() {
@@ -117,44 +118,44 @@
         self.client.append(CONFIG_STREAM, record.into_bytes()).await
     }
 
-    /// Judges a change that told nothing new when it was read: a copy of an earlier one, or one
-    /// that a later snapshot gave the ground for.
-    fn fate_in_hindsight(&self, logged: &Logged) -> Fate {
+    /// Determines the outcome of a change that had no effect when it was read: a duplicate of an earlier
+    /// one, or one whose base is known only from a later snapshot.
+    fn outcome_in_retrospect(&self, entry: &LoggedChange) -> RecordOutcome {
         let is_copy = self.changes.iter().any(|earlier| {
-            earlier.change.change_id == logged.change.change_id && earlier.offset < logged.offset
+            earlier.change.change_id == entry.change.change_id && earlier.offset < entry.offset
         });
-        match self.fold.find_change(logged.change.change_id) {
-            ChangeOutcome::Accepted(revision) if is_copy => Fate::Copy(revision),
-            ChangeOutcome::Accepted(revision) => Fate::Accepted(revision),
-            ChangeOutcome::Raced { found, .. } => Fate::Raced(found),
-            ChangeOutcome::Invalid => Fate::Ignored,
-            ChangeOutcome::NotSeen => Fate::Unjudged,
+        match self.fold.find_change(entry.change.change_id) {
+            ChangeOutcome::Accepted(revision) if is_copy => RecordOutcome::Duplicate(revision),
+            ChangeOutcome::Accepted(revision) => RecordOutcome::Accepted(revision),
+            ChangeOutcome::Raced { found, .. } => RecordOutcome::Raced(found),
+            ChangeOutcome::Invalid => RecordOutcome::Ignored,
+            ChangeOutcome::NotSeen => RecordOutcome::Undetermined,
         }
     }
 
-    fn take_in(&mut self, page: &Page) {
+    fn apply_page(&mut self, page: &Page) {
         self.fold.skip_to(page.oldest, clock::now());
         for record in &page.records {
-            let step = self.fold.apply_record(record);
-            self.note(record, step);
+            let fold_outcome = self.fold.apply_record(record);
+            self.record_change(record, fold_outcome);
         }
     }
 
-    fn note(&mut self, record: &Record, step: FoldOutcome) {
+    fn record_change(&mut self, record: &Record, fold_outcome: FoldOutcome) {
         let Ok(ConfigRecord::ChangeV1(change)) = ConfigRecord::decode(&record.data) else {
             return;
         };
-        let fate = match step {
-            FoldOutcome::Accepted(revision) => Fate::Accepted(revision),
-            FoldOutcome::Raced { found, .. } => Fate::Raced(found),
-            FoldOutcome::Ignored => Fate::Ignored,
-            FoldOutcome::Nothing => Fate::Unjudged,
+        let outcome = match fold_outcome {
+            FoldOutcome::Accepted(revision) => RecordOutcome::Accepted(revision),
+            FoldOutcome::Raced { found, .. } => RecordOutcome::Raced(found),
+            FoldOutcome::Ignored => RecordOutcome::Ignored,
+            FoldOutcome::Nothing => RecordOutcome::Undetermined,
         };
-        self.changes.push(Logged {
+        self.changes.push(LoggedChange {
             offset: record.offset,
             at: record.at_ms,
             change,
-            fate,
+            outcome,
         });
     }
 }
--- a/crates/onyxshed-cli/src/timeline/merge.rs
+++ b/crates/onyxshed-cli/src/timeline/merge.rs
@@ -1,4 +1,4 @@
-//! Events of several processes in one order, and what is missing from them.
+//! Merges the events of several processes into one order and records where events are missing.
 
 use std::collections::BTreeSet;
 
@@ -8,74 +8,74 @@
 use smol_str::SmolStr;
 
 use crate::args::TimelineArgs;
-use crate::ask::Asked;
 use crate::logs::Logs;
+use crate::query::ProcessReply;
 
-/// An event and the process that it happened in.
+/// An event and the process in which it happened.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Entry {
-    /// The process's name in the settings.
+    /// Name of the process in the settings, or of the host for events from logs.
     pub process: SmolStr,
     /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// Why events of a process may be missing.
+/// Reason why events of a process may be missing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Missing {
-    /// It did not answer: none of its events are shown.
+pub enum GapReason {
+    /// The process did not answer, with the reason; none of its events are shown.
     NoAnswer(SmolStr),
-    /// It started then: an earlier run's events are gone.
+    /// The process started at this time; events of an earlier run are lost.
     #[serde(rename = "started_at_ms")]
     StartedAt(UnixMs),
-    /// So many of its oldest events were dropped for newer ones.
+    /// The process dropped this number of its oldest events to make room for newer ones.
     Dropped(u64),
-    /// More events match than it was asked for; the oldest are left out.
+    /// More events match than were requested; the oldest are omitted.
     TooMany,
-    /// So many lines of its logs hold no event.
+    /// This number of lines of the logs contain no event.
     Unreadable(usize),
 }
 
 /// A gap in the time line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Gap {
-    /// The process's name in the settings.
+    /// Name of the process in the settings.
     pub process: SmolStr,
-    /// Why events may be missing.
-    pub missing: Missing,
+    /// Reason for the gap.
+    pub missing: GapReason,
 }
 
-/// One time line over all processes.
+/// The events of all processes in one order.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Merged {
+pub struct Timeline {
     /// Gaps, in the order of the processes.
     pub gaps: Vec<Gap>,
-    /// Events, in the order of their clocks.
+    /// Events, ordered by their hybrid logical clocks.
     pub events: Vec<Entry>,
 }
 
-/// Merges what the processes answered.
-pub fn merge(asked: Vec<Asked<TimelinePage>>) -> Merged {
-    let mut merged = Merged::default();
-    for asked in asked {
-        let process = asked.process;
-        match asked.answer {
-            Err(reason) => merged.add_gap(&process, Missing::NoAnswer(reason)),
+/// Merges the answers of processes.
+pub fn merge(replies: Vec<ProcessReply<TimelinePage>>) -> Timeline {
+    let mut merged = Timeline::default();
+    for reply in replies {
+        let process = reply.process;
+        match reply.answer {
+            Err(reason) => merged.add_gap(&process, GapReason::NoAnswer(reason)),
             Ok(page) => merged.add_page(&process, page),
         }
     }
-    // Stable: events of one process with the same stamp stay in their order.
+    // The sort is stable: events of one process with the same stamp keep their order.
     merged.events.sort_by_key(|entry| entry.event.hlc);
     merged
 }
 
 /// Merges the lines of log files.
-pub fn merge_logs(logs: Logs) -> Merged {
-    let mut merged = Merged::default();
+pub fn merge_logs(logs: Logs) -> Timeline {
+    let mut merged = Timeline::default();
     if logs.unreadable > 0 {
-        merged.add_gap(&"the logs".into(), Missing::Unreadable(logs.unreadable));
+        merged.add_gap(&"the logs".into(), GapReason::Unreadable(logs.unreadable));
     }
     let entries = logs.lines.into_iter().map(|line| Entry {
         process: line.host,
@@ -85,9 +85,10 @@
     merged
 }
 
-impl Merged {
-    /// Keeps only the events that are asked for; a process leaves out the others itself.
-    pub fn keep_wanted(&mut self, args: &TimelineArgs) {
+impl Timeline {
+    /// Retains only the events that match the filters. Needed for logs only, since processes filter their
+    /// events themselves.
+    pub fn retain_matching(&mut self, args: &TimelineArgs) {
         let last = self.events.last().map(|entry| entry.event.hlc.wall);
         let since = args.since_ms.zip(last).map(|(span, last)| last - span);
         self.events.retain(|entry| {
@@ -104,27 +105,27 @@
         });
     }
 
-    /// Keeps only the events that concern no single request, job or submission.
-    pub fn keep_beliefs(&mut self) {
+    /// Retains only the events that concern no single request, job or submission (`--beliefs`).
+    pub fn retain_beliefs(&mut self) {
         self.events.retain(|entry| {
             let event = &entry.event;
             event.submission.is_none() && event.request.is_empty() && event.job.is_empty()
         });
     }
 
-    /// Keeps only the events whose other party is one of these.
-    pub fn keep_parties(&mut self, parties: &BTreeSet<SmolStr>) {
+    /// Retains only the events whose other party is in `parties`.
+    pub fn retain_parties(&mut self, parties: &BTreeSet<SmolStr>) {
         self.events
             .retain(|entry| parties.contains(&entry.event.party));
     }
 
     fn add_page(&mut self, process: &SmolStr, page: TimelinePage) {
-        self.add_gap(process, Missing::StartedAt(page.started_ms));
+        self.add_gap(process, GapReason::StartedAt(page.started_ms));
         if page.dropped > 0 {
-            self.add_gap(process, Missing::Dropped(page.dropped));
+            self.add_gap(process, GapReason::Dropped(page.dropped));
         }
         if page.is_cut {
-            self.add_gap(process, Missing::TooMany);
+            self.add_gap(process, GapReason::TooMany);
         }
         let entries = page.events.into_iter().map(|event| Entry {
             process: process.clone(),
@@ -133,10 +134,10 @@
         self.events.extend(entries);
     }
 
-    fn add_gap(&mut self, process: &SmolStr, missing: Missing) {
+    fn add_gap(&mut self, process: &SmolStr, reason: GapReason) {
         self.gaps.push(Gap {
             process: process.clone(),
-            missing,
+            missing: reason,
         });
     }
 }
--- a/crates/onyxshed-cli/tests/story.rs
+++ b/crates/onyxshed-cli/tests/story.rs
@@ -1,10 +1,10 @@
-//! `onyxshed explain ID LOG...` on logs written here.
+//! `onyxshed explain ID LOG...` on log files that the tests write.
 
 use std::fs;
 use std::path::PathBuf;
 
 use onyxshed_cli::output::Format;
-use onyxshed_cli::story;
+use onyxshed_cli::trace;
 use onyxshed_core::{Event, EventKind, Hlc, Millis, UnixMs};
 use onyxshed_pool::{JobEnd, JobSummary, NotRunReason, Resources, UnknownReason};
 use rstest::rstest;
@@ -13,7 +13,7 @@
 const REQUEST: &str = "c6dac14d911944c5";
 const JOB: &str = "06a5bd5c32a4c5eb";
 
-/// Logs of hosts, in a folder of their own.
+/// Log files of hosts in a temporary folder.
 struct Logs {
     folder: TempDir,
     files: Vec<PathBuf>,
@@ -43,7 +43,7 @@
     }
 
     fn explain(&self, id: &str) -> String {
-        story::run(id, &self.files, Format::Human).expect("it is in the logs")
+        trace::run(id, &self.files, Format::Human).expect("the id is in the logs")
     }
 }
 
@@ -73,16 +73,16 @@
         .detail(summary.to_string())
 }
 
-fn run_ended(executor: &str, why: &str) -> Event {
+fn run_ended(executor: &str, reason: &str) -> Event {
     Event::new(EventKind::PoolRunEnded)
         .job(JOB)
         .task(2)
         .party(executor)
-        .detail(format!("run 1: {why}, token 16"))
+        .detail(format!("run 1: {reason}, token 16"))
 }
 
-/// Every answer that is no success has a cause in words and a place to look next, from its own line
-/// alone.
+/// Every answer other than a success has a cause and a place to look next, even if the logs contain only
+/// the line of the answer.
 #[test]
 fn every_answer_has_a_cause() {
     let not_run = NotRunReason::ALL.map(|reason| JobEnd::NotRun(reason, Millis(100)));
@@ -90,20 +90,20 @@
     let mut text = String::new();
     for end in not_run.into_iter().chain(unknown).chain([JobEnd::Failed]) {
         let logs = Logs::new().host("a-1", &[(500, answer(end, 30, "a/0"))]);
-        let told = logs.explain(REQUEST);
-        let tail: Vec<&str> = told.lines().rev().take(2).collect();
+        let output = logs.explain(REQUEST);
+        let tail: Vec<&str> = output.lines().rev().take(2).collect();
         text += &format!("{end}\n  {}\n  {}\n", tail[1], tail[0]);
     }
     insta::assert_snapshot!(text);
 }
 
-/// A caller's job is late because an executor fell silent. Its own line says only that it was late;
-/// the owner's log has the run that was lost, and what was believed of the executor.
+/// A job is late because an executor became unresponsive. The line of its answer shows only that it was
+/// late; the owner's log contains the lost run and the events about the executor.
 #[test]
 fn a_late_job_is_traced_over_two_hosts() {
-    let silent = Event::new(EventKind::PoolExecutorSilent).party("i-1");
-    let elsewhere = Event::new(EventKind::PoolExecutorSilent).party("i-9");
-    let back = Event::new(EventKind::PoolExecutorBack).party("i-1");
+    let unresponsive = Event::new(EventKind::PoolExecutorSilent).party("i-1");
+    let other_executor = Event::new(EventKind::PoolExecutorSilent).party("i-9");
+    let recovered = Event::new(EventKind::PoolExecutorBack).party("i-1");
     let logs = Logs::new()
         .host("b-1", &[(1_400, answer(JobEnd::Completed, 900, "a/0"))])
         .host(
@@ -113,9 +113,9 @@
                     0,
                     Event::new(EventKind::PoolOwned).detail("pool a/0, token 16"),
                 ),
-                (10, back),
-                (600, silent),
-                (610, elsewhere),
+                (10, recovered),
+                (600, unresponsive),
+                (610, other_executor),
                 (1_250, run_ended("i-1", "its lease ended in silence")),
             ],
         );
@@ -123,7 +123,8 @@
     assert_eq!(logs.explain(REQUEST), logs.explain(JOB));
 }
 
-/// The zone's owner died, and callers hear 503 until there is a new one: the host's own link tells.
+/// The zone's owner has stopped, and callers get status 503 until there is a new one. The log of the host
+/// that answered contains the loss of its link to the owner.
 #[test]
 fn a_refused_job_is_traced_to_the_lost_link() {
     let down = Event::new(EventKind::PoolLinkDown).party("10.0.0.1:7500");
@@ -133,8 +134,8 @@
     insta::assert_snapshot!(logs.explain(REQUEST));
 }
 
-/// A collector has merged all logs into one file, with time and host before each line, and other
-/// lines between.
+/// A log collector has merged all logs into one file, with the time and the host before each line, and
+/// lines of other programs in between.
 #[test]
 fn a_merged_log_names_its_hosts() {
     let mut event = answer(JobEnd::Failed, 100, "a/0");
@@ -146,30 +147,33 @@
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("all.log");
     fs::write(&file, format!("  12.5 a-7 {line}\nsomething else\n")).expect("a file");
-    let told = story::run(REQUEST, &[file], Format::Human).expect("it is there");
-    assert!(told.contains(" a-7 "), "{told}");
-    assert!(told.contains("1 lines of the logs are no events"), "{told}");
+    let output = trace::run(REQUEST, &[file], Format::Human).expect("the id is in the log");
+    assert!(output.contains(" a-7 "), "{output}");
+    assert!(
+        output.contains("1 lines of the logs are no events"),
+        "{output}"
+    );
 }
 
 #[rstest]
 #[case::no_such_request("0000000000000000")]
-fn what_is_not_in_the_logs_is_an_error(#[case] id: &str) {
+fn id_that_is_not_in_the_logs_is_an_error(#[case] id: &str) {
     let logs = Logs::new().host("a-1", &[(0, answer(JobEnd::Failed, 100, "a/0"))]);
-    assert!(story::run(id, &logs.files, Format::Human).is_err());
+    assert!(trace::run(id, &logs.files, Format::Human).is_err());
 }
 
-/// A caller is refused by a host that has just started and can't read the store: it was no job yet, so
-/// the line names the status and the reason alone.
+/// A host that has just started and can't read the store rejects a request before it becomes a job, so
+/// the line contains only the status and the reason.
 #[test]
-fn a_request_declined_before_it_was_a_job_names_its_reason() {
-    let declined = Event::new(EventKind::PoolJobRefused)
+fn request_rejected_before_it_was_a_job_names_its_reason() {
+    let rejected = Event::new(EventKind::PoolJobRefused)
         .request(REQUEST)
         .detail("status 503: no manifest is known yet");
-    let logs = Logs::new().host("edge-1", &[(5, declined)]);
-    let told = logs.explain(REQUEST);
+    let logs = Logs::new().host("edge-1", &[(5, rejected)]);
+    let output = logs.explain(REQUEST);
     assert!(
-        told.contains("cause: not run: status 503: no manifest is known yet"),
-        "{told}"
+        output.contains("cause: not run: status 503: no manifest is known yet"),
+        "{output}"
     );
-    assert!(told.contains("E841"), "{told}");
+    assert!(output.contains("E841"), "{output}");
 }
--- a/crates/onyxshed-control/src/host_follower.rs
+++ b/crates/onyxshed-control/src/host_follower.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's lagging list of hosts.
+//! Polls the platform's list of hosts, which lags behind the hosts' actual state.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,15 +11,15 @@
 use onyxshed_proto::ExecutorEntry;
 use onyxshed_wire::platform::{ExecutorHost, HostList, HostState};
 
-use crate::knowledge::Knowledge;
-use crate::names::{HOST_FOLLOWER, KNOWLEDGE, PEERS};
+use crate::names::{HOST_FOLLOWER, PEERS, SHARED_STATE};
 use crate::peers::Peers;
+use crate::shared_state::SharedState;
 
-/// How often the list is read: an executor that is leaving must be known within 2 s, and the reading
-/// takes 122 bytes an executor each time (docs/CAPACITY.md).
-const READ_EVERY: Duration = Duration::from_secs(1);
+/// How often the list is read. A draining executor must be known within 2 s, and each read takes 122
+/// bytes per executor (docs/CAPACITY.md).
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The follower as a service.
+/// The service that polls the list.
 pub struct HostFollower {
     platform_address: SocketAddr,
     zone: onyxshed_core::ZoneName,
@@ -27,7 +27,7 @@
 }
 
 impl HostFollower {
-    /// Makes the service for a host of `zone`.
+    /// Creates the service for a host of `zone`.
     pub fn new(
         platform_address: SocketAddr,
         zone: onyxshed_core::ZoneName,
@@ -47,22 +47,22 @@
     }
 
     fn dependencies(&self) -> &[ServiceName] {
-        &[KNOWLEDGE, PEERS]
+        &[SHARED_STATE, PEERS]
     }
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
         Box::pin(async move {
-            let knowledge: Rc<Knowledge> = kernel.find(KNOWLEDGE)?;
+            let shared_state: Rc<SharedState> = kernel.find(SHARED_STATE)?;
             let peers: Rc<Peers> = kernel.find(PEERS)?;
             let zone = self.zone.clone();
             let mut client = PlatformClient::new(self.platform_address, self.options);
             let follow = async move {
                 loop {
                     if let Ok(list) = client.hosts().await {
-                        peers.listed(&list);
-                        knowledge.set_executors(executors_of(&list, &zone));
+                        peers.apply_host_list(&list);
+                        shared_state.set_executors(executors_of(&list, &zone));
                     }
-                    Timer::after(READ_EVERY).await;
+                    Timer::after(READ_INTERVAL).await;
                 }
             };
             kernel.spawn(follow).detach();
@@ -71,13 +71,13 @@
     }
 }
 
-/// Gets the executors of the host's own zone: each zone has its own upstreams.
+/// Returns the executors of the host's own zone; each zone has its own upstreams.
 fn executors_of(list: &HostList, zone: &onyxshed_core::ZoneName) -> Vec<ExecutorEntry> {
-    let ours = list
+    let own_zone = list
         .executors
         .iter()
         .filter(|executor| executor.zone == *zone);
-    ours.map(entry_of).collect()
+    own_zone.map(entry_of).collect()
 }
 
 fn entry_of(host: &ExecutorHost) -> ExecutorEntry {
--- a/crates/onyxshed-control/src/peers/calls.rs
+++ b/crates/onyxshed-control/src/peers/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to peers, each on a connection that is kept while it works.
+//! Calls to peers. The connection to each peer is kept until a call on it fails.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,12 +13,13 @@
 
 use super::Peers;
 
-/// How long a peer may take to answer. A connection that has gone silent is dropped after this and
-/// opened anew in the next round.
+/// How long a peer may take to answer. A connection over which no answer arrives in this time is
+/// dropped, and opened again in the next round.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Peers {
-    /// Tells one peer, takes in its answer, and fetches its configuration if that is newer.
+    /// Sends a message to one peer, applies the answer, and fetches the peer's configuration if it is newer
+    /// or this host's is incomplete.
     pub(super) async fn send(self: Rc<Self>, outgoing: OutgoingGossip) {
         let answer = with_timeout(CALL_TIMEOUT, self.exchange(&outgoing))
             .await
@@ -27,15 +28,15 @@
             self.clients.borrow_mut().remove(&outgoing.to);
             return;
         };
-        let theirs = answer.from.config_revision;
-        self.hear(&answer);
-        if self.is_newer(theirs) || !self.knowledge.is_complete() {
+        let peer_revision = answer.from.config_revision;
+        self.apply_gossip(&answer);
+        if self.is_newer_than_own(peer_revision) || !self.shared_state.is_complete() {
             self.fetch_config(outgoing.to).await;
         }
     }
 
-    fn is_newer(&self, theirs: Revision) -> bool {
-        self.knowledge.revision().unwrap_or_default() < theirs
+    fn is_newer_than_own(&self, peer_revision: Revision) -> bool {
+        self.shared_state.revision().unwrap_or_default() < peer_revision
     }
 
     async fn exchange(&self, outgoing: &OutgoingGossip) -> Option<Gossip> {
@@ -50,12 +51,13 @@
     }
 
     async fn fetch_config(&self, from: SocketAddr) {
-        if let Some(Some(told)) = with_timeout(CALL_TIMEOUT, self.handover(from)).await {
-            self.knowledge.adopt(told);
+        if let Some(Some(handover)) = with_timeout(CALL_TIMEOUT, self.request_handover(from)).await
+        {
+            self.shared_state.adopt_handover(handover);
         }
     }
 
-    async fn handover(&self, from: SocketAddr) -> Option<Handover> {
+    async fn request_handover(&self, from: SocketAddr) -> Option<Handover> {
         let client = self.client(from).await?;
         let reply = client.handover_request().send().promise.await.ok()?;
         let reply = reply.get().ok()?;
--- a/crates/onyxshed-entry/src/claim_log.rs
+++ b/crates/onyxshed-entry/src/claim_log.rs
@@ -1,4 +1,4 @@
-//! Claims in the platform's log: appends them, follows everybody's.
+//! Appends this host's claims to the platform's log and follows the claims of all hosts.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,10 +20,10 @@
 /// How long a read waits for the next record.
 const READ_WAIT: Millis = Millis(1_000);
 
-/// How long to wait after a read that failed.
-const READ_PAUSE: Duration = Duration::from_millis(200);
+/// How long to wait after a failed read.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Handle to the claims stream.
+/// Handle to the stream of claims.
 pub struct ClaimLog {
     kernel: Kernel,
     engine: Rc<Engine>,
@@ -33,7 +33,7 @@
 }
 
 impl ClaimLog {
-    /// Makes a handle; nothing is opened yet.
+    /// Creates a handle without opening a connection.
     pub fn new(
         kernel: &Kernel,
         engine: Rc<Engine>,
@@ -50,42 +50,42 @@
         })
     }
 
-    /// Appends a batch and reports to the engine how it went.
+    /// Appends a batch of claims and reports the result to the engine.
     pub fn append(self: &Rc<Self>, batch: ClaimBatch) {
         let log = self.clone();
-        let run = async move {
-            let number = batch.batch;
+        let appending = async move {
+            let batch_number = batch.batch;
             let record = ClaimRecord::ClaimsV1(batch).encode();
             let mut appender = log.appender.lock().await;
-            let appended = appender.append(CLAIMS_STREAM, record.into_bytes()).await;
+            let append_result = appender.append(CLAIMS_STREAM, record.into_bytes()).await;
             drop(appender);
-            let result = appended.map_err(|error| match error.may_have_taken_effect() {
+            let result = append_result.map_err(|error| match error.may_have_taken_effect() {
                 true => AppendFailure::AnswerLost,
                 false => AppendFailure::NotAppended,
             });
             log.engine.feed(Input::AppendEnded {
-                batch: number,
+                batch: batch_number,
                 result,
             });
         };
-        self.kernel.spawn(run).detach();
+        self.kernel.spawn(appending).detach();
     }
 
-    /// Gets how long the next read may wait. Until the end of the stream is known nothing can be
-    /// claimed, so the first read after a start or an outage must not wait for a record to come.
+    /// Returns how long the next read may wait. No claim can be made until the end of the stream has been
+    /// read, so the first read after a start or an outage must not wait for a new record.
     fn read_wait(&self) -> Millis {
-        match self.engine.look(Dispatch::is_log_read) {
+        match self.engine.inspect(Dispatch::is_log_read) {
             true => READ_WAIT,
             false => Millis(0),
         }
     }
 
-    /// Follows the stream for as long as the process lives.
+    /// Follows the stream until the process ends.
     async fn follow(self: Rc<Self>) {
         let mut client = PlatformClient::new(self.platform_address, self.options);
         let mut is_lost = false;
         loop {
-            let from = self.engine.look(Dispatch::next_log_offset);
+            let from = self.engine.inspect(Dispatch::next_log_offset);
             match client.read(CLAIMS_STREAM, from, self.read_wait()).await {
                 Ok(page) => {
                     if std::mem::replace(&mut is_lost, false) {
@@ -105,20 +105,20 @@
                         self.kernel.emit(event.detail(error.to_string()));
                         self.engine.feed(Input::LogLost);
                     }
-                    Timer::after(READ_PAUSE).await;
+                    Timer::after(READ_RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-/// The claims stream as a service.
+/// The service around a [`ClaimLog`].
 pub struct ClaimLogService {
     log: Rc<ClaimLog>,
 }
 
 impl ClaimLogService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(log: Rc<ClaimLog>) -> Self {
         ClaimLogService { log }
     }
--- a/crates/onyxshed-entry/src/control_port.rs
+++ b/crates/onyxshed-entry/src/control_port.rs
@@ -1,7 +1,8 @@
-//! Snapshots from the control process of this host.
+//! Receives snapshots from the control process of this host.
 //!
-//! The control process may die, hang or restart at any time: the entry goes on with the last
-//! snapshot, tells that the control process is gone, and shows in its status how old it is.
+//! The control process may crash, hang or restart at any time. The entry process then continues with
+//! the last snapshot, emits an event that the control process is lost, and reports the snapshot's age
+//! in its status.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -22,23 +23,23 @@
 use crate::names::{CONTROL_PORT, ENGINE, UPSTREAMS};
 use crate::upstreams::Upstreams;
 
-/// How long after the last snapshot the control process is held to be gone.
+/// Time since the last snapshot after which the control process counts as lost.
 const LOST_AFTER: Duration = Duration::from_secs(3);
 
-/// Who this entry is and where its control process finds it.
+/// Identity of this entry process, and the address at which its control process connects.
 #[derive(Debug, Clone)]
 pub struct ControlPortOptions {
-    /// The host.
+    /// Name of this host.
     pub host: HostName,
-    /// Its current life.
+    /// Incarnation of this host: this run of its entry process.
     pub incarnation: Incarnation,
-    /// Where the control process connects.
+    /// Address on which the control process connects.
     pub control_address: SocketAddr,
-    /// Told to peers in place of the address listened on, if any.
+    /// Address sent to peers in place of the address of the peer listener, if any.
     pub peer_advertised_address: Option<SocketAddr>,
 }
 
-/// Handle to what came from the control process.
+/// Handle to the connection with the control process.
 pub struct ControlPort {
     kernel: Kernel,
     options: ControlPortOptions,
@@ -49,7 +50,7 @@
 }
 
 impl ControlPort {
-    /// Gets how old the last snapshot is, none before the first.
+    /// Returns the age of the last snapshot, `None` before the first.
     pub fn snapshot_age(&self) -> Option<Duration> {
         self.last_snapshot.get().map(|at| at.elapsed())
     }
@@ -67,13 +68,13 @@
                 .set_executors(&executors);
             let infos = executors.into_iter().map(|entry| entry.info).collect();
             engine.feed(Input::Executors(infos));
-            self.kernel.readiness().clear_not_ready(WITHOUT_EXECUTORS);
+            self.kernel.readiness().clear_not_ready(NO_EXECUTORS_YET);
             let live_members = snapshot
                 .members
                 .iter()
                 .filter(|member| member.state == MemberState::Live);
-            if self.has_met_peers(live_members.count(), snapshot.live_hosts) {
-                self.kernel.readiness().clear_not_ready(WITHOUT_PEERS);
+            if self.has_learned_of_peers(live_members.count(), snapshot.live_hosts) {
+                self.kernel.readiness().clear_not_ready(PEERS_NOT_KNOWN_YET);
             }
         }
         engine.feed(Input::Members {
@@ -84,19 +85,18 @@
         });
         if let Some(config) = snapshot.config {
             engine.feed(Input::Configured(config));
-            self.kernel.readiness().clear_not_ready(WITHOUT_CONFIG);
+            self.kernel.readiness().clear_not_ready(NO_CONFIG_YET);
         }
         Ok(self.status(&engine))
     }
 
-    /// Tells whether every listed host was heard, or was waited for long enough.
+    /// Returns whether a heartbeat of every listed host was received, or [`PEERS_WAIT_MAX`] has passed.
     ///
-    /// Failure guarded against: a new host is sent the copy of a job that another one holds, and
-    /// has not heard of that host yet. Symptom: the caller is told that the holder can't be reached
-    /// though it is up. Hosts that are listed and down must not keep a new one out of service, so
-    /// the wait is bounded.
-    fn has_met_peers(&self, heard: usize, live: u32) -> bool {
-        let listed = usize::try_from(live).unwrap_or(usize::MAX);
+    /// Without this check, a new host may receive the copy of a job that another host holds before it has
+    /// learned of that host, and would answer that the holder can't be reached although it is up. The wait
+    /// is bounded, so that hosts that are listed and down do not keep a new one out of service.
+    fn has_learned_of_peers(&self, live_peers: usize, listed_hosts: u32) -> bool {
+        let listed = usize::try_from(listed_hosts).unwrap_or(usize::MAX);
         let since = self.first_snapshot.get();
         let since = since.unwrap_or_else(|| {
             let now = self.kernel.clock().now().mono;
@@ -104,24 +104,28 @@
             now
         });
         let waited = self.kernel.clock().now().mono.since(since);
-        let has_heard_all = live > 0 && heard + 1 >= listed;
-        has_heard_all || waited >= PEERS_PATIENCE.into()
+        let has_all = listed_hosts > 0 && live_peers + 1 >= listed;
+        has_all || waited >= PEERS_WAIT_MAX.into()
     }
 
     fn status(&self, engine: &Engine) -> EntryStatus {
         let addresses = self.kernel.addresses();
-        let listened = addresses
+        let listener_address = addresses
             .get("peer")
             .copied()
             .unwrap_or(self.options.control_address);
         EntryStatus {
             host: self.options.host.clone(),
             incarnation: self.options.incarnation,
-            peer_address: self.options.peer_advertised_address.unwrap_or(listened),
-            config_revision: engine.look(|machine| machine.config().map(|held| held.revision)),
+            peer_address: self
+                .options
+                .peer_advertised_address
+                .unwrap_or(listener_address),
+            config_revision: engine
+                .inspect(|machine| machine.config().map(|config| config.revision)),
             load: LoadDigest {
-                running_tasks: count(engine.look(Dispatch::live_attempts)),
-                queued_tasks: count(engine.look(Dispatch::queued_tasks)),
+                running_tasks: saturating_u32(engine.inspect(Dispatch::live_attempts)),
+                queued_tasks: saturating_u32(engine.inspect(Dispatch::queued_tasks)),
             },
             started_at_ms: self.started_at_ms,
             is_draining: self.kernel.readiness().is_draining(),
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Tells once when the control process has gone.
+    /// Emits an event when the control process becomes lost, once for each loss.
     async fn watch(self: Rc<Self>) {
         loop {
             Timer::after(LOST_AFTER / 3).await;
@@ -141,24 +145,24 @@
     }
 }
 
-/// Reason for which readiness is held back until a configuration came.
-pub const WITHOUT_CONFIG: &str = "no configuration yet";
+/// Reason shown while the process is not ready because it has received no configuration.
+pub const NO_CONFIG_YET: &str = "no configuration yet";
 
-fn count(found: usize) -> u32 {
-    u32::try_from(found).unwrap_or(u32::MAX)
+fn saturating_u32(value: usize) -> u32 {
+    u32::try_from(value).unwrap_or(u32::MAX)
 }
 
-/// Reason for which readiness is held back until the platform's list of hosts came.
-pub const WITHOUT_EXECUTORS: &str = "no list of executors yet";
+/// Reason shown while the process is not ready because it has received no list of hosts from the platform.
+pub const NO_EXECUTORS_YET: &str = "no list of executors yet";
 
-/// Reason for which readiness is held back until the other hosts were heard.
-pub const WITHOUT_PEERS: &str = "other hosts are not heard yet";
+/// Reason shown while the process is not ready because it has not learned of the other hosts.
+pub const PEERS_NOT_KNOWN_YET: &str = "other hosts are not heard yet";
 
-/// Longest time for which it is held back, from the first list of hosts on: five times what hosts
-/// that start together take to hear each other (190 ms).
-const PEERS_PATIENCE: Millis = Millis(1_000);
+/// Longest time for which readiness waits for the other hosts, counted from the first list of hosts:
+/// five times the 190 ms that hosts which start together take to learn of each other.
+const PEERS_WAIT_MAX: Millis = Millis(1_000);
 
-/// The interface that the control process calls.
+/// The Cap'n Proto interface that the control process calls.
 struct EntryPort {
     port: Rc<ControlPort>,
 }
@@ -171,19 +175,19 @@
     ) -> capnp::Result<()> {
         let snapshot = snapshot::read(params.get()?.get_snapshot()?)?;
         let installed = self.port.install(snapshot);
-        let found = installed.map_err(|error| capnp::Error::failed(error.to_string()))?;
-        status::write(&found, results.get().init_status());
+        let entry_status = installed.map_err(|error| capnp::Error::failed(error.to_string()))?;
+        status::write(&entry_status, results.get().init_status());
         Ok(())
     }
 }
 
-/// The control process's door as a service.
+/// The service that accepts the control process's connection.
 pub struct ControlPortService {
     options: ControlPortOptions,
 }
 
 impl ControlPortService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(options: ControlPortOptions) -> Self {
         ControlPortService { options }
     }
@@ -200,9 +204,9 @@
 
     fn start<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, Result<()>> {
         Box::pin(async move {
-            kernel.readiness().set_not_ready(WITHOUT_CONFIG);
-            kernel.readiness().set_not_ready(WITHOUT_EXECUTORS);
-            kernel.readiness().set_not_ready(WITHOUT_PEERS);
+            kernel.readiness().set_not_ready(NO_CONFIG_YET);
+            kernel.readiness().set_not_ready(NO_EXECUTORS_YET);
+            kernel.readiness().set_not_ready(PEERS_NOT_KNOWN_YET);
             let port = Rc::new(ControlPort {
                 kernel: kernel.clone(),
                 options: self.options.clone(),
--- a/crates/onyxshed-entry/src/engine.rs
+++ b/crates/onyxshed-entry/src/engine.rs
@@ -1,4 +1,4 @@
-//! The dispatch machine in its process: feeds it events, carries out what it says.
+//! The service that owns the dispatch state machine, feeds it inputs and executes its outputs.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,73 +19,74 @@
 use crate::peers::Peers;
 use crate::upstreams::Upstreams;
 
-/// Longest time between two ticks of the machine.
-const TICK_MAX: Duration = Duration::from_millis(100);
+/// Longest time between two ticks of the dispatch state machine.
+const TICK_INTERVAL_MAX: Duration = Duration::from_millis(100);
 
-/// How often metrics are brought up to date.
-const MEASURE_EVERY: Duration = Duration::from_secs(1);
+/// How often the metrics are refreshed.
+const METRICS_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often a drain looks whether the last job has ended.
-const DRAIN_POLL: Duration = Duration::from_millis(10);
+/// How often a drain checks whether the last job has ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Handle to the dispatch machine.
+/// Handle to the dispatch state machine.
 pub struct Engine {
     kernel: Kernel,
     dispatch: RefCell<Dispatch>,
-    waiting: RefCell<HashMap<RequestId, Sender<Answer>>>,
+    pending: RefCell<HashMap<RequestId, Sender<Answer>>>,
     last_request: Cell<u64>,
     armed_for: Cell<Option<Mono>>,
     rearm: (Sender<()>, Receiver<()>),
 }
 
 impl Engine {
-    /// Makes an engine round a machine.
+    /// Creates an engine that owns `dispatch`.
     pub fn new(kernel: &Kernel, dispatch: Dispatch) -> Rc<Self> {
         Rc::new(Engine {
             kernel: kernel.clone(),
             dispatch: RefCell::new(dispatch),
-            waiting: RefCell::default(),
+            pending: RefCell::default(),
             last_request: Cell::new(0),
             armed_for: Cell::new(None),
             rearm: async_channel::bounded(1),
         })
     }
 
-    /// Feeds the machine one event and carries out what it says.
+    /// Feeds one input to the state machine and executes its outputs.
     pub fn feed(&self, input: Input) {
         let now = self.kernel.clock().now();
         let outputs = self.dispatch.borrow_mut().handle(now, input);
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
-        self.arm();
+        self.arm_timer();
     }
 
-    /// Feeds the machine a request and waits for its answer.
-    pub async fn ask(&self, make: impl FnOnce(RequestId) -> Input) -> Answer {
+    /// Feeds a request to the state machine and waits for its answer.
+    pub async fn request(&self, make_input: impl FnOnce(RequestId) -> Input) -> Answer {
         let request = RequestId(self.last_request.get() + 1);
         self.last_request.set(request.0);
         let (sender, receiver) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(request, sender);
-        self.feed(make(request));
+        self.pending.borrow_mut().insert(request, sender);
+        self.feed(make_input(request));
         receiver
             .recv()
             .await
-            .expect("the machine answers every request")
+            .expect("the dispatch state machine answers every request")
     }
 
-    /// Looks into the machine.
-    pub fn look<T>(&self, at: impl FnOnce(&Dispatch) -> T) -> T {
-        at(&self.dispatch.borrow())
+    /// Calls `read` with the state machine and returns its result.
+    pub fn inspect<T>(&self, read: impl FnOnce(&Dispatch) -> T) -> T {
+        read(&self.dispatch.borrow())
     }
 
-    /// Gets how many requests wait for an answer.
-    pub fn waiting_requests(&self) -> usize {
-        self.waiting.borrow().len()
+    /// Returns the number of requests that wait for an answer.
+    pub fn pending_requests(&self) -> usize {
+        self.pending.borrow().len()
     }
 
-    /// Carries out one output; whatever takes time goes on beside, never within the machine's step.
-    fn carry_out(&self, output: Output) {
+    /// Executes one output. Calls that take time are spawned, so that they never delay a step of the state
+    /// machine.
+    fn execute(&self, output: Output) {
         match output {
             Output::Answer { request, answer } => self.answer(request, answer),
             Output::Emit(event) => self.kernel.emit(event),
@@ -99,15 +100,15 @@
                 self.service::<Peers>(PEERS).forward(request, address, call);
             }
             output @ (Output::Start { .. } | Output::Stop { .. } | Output::Query { .. }) => {
-                self.service::<Upstreams>(UPSTREAMS).carry_out(output);
+                self.service::<Upstreams>(UPSTREAMS).execute(output);
             }
         }
     }
 
     fn answer(&self, request: RequestId, answer: Answer) {
-        let waiting = self.waiting.borrow_mut().remove(&request);
-        if let Some(sender) = waiting {
-            // The channel holds one answer, and a caller that has gone needs none.
+        let pending = self.pending.borrow_mut().remove(&request);
+        if let Some(sender) = pending {
+            // The channel has room for the only answer; if the receiver is closed, the caller has disconnected.
             let _ = sender.try_send(answer);
         }
     }
@@ -115,60 +116,61 @@
     fn service<T: 'static>(&self, name: ServiceName) -> Rc<T> {
         self.kernel
             .find(name)
-            .expect("every service is started before a request comes in")
+            .expect("every service starts before the first request arrives")
     }
 
-    fn arm(&self) {
-        let wanted = self.dispatch.borrow().wake_at();
-        let is_sooner = match (wanted, self.armed_for.get()) {
-            (Some(wanted), Some(armed)) => wanted < armed,
+    fn arm_timer(&self) {
+        let wake_at = self.dispatch.borrow().wake_at();
+        let is_sooner = match (wake_at, self.armed_for.get()) {
+            (Some(wake_at), Some(armed)) => wake_at < armed,
             (Some(_), None) => true,
             (None, _) => false,
         };
         if is_sooner {
-            // A full channel means that the alarm is about to look anyway.
+            // A full channel means that the timer is about to be set again already.
             let _ = self.rearm.0.try_send(());
         }
     }
 
-    /// Brings the metrics up to date for as long as the process lives.
-    async fn measure(self: Rc<Self>) {
+    /// Refreshes the metrics until the process ends.
+    async fn refresh_metrics(self: Rc<Self>) {
         loop {
-            self.look(measures::refresh);
-            Timer::after(MEASURE_EVERY).await;
+            self.inspect(measures::refresh);
+            Timer::after(METRICS_REFRESH_INTERVAL).await;
         }
     }
 
-    /// Ticks the machine whenever it wants to be woken.
+    /// Ticks the state machine at each wake time that it requests, and at least every
+    /// [`TICK_INTERVAL_MAX`].
     async fn tick(self: Rc<Self>) {
         loop {
             let wake_at = self.dispatch.borrow().wake_at();
             self.armed_for.set(wake_at);
-            let alarm = async {
+            let wake = async {
                 match wake_at {
                     Some(at) => self.kernel.clock().sleep_until(at).await,
                     None => std::future::pending().await,
                 }
             };
-            let sooner = async {
+            let rearmed = async {
                 let _ = self.rearm.1.recv().await;
             };
-            let at_latest = async {
-                Timer::after(TICK_MAX).await;
+            let interval_elapsed = async {
+                Timer::after(TICK_INTERVAL_MAX).await;
             };
-            sooner.or(alarm).or(at_latest).await;
+            rearmed.or(wake).or(interval_elapsed).await;
             self.feed(Input::Tick);
         }
     }
 }
 
-/// The engine as a service.
+/// The service around an [`Engine`].
 pub struct EngineService {
     engine: Rc<Engine>,
 }
 
 impl EngineService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(engine: Rc<Engine>) -> Self {
         EngineService { engine }
     }
@@ -183,19 +185,19 @@
         Box::pin(async move {
             let descriptor = Descriptor {
                 name: ENGINE,
-                summary: "the dispatch machine",
+                summary: "dispatch state machine",
             };
             kernel.register(descriptor, self.engine.clone())?;
             kernel.spawn(self.engine.clone().tick()).detach();
-            kernel.spawn(self.engine.clone().measure()).detach();
+            kernel.spawn(self.engine.clone().refresh_metrics()).detach();
             Ok(())
         })
     }
 
     fn drain<'a>(&'a self, _kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async move {
-            while self.engine.look(Dispatch::live_jobs) > 0 {
-                Timer::after(DRAIN_POLL).await;
+            while self.engine.inspect(Dispatch::live_jobs) > 0 {
+                Timer::after(DRAIN_POLL_INTERVAL).await;
             }
         })
     }
--- a/crates/onyxshed-entry/src/measures.rs
+++ b/crates/onyxshed-entry/src/measures.rs
@@ -1,7 +1,8 @@
-//! Metrics of an entry process: what callers were answered and how soon, and what is under way.
+//! Metrics of the entry process: counts and response times of answers to submissions, and gauges of the
+//! current work.
 //!
-//! Names follow Prometheus: counters end in `_total`, spans in `_seconds`. Jobs of a class that is not
-//! configured are counted under one label, so that callers can't make labels without end.
+//! Names follow the Prometheus conventions: counters end in `_total`, durations in `_seconds`. Jobs of
+//! classes that are not configured share one label, so that callers can't create labels without bound.
 
 use std::time::Duration;
 
@@ -10,33 +11,37 @@
 use onyxshed_telemetry::metric;
 use onyxshed_wire::caller::Answer;
 
-/// Counts answers to submissions by class and code.
+/// Number of answers to submissions, by class and result code.
 pub const JOB_ANSWERS_TOTAL: &str = "onyxshed_job_answers_total";
 
 /// Time from a submission's arrival to its answer, by class.
 pub const JOB_RESPONSE_SECONDS: &str = "onyxshed_job_response_seconds";
 
-/// Counts messages that served no answer, by kind.
+/// Number of messages to executors that contributed to no answer, by kind.
 pub const WASTED_MESSAGES_TOTAL: &str = "onyxshed_wasted_messages_total";
 
-/// Label of classes that are not configured.
-const NO_CLASS: &str = "none";
+/// Value of the `class` label for jobs of classes that are not configured.
+const UNCONFIGURED_CLASS: &str = "none";
 
-/// Counts an answer to a submission and how long it took.
-pub fn answered(class: &ClassName, answer: &Answer, took: Duration) {
+/// Records an answer to a submission and its response time.
+pub fn record_answer(class: &ClassName, answer: &Answer, elapsed: Duration) {
     let is_known = !matches!(
         answer.code,
         Some(ResultCode::UnknownClass | ResultCode::NotReady)
     );
-    let class = if is_known { class.as_str() } else { NO_CLASS };
+    let class = if is_known {
+        class.as_str()
+    } else {
+        UNCONFIGURED_CLASS
+    };
     let code = answer.code.map_or(0, ResultCode::number);
     let labels = [("class", class.to_owned()), ("code", code.to_string())];
     metrics::counter!(JOB_ANSWERS_TOTAL, &labels).increment(1);
     metrics::histogram!(JOB_RESPONSE_SECONDS, "class" => class.to_owned())
-        .record(took.as_secs_f64());
+        .record(elapsed.as_secs_f64());
 }
 
-/// Brings the gauges up to date.
+/// Sets the gauges and the counters of wasted messages to the current values of the state machine.
 pub fn refresh(machine: &Dispatch) {
     metrics::describe_counter!(JOB_ANSWERS_TOTAL, "Answers to submissions.");
     metrics::describe_histogram!(
@@ -72,23 +77,23 @@
         ),
     ];
     for (name, text, value) in gauges {
-        // Exact up to 2^53.
+        // The conversion is exact up to 2^53.
         metric::gauge(name, text).set(value as f64);
     }
-    let revision = machine.config().map_or(0, |held| held.revision.0);
+    let revision = machine.config().map_or(0, |config| config.revision.0);
     metric::gauge("onyxshed_config_revision", "The configuration in force.").set(revision as f64);
-    refresh_waste(machine);
+    refresh_wasted_messages(machine);
 }
 
-fn refresh_waste(machine: &Dispatch) {
-    let waste = machine.waste();
+fn refresh_wasted_messages(machine: &Dispatch) {
+    let wasted = machine.waste();
     let kinds = [
-        ("refusal", waste.refusals),
-        ("unsent", waste.unsent),
-        ("retry", waste.retries),
-        ("hedge", waste.hedges),
-        ("failed_probe", waste.failed_probes),
-        ("stop", waste.stopped),
+        ("refusal", wasted.refusals),
+        ("unsent", wasted.unsent),
+        ("retry", wasted.retries),
+        ("hedge", wasted.hedges),
+        ("failed_probe", wasted.failed_probes),
+        ("stop", wasted.stopped),
     ];
     for (kind, count) in kinds {
         let text = "Messages to executors that served no answer.";
--- a/crates/onyxshed-entry/src/process.rs
+++ b/crates/onyxshed-entry/src/process.rs
@@ -1,4 +1,4 @@
-//! The entry process put together from its settings.
+//! Assembles the entry process from its settings.
 
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
 use crate::peers::{PeerService, Peers};
 use crate::upstreams::{UpstreamOptions, UpstreamService, Upstreams};
 
-/// The entry process.
+/// The process `onyxshed-entry`, as run by [`onyxshed_process::command::main`].
 pub struct EntryProcess;
 
 impl Process for EntryProcess {
@@ -31,7 +31,8 @@
 
     const NAME: &'static str = "onyxshed-entry";
 
-    const ABOUT: &'static str = "Faces callers and upstreams on one entry host";
+    const ABOUT: &'static str =
+        "Serves callers and dispatches their tasks to upstreams on one entry host";
 
     const SIGNALS: &'static str = "Signals: SIGTERM or SIGINT drain it (readiness goes false, work in flight finishes, new jobs are \
                            answered \"not run\"); SIGQUIT ends it at once.";
@@ -45,20 +46,20 @@
         }
     }
 
-    fn services(settings: &EntrySettings, parts: ServiceContext) -> Vec<Box<dyn Service>> {
-        services(&parts, settings)
+    fn services(settings: &EntrySettings, context: ServiceContext) -> Vec<Box<dyn Service>> {
+        services(&context, settings)
     }
 }
 
-/// Makes every service of the process.
-fn services(parts: &ServiceContext, settings: &EntrySettings) -> Vec<Box<dyn Service>> {
-    let kernel = &parts.kernel;
-    let telemetry = parts.telemetry.clone();
-    // The entry host's incarnation is this run of its entry process.
-    let incarnation = parts.boot;
+/// Creates the services of the process.
+fn services(context: &ServiceContext, settings: &EntrySettings) -> Vec<Box<dyn Service>> {
+    let kernel = &context.kernel;
+    let telemetry = context.telemetry.clone();
+    // The incarnation of the entry host identifies this run of its entry process.
+    let incarnation = context.boot;
     let dispatch = Dispatch::new(incarnation, dispatch_options(settings), rand::random());
     let engine = Engine::new(kernel, dispatch);
-    set_status(kernel, &telemetry, &engine);
+    register_status_source(kernel, &telemetry, &engine);
     let upstreams = Upstreams::new(kernel, incarnation, upstream_options(settings));
     let platform = PlatformOptions::default();
     let claims = ClaimLog::new(kernel, engine.clone(), settings.platform_address, platform);
@@ -79,8 +80,9 @@
     ]
 }
 
-/// Tells operators the state of the machine and how old what it rests on is.
-fn set_status(kernel: &Kernel, telemetry: &Telemetry, engine: &Rc<Engine>) {
+/// Registers the status source: the dispatch state machine's counts and the age of the snapshot that
+/// it works with.
+fn register_status_source(kernel: &Kernel, telemetry: &Telemetry, engine: &Rc<Engine>) {
     let (kernel, engine) = (kernel.clone(), engine.clone());
     telemetry.set_status_source(Box::new(move || {
         let age_ms = kernel
@@ -90,9 +92,10 @@
             .map(|age| age.as_millis());
         let executors = kernel
             .find::<Upstreams>(UPSTREAMS)
-            .map_or(0, |found| found.count());
-        let config_revision = engine.look(|machine| machine.config().map(|held| held.revision));
-        let details = engine.look(|machine| {
+            .map_or(0, |upstreams| upstreams.count());
+        let config_revision =
+            engine.inspect(|machine| machine.config().map(|config| config.revision));
+        let details = engine.inspect(|machine| {
             json!({
                 "is_log_read": machine.is_log_read(),
                 "live_jobs": machine.live_jobs(),
--- a/crates/onyxshed-entry/src/upstreams.rs
+++ b/crates/onyxshed-entry/src/upstreams.rs
@@ -1,4 +1,4 @@
-//! Starts and stops of tasks on executors.
+//! Starts and stops tasks on the executors of upstreams.
 
 mod call;
 
@@ -19,17 +19,17 @@
 
 pub use call::{StartCall, StopCall};
 
-/// Limits of the connections to executors.
+/// Limits of the calls to executors and of their connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamOptions {
     /// Most idle connections kept to one executor. Default 16.
     pub connections_per_executor: usize,
-    /// How recently a connection must have answered to carry a task that may not run twice.
+    /// A task that may not run twice is sent only over a connection that has answered within this time.
     /// Default 2 s.
     pub proven_within: Duration,
-    /// How long a stop may take. Default 1 s.
+    /// Timeout of a stop and of a status query. Default 1 s.
     pub stop_timeout: Duration,
-    /// What a call may last beyond the task's lease. Default 200 ms.
+    /// How much longer than the task's lease the call of a start may take. Default 200 ms.
     pub call_slack: Duration,
     /// Limits of each connection.
     pub client: ClientOptions,
@@ -47,49 +47,50 @@
     }
 }
 
-/// Handle to the executors' connections.
+/// Handle to the connections to executors.
 pub struct Upstreams {
     kernel: Kernel,
-    me: Incarnation,
+    incarnation: Incarnation,
     options: UpstreamOptions,
     pools: RefCell<BTreeMap<ExecutorName, Rc<ConnectionPool>>>,
 }
 
 impl Upstreams {
-    /// Makes a handle that knows no executor.
-    pub fn new(kernel: &Kernel, me: Incarnation, options: UpstreamOptions) -> Rc<Self> {
+    /// Creates a handle without executors.
+    pub fn new(kernel: &Kernel, incarnation: Incarnation, options: UpstreamOptions) -> Rc<Self> {
         let kernel = kernel.clone();
         Rc::new(Upstreams {
             kernel,
-            me,
+            incarnation,
             options,
             pools: RefCell::default(),
         })
     }
 
-    /// Gets how many executors are known.
+    /// Returns the number of known executors.
     pub fn count(&self) -> usize {
         self.pools.borrow().len()
     }
 
-    /// Sets the executors known; connections to those left out are closed once idle.
+    /// Replaces the set of known executors. Connections to executors that are missing from `executors` are
+    /// closed once they are idle.
     pub fn set_executors(&self, executors: &[ExecutorEntry]) {
         let mut pools = self.pools.borrow_mut();
-        let mut known = std::mem::take(&mut *pools);
+        let mut previous = std::mem::take(&mut *pools);
         for entry in executors {
             let name = entry.info.name.clone();
-            let kept = known
+            let kept = previous
                 .remove(&name)
                 .filter(|pool| pool.address() == entry.address);
-            let joined = kept.is_none();
+            let is_new = kept.is_none();
             let pool = kept.unwrap_or_else(|| self.new_pool(entry));
             pools.insert(name.clone(), pool);
-            if joined {
+            if is_new {
                 self.kernel
                     .emit(Event::new(EventKind::UpstreamJoined).party(name.as_str()));
             }
         }
-        for name in known.keys() {
+        for name in previous.keys() {
             self.kernel
                 .emit(Event::new(EventKind::UpstreamGone).party(name.as_str()));
         }
@@ -104,8 +105,8 @@
         ))
     }
 
-    /// Carries out a start, a stop or a question, and reports its end to the engine.
-    pub fn carry_out(self: &Rc<Self>, output: Output) {
+    /// Executes a start, a stop or a status query, and reports its end to the engine.
+    pub fn execute(self: &Rc<Self>, output: Output) {
         let upstreams = self.clone();
         self.kernel
             .spawn(async move { upstreams.call_and_report(output).await })
@@ -147,7 +148,7 @@
                 task,
                 executor,
             } => {
-                let status = self.ask(&executor, task).await;
+                let status = self.query_status(&executor, task).await;
                 self.report(Input::QueryEnded { attempt, status });
             }
             _ => {}
@@ -165,13 +166,13 @@
     }
 }
 
-/// The executors' connections as a service.
+/// The service around [`Upstreams`].
 pub struct UpstreamService {
     upstreams: Rc<Upstreams>,
 }
 
 impl UpstreamService {
-    /// Makes the service.
+    /// Creates the service.
     pub fn new(upstreams: Rc<Upstreams>) -> Self {
         UpstreamService { upstreams }
     }
--- a/crates/onyxshed-entry/src/upstreams/call.rs
+++ b/crates/onyxshed-entry/src/upstreams/call.rs
@@ -1,4 +1,5 @@
-//! One start or stop as an HTTP call, and what its reply or silence proves.
+//! Start, stop and status calls to executors over HTTP, and the outcome that their reply or failure
+//! proves.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,37 +19,38 @@
 use super::Upstreams;
 use onyxshed_http::connections::{ConnectionPool, ReusePolicy};
 
-/// A start to carry out.
+/// Parameters of a start.
 #[derive(Debug, Clone)]
 pub struct StartCall {
-    /// The attempt.
+    /// The attempt that the call begins.
     pub attempt: AttemptId,
-    /// The task.
+    /// The task to run.
     pub task: TaskId,
-    /// Its class.
+    /// The class of the task.
     pub class: ClassName,
-    /// Its payload.
+    /// The payload of the task, sent as the request's body.
     pub payload: Rc<Vec<u8>>,
-    /// How long the executor may work on it, in milliseconds.
+    /// How long the executor may work on the task, in milliseconds.
     pub lease_ms: Millis,
-    /// Whether it may only go onto a connection that proved of late that it works.
+    /// Whether the call needs a connection that has answered recently, see
+    /// [`super::UpstreamOptions::proven_within`].
     pub needs_proven_connection: bool,
 }
 
-/// A stop to carry out.
+/// Parameters of a stop.
 #[derive(Debug, Clone, Copy)]
 pub struct StopCall {
-    /// The attempt.
+    /// The attempt to stop.
     pub attempt: AttemptId,
-    /// The task.
+    /// The task of the attempt.
     pub task: TaskId,
 }
 
 impl Upstreams {
-    /// Starts a task and waits for its end.
+    /// Starts a task and waits until the attempt has ended.
     pub(super) async fn start(&self, executor: &ExecutorName, call: StartCall) -> AttemptReport {
         let Some(pool) = self.pool(executor) else {
-            return ended(AttemptOutcome::Unsent, "the executor is no longer known");
+            return report_without_reply(AttemptOutcome::Unsent, "the executor is no longer known");
         };
         let health = match call.needs_proven_connection {
             true => ReusePolicy::AnsweredWithin(self.options.proven_within),
@@ -56,7 +58,7 @@
         };
         let mut connection = match pool.get(health).await {
             Ok(connection) => connection,
-            Err(error) => return ended(AttemptOutcome::Unsent, error.reason),
+            Err(error) => return report_without_reply(AttemptOutcome::Unsent, error.reason),
         };
         match self.send_start(&mut connection, &call).await {
             Ok(reply) => {
@@ -66,7 +68,7 @@
                 }
                 report
             }
-            Err(error) => broken(&pool, &error),
+            Err(error) => report_failed_call(&pool, &error),
         }
     }
 
@@ -81,7 +83,10 @@
                 LEASE_HEADER,
                 smol_str::format_smolstr!("{}", call.lease_ms.0),
             ),
-            (STARTER_HEADER, smol_str::format_smolstr!("{}", self.me)),
+            (
+                STARTER_HEADER,
+                smol_str::format_smolstr!("{}", self.incarnation),
+            ),
             (
                 ATTEMPT_HEADER,
                 smol_str::format_smolstr!("{}", call.attempt),
@@ -100,19 +105,22 @@
             .await
     }
 
-    /// Stops a task; none if the executor did not answer.
+    /// Stops an attempt. Returns `None` if the executor sent no valid reply.
     ///
-    /// It always takes a new connection: the one that carried the start may have gone silent.
+    /// It always opens a new connection, since the one that carried the start may no longer deliver data.
     pub(super) async fn stop(&self, executor: &ExecutorName, call: StopCall) -> Option<StopReport> {
         let headers = [
-            (STARTER_HEADER, smol_str::format_smolstr!("{}", self.me)),
+            (
+                STARTER_HEADER,
+                smol_str::format_smolstr!("{}", self.incarnation),
+            ),
             (
                 ATTEMPT_HEADER,
                 smol_str::format_smolstr!("{}", call.attempt),
             ),
         ];
         let reply = self
-            .call_anew(executor, Method::Delete, &headers, call.task)
+            .call_on_new_connection(executor, Method::Delete, &headers, call.task)
             .await?;
         let state = state_of(call.task, &reply)?;
         Some(StopReport {
@@ -121,16 +129,22 @@
         })
     }
 
-    /// Asks what has become of a task; none if the executor did not answer.
-    pub(super) async fn ask(&self, executor: &ExecutorName, task: TaskId) -> Option<TaskStatus> {
-        let reply = self.call_anew(executor, Method::Get, &[], task).await?;
+    /// Queries the status of a task. Returns `None` if the executor sent no valid reply.
+    pub(super) async fn query_status(
+        &self,
+        executor: &ExecutorName,
+        task: TaskId,
+    ) -> Option<TaskStatus> {
+        let reply = self
+            .call_on_new_connection(executor, Method::Get, &[], task)
+            .await?;
         is_about(task, &reply)
             .then(|| reply.header_value(STATE_HEADER)?.parse().ok())
             .flatten()
     }
 
-    /// Calls about a task on a new connection and keeps that for the next start.
-    async fn call_anew(
+    /// Calls about a task over a new connection, which is then kept for the next start.
+    async fn call_on_new_connection(
         &self,
         executor: &ExecutorName,
         method: Method,
@@ -151,9 +165,9 @@
     }
 }
 
-fn ended(verdict: AttemptOutcome, detail: impl Into<SmolStr>) -> AttemptReport {
+fn report_without_reply(outcome: AttemptOutcome, detail: impl Into<SmolStr>) -> AttemptReport {
     AttemptReport {
-        outcome: verdict,
+        outcome,
         body: Vec::new(),
         service_us: None,
         load: None,
@@ -161,20 +175,21 @@
     }
 }
 
-/// Judges a call that brought no reply: only one of which no byte left us did not start the task.
-fn broken(pool: &ConnectionPool, error: &CallError) -> AttemptReport {
-    // A connection that went silent was forgotten by something on the way, and its idle
-    // neighbours most likely with it.
+/// Reports a call that got no reply. Only if no byte was sent is it certain that the task was not
+/// started.
+fn report_failed_call(pool: &ConnectionPool, error: &CallError) -> AttemptReport {
+    // After a timeout, something on the path has most likely lost the state of this connection, and that
+    // of the idle connections to the same executor as well.
     if error.is_timeout {
         pool.clear();
     }
     match error.sent {
-        SendState::NotSent => ended(AttemptOutcome::Unsent, error.reason.clone()),
-        SendState::MaybeSent => ended(AttemptOutcome::Lost, error.reason.clone()),
+        SendState::NotSent => report_without_reply(AttemptOutcome::Unsent, error.reason.clone()),
+        SendState::MaybeSent => report_without_reply(AttemptOutcome::Lost, error.reason.clone()),
     }
 }
 
-/// Gets the task's state, none if the reply is another task's or tells no state.
+/// Returns the task's state, or `None` if the reply is about another task or contains no valid state.
 fn state_of(task: TaskId, reply: &Reply) -> Option<TaskState> {
     let state = reply.header_value(STATE_HEADER)?.parse().ok()?;
     is_about(task, reply).then_some(state)
@@ -188,39 +203,39 @@
 
 fn read_report(task: TaskId, reply: Reply) -> AttemptReport {
     let Some(state) = state_of(task, &reply) else {
-        return ended(
+        return report_without_reply(
             AttemptOutcome::Lost,
             "the answer is foreign or tells no state",
         );
     };
-    let verdict = match state {
+    let outcome = match state {
         TaskState::Finished => AttemptOutcome::Finished,
         TaskState::Failed => AttemptOutcome::Failed,
         TaskState::Refused => AttemptOutcome::Refused,
         TaskState::Stopped => AttemptOutcome::Stopped,
         TaskState::Lapsed => AttemptOutcome::Lapsed,
     };
-    let number = |name| {
+    let parse_number = |name| {
         reply
             .header_value(name)
             .and_then(|found| found.parse::<u64>().ok())
     };
     let load = LoadReport {
-        running: number(RUNNING_HEADER)
+        running: parse_number(RUNNING_HEADER)
             .and_then(|n| u32::try_from(n).ok())
             .unwrap_or_default(),
-        queued: number(QUEUED_HEADER)
+        queued: parse_number(QUEUED_HEADER)
             .and_then(|n| u32::try_from(n).ok())
             .unwrap_or_default(),
         is_draining: reply.header_value(DRAINING_HEADER) == Some("1"),
     };
-    let detail = match verdict {
+    let detail = match outcome {
         AttemptOutcome::Finished => SmolStr::default(),
         _ => excerpt(&reply.body),
     };
-    let service_us = number(SERVICE_HEADER).map(Micros);
+    let service_us = parse_number(SERVICE_HEADER).map(Micros);
     AttemptReport {
-        outcome: verdict,
+        outcome,
         body: reply.body,
         service_us,
         load: Some(load),
@@ -228,12 +243,12 @@
     }
 }
 
-/// Longest reason repeated from an executor, in characters.
-const REASON_CHARS: usize = 120;
+/// Longest part of an executor's reply that is kept as a reason, in characters.
+const REASON_MAX_CHARS: usize = 120;
 
 fn excerpt(body: &[u8]) -> SmolStr {
     String::from_utf8_lossy(body)
         .chars()
-        .take(REASON_CHARS)
+        .take(REASON_MAX_CHARS)
         .collect()
 }
