--- a/crates/onyxshed-load/src/bench.rs
+++ b/crates/onyxshed-load/src/bench.rs
@@ -8,19 +8,19 @@
 use serde::Serialize;
 
 use crate::caller::CallerOptions;
-use crate::direct::{DirectOptions, DirectReport, direct};
+use crate::direct::{DirectOptions, DirectReport, compare};
 use crate::error::Result;
-use crate::idle::{IdleOptions, IdleReport, idle};
-use crate::local::{HELD_CLASS, LocalOptions, LocalSet};
+use crate::idle::{IdleOptions, IdleReport, hold_connections};
+use crate::local::{BENCH_CLASS, LocalOptions, LocalSet};
 use crate::mix::Mix;
 use crate::plan::PlanOptions;
 use crate::report::Report;
 use crate::run::{RunOptions, run};
-use crate::throughput::{Throughput, ThroughputOptions, throughput};
+use crate::throughput::{Throughput, ThroughputOptions, measure_throughput};
 
 /// Overhead, throughput, memory and start of one entry host.
 #[derive(Debug, Clone, Serialize)]
-pub struct Bars {
+pub struct EntryHostBench {
     /// From the entry process's start to its first ready answer, in milliseconds, over some starts.
     pub cold_start_ms: Vec<f64>,
     /// One task at a time, ids bound to the entry host.
@@ -48,21 +48,24 @@
 /// One entry host may append 30 times a second; at 20 tasks a second no claim waits for that.
 const CLAIM_PAUSE: Duration = Duration::from_millis(50);
 /// How long each closed loop runs.
-pub(crate) const SPAN: Duration = Duration::from_secs(4);
-const HELD: u32 = 10_000;
+pub(crate) const CLOSED_LOOP_SPAN: Duration = Duration::from_secs(4);
+const HELD_REQUESTS: u32 = 10_000;
 
 /// Tries to measure the bars of one entry host.
-pub async fn bars(executor: &LocalExecutor<'static>, folder: PathBuf) -> Result<Bars> {
-    let options = LocalOptions::small(folder.clone());
+pub async fn bench_entry_host(
+    executor: &LocalExecutor<'static>,
+    binaries: PathBuf,
+) -> Result<EntryHostBench> {
+    let options = LocalOptions::small(binaries.clone());
     let mut cold_start_ms = Vec::new();
     for _ in 0..COLD_STARTS {
         let set = LocalSet::start(&options).await?;
-        cold_start_ms.push(set.entries[0].ready_after.as_secs_f64() * 1_000.0);
+        cold_start_ms.push(set.entries[0].time_to_ready.as_secs_f64() * 1_000.0);
     }
     let set = LocalSet::start(&options).await?;
-    let overhead_bound = overhead(&set, true).await?;
-    let overhead_claimed = overhead(&set, false).await?;
-    let mut all = Vec::new();
+    let overhead_bound = measure_overhead(&set, true).await?;
+    let overhead_claimed = measure_overhead(&set, false).await?;
+    let mut throughputs = Vec::new();
     for (callers, tasks, may_bind) in [
         (1, 1, true),
         (64, 1, true),
@@ -70,19 +73,19 @@
         (64, 20, true),
         (16, 200, true),
     ] {
-        all.push(loaded(executor, &set, callers, tasks, may_bind).await?);
+        throughputs.push(run_closed_loop(executor, &set, callers, tasks, may_bind).await?);
     }
     drop(set);
-    Ok(Bars {
+    Ok(EntryHostBench {
         cold_start_ms,
         overhead_bound,
         overhead_claimed,
-        throughput: all,
-        held: held(executor, folder, HELD, true).await?,
+        throughput: throughputs,
+        held: hold_requests(executor, binaries, HELD_REQUESTS, true).await?,
     })
 }
 
-async fn overhead(set: &LocalSet, may_bind: bool) -> Result<DirectReport> {
+async fn measure_overhead(set: &LocalSet, may_bind: bool) -> Result<DirectReport> {
     let (count, pause) = match may_bind {
         true => (BOUND_TASKS, Duration::ZERO),
         false => (CLAIMED_TASKS, CLAIM_PAUSE),
@@ -90,17 +93,17 @@
     let options = DirectOptions {
         executor: set.executors[0].address,
         entry: Some(set.entries[0].callers),
-        class: HELD_CLASS.into(),
+        class: BENCH_CLASS.into(),
         count,
         pause,
         service_ms: 0,
         may_bind,
     };
-    direct(options).await
+    compare(options).await
 }
 
 /// Tries to load the set's first entry host in a closed loop.
-pub async fn loaded(
+pub async fn run_closed_loop(
     executor: &LocalExecutor<'static>,
     set: &LocalSet,
     callers: u32,
@@ -110,49 +113,49 @@
     let options = ThroughputOptions {
         entry: set.entries[0].callers,
         pid: set.entries[0].entry.id(),
-        class: HELD_CLASS.into(),
+        class: BENCH_CLASS.into(),
         callers,
         tasks,
-        span: SPAN,
+        span: CLOSED_LOOP_SPAN,
         may_bind,
     };
-    throughput(executor, Rc::new(options)).await
+    measure_throughput(executor, Rc::new(options)).await
 }
 
 /// Tries to hold `count` requests in flight at a fresh entry host.
-pub async fn held(
+pub async fn hold_requests(
     executor: &LocalExecutor<'static>,
-    folder: PathBuf,
+    binaries: PathBuf,
     count: u32,
     awaits_answers: bool,
 ) -> Result<IdleReport> {
     const PROCESSES: usize = 8;
-    const LISTED_EACH: u32 = 20;
+    const LISTED_PER_PROCESS: u32 = 20;
     let options = LocalOptions {
         executors: PROCESSES,
-        listed_each: LISTED_EACH,
+        listed_per_process: LISTED_PER_PROCESS,
         slots: 60,
         connections_per_executor: 60,
-        ..LocalOptions::small(folder)
+        ..LocalOptions::small(binaries)
     };
     let set = LocalSet::start(&options).await?;
     let options = IdleOptions {
         address: set.entries[0].callers,
         pid: Some(set.entries[0].entry.id()),
         count,
-        class: Some(HELD_CLASS.into()),
+        class: Some(BENCH_CLASS.into()),
         service_ms: 12_000,
         hold: Duration::from_secs(6),
         awaits_answers,
     };
-    idle(executor, Rc::new(options)).await
+    hold_connections(executor, Rc::new(options)).await
 }
 
 /// What to run a mix on.
 #[derive(Debug, Clone)]
 pub struct MixOptions {
     /// Folder of the binaries.
-    pub folder: PathBuf,
+    pub binaries: PathBuf,
     /// Whose work it is.
     pub mix: Mix,
     /// Part of the executors' capacity to offer.
@@ -171,15 +174,15 @@
 const NETWORK_US: u64 = 200;
 
 /// Tries to run a mix on one zone of real processes.
-pub async fn mix(executor: &LocalExecutor<'static>, options: &MixOptions) -> Result<MixRun> {
+pub async fn run_mix(executor: &LocalExecutor<'static>, options: &MixOptions) -> Result<MixRun> {
     let zone = LocalOptions::zone(
-        options.folder.clone(),
+        options.binaries.clone(),
         options.mix,
         ZONE_ENTRIES,
         ZONE_EXECUTORS,
     );
     let set = LocalSet::start(&zone).await?;
-    let speeds = (0..zone.executors).map(|place| zone.speeds[place % zone.speeds.len()]);
+    let speeds = (0..zone.executors).map(|index| zone.speeds[index % zone.speeds.len()]);
     let capacity_ms_per_s = speeds.sum::<f64>() * f64::from(zone.slots) * 1_000.0;
     let run_options = RunOptions {
         entries: set.callers(),
--- a/crates/onyxshed-load/src/caller.rs
+++ b/crates/onyxshed-load/src/caller.rs
@@ -21,7 +21,7 @@
     /// incarnation. Default no.
     pub may_bind: bool,
     /// How long past its target a caller waits for an answer. Default 5 s.
-    pub patience: Duration,
+    pub wait_past_target: Duration,
 }
 
 impl Default for CallerOptions {
@@ -29,14 +29,14 @@
         CallerOptions {
             repeats_max: 2,
             may_bind: false,
-            patience: Duration::from_secs(5),
+            wait_past_target: Duration::from_secs(5),
         }
     }
 }
 
 /// One entry host as callers see it.
 #[derive(Debug)]
-struct Entry {
+struct EntryHost {
     address: SocketAddr,
     idle: RefCell<Vec<Connection>>,
     incarnation: RefCell<Option<Incarnation>>,
@@ -45,13 +45,13 @@
 /// All callers of a run.
 #[derive(Debug)]
 pub struct Callers {
-    entries: Vec<Entry>,
+    entries: Vec<EntryHost>,
     options: CallerOptions,
     wasted: RefCell<Wasted>,
 }
 
 /// What a caller does after an answer or its loss.
-enum AfterTry {
+enum CallerStep {
     Done(Option<Answer>),
     Poll(Duration),
     Repeat(Duration),
@@ -66,7 +66,7 @@
 impl Callers {
     /// Makes callers of these entry hosts, of which there must be one.
     pub fn new(addresses: &[SocketAddr], options: CallerOptions) -> Self {
-        let entry = |address: &SocketAddr| Entry {
+        let entry = |address: &SocketAddr| EntryHost {
             address: *address,
             idle: RefCell::default(),
             incarnation: RefCell::default(),
@@ -84,70 +84,70 @@
     }
 
     /// Binds an id to the entry host that a draw sends it to, if callers bind.
-    pub fn bind(&self, draw: u64, id: SubmissionId) -> SubmissionId {
-        let known = *self.entry(draw).incarnation.borrow();
+    pub fn bind_id(&self, draw: u64, id: SubmissionId) -> SubmissionId {
+        let incarnation = *self.entry(draw).incarnation.borrow();
         SubmissionId {
-            bound_to: known.filter(|_| self.options.may_bind),
+            bound_to: incarnation.filter(|_| self.options.may_bind),
             ..id
         }
     }
 
     /// Submits and follows a job to its final answer; none if no answer came in time.
     pub async fn submit(&self, draw: u64, job: &Submission, target: Duration) -> Option<Answer> {
-        let patience = target + self.options.patience;
+        let timeout = target + self.options.wait_past_target;
         let mut job = job.clone();
         let mut repeats = 0;
         loop {
             let entry = self.entry(draw.wrapping_add(u64::from(repeats)));
-            let mut tried = entry.post(encode(&job), patience).await;
-            let mut step = self.after(&tried, repeats);
-            while let AfterTry::Poll(pause) = step {
+            let mut result = entry.post(encode(&job), timeout).await;
+            let mut step = self.next_step(&result, repeats);
+            while let CallerStep::Poll(pause) = step {
                 self.wasted.borrow_mut().polls += 1;
                 Timer::after(pause).await;
-                tried = entry.fetch(&job.submission, patience).await;
-                step = self.after(&tried, repeats);
+                result = entry.fetch(&job.submission, timeout).await;
+                step = self.next_step(&result, repeats);
             }
             match step {
-                AfterTry::Done(answer) => return answer,
-                AfterTry::Repeat(pause) | AfterTry::Poll(pause) => Timer::after(pause).await,
+                CallerStep::Done(answer) => return answer,
+                CallerStep::Repeat(pause) | CallerStep::Poll(pause) => Timer::after(pause).await,
             };
             repeats += 1;
-            job.copy = copy_after(&tried);
+            job.copy = copy_mark_after(&result);
             self.wasted.borrow_mut().repeats += 1;
         }
     }
 
-    fn entry(&self, draw: u64) -> &Entry {
+    fn entry(&self, draw: u64) -> &EntryHost {
         let count = u64::try_from(self.entries.len()).unwrap_or(1).max(1);
-        let place = usize::try_from(draw % count).unwrap_or_default();
-        &self.entries[place]
+        let index = usize::try_from(draw % count).unwrap_or_default();
+        &self.entries[index]
     }
 
-    fn after(&self, tried: &Result<Answer, CallError>, repeats: u32) -> AfterTry {
+    fn next_step(&self, result: &Result<Answer, CallError>, repeats: u32) -> CallerStep {
         let may_repeat = repeats < self.options.repeats_max;
-        let answer = match tried {
+        let answer = match result {
             Ok(answer) => answer,
-            Err(error) if error.is_timeout || !may_repeat => return AfterTry::Done(None),
-            Err(_) => return AfterTry::Repeat(REPEAT_PAUSE),
+            Err(error) if error.is_timeout || !may_repeat => return CallerStep::Done(None),
+            Err(_) => return CallerStep::Repeat(REPEAT_PAUSE),
         };
         match (answer.outcome, answer.retry_after_ms) {
-            (None, wait) => AfterTry::Poll(wait.map_or(POLL_PAUSE, Duration::from)),
+            (None, wait) => CallerStep::Poll(wait.map_or(POLL_PAUSE, Duration::from)),
             (Some(Outcome::NotRun), Some(Millis(wait_ms))) if may_repeat => {
                 self.wasted.borrow_mut().refusals += 1;
-                AfterTry::Repeat(Duration::from_millis(wait_ms))
+                CallerStep::Repeat(Duration::from_millis(wait_ms))
             }
             (Some(Outcome::NotRun), _) => {
                 self.wasted.borrow_mut().refusals += 1;
-                AfterTry::Done(Some(answer.clone()))
+                CallerStep::Done(Some(answer.clone()))
             }
-            _ => AfterTry::Done(Some(answer.clone())),
+            _ => CallerStep::Done(Some(answer.clone())),
         }
     }
 }
 
 /// Gets what a repeat says of the copies before it: their fate is open only if no answer came.
-fn copy_after(tried: &Result<Answer, CallError>) -> CopyMark {
-    match tried {
+fn copy_mark_after(result: &Result<Answer, CallError>) -> CopyMark {
+    match result {
         Ok(_) => CopyMark::Unmarked,
         Err(error) if error.sent == SendState::NotSent => CopyMark::Unmarked,
         Err(_) => CopyMark::Again,
@@ -158,14 +158,14 @@
     serde_json::to_vec(job).expect("submissions hold only what JSON can write")
 }
 
-impl Entry {
-    async fn post(&self, body: Vec<u8>, patience: Duration) -> Result<Answer, CallError> {
-        self.call(Method::Post, JOBS_PATH, body, patience).await
+impl EntryHost {
+    async fn post(&self, body: Vec<u8>, timeout: Duration) -> Result<Answer, CallError> {
+        self.call(Method::Post, JOBS_PATH, body, timeout).await
     }
 
-    async fn fetch(&self, id: &SubmissionId, patience: Duration) -> Result<Answer, CallError> {
+    async fn fetch(&self, id: &SubmissionId, timeout: Duration) -> Result<Answer, CallError> {
         let path = format!("{JOBS_PATH}/{id}");
-        self.call(Method::Get, &path, Vec::new(), patience).await
+        self.call(Method::Get, &path, Vec::new(), timeout).await
     }
 
     async fn call(
@@ -173,10 +173,10 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Answer, CallError> {
         let mut connection = self.connection().await?;
-        let reply = connection.call(method, path, &[], body, patience).await?;
+        let reply = connection.call(method, path, &[], body, timeout).await?;
         let answer = Answer::decode(&reply.body)
             .map_err(|error| CallError::broken(SendState::MaybeSent, error))?;
         if reply.header_value("connection") != Some("close") {
--- a/crates/onyxshed-load/src/claims.rs
+++ b/crates/onyxshed-load/src/claims.rs
@@ -17,9 +17,9 @@
 use serde::Serialize;
 
 use crate::error::{Error, Result};
-use crate::local::{HELD_CLASS, LocalOptions, LocalSet, call};
+use crate::local::{BENCH_CLASS, LocalOptions, LocalSet, call};
 use crate::report::Percentiles;
-use crate::run::{class_name, fresh_ulid, payload};
+use crate::run::{class_name, new_ulid, payload};
 use crate::tally::histogram;
 
 /// How an id is made.
@@ -56,16 +56,16 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time between two jobs: a claim finds the budget of appends free.
-const PAUSE: Duration = Duration::from_millis(40);
+const JOB_INTERVAL: Duration = Duration::from_millis(40);
 
 /// How long entry hosts take to notice an outage before it is measured.
-const OUTAGE_NOTICED: Duration = Duration::from_secs(3);
+const OUTAGE_DETECTION: Duration = Duration::from_secs(3);
 
 /// Tries to run every kind in normal times and in an outage.
-pub async fn claims(folder: PathBuf) -> Result<Vec<ClaimRun>> {
+pub async fn measure_claims(binaries: PathBuf) -> Result<Vec<ClaimRun>> {
     let options = LocalOptions {
         entries: ENTRIES,
-        ..LocalOptions::small(folder)
+        ..LocalOptions::small(binaries)
     };
     let set = LocalSet::start(&options).await?;
     let mut runs = Vec::new();
@@ -74,7 +74,7 @@
             take_platform_down(&set).await?;
         }
         for ids in [IdKind::Unbound, IdKind::Bound, IdKind::BoundElsewhere] {
-            runs.push(run(&set, ids, is_platform_down).await?);
+            runs.push(measure_kind(&set, ids, is_platform_down).await?);
         }
     }
     Ok(runs)
@@ -89,19 +89,19 @@
         faults,
     )
     .await?;
-    Timer::after(OUTAGE_NOTICED).await;
+    Timer::after(OUTAGE_DETECTION).await;
     Ok(())
 }
 
-async fn run(set: &LocalSet, ids: IdKind, is_platform_down: bool) -> Result<ClaimRun> {
-    let bound_to = bound_to(set, ids).await?;
+async fn measure_kind(set: &LocalSet, ids: IdKind, is_platform_down: bool) -> Result<ClaimRun> {
+    let bound_to = read_incarnation(set, ids).await?;
     let mut codes = BTreeMap::new();
     let (mut complete_us, mut other_us) = (histogram(), histogram());
     let address = set.entries[0].callers;
-    let mut connection = open(set, 0).await?;
+    let mut connection = connect(set, 0).await?;
     for _ in 0..JOBS {
-        Timer::after(PAUSE).await;
-        let began = Instant::now();
+        Timer::after(JOB_INTERVAL).await;
+        let started_at = Instant::now();
         let answer = submit(&mut connection, address, bound_to).await?;
         let code = answer.code.map_or(0, |code| code.number());
         *codes.entry(code).or_default() += 1;
@@ -110,7 +110,7 @@
         } else {
             &mut other_us
         };
-        note(times, began.elapsed());
+        record_duration(times, started_at.elapsed());
     }
     Ok(ClaimRun {
         ids,
@@ -122,24 +122,24 @@
     })
 }
 
-fn note(times: &mut Histogram<u64>, took: Duration) {
+fn record_duration(times: &mut Histogram<u64>, took: Duration) {
     let took_us = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
     times.saturating_record(took_us);
 }
 
 /// Gets the incarnation to bind ids to, from an answer of the host that has it.
-async fn bound_to(set: &LocalSet, ids: IdKind) -> Result<Option<Incarnation>> {
+async fn read_incarnation(set: &LocalSet, ids: IdKind) -> Result<Option<Incarnation>> {
     let host = match ids {
         IdKind::Unbound => return Ok(None),
         IdKind::Bound => 0,
         IdKind::BoundElsewhere => 1,
     };
     let address = set.entries[host].callers;
-    let answer = submit(&mut open(set, host).await?, address, None).await?;
+    let answer = submit(&mut connect(set, host).await?, address, None).await?;
     Ok(answer.bind_to)
 }
 
-async fn open(set: &LocalSet, host: usize) -> Result<Connection> {
+async fn connect(set: &LocalSet, host: usize) -> Result<Connection> {
     let address = set.entries[host].callers;
     let opened = Connection::open(address, ClientOptions::default()).await;
     opened.map_err(|error| Error::unreachable(address, error))
@@ -152,10 +152,10 @@
 ) -> Result<Answer> {
     let job = Submission {
         submission: SubmissionId {
-            ulid: fresh_ulid(rand::random()),
+            ulid: new_ulid(rand::random()),
             bound_to,
         },
-        class: class_name(HELD_CLASS),
+        class: class_name(BENCH_CLASS),
         deadline_ms: None,
         copy: CopyMark::First,
         tasks: vec![payload(0)],
--- a/crates/onyxshed-load/src/cli.rs
+++ b/crates/onyxshed-load/src/cli.rs
@@ -12,30 +12,30 @@
 use clap::{ArgMatches, Command};
 use serde::Serialize;
 
-use crate::bench::{bars, mix as run_mix};
+use crate::bench::{bench_entry_host, run_mix};
 use crate::claims;
-use crate::direct::{DirectOptions, direct};
+use crate::direct::{DirectOptions, compare};
 use crate::error::Result;
-use crate::idle::{IdleOptions, idle};
+use crate::idle::{IdleOptions, hold_connections};
 use crate::mix::Mix;
 use crate::plot;
 use crate::report::write_json;
 use crate::run::run;
 use crate::sim::simulate;
 use crate::slopes::{self, SlopeOptions};
-use crate::whole_path::whole_path;
+use crate::whole_path::run_whole_path;
 
 /// Exit status after an error.
-const FAILED: u8 = 1;
+const EXIT_ERROR: u8 = 1;
 
 /// Runs the command line to its end.
 pub fn main() -> ExitCode {
     let matches = args::command().get_matches();
-    match dispatch(&matches) {
+    match run_subcommand(&matches) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("onyxshed-load: error {}: {error}", error.code());
-            ExitCode::from(FAILED)
+            ExitCode::from(EXIT_ERROR)
         }
     }
 }
@@ -45,12 +45,12 @@
     args::command()
 }
 
-fn dispatch(matches: &ArgMatches) -> Result<()> {
+fn run_subcommand(matches: &ArgMatches) -> Result<()> {
     let executor = LocalExecutor::new();
     match matches.subcommand() {
         Some(("local", args)) => {
             let options = values::whole_path_options(args);
-            async_io::block_on(executor.run(whole_path(&executor, &options)))
+            async_io::block_on(executor.run(run_whole_path(&executor, &options)))
         }
         Some(("run", args)) => run_command(&executor, args),
         Some(("direct", args)) => direct_command(&executor, args),
@@ -78,14 +78,14 @@
 fn direct_command(executor: &LocalExecutor<'static>, args: &ArgMatches) -> Result<()> {
     let options = DirectOptions {
         executor: values::required(args, "executor"),
-        entry: values::one(args, "entry"),
+        entry: values::optional(args, "entry"),
         class: values::required(args, "class"),
         count: values::required(args, "count"),
         service_ms: values::required(args, "service-ms"),
         pause: Duration::from_millis(values::required(args, "pause-ms")),
         may_bind: args.get_flag("bind"),
     };
-    let report = async_io::block_on(executor.run(direct(options)))?;
+    let report = async_io::block_on(executor.run(compare(options)))?;
     print_json(&report);
     write_out(args, &report)
 }
@@ -93,35 +93,35 @@
 fn idle_command(executor: &LocalExecutor<'static>, args: &ArgMatches) -> Result<()> {
     let options = IdleOptions {
         address: values::required(args, "address"),
-        pid: values::one(args, "pid"),
+        pid: values::optional(args, "pid"),
         count: values::required(args, "count"),
-        class: values::one(args, "class"),
+        class: values::optional(args, "class"),
         service_ms: values::required(args, "service-ms"),
         hold: Duration::from_millis(values::required(args, "hold-ms")),
         awaits_answers: true,
     };
-    let report = async_io::block_on(executor.run(idle(executor, Rc::new(options))))?;
+    let report = async_io::block_on(executor.run(hold_connections(executor, Rc::new(options))))?;
     print_json(&report);
     write_out(args, &report)
 }
 
 fn bench_command(executor: &LocalExecutor<'static>, args: &ArgMatches) -> Result<()> {
-    let folder = values::binaries(args);
-    match values::one::<Mix>(args, "mix") {
+    let binaries = values::binaries(args);
+    match values::optional::<Mix>(args, "mix") {
         None => {
-            let bars = async_io::block_on(executor.run(bars(executor, folder)))?;
-            print_json(&bars);
-            write_out(args, &bars)
+            let bench = async_io::block_on(executor.run(bench_entry_host(executor, binaries)))?;
+            print_json(&bench);
+            write_out(args, &bench)
         }
         Some(mix) => {
-            let options = values::mix_options(args, folder, mix);
-            let done = async_io::block_on(executor.run(run_mix(executor, &options)))?;
+            let options = values::mix_options(args, binaries, mix);
+            let mix_run = async_io::block_on(executor.run(run_mix(executor, &options)))?;
             println!(
                 "load {:.0}% of capacity, {}",
-                100.0 * done.load,
-                done.report
+                100.0 * mix_run.load,
+                mix_run.report
             );
-            write_out(args, &done)
+            write_out(args, &mix_run)
         }
     }
 }
@@ -129,9 +129,9 @@
 fn slopes_command(executor: &LocalExecutor<'static>, args: &ArgMatches) -> Result<()> {
     let options = SlopeOptions {
         binaries: values::binaries(args),
-        only: values::one(args, "only"),
+        only: values::optional(args, "only"),
     };
-    let slopes = async_io::block_on(executor.run(slopes::slopes(executor, &options)))?;
+    let slopes = async_io::block_on(executor.run(slopes::measure_slopes(executor, &options)))?;
     for slope in &slopes {
         println!("{slope}");
     }
@@ -142,7 +142,7 @@
 }
 
 fn claims_command(executor: &LocalExecutor<'static>, args: &ArgMatches) -> Result<()> {
-    let runs = async_io::block_on(executor.run(claims::claims(values::binaries(args))))?;
+    let runs = async_io::block_on(executor.run(claims::measure_claims(values::binaries(args))))?;
     print_json(&runs);
     write_out(args, &runs)
 }
--- a/crates/onyxshed-load/src/cli/args.rs
+++ b/crates/onyxshed-load/src/cli/args.rs
@@ -36,12 +36,15 @@
              everything that it started.",
         )
         .arg(
-            number("entries", "3", "Entry hosts, each with its control process")
+            number_arg("entries", "3", "Entry hosts, each with its control process")
                 .value_parser(value_parser!(u16).range(1..=32)),
         )
-        .arg(number("executors", "4", "Executors").value_parser(value_parser!(u16).range(1..=64)))
         .arg(
-            number(
+            number_arg("executors", "4", "Executors")
+                .value_parser(value_parser!(u16).range(1..=64)),
+        )
+        .arg(
+            number_arg(
                 "span-s",
                 "5",
                 "How long the sample load arrives; 0 sends none",
@@ -73,14 +76,14 @@
                 .value_parser(value_parser!(SocketAddr))
                 .help("An entry host's address; jobs are spread evenly over all given"),
         )
-        .arg(mix())
+        .arg(mix_arg())
         .arg(
-            number("jobs-per-s", "20", "Jobs a second outside bursts")
+            number_arg("jobs-per-s", "20", "Jobs a second outside bursts")
                 .value_parser(value_parser!(f64)),
         )
-        .arg(number("span-s", "10", "How long jobs arrive").value_parser(value_parser!(f64)))
+        .arg(number_arg("span-s", "10", "How long jobs arrive").value_parser(value_parser!(f64)))
         .arg(
-            number("time-scale", "1", "Multiplies every service time")
+            number_arg("time-scale", "1", "Multiplies every service time")
                 .value_parser(value_parser!(f64)),
         )
         .arg(
@@ -91,62 +94,65 @@
                 .value_parser(parse_burst)
                 .help("A stretch with another rate; in order, not overlapping"),
         )
-        .arg(number("seed", "1", "Seed of every draw").value_parser(value_parser!(u64)))
+        .arg(number_arg("seed", "1", "Seed of every draw").value_parser(value_parser!(u64)))
         .arg(
-            number("repeats", "2", "Most times a refused job is sent again")
+            number_arg("repeats", "2", "Most times a refused job is sent again")
                 .value_parser(value_parser!(u32)),
         )
-        .arg(bind())
+        .arg(bind_arg())
         .arg(
-            number(
+            number_arg(
                 "network-us",
                 "500",
                 "Least network time of one job, part of the ideal",
             )
             .value_parser(value_parser!(u64)),
         )
-        .arg(out("Folder for run.json, ratio.svg and wasted.svg"))
+        .arg(out_arg("Folder for run.json, ratio.svg and wasted.svg"))
 }
 
 fn direct_args() -> Command {
     Command::new("direct")
         .about("One task at a time, at an executor and through an entry host in turns")
-        .arg(address("executor", "The executor's address").required(true))
-        .arg(address("entry", "The entry host's address"))
-        .arg(class("The class of the tasks").default_value("lock-order"))
-        .arg(number("count", "1000", "Tasks each way").value_parser(value_parser!(u32)))
-        .arg(number("service-ms", "0", "How long each task runs").value_parser(value_parser!(u32)))
-        .arg(bind())
-        .arg(out("File for the report in JSON"))
+        .arg(address_arg("executor", "The executor's address").required(true))
+        .arg(address_arg("entry", "The entry host's address"))
+        .arg(class_arg("The class of the tasks").default_value("lock-order"))
+        .arg(number_arg("count", "1000", "Tasks each way").value_parser(value_parser!(u32)))
+        .arg(
+            number_arg("service-ms", "0", "How long each task runs")
+                .value_parser(value_parser!(u32)),
+        )
+        .arg(bind_arg())
+        .arg(out_arg("File for the report in JSON"))
 }
 
 fn idle_args() -> Command {
     Command::new("idle")
         .about("Holds connections or requests in flight and reads what they cost the other process")
-        .arg(address("address", "The process's address").required(true))
+        .arg(address_arg("address", "The process's address").required(true))
         .arg(
             Arg::new("pid")
                 .long("pid")
                 .value_parser(value_parser!(u32))
                 .help("The process's id, to read its memory and processor time"),
         )
-        .arg(number("count", "1000", "Connections to hold").value_parser(value_parser!(u32)))
-        .arg(class(
+        .arg(number_arg("count", "1000", "Connections to hold").value_parser(value_parser!(u32)))
+        .arg(class_arg(
             "Send one job of this class on each connection; without it they idle",
         ))
         .arg(
-            number("service-ms", "10000", "How long each job's one task runs")
+            number_arg("service-ms", "10000", "How long each job's one task runs")
                 .value_parser(value_parser!(u32)),
         )
         .arg(
-            number(
+            number_arg(
                 "hold-ms",
                 "2000",
                 "How long to hold before reading the cost",
             )
             .value_parser(value_parser!(u64)),
         )
-        .arg(out("File for the report in JSON"))
+        .arg(out_arg("File for the report in JSON"))
 }
 
 fn bench_args() -> Command {
@@ -156,13 +162,16 @@
             "Without --mix: start, overhead, throughput and memory of one entry host.\n\
              With --mix: callers' view of one zone, 3 entry hosts and 16 executors.",
         )
-        .arg(mix_only())
-        .arg(number("load", "0.8", "Part of the capacity offered").value_parser(value_parser!(f64)))
-        .arg(number("span-s", "20", "How long jobs arrive").value_parser(value_parser!(f64)))
-        .arg(number("seed", "1", "Seed of every draw").value_parser(value_parser!(u64)))
-        .arg(bind())
+        .arg(optional_mix_arg())
+        .arg(
+            number_arg("load", "0.8", "Part of the capacity offered")
+                .value_parser(value_parser!(f64)),
+        )
+        .arg(number_arg("span-s", "20", "How long jobs arrive").value_parser(value_parser!(f64)))
+        .arg(number_arg("seed", "1", "Seed of every draw").value_parser(value_parser!(u64)))
+        .arg(bind_arg())
         .arg(binaries_arg())
-        .arg(out("File for the report in JSON"))
+        .arg(out_arg("File for the report in JSON"))
 }
 
 fn slopes_args() -> Command {
@@ -176,7 +185,7 @@
                 .help("Only this: in-flight, executors, claims, job-size or members"),
         )
         .arg(binaries_arg())
-        .arg(out(
+        .arg(out_arg(
             "Folder for one JSON file and plot each, such as docs/plots",
         ))
 }
@@ -188,7 +197,7 @@
             "Three entry hosts, one caller, each kind of id in normal times and in an outage.",
         )
         .arg(binaries_arg())
-        .arg(out("File for the report in JSON"))
+        .arg(out_arg("File for the report in JSON"))
 }
 
 fn binaries_arg() -> Arg {
@@ -202,13 +211,13 @@
 fn simulate_args() -> Command {
     Command::new("simulate")
         .about("The decision core in virtual time, beside round robin and least outstanding")
-        .arg(mix())
+        .arg(mix_arg())
         .arg(
-            number("seeds", "5", "Runs of each, with seeds from 1")
+            number_arg("seeds", "5", "Runs of each, with seeds from 1")
                 .value_parser(value_parser!(u64)),
         )
         .arg(
-            number(
+            number_arg(
                 "span-s",
                 "90",
                 "How long jobs arrive; the middle third counts",
@@ -222,21 +231,21 @@
                 .value_name("NAME")
                 .help("Only scenarios whose name contains this, such as 'load' or 'rack'"),
         )
-        .arg(out("Folder for JSON and plots"))
+        .arg(out_arg("Folder for JSON and plots"))
 }
 
-fn mix() -> Arg {
-    mix_only().default_value("inzira")
+fn mix_arg() -> Arg {
+    optional_mix_arg().default_value("inzira")
 }
 
-fn mix_only() -> Arg {
+fn optional_mix_arg() -> Arg {
     Arg::new("mix")
         .long("mix")
         .value_parser(value_parser!(Mix))
         .help("Whose work: inzira or valbrenta")
 }
 
-fn number(name: &'static str, default: &'static str, help: &'static str) -> Arg {
+fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .default_value(default)
@@ -244,7 +253,7 @@
         .help(help)
 }
 
-fn address(name: &'static str, help: &'static str) -> Arg {
+fn address_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
         .value_name("ADDRESS")
@@ -252,21 +261,21 @@
         .help(help)
 }
 
-fn class(help: &'static str) -> Arg {
+fn class_arg(help: &'static str) -> Arg {
     Arg::new("class")
         .long("class")
         .value_parser(value_parser!(SmolStr))
         .help(help)
 }
 
-fn bind() -> Arg {
+fn bind_arg() -> Arg {
     Arg::new("bind")
         .long("bind")
         .action(ArgAction::SetTrue)
         .help("Bind ids to the entry host once it has told its incarnation: no claim is needed")
 }
 
-fn out(help: &'static str) -> Arg {
+fn out_arg(help: &'static str) -> Arg {
     Arg::new("out")
         .long("out")
         .value_name("PATH")
--- a/crates/onyxshed-load/src/cli/values.rs
+++ b/crates/onyxshed-load/src/cli/values.rs
@@ -12,16 +12,16 @@
 use crate::run::RunOptions;
 use crate::sim::SimOptions;
 use crate::sim::scenario::Scenario;
-use crate::sim::world::WorldOptions;
+use crate::sim::world::ZoneOptions;
 use crate::whole_path::WholePathOptions;
 
 /// Gets an option that is required or has a default.
 pub fn required<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> T {
-    one(args, name).expect("the option is required or has a default")
+    optional(args, name).expect("the option is required or has a default")
 }
 
 /// Gets an option's value, none if it was not given.
-pub fn one<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> Option<T> {
+pub fn optional<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> Option<T> {
     args.get_one::<T>(name).cloned()
 }
 
@@ -42,7 +42,7 @@
         caller: CallerOptions {
             repeats_max: required(args, "repeats"),
             may_bind: args.get_flag("bind"),
-            patience: Duration::from_secs(5),
+            wait_past_target: Duration::from_secs(5),
         },
         network_us: required(args, "network-us"),
     }
@@ -50,9 +50,9 @@
 
 /// Gets the folder of the other binaries.
 pub fn binaries(args: &ArgMatches) -> PathBuf {
-    one(args, "binaries").unwrap_or_else(|| {
-        let own = std::env::current_exe().unwrap_or_default();
-        own.parent().map(PathBuf::from).unwrap_or_default()
+    optional(args, "binaries").unwrap_or_else(|| {
+        let own_path = std::env::current_exe().unwrap_or_default();
+        own_path.parent().map(PathBuf::from).unwrap_or_default()
     })
 }
 
@@ -63,14 +63,14 @@
         entries: required::<u16>(args, "entries").into(),
         executors: required::<u16>(args, "executors").into(),
         span_s: required(args, "span-s"),
-        stays: args.get_flag("stay"),
+        keeps_running: args.get_flag("stay"),
     }
 }
 
 /// Reads the options of `bench --mix`.
-pub fn mix_options(args: &ArgMatches, folder: PathBuf, mix: Mix) -> MixOptions {
+pub fn mix_options(args: &ArgMatches, binaries: PathBuf, mix: Mix) -> MixOptions {
     MixOptions {
-        folder,
+        binaries,
         mix,
         load: required(args, "load"),
         span_s: required(args, "span-s"),
@@ -81,15 +81,18 @@
 
 /// Reads the options of `simulate`.
 pub fn sim_options(args: &ArgMatches) -> SimOptions {
-    let wanted: Vec<&String> = args.get_many("scenario").into_iter().flatten().collect();
-    let is_wanted = |scenario: &Scenario| {
-        wanted.is_empty() || wanted.iter().any(|part| scenario.name().contains(*part))
+    let name_parts: Vec<&String> = args.get_many("scenario").into_iter().flatten().collect();
+    let is_selected = |scenario: &Scenario| {
+        name_parts.is_empty()
+            || name_parts
+                .iter()
+                .any(|part| scenario.name().contains(*part))
     };
     SimOptions {
         mix: required(args, "mix"),
         seeds: (1..=required(args, "seeds")).collect(),
-        scenarios: Scenario::ALL.into_iter().filter(is_wanted).collect(),
+        scenarios: Scenario::ALL.into_iter().filter(is_selected).collect(),
         span_s: required(args, "span-s"),
-        world: WorldOptions::default(),
+        zone: ZoneOptions::default(),
     }
 }
--- a/crates/onyxshed-load/src/direct.rs
+++ b/crates/onyxshed-load/src/direct.rs
@@ -18,7 +18,7 @@
 
 use crate::error::{Error, Result};
 use crate::report::Percentiles;
-use crate::run::{class_name, fresh_ulid, payload};
+use crate::run::{class_name, new_ulid, payload};
 use crate::tally::histogram;
 
 /// What to compare.
@@ -56,7 +56,7 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 const LEASE_MS: &str = "10000";
 
-struct Pair {
+struct Comparison {
     options: DirectOptions,
     executor: Connection,
     entry: Option<Connection>,
@@ -65,59 +65,62 @@
 }
 
 /// Tries to run the comparison, one task at a time.
-pub async fn direct(options: DirectOptions) -> Result<DirectReport> {
-    let executor = open(options.executor).await?;
+pub async fn compare(options: DirectOptions) -> Result<DirectReport> {
+    let executor = connect(options.executor).await?;
     let entry = match options.entry {
-        Some(address) => Some(open(address).await?),
+        Some(address) => Some(connect(address).await?),
         None => None,
     };
-    let mut pair = Pair {
+    let mut comparison = Comparison {
         options,
         executor,
         entry,
         bound_to: None,
         failed: 0,
     };
-    pair.compare().await
+    comparison.run().await
 }
 
-async fn open(address: SocketAddr) -> Result<Connection> {
+async fn connect(address: SocketAddr) -> Result<Connection> {
     Connection::open(address, ClientOptions::default())
         .await
-        .map_err(|error| unreachable(address, &error))
+        .map_err(|error| call_error(address, &error))
 }
 
-fn unreachable(address: SocketAddr, error: &CallError) -> Error {
+fn call_error(address: SocketAddr, error: &CallError) -> Error {
     Error::unreachable(address, &error.reason)
 }
 
-impl Pair {
-    async fn compare(&mut self) -> Result<DirectReport> {
-        let (mut straight, mut through) = (histogram(), histogram());
+impl Comparison {
+    async fn run(&mut self) -> Result<DirectReport> {
+        let (mut direct_times, mut entry_times) = (histogram(), histogram());
         for draw in 0..u64::from(self.options.count) {
-            self.time_executor(draw, &mut straight).await?;
-            self.time_entry(draw, &mut through).await?;
+            self.measure_executor(draw, &mut direct_times).await?;
+            self.measure_entry(draw, &mut entry_times).await?;
             if !self.options.pause.is_zero() {
                 Timer::after(self.options.pause).await;
             }
         }
-        if straight.is_empty() {
+        if direct_times.is_empty() {
             let reason = "it finished none of the tasks";
             return Err(Error::unreachable(self.options.executor, reason));
         }
-        let direct_us = Percentiles::of(&straight, 1.0);
-        let entry_us = self.entry.is_some().then(|| Percentiles::of(&through, 1.0));
+        let direct_us = Percentiles::of(&direct_times, 1.0);
+        let entry_us = self
+            .entry
+            .is_some()
+            .then(|| Percentiles::of(&entry_times, 1.0));
         Ok(DirectReport {
             direct_us,
             entry_us,
-            added_us: entry_us.map(|entry| entry.minus(&direct_us)),
+            added_us: entry_us.map(|entry| entry.subtract(&direct_us)),
             failed: self.failed,
         })
     }
 
-    async fn time_executor(&mut self, draw: u64, took: &mut Histogram<u64>) -> Result<()> {
+    async fn measure_executor(&mut self, draw: u64, times: &mut Histogram<u64>) -> Result<()> {
         let task = TaskId {
-            submission: SubmissionId::unbound(fresh_ulid(draw)),
+            submission: SubmissionId::unbound(new_ulid(draw)),
             index: 0,
         };
         let headers = [
@@ -127,26 +130,26 @@
             (ATTEMPT_HEADER, SmolStr::new_static("1")),
         ];
         let body = payload(self.options.service_ms);
-        let started = Instant::now();
+        let started_at = Instant::now();
         let reply = self
             .executor
             .call(Method::Post, &task_path(&task), &headers, body, TIMEOUT)
             .await
-            .map_err(|error| unreachable(self.options.executor, &error))?;
+            .map_err(|error| call_error(self.options.executor, &error))?;
         match reply.header_value(STATE_HEADER) == Some(TaskState::Finished.as_str()) {
-            true => took.saturating_record(elapsed_us(started)),
+            true => times.saturating_record(elapsed_us(started_at)),
             false => self.failed += 1,
         }
         Ok(())
     }
 
-    async fn time_entry(&mut self, draw: u64, took: &mut Histogram<u64>) -> Result<()> {
+    async fn measure_entry(&mut self, draw: u64, times: &mut Histogram<u64>) -> Result<()> {
         let (Some(entry), Some(address)) = (&mut self.entry, self.options.entry) else {
             return Ok(());
         };
         let job = Submission {
             submission: SubmissionId {
-                ulid: fresh_ulid(draw),
+                ulid: new_ulid(draw),
                 bound_to: self.bound_to,
             },
             class: class_name(&self.options.class),
@@ -155,18 +158,18 @@
             tasks: vec![payload(self.options.service_ms)],
         };
         let body = serde_json::to_vec(&job).expect("submissions hold only what JSON can write");
-        let started = Instant::now();
+        let started_at = Instant::now();
         let reply = entry
             .call(Method::Post, JOBS_PATH, &[], body, TIMEOUT)
             .await
-            .map_err(|error| unreachable(address, &error))?;
-        let took_us = elapsed_us(started);
+            .map_err(|error| call_error(address, &error))?;
+        let took_us = elapsed_us(started_at);
         let answer = Answer::decode(&reply.body).ok();
         if self.options.may_bind {
             self.bound_to = answer.as_ref().and_then(|answer| answer.bind_to);
         }
         match answer.and_then(|answer| answer.code) {
-            Some(ResultCode::Complete) => took.saturating_record(took_us),
+            Some(ResultCode::Complete) => times.saturating_record(took_us),
             _ => self.failed += 1,
         }
         Ok(())
@@ -175,7 +178,7 @@
 
 impl Percentiles {
     /// Subtracts another distribution's percentiles, one by one.
-    fn minus(&self, other: &Percentiles) -> Percentiles {
+    fn subtract(&self, other: &Percentiles) -> Percentiles {
         Percentiles {
             p50: self.p50 - other.p50,
             p90: self.p90 - other.p90,
@@ -186,6 +189,6 @@
     }
 }
 
-fn elapsed_us(started: Instant) -> u64 {
-    u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX)
+fn elapsed_us(started_at: Instant) -> u64 {
+    u64::try_from(started_at.elapsed().as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/onyxshed-load/src/idle.rs
+++ b/crates/onyxshed-load/src/idle.rs
@@ -15,8 +15,8 @@
 use smol_str::SmolStr;
 
 use crate::error::Result;
-use crate::process::{Usage, usage};
-use crate::run::{class_name, fresh_ulid, payload};
+use crate::process::{Usage, read_usage};
+use crate::run::{class_name, new_ulid, payload};
 
 /// What to hold.
 #[derive(Debug, Clone)]
@@ -55,22 +55,22 @@
 }
 
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
-const PATIENCE: Duration = Duration::from_secs(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Tries to hold the connections and read the other end's use of the machine.
-pub async fn idle(
+pub async fn hold_connections(
     executor: &LocalExecutor<'static>,
     options: Rc<IdleOptions>,
 ) -> Result<IdleReport> {
-    let before = observe(&options)?;
-    let held = open_all(&options).await;
-    let open = u32::try_from(held.len()).unwrap_or(u32::MAX);
+    let before = read_target_usage(&options)?;
+    let connections = open_all(&options).await;
+    let open = u32::try_from(connections.len()).unwrap_or(u32::MAX);
     let mut jobs = Vec::new();
-    let mut idle = Vec::new();
-    for connection in held {
+    let mut idle_connections = Vec::new();
+    for connection in connections {
         match &options.class {
             Some(_) => jobs.push(executor.spawn(submit(connection, options.clone()))),
-            None => idle.push(connection),
+            None => idle_connections.push(connection),
         }
     }
     Timer::after(options.hold).await;
@@ -78,7 +78,7 @@
         open,
         refused: options.count - open,
         before,
-        held: observe(&options)?,
+        held: read_target_usage(&options)?,
         complete: 0,
         other: 0,
     };
@@ -91,8 +91,8 @@
     Ok(report)
 }
 
-fn observe(options: &IdleOptions) -> Result<Usage> {
-    options.pid.map_or(Ok(Usage::default()), usage)
+fn read_target_usage(options: &IdleOptions) -> Result<Usage> {
+    options.pid.map_or(Ok(Usage::default()), read_usage)
 }
 
 async fn open_all(options: &IdleOptions) -> Vec<Connection> {
@@ -100,20 +100,20 @@
         connect_timeout: OPEN_TIMEOUT,
         ..ClientOptions::default()
     };
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..options.count {
         if let Ok(connection) = Connection::open(options.address, client).await {
-            held.push(connection);
+            connections.push(connection);
         }
     }
-    held
+    connections
 }
 
 /// Submits one job and tells whether it was complete.
 async fn submit(mut connection: Connection, options: Rc<IdleOptions>) -> bool {
     let class = options.class.as_deref().unwrap_or_default();
     let job = Submission {
-        submission: SubmissionId::unbound(fresh_ulid(rand::random())),
+        submission: SubmissionId::unbound(new_ulid(rand::random())),
         class: class_name(class),
         deadline_ms: None,
         copy: CopyMark::First,
@@ -121,7 +121,7 @@
     };
     let body = serde_json::to_vec(&job).expect("submissions hold only what JSON can write");
     let reply = connection
-        .call(Method::Post, JOBS_PATH, &[], body, PATIENCE)
+        .call(Method::Post, JOBS_PATH, &[], body, ANSWER_TIMEOUT)
         .await;
     let answer = reply
         .ok()
--- a/crates/onyxshed-load/src/local.rs
+++ b/crates/onyxshed-load/src/local.rs
@@ -24,7 +24,7 @@
 use ulid::Ulid;
 
 pub use child::Child;
-pub use options::{HELD_CLASS, LocalOptions};
+pub use options::{BENCH_CLASS, LocalOptions};
 
 use crate::error::{Error, Result};
 use settings::EntryPorts;
@@ -54,9 +54,9 @@
     pub entry: Child,
     /// The control process.
     pub control: Child,
-    started: Instant,
+    started_at: Instant,
     /// From the entry process's start to its first ready answer.
-    pub ready_after: Duration,
+    pub time_to_ready: Duration,
 }
 
 /// Body of `PUT /v1/hosts`.
@@ -75,12 +75,12 @@
     pub async fn start(options: &LocalOptions) -> Result<Self> {
         let folder = tempfile::tempdir().map_err(Error::start)?;
         let appends = options.appends_per_s.to_string();
-        let platform = Child::start(
-            &options.folder.join("standin-platform"),
+        let platform = Child::start_standin(
+            &options.binaries.join("standin-platform"),
             &["--appends-per-s", &appends],
         )?;
         let executors: Result<Vec<_>> = (0..options.executors)
-            .map(|place| start_executor(options, place))
+            .map(|index| start_executor(options, index))
             .collect();
         let mut set = LocalSet {
             platform,
@@ -88,18 +88,20 @@
             entries: Vec::new(),
             folder,
         };
-        let ports: Result<Vec<_>> = (0..options.entries).map(|_| EntryPorts::free()).collect();
+        let ports: Result<Vec<_>> = (0..options.entries)
+            .map(|_| EntryPorts::find_free())
+            .collect();
         let ports = ports?;
         set.publish_hosts(options, &ports).await?;
         set.publish_classes(Revision(0), &options.classes).await?;
-        for (place, ports) in ports.iter().enumerate() {
-            let entry = set.start_entry(options, place, ports).await?;
+        for (index, ports) in ports.iter().enumerate() {
+            let entry = set.start_entry(options, index, ports).await?;
             set.entries.push(entry);
         }
         // Each is ready once it has heard the others, so all are started before one is waited for.
         for entry in &mut set.entries {
-            wait_ready(entry.admin, entry.started).await?;
-            entry.ready_after = entry.started.elapsed();
+            wait_ready(entry.admin, entry.started_at).await?;
+            entry.time_to_ready = entry.started_at.elapsed();
         }
         Ok(set)
     }
@@ -116,15 +118,15 @@
 
     /// Tries to set the host list.
     pub async fn publish_hosts(&self, options: &LocalOptions, ports: &[EntryPorts]) -> Result<()> {
-        let entries = ports.iter().enumerate().map(|(place, ports)| EntryHost {
-            name: name(&format!("e{place}")),
-            zone: name(settings::ZONE),
+        let entries = ports.iter().enumerate().map(|(index, ports)| EntryHost {
+            name: parse_name(&format!("e{index}")),
+            zone: parse_name(settings::ZONE),
             peer_address: ports.control_peer,
             state: HostState::Live,
         });
         let hosts = Hosts {
-            executors: (0..options.listed())
-                .map(|place| self.listed(options, place))
+            executors: (0..options.listed_executors())
+                .map(|index| self.executor_host(options, index))
                 .collect(),
             entries: entries.collect(),
         };
@@ -132,13 +134,13 @@
         self.call_platform(Method::Put, HOSTS_PATH, body).await
     }
 
-    fn listed(&self, options: &LocalOptions, place: usize) -> ExecutorHost {
-        let process = &self.executors[place % self.executors.len()];
+    fn executor_host(&self, options: &LocalOptions, index: usize) -> ExecutorHost {
+        let process = &self.executors[index % self.executors.len()];
         ExecutorHost {
-            name: name(&format!("x{place:05}")),
+            name: parse_name(&format!("x{index:05}")),
             upstream: options.upstream.clone(),
-            zone: name(settings::ZONE),
-            rack: format_smolstr!("rack-{}", place / 8),
+            zone: parse_name(settings::ZONE),
+            rack: format_smolstr!("rack-{}", index / 8),
             address: process.address,
             slots: options.slots,
             state: HostState::Live,
@@ -146,8 +148,8 @@
     }
 
     /// Tries to publish classes as changes on top of each other, the first on top of a revision.
-    pub async fn publish_classes(&self, on: Revision, classes: &[ClassTarget]) -> Result<()> {
-        for (revision, target) in (on.0..).zip(classes) {
+    pub async fn publish_classes(&self, base: Revision, classes: &[ClassTarget]) -> Result<()> {
+        for (revision, target) in (base.0..).zip(classes) {
             let record = ConfigRecord::ChangeV1(ConfigChange {
                 change_id: ChangeId(Ulid::from_parts(0, rand::random())),
                 based_on: Revision(revision),
@@ -169,14 +171,15 @@
     async fn start_entry(
         &self,
         options: &LocalOptions,
-        place: usize,
+        index: usize,
         ports: &EntryPorts,
     ) -> Result<LocalEntry> {
         let folder = self.folder.path();
-        let files = settings::write(folder, place, ports, self.platform.address, options)?;
-        let control = Child::spawn(&options.folder.join("onyxshed-control"), &files.control)?;
-        let started = Instant::now();
-        let entry = Child::spawn(&options.folder.join("onyxshed-entry"), &files.entry)?;
+        let files = settings::write(folder, index, ports, self.platform.address, options)?;
+        let control =
+            Child::start_service(&options.binaries.join("onyxshed-control"), &files.control)?;
+        let started_at = Instant::now();
+        let entry = Child::start_service(&options.binaries.join("onyxshed-entry"), &files.entry)?;
         Ok(LocalEntry {
             callers: ports.callers,
             admin: ports.entry_admin,
@@ -184,24 +187,24 @@
             control_peer: ports.control_peer,
             entry,
             control,
-            started,
-            ready_after: Duration::ZERO,
+            started_at,
+            time_to_ready: Duration::ZERO,
         })
     }
 }
 
-fn start_executor(options: &LocalOptions, place: usize) -> Result<Child> {
-    let speed = options.speeds[place % options.speeds.len()].to_string();
-    let name = format!("x{place:05}");
-    Child::start(
-        &options.folder.join("standin-upstream"),
+fn start_executor(options: &LocalOptions, index: usize) -> Result<Child> {
+    let speed = options.speeds[index % options.speeds.len()].to_string();
+    let name = format!("x{index:05}");
+    Child::start_standin(
+        &options.binaries.join("standin-upstream"),
         &[
             "--name",
             &name,
             "--upstream",
             options.upstream.as_str(),
             "--slots",
-            &(options.slots * options.listed_each).to_string(),
+            &(options.slots * options.listed_per_process).to_string(),
             "--queue",
             &options.executor_queue.to_string(),
             "--speed",
@@ -210,15 +213,15 @@
     )
 }
 
-async fn wait_ready(admin: SocketAddr, started: Instant) -> Result<()> {
+async fn wait_ready(admin: SocketAddr, started_at: Instant) -> Result<()> {
     loop {
         let reply = call(admin, Method::Get, READY_PATH, Vec::new()).await;
         match reply {
             Ok(reply) if reply.status == 200 => return Ok(()),
-            _ if started.elapsed() < READY_TIMEOUT => {}
+            _ if started_at.elapsed() < READY_TIMEOUT => {}
             Ok(reply) => {
-                let why = String::from_utf8_lossy(&reply.body).into_owned();
-                return Err(Error::unreachable(admin, why));
+                let reason = String::from_utf8_lossy(&reply.body).into_owned();
+                return Err(Error::unreachable(admin, reason));
             }
             Err(error) => return Err(error),
         }
@@ -234,7 +237,7 @@
 }
 
 /// Makes a name that is known to keep the rules.
-fn name<T: std::str::FromStr>(text: &str) -> T {
+fn parse_name<T: std::str::FromStr>(text: &str) -> T {
     match text.parse() {
         Ok(name) => name,
         Err(_) => unreachable!("{text} keeps the rules"),
--- a/crates/onyxshed-load/src/local/child.rs
+++ b/crates/onyxshed-load/src/local/child.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Stdio};
 
 use crate::error::{Error, Result};
-use crate::process::{Usage, usage};
+use crate::process::{Usage, read_usage};
 
 /// One process.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
 
 impl Child {
     /// Tries to start a stand-in and reads its address from the first line that it prints.
-    pub fn start(program: &Path, args: &[&str]) -> Result<Self> {
+    pub fn start_standin(program: &Path, args: &[&str]) -> Result<Self> {
         let mut process = Command::new(program)
             .args(args)
             .stdout(Stdio::piped())
@@ -39,7 +39,7 @@
     }
 
     /// Tries to start one of the product's processes; it prints its ready line to nobody.
-    pub fn spawn(program: &Path, settings: &Path) -> Result<Self> {
+    pub fn start_service(program: &Path, settings: &Path) -> Result<Self> {
         let process = Command::new(program)
             .arg("--settings")
             .arg(settings)
@@ -54,7 +54,7 @@
 
     /// Tries to read its use of the machine.
     pub fn usage(&self) -> Result<Usage> {
-        usage(self.process.id())
+        read_usage(self.process.id())
     }
 
     /// Gets its process id.
--- a/crates/onyxshed-load/src/local/options.rs
+++ b/crates/onyxshed-load/src/local/options.rs
@@ -11,13 +11,13 @@
 #[derive(Debug, Clone)]
 pub struct LocalOptions {
     /// Folder of the binaries.
-    pub folder: PathBuf,
+    pub binaries: PathBuf,
     /// Entry hosts, each with its control process.
     pub entries: usize,
     /// Executor processes.
     pub executors: usize,
     /// Executors in the host list for each executor process; 1 but for measurements of size.
-    pub listed_each: u32,
+    pub listed_per_process: u32,
     /// Slots of each executor in the host list.
     pub slots: u32,
     /// Tasks that may wait on an executor process.
@@ -35,22 +35,22 @@
 }
 
 /// Class of the tasks that are only held, which must not be late.
-pub const HELD_CLASS: &str = "held";
-const HELD_WITHIN_MS: Millis = Millis(120_000);
+pub const BENCH_CLASS: &str = "held";
+const BENCH_FINISH_WITHIN_MS: Millis = Millis(120_000);
 
 impl LocalOptions {
     /// Makes one entry host before some immediate executors.
-    pub fn small(folder: PathBuf) -> Self {
+    pub fn small(binaries: PathBuf) -> Self {
         let upstream: UpstreamName = "desk".parse().expect("a valid name");
         LocalOptions {
-            folder,
+            binaries,
             entries: 1,
             executors: 4,
-            listed_each: 1,
+            listed_per_process: 1,
             slots: 64,
             executor_queue: 64,
             speeds: vec![1.0],
-            classes: vec![held(&upstream)],
+            classes: vec![bench_target(&upstream)],
             upstream,
             appends_per_s: 500,
             connections_per_executor: 16,
@@ -59,7 +59,7 @@
 
     /// Makes one zone of a deployment: executors of speeds 1:2:4, the fastest running a task in
     /// the service time that it names.
-    pub fn zone(folder: PathBuf, mix: Mix, entries: usize, executors: usize) -> Self {
+    pub fn zone(binaries: PathBuf, mix: Mix, entries: usize, executors: usize) -> Self {
         let upstream: UpstreamName = mix.upstream().parse().expect("a valid name");
         let targets = mix.classes().iter().map(|load| ClassTarget {
             class: class_name(load.class),
@@ -75,21 +75,21 @@
             speeds: vec![0.25, 0.5, 1.0],
             classes: targets.collect(),
             upstream: upstream.clone(),
-            ..Self::small(folder)
+            ..Self::small(binaries)
         }
     }
 
     /// Gets how many executors the host list names.
-    pub fn listed(&self) -> usize {
-        self.executors * usize::try_from(self.listed_each).unwrap_or(1)
+    pub fn listed_executors(&self) -> usize {
+        self.executors * usize::try_from(self.listed_per_process).unwrap_or(1)
     }
 }
 
-fn held(upstream: &UpstreamName) -> ClassTarget {
+fn bench_target(upstream: &UpstreamName) -> ClassTarget {
     ClassTarget {
-        class: class_name(HELD_CLASS),
+        class: class_name(BENCH_CLASS),
         upstream: upstream.clone(),
-        finish_within_ms: HELD_WITHIN_MS,
+        finish_within_ms: BENCH_FINISH_WITHIN_MS,
         may_run_twice: false,
     }
 }
--- a/crates/onyxshed-load/src/local/settings.rs
+++ b/crates/onyxshed-load/src/local/settings.rs
@@ -25,7 +25,7 @@
 }
 
 /// Settings files of one entry host.
-pub(super) struct Files {
+pub(super) struct SettingsFiles {
     pub(super) entry: PathBuf,
     pub(super) control: PathBuf,
 }
@@ -36,41 +36,41 @@
     /// Failure guarded against: a port that the system also hands to outgoing connections is taken
     /// by one before its process listens. Symptom: now and then a process of a large set does not
     /// start. Ports below the system's own range are never handed out.
-    pub(super) fn free() -> Result<Self> {
+    pub(super) fn find_free() -> Result<Self> {
         let listeners: Result<Vec<_>> = (0..6).map(|_| listen()).collect();
         let listeners = listeners?;
-        let at = |place: usize| listeners[place].local_addr().map_err(Error::start);
+        let address_of = |index: usize| listeners[index].local_addr().map_err(Error::start);
         Ok(EntryPorts {
-            callers: at(0)?,
-            peer: at(1)?,
-            control: at(2)?,
-            entry_admin: at(3)?,
-            control_peer: at(4)?,
-            control_admin: at(5)?,
+            callers: address_of(0)?,
+            peer: address_of(1)?,
+            control: address_of(2)?,
+            entry_admin: address_of(3)?,
+            control_peer: address_of(4)?,
+            control_admin: address_of(5)?,
         })
     }
 }
 
 /// Ports that the system does not hand to outgoing connections.
-const PORTS: std::ops::Range<u16> = 12_000..32_000;
-const TRIES: usize = 1_000;
+const PORT_RANGE: std::ops::Range<u16> = 12_000..32_000;
+const TRIES_MAX: usize = 1_000;
 
 /// Tries to listen on the next free port. Ports are tried in turn from one drawn at random, so that
 /// no two processes of a set get the same, nor as a rule those of two sets.
 fn listen() -> Result<TcpListener> {
     thread_local! {
-        static NEXT: Cell<u16> = Cell::new(rand::random_range(PORTS));
+        static NEXT_PORT: Cell<u16> = Cell::new(rand::random_range(PORT_RANGE));
     }
     let next = || {
-        let port = NEXT.get();
-        NEXT.set(if port + 1 < PORTS.end {
+        let port = NEXT_PORT.get();
+        NEXT_PORT.set(if port + 1 < PORT_RANGE.end {
             port + 1
         } else {
-            PORTS.start
+            PORT_RANGE.start
         });
         SocketAddr::from((Ipv4Addr::LOCALHOST, port))
     };
-    let mut tries = (0..TRIES).map(|_| TcpListener::bind(next()));
+    let mut tries = (0..TRIES_MAX).map(|_| TcpListener::bind(next()));
     let found = tries.find_map(std::io::Result::ok);
     found.ok_or_else(|| Error::start("no free port was found"))
 }
@@ -78,12 +78,12 @@
 /// Tries to write the settings of one entry host.
 pub(super) fn write(
     folder: &Path,
-    place: usize,
+    index: usize,
     ports: &EntryPorts,
     platform: SocketAddr,
     options: &LocalOptions,
-) -> Result<Files> {
-    let host = format!("e{place}");
+) -> Result<SettingsFiles> {
+    let host = format!("e{index}");
     let log = json!({ "level": "warn" });
     let entry = json!({
         "host": host,
@@ -106,9 +106,9 @@
         "platform_address": platform,
         "log": log,
     });
-    let files = Files {
-        entry: folder.join(format!("entry-{place}.json")),
-        control: folder.join(format!("control-{place}.json")),
+    let files = SettingsFiles {
+        entry: folder.join(format!("entry-{index}.json")),
+        control: folder.join(format!("control-{index}.json")),
     };
     write_json(&files.entry, &entry)?;
     write_json(&files.control, &control)?;
--- a/crates/onyxshed-load/src/mix.rs
+++ b/crates/onyxshed-load/src/mix.rs
@@ -9,7 +9,7 @@
 
 /// Span of service times on an executor of the fastest kind, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ServiceSpan {
+pub struct ServiceTimeRange {
     /// Shortest.
     pub min_ms: u32,
     /// Longest.
@@ -26,7 +26,7 @@
     /// Most tasks in a job; sizes fall off so that small jobs are common.
     pub tasks_max: u16,
     /// Service times of ordinary tasks.
-    pub service: ServiceSpan,
+    pub service: ServiceTimeRange,
     /// Part of the tasks that take several seconds, 0 to 1.
     pub slow_share: f64,
     /// The class's target, in milliseconds.
@@ -36,7 +36,7 @@
 }
 
 /// Service times of the few tasks that take several seconds.
-const SLOW: ServiceSpan = ServiceSpan {
+const SLOW_SERVICE: ServiceTimeRange = ServiceTimeRange {
     min_ms: 2_000,
     max_ms: 4_000,
 };
@@ -55,7 +55,7 @@
         class: "lock-order",
         share: 0.3,
         tasks_max: 1,
-        service: ServiceSpan {
+        service: ServiceTimeRange {
             min_ms: 50,
             max_ms: 200,
         },
@@ -67,7 +67,7 @@
         class: "price-push",
         share: 0.5,
         tasks_max: 40,
-        service: ServiceSpan {
+        service: ServiceTimeRange {
             min_ms: 50,
             max_ms: 600,
         },
@@ -79,7 +79,7 @@
         class: "stock-sync",
         share: 0.2,
         tasks_max: 8,
-        service: ServiceSpan {
+        service: ServiceTimeRange {
             min_ms: 200,
             max_ms: 1_000,
         },
@@ -94,7 +94,7 @@
         class: "registration",
         share: 0.3,
         tasks_max: 3,
-        service: ServiceSpan {
+        service: ServiceTimeRange {
             min_ms: 100,
             max_ms: 600,
         },
@@ -106,7 +106,7 @@
         class: "eligibility",
         share: 0.55,
         tasks_max: 30,
-        service: ServiceSpan {
+        service: ServiceTimeRange {
             min_ms: 50,
             max_ms: 300,
         },
@@ -118,7 +118,7 @@
         class: "fee-charge",
         share: 0.15,
         tasks_max: 1,
-        service: ServiceSpan {
+        service: ServiceTimeRange {
             min_ms: 200,
             max_ms: 1_000,
         },
@@ -155,13 +155,13 @@
     }
 
     /// Draws a class by its share; gets its place in [`Mix::classes`].
-    pub fn draw(self, rng: &mut impl Rng) -> usize {
-        let mut left: f64 = rng.random();
+    pub fn draw_class(self, rng: &mut impl Rng) -> usize {
+        let mut remaining: f64 = rng.random();
         let classes = self.classes();
-        for (place, load) in classes.iter().enumerate() {
-            left -= load.share;
-            if left < 0.0 {
-                return place;
+        for (index, load) in classes.iter().enumerate() {
+            remaining -= load.share;
+            if remaining < 0.0 {
+                return index;
             }
         }
         classes.len() - 1
@@ -189,8 +189,8 @@
 impl ClassLoad {
     /// Draws the number of tasks of one job: the square of an even draw, so most jobs are small.
     pub fn draw_tasks(&self, rng: &mut impl Rng) -> u16 {
-        let even: f64 = rng.random();
-        let above_one = even * even * f64::from(self.tasks_max);
+        let uniform: f64 = rng.random();
+        let above_one = uniform * uniform * f64::from(self.tasks_max);
         (1..self.tasks_max)
             .take_while(|tasks| f64::from(*tasks) <= above_one)
             .last()
@@ -200,8 +200,8 @@
     /// Draws one task's service time in milliseconds, even on a logarithmic scale.
     pub fn draw_service_ms(&self, rng: &mut impl Rng) -> u32 {
         let is_slow = rng.random_bool(self.slow_share);
-        let span = if is_slow { SLOW } else { self.service };
-        span.at(rng.random())
+        let range = if is_slow { SLOW_SERVICE } else { self.service };
+        range.interpolate(rng.random())
     }
 
     fn mean_tasks(&self) -> f64 {
@@ -211,15 +211,15 @@
     }
 
     fn mean_service_ms(&self) -> f64 {
-        (1.0 - self.slow_share) * self.service.mean_ms() + self.slow_share * SLOW.mean_ms()
+        (1.0 - self.slow_share) * self.service.mean_ms() + self.slow_share * SLOW_SERVICE.mean_ms()
     }
 }
 
-impl ServiceSpan {
+impl ServiceTimeRange {
     /// Gets the service time at `part`, 0 to 1, of the span on a logarithmic scale.
-    fn at(self, part: f64) -> u32 {
+    fn interpolate(self, fraction: f64) -> u32 {
         let (min, max) = (f64::from(self.min_ms), f64::from(self.max_ms));
-        whole_ms(min * (max / min).powf(part))
+        whole_ms(min * (max / min).powf(fraction))
     }
 
     fn mean_ms(self) -> f64 {
@@ -234,6 +234,6 @@
     clippy::cast_sign_loss,
     reason = "service times are at most a few thousand"
 )]
-fn whole_ms(span_ms: f64) -> u32 {
-    span_ms.round() as u32
+fn whole_ms(service_ms: f64) -> u32 {
+    service_ms.round() as u32
 }
--- a/crates/onyxshed-load/src/plan.rs
+++ b/crates/onyxshed-load/src/plan.rs
@@ -70,8 +70,8 @@
     let mut at_s = from_s;
     while at_s < options.span_s {
         let (rate, until_s) = rate_at(options, at_s);
-        let even: f64 = rng.random();
-        let next_s = at_s - (1.0 - even).ln() / rate.max(f64::MIN_POSITIVE);
+        let uniform: f64 = rng.random();
+        let next_s = at_s - (1.0 - uniform).ln() / rate.max(f64::MIN_POSITIVE);
         if next_s < until_s {
             return Some(next_s);
         }
@@ -97,7 +97,7 @@
 }
 
 fn draw_job(options: &PlanOptions, at_s: f64, rng: &mut StdRng) -> PlannedJob {
-    let class = options.mix.draw(rng);
+    let class = options.mix.draw_class(rng);
     let load = &options.mix.classes()[class];
     let tasks = load.draw_tasks(rng);
     let service_ms = (0..tasks)
--- a/crates/onyxshed-load/src/plot.rs
+++ b/crates/onyxshed-load/src/plot.rs
@@ -96,8 +96,8 @@
             .x_label_formatter(&label)
             .y_desc(self.unit)
             .draw()?;
-        for place in 0..self.series.len() {
-            self.paint_series(&mut chart, place)?;
+        for index in 0..self.series.len() {
+            self.paint_series(&mut chart, index)?;
         }
         chart
             .configure_series_labels()
@@ -109,14 +109,14 @@
     }
 
     /// Draws one series' bars beside those of the others.
-    fn paint_series(&self, chart: &mut BarChart<'_, '_>, place: usize) -> DrawResult {
-        let series = &self.series[place];
-        let part = 0.8 / self.series.len() as f64;
-        let colour = COLOURS[place % COLOURS.len()];
-        let offset = 0.1 + part * place as f64;
+    fn paint_series(&self, chart: &mut BarChart<'_, '_>, index: usize) -> DrawResult {
+        let series = &self.series[index];
+        let width = 0.8 / self.series.len() as f64;
+        let colour = COLOURS[index % COLOURS.len()];
+        let offset = 0.1 + width * index as f64;
         let bars = series.values.iter().enumerate().map(|(group, value)| {
             let left = group as f64 + offset;
-            let corner = (left + part, value.max(self.floor));
+            let corner = (left + width, value.max(self.floor));
             Rectangle::new([(left, self.floor), corner], colour.filled())
         });
         let swatch = move |(x, y)| Rectangle::new([(x, y - 4), (x + 10, y + 4)], colour.filled());
@@ -135,11 +135,11 @@
 
 /// Gets the group whose middle lies at `x`, nothing elsewhere.
 fn group_label(groups: &[SmolStr], x: f64) -> String {
-    let place = groups
+    let group = groups
         .iter()
         .enumerate()
-        .find(|(place, _)| (*place as f64 + 0.5 - x).abs() < 0.01);
-    place.map_or_else(String::new, |(_, name)| name.to_string())
+        .find(|(index, _)| (*index as f64 + 0.5 - x).abs() < 0.01);
+    group.map_or_else(String::new, |(_, name)| name.to_string())
 }
 
 impl FitPlot {
--- a/crates/onyxshed-load/src/process.rs
+++ b/crates/onyxshed-load/src/process.rs
@@ -16,7 +16,7 @@
 }
 
 /// Tries to read a process's use of the machine.
-pub fn usage(pid: u32) -> Result<Usage> {
+pub fn read_usage(pid: u32) -> Result<Usage> {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).context(ProcessSnafu { pid })?;
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).context(ProcessSnafu { pid })?;
     Ok(Usage {
--- a/crates/onyxshed-load/src/report.rs
+++ b/crates/onyxshed-load/src/report.rs
@@ -94,7 +94,7 @@
     }
 }
 
-const MICROS_IN_MILLI: f64 = 1_000.0;
+const US_PER_MS: f64 = 1_000.0;
 
 impl Report {
     /// Makes the report of a run.
@@ -126,7 +126,7 @@
             tasks: tally.tasks,
             hit_percent: tally.hit_percent(),
             ratio: Percentiles::of(&tally.ratio, RATIO_UNIT),
-            took_ms: Percentiles::of(&tally.took_us, MICROS_IN_MILLI),
+            took_ms: Percentiles::of(&tally.took_us, US_PER_MS),
             unanswered: tally.unanswered,
             codes: codes
                 .map(|(code, jobs)| CodeCount {
@@ -156,7 +156,7 @@
             f,
             "goodput {:.1} tasks/s; sender's lag at most {:.1} ms",
             self.goodput_per_s,
-            float(self.sender_lag_max_us) / MICROS_IN_MILLI
+            float(self.sender_lag_max_us) / US_PER_MS
         )?;
         write!(f, "wasted {:.2}% of tasks:", self.wasted_percent)?;
         for (kind, count) in self.wasted.kinds() {
--- a/crates/onyxshed-load/src/run.rs
+++ b/crates/onyxshed-load/src/run.rs
@@ -36,7 +36,7 @@
     tally: RefCell<Tally>,
     network_us: u64,
     lag_max_us: Cell<u64>,
-    started: Instant,
+    started_at: Instant,
 }
 
 /// Sends every planned job at its time and waits for the last answer.
@@ -48,18 +48,18 @@
         tally: RefCell::new(Tally::new(options.plan.mix)),
         network_us: options.network_us,
         lag_max_us: Cell::new(0),
-        started: Instant::now(),
+        started_at: Instant::now(),
     });
-    let mut running = Vec::with_capacity(jobs.len());
+    let mut pending = Vec::with_capacity(jobs.len());
     for job in jobs {
-        let planned = runner.started + Duration::from_micros(job.at_us);
-        if planned > Instant::now() {
-            Timer::at(planned).await;
+        let planned_at = runner.started_at + Duration::from_micros(job.at_us);
+        if planned_at > Instant::now() {
+            Timer::at(planned_at).await;
         }
         let runner = runner.clone();
-        running.push(executor.spawn(async move { runner.follow(job).await }));
+        pending.push(executor.spawn(async move { runner.submit_job(job).await }));
     }
-    for job in running {
+    for job in pending {
         job.await;
     }
     let mut tally = runner.tally.borrow_mut();
@@ -70,12 +70,12 @@
 
 impl Runner {
     /// Follows one job from its planned arrival to its end.
-    async fn follow(&self, job: PlannedJob) {
+    async fn submit_job(&self, job: PlannedJob) {
         let lag_us = self.now_us().saturating_sub(job.at_us);
         self.lag_max_us.set(self.lag_max_us.get().max(lag_us));
         let load = &self.mix.classes()[job.class];
         let target = Duration::from_millis(load.finish_within_ms.into());
-        let submission = self.submission(&job);
+        let submission = self.build_submission(&job);
         let answer = self.callers.submit(job.draw, &submission, target).await;
         self.tally.borrow_mut().record(&JobEnd {
             class: job.class,
@@ -87,11 +87,11 @@
         });
     }
 
-    fn submission(&self, job: &PlannedJob) -> Submission {
+    fn build_submission(&self, job: &PlannedJob) -> Submission {
         let load = &self.mix.classes()[job.class];
-        let id = SubmissionId::unbound(fresh_ulid(job.draw));
+        let id = SubmissionId::unbound(new_ulid(job.draw));
         Submission {
-            submission: self.callers.bind(job.draw, id),
+            submission: self.callers.bind_id(job.draw, id),
             class: class_name(load.class),
             deadline_ms: None,
             copy: CopyMark::First,
@@ -100,12 +100,12 @@
     }
 
     fn now_us(&self) -> u64 {
-        u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 }
 
 /// Makes an id of now; the rest of it is random, so that two runs with one seed do not share ids.
-pub fn fresh_ulid(draw: u64) -> Ulid {
+pub fn new_ulid(draw: u64) -> Ulid {
     let since_epoch = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
--- a/crates/onyxshed-load/src/sim.rs
+++ b/crates/onyxshed-load/src/sim.rs
@@ -13,10 +13,10 @@
 use crate::mix::Mix;
 use crate::plan::{PlanOptions, plan};
 
-use chooser::Rival;
+use chooser::PolicyKind;
 use scenario::Scenario;
 use summary::{Cell, Summary};
-use world::{RunResult, World, WorldOptions};
+use world::{RunResult, Simulation, ZoneOptions};
 
 /// What to run.
 #[derive(Debug, Clone)]
@@ -30,17 +30,17 @@
     /// How long jobs arrive, in seconds; faults last the middle third.
     pub span_s: f64,
     /// The zone.
-    pub world: WorldOptions,
+    pub zone: ZoneOptions,
 }
 
 /// Runs every scenario with every policy and seed.
 pub fn simulate(options: &SimOptions) -> Summary {
     let mut summary = Summary::new(options);
     for scenario in &options.scenarios {
-        for rival in Rival::ALL {
+        for policy in PolicyKind::ALL {
             let runs = options.seeds.iter();
-            let results = runs.map(|seed| one_run(options, *scenario, rival, *seed).1);
-            let cell = Cell::of(options, *scenario, rival, &results.collect::<Vec<_>>());
+            let results = runs.map(|seed| run_once(options, *scenario, policy, *seed).1);
+            let cell = Cell::of(options, *scenario, policy, &results.collect::<Vec<_>>());
             summary.cells.push(cell);
         }
     }
@@ -48,13 +48,13 @@
 }
 
 /// Makes one run; gets how many jobs were planned and what became of them.
-pub fn one_run(
+pub fn run_once(
     options: &SimOptions,
     scenario: Scenario,
-    rival: Rival,
+    policy: PolicyKind,
     seed: u64,
 ) -> (usize, RunResult) {
-    let capacity = options.world.capacity_ms_per_s() / options.mix.mean_job_ms();
+    let capacity = options.zone.capacity_ms_per_s() / options.mix.mean_job_ms();
     let jobs = plan(&PlanOptions {
         mix: options.mix,
         jobs_per_s: capacity * scenario.load(),
@@ -66,6 +66,6 @@
     let planned = jobs.len();
     (
         planned,
-        World::new(options, scenario, rival, seed, jobs).run(),
+        Simulation::new(options, scenario, policy, seed, jobs).run(),
     )
 }
--- a/crates/onyxshed-load/src/sim/chooser.rs
+++ b/crates/onyxshed-load/src/sim/chooser.rs
@@ -12,7 +12,7 @@
 /// One of the policies compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Rival {
+pub enum PolicyKind {
     /// The product's policy.
     Onyxshed,
     /// Executors in turn; retries and timeouts, no admission.
@@ -21,23 +21,27 @@
     LeastOutstanding,
 }
 
-impl Rival {
+impl PolicyKind {
     /// All of them.
-    pub const ALL: [Rival; 3] = [Rival::Onyxshed, Rival::RoundRobin, Rival::LeastOutstanding];
+    pub const ALL: [PolicyKind; 3] = [
+        PolicyKind::Onyxshed,
+        PolicyKind::RoundRobin,
+        PolicyKind::LeastOutstanding,
+    ];
 
     /// Gets a short name.
     pub fn name(self) -> &'static str {
         match self {
-            Rival::Onyxshed => "onyxshed",
-            Rival::RoundRobin => "round robin",
-            Rival::LeastOutstanding => "least outst.",
+            PolicyKind::Onyxshed => "onyxshed",
+            PolicyKind::RoundRobin => "round robin",
+            PolicyKind::LeastOutstanding => "least outst.",
         }
     }
 }
 
 /// One entry host's policy.
 #[derive(Debug)]
-pub enum Chooser {
+pub enum HostPolicy {
     /// The product's.
     Policy(Box<Policy>),
     /// A baseline.
@@ -47,11 +51,11 @@
 /// First in, first out, without admission; up to two retries of what may run twice.
 #[derive(Debug)]
 pub struct Baseline {
-    kind: Rival,
+    kind: PolicyKind,
     executors: Vec<(ExecutorInfo, u32)>,
     queue: VecDeque<(QueuedTask, u32)>,
     running: BTreeMap<TaskId, (QueuedTask, u32)>,
-    turn: usize,
+    next_index: usize,
     connections_max: u32,
 }
 
@@ -59,19 +63,19 @@
 const EXECUTOR_CONNECTIONS: u32 = 60;
 const RETRIES_MAX: u32 = 2;
 
-impl Chooser {
+impl HostPolicy {
     /// Makes the policy of one of `hosts` entry hosts.
-    pub fn new(rival: Rival, seed: u64, hosts: u32) -> Self {
-        match rival {
-            Rival::Onyxshed => {
-                Chooser::Policy(Box::new(Policy::new(PolicyOptions::default(), seed)))
+    pub fn new(policy: PolicyKind, seed: u64, hosts: u32) -> Self {
+        match policy {
+            PolicyKind::Onyxshed => {
+                HostPolicy::Policy(Box::new(Policy::new(PolicyOptions::default(), seed)))
             }
-            kind => Chooser::Baseline(Baseline {
+            kind => HostPolicy::Baseline(Baseline {
                 kind,
                 executors: Vec::new(),
                 queue: VecDeque::new(),
                 running: BTreeMap::new(),
-                turn: usize::try_from(seed % 97).unwrap_or_default(),
+                next_index: usize::try_from(seed % 97).unwrap_or_default(),
                 connections_max: EXECUTOR_CONNECTIONS / hosts,
             }),
         }
@@ -80,15 +84,15 @@
     /// Sets the executors known.
     pub fn set_executors(&mut self, now: Now, executors: &[ExecutorInfo]) {
         match self {
-            Chooser::Policy(policy) => policy.set_executors(now, executors),
-            Chooser::Baseline(baseline) => baseline.set_executors(executors),
+            HostPolicy::Policy(policy) => policy.set_executors(now, executors),
+            HostPolicy::Baseline(baseline) => baseline.set_executors(executors),
         }
     }
 
     /// Sets how many entry hosts share the executors.
-    pub fn set_sharers(&mut self, now: Now, sharers: u32) {
-        if let Chooser::Policy(policy) = self {
-            policy.set_zone_hosts(now, sharers);
+    pub fn set_zone_hosts(&mut self, now: Now, zone_hosts: u32) {
+        if let HostPolicy::Policy(policy) = self {
+            policy.set_zone_hosts(now, zone_hosts);
         }
     }
 
@@ -101,59 +105,61 @@
         deadline: Mono,
     ) -> Admission {
         match self {
-            Chooser::Policy(policy) => policy.admit(now, class, tasks, deadline),
-            Chooser::Baseline(_) => Admission::Accept,
+            HostPolicy::Policy(policy) => policy.admit(now, class, tasks, deadline),
+            HostPolicy::Baseline(_) => Admission::Accept,
         }
     }
 
     /// Queues a task.
-    pub fn enqueue(&mut self, now: Now, work: QueuedTask) {
+    pub fn enqueue(&mut self, now: Now, queued: QueuedTask) {
         match self {
-            Chooser::Policy(policy) => policy.enqueue(now, work),
-            Chooser::Baseline(baseline) => baseline.queue.push_back((work, 0)),
+            HostPolicy::Policy(policy) => policy.enqueue(now, queued),
+            HostPolicy::Baseline(baseline) => baseline.queue.push_back((queued, 0)),
         }
     }
 
     /// Takes a waiting task out of the queue.
     pub fn withdraw(&mut self, task: TaskId) {
         match self {
-            Chooser::Policy(policy) => {
+            HostPolicy::Policy(policy) => {
                 policy.withdraw(task);
             }
-            Chooser::Baseline(baseline) => baseline.queue.retain(|(work, _)| work.task != task),
+            HostPolicy::Baseline(baseline) => {
+                baseline.queue.retain(|(queued, _)| queued.task != task)
+            }
         }
     }
 
     /// Decides what to start now.
     pub fn next(&mut self, now: Now) -> NextStep {
         match self {
-            Chooser::Policy(policy) => policy.next(now),
-            Chooser::Baseline(baseline) => baseline.next(),
+            HostPolicy::Policy(policy) => policy.next(now),
+            HostPolicy::Baseline(baseline) => baseline.next(),
         }
     }
 
     /// Takes in an attempt's end.
-    pub fn ended(&mut self, now: Now, end: &AttemptEnd) -> RetryStep {
+    pub fn apply_attempt_end(&mut self, now: Now, end: &AttemptEnd) -> RetryStep {
         match self {
-            Chooser::Policy(policy) => policy.apply_attempt_end(now, end),
-            Chooser::Baseline(baseline) => baseline.ended(end),
+            HostPolicy::Policy(policy) => policy.apply_attempt_end(now, end),
+            HostPolicy::Baseline(baseline) => baseline.apply_attempt_end(end),
         }
     }
 
     /// Takes out the waiting tasks whose deadline has passed.
-    pub fn expired(&mut self, now: Now) -> Vec<ExpiredTask> {
+    pub fn take_expired(&mut self, now: Now) -> Vec<ExpiredTask> {
         match self {
-            Chooser::Policy(policy) => policy.take_expired(now),
-            Chooser::Baseline(_) => Vec::new(),
+            HostPolicy::Policy(policy) => policy.take_expired(now),
+            HostPolicy::Baseline(_) => Vec::new(),
         }
     }
 }
 
 impl Baseline {
     fn set_executors(&mut self, executors: &[ExecutorInfo]) {
-        let known = std::mem::take(&mut self.executors);
+        let previous = std::mem::take(&mut self.executors);
         let outstanding = |info: &ExecutorInfo| {
-            let old = known.iter().find(|(old, _)| old.name == info.name);
+            let old = previous.iter().find(|(old, _)| old.name == info.name);
             old.map_or(0, |(_, count)| *count)
         };
         self.executors = executors
@@ -166,16 +172,16 @@
         if self.queue.is_empty() {
             return NextStep::Idle;
         }
-        let Some(place) = self.place() else {
+        let Some(index) = self.select_executor() else {
             return NextStep::Idle;
         };
-        let Some((work, retries)) = self.queue.pop_front() else {
+        let Some((queued, retries)) = self.queue.pop_front() else {
             return NextStep::Idle;
         };
-        let (info, outstanding) = &mut self.executors[place];
+        let (info, outstanding) = &mut self.executors[index];
         *outstanding += 1;
-        let task = work.task;
-        self.running.insert(task, (work, retries));
+        let task = queued.task;
+        self.running.insert(task, (queued, retries));
         NextStep::Start {
             task,
             executor: info.name.clone(),
@@ -183,21 +189,21 @@
         }
     }
 
-    fn place(&mut self) -> Option<usize> {
+    fn select_executor(&mut self) -> Option<usize> {
         let count = self.executors.len();
-        let mut in_turn = (0..count).map(|step| (self.turn + step) % count);
-        let has_room = |place: &usize| self.executors[*place].1 < self.connections_max;
-        let place = match self.kind {
-            Rival::RoundRobin => in_turn.find(has_room),
+        let mut in_turn = (0..count).map(|step| (self.next_index + step) % count);
+        let has_capacity = |index: &usize| self.executors[*index].1 < self.connections_max;
+        let index = match self.kind {
+            PolicyKind::RoundRobin => in_turn.find(has_capacity),
             _ => in_turn
-                .filter(has_room)
-                .min_by_key(|place| self.executors[*place].1),
+                .filter(has_capacity)
+                .min_by_key(|index| self.executors[*index].1),
         }?;
-        self.turn = place + 1;
-        Some(place)
+        self.next_index = index + 1;
+        Some(index)
     }
 
-    fn ended(&mut self, end: &AttemptEnd) -> RetryStep {
+    fn apply_attempt_end(&mut self, end: &AttemptEnd) -> RetryStep {
         let executor = self
             .executors
             .iter_mut()
@@ -205,20 +211,20 @@
         if let Some((_, outstanding)) = executor {
             *outstanding = outstanding.saturating_sub(1);
         }
-        let Some((work, retries)) = self.running.remove(&end.task) else {
+        let Some((queued, retries)) = self.running.remove(&end.task) else {
             return RetryStep::Wait;
         };
         let is_unstarted = matches!(
             end.outcome,
             AttemptOutcome::Refused | AttemptOutcome::Unsent
         );
-        let did_fail = !matches!(
+        let has_failed = !matches!(
             end.outcome,
             AttemptOutcome::Finished | AttemptOutcome::Stopped
         );
-        let may_retry = is_unstarted || (did_fail && work.may_run_twice);
+        let may_retry = is_unstarted || (has_failed && queued.may_run_twice);
         if retries < RETRIES_MAX && may_retry {
-            self.queue.push_back((work, retries + 1));
+            self.queue.push_back((queued, retries + 1));
             return RetryStep::Queued;
         }
         RetryStep::GiveUp(match end.outcome {
--- a/crates/onyxshed-load/src/sim/executor.rs
+++ b/crates/onyxshed-load/src/sim/executor.rs
@@ -6,28 +6,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
     /// Nothing.
-    Fine,
+    Healthy,
     /// Everything takes 20 times as long.
     Slow,
     /// Everything fails at once.
     Failing,
     /// Takes everything, answers nothing.
-    Silent,
+    Unresponsive,
     /// Refuses connections.
-    Dead,
+    Down,
 }
 
 /// What becomes of a start that reaches an executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reached {
+pub enum StartOutcome {
     /// It runs now.
-    Runs,
+    Running,
     /// It waits.
-    Waits,
+    Queued,
     /// It is refused, provably not started.
     Refused,
     /// Nobody answers, now or later.
-    Swallowed,
+    Unanswered,
     /// The connection can't be opened.
     Unreachable,
 }
@@ -58,31 +58,31 @@
         ModelExecutor {
             slots,
             speed,
-            health: Health::Fine,
+            health: Health::Healthy,
             running: Vec::new(),
             queue: VecDeque::new(),
         }
     }
 
     /// Takes in a start.
-    pub fn reach(&mut self, attempt: usize) -> Reached {
+    pub fn receive_start(&mut self, attempt: usize) -> StartOutcome {
         match self.health {
-            Health::Dead => Reached::Unreachable,
-            Health::Silent => Reached::Swallowed,
+            Health::Down => StartOutcome::Unreachable,
+            Health::Unresponsive => StartOutcome::Unanswered,
             _ if self.running.len() < self.slots => {
                 self.running.push(attempt);
-                Reached::Runs
+                StartOutcome::Running
             }
             _ if self.queue.len() < QUEUE_MAX => {
                 self.queue.push_back(attempt);
-                Reached::Waits
+                StartOutcome::Queued
             }
-            _ => Reached::Refused,
+            _ => StartOutcome::Refused,
         }
     }
 
     /// Gets how long a task runs, in microseconds.
-    pub fn span_us(&self, service_us: f64) -> u64 {
+    pub fn run_time_us(&self, service_us: f64) -> u64 {
         match self.health {
             Health::Failing => FAILS_AFTER_US,
             Health::Slow => whole_us(service_us * SLOWDOWN / self.speed),
@@ -99,7 +99,7 @@
     }
 
     /// Moves a waiting attempt into a free slot.
-    pub fn next_start(&mut self) -> Option<usize> {
+    pub fn start_next(&mut self) -> Option<usize> {
         if self.running.len() >= self.slots {
             return None;
         }
@@ -114,6 +114,6 @@
     clippy::cast_sign_loss,
     reason = "service times are at most minutes"
 )]
-fn whole_us(span_us: f64) -> u64 {
-    span_us as u64
+fn whole_us(run_time_us: f64) -> u64 {
+    run_time_us as u64
 }
--- a/crates/onyxshed-load/src/sim/scenario.rs
+++ b/crates/onyxshed-load/src/sim/scenario.rs
@@ -16,19 +16,19 @@
     /// One executor fails everything at once.
     FailingExecutor,
     /// One executor takes tasks and never answers.
-    SilentExecutor,
+    UnresponsiveExecutor,
     /// A rack of 8 executors dies; the host list tells it 5 s later.
-    RackDies,
+    RackFails,
     /// One entry host dies; its peers notice after 2 s.
-    EntryDies,
+    EntryHostFails,
     /// The zone's entry hosts lose sight of one another: each holds itself to be alone.
-    HostsCutOff,
+    HostsPartitioned,
     /// The host list stands still throughout, and a rack of 8 dies.
     PlatformDown,
     /// One class's tasks take 10 times as long as learned so far.
-    TimesWrong,
+    ServiceTimesShift,
     /// One class's tasks fail wherever they run.
-    NeverRuns,
+    ClassUnrunnable,
     /// Half of all jobs in flight are cancelled, every two seconds.
     CancelWave,
 }
@@ -51,13 +51,13 @@
         Scenario::Burst,
         Scenario::SlowExecutor,
         Scenario::FailingExecutor,
-        Scenario::SilentExecutor,
-        Scenario::RackDies,
-        Scenario::EntryDies,
-        Scenario::HostsCutOff,
+        Scenario::UnresponsiveExecutor,
+        Scenario::RackFails,
+        Scenario::EntryHostFails,
+        Scenario::HostsPartitioned,
         Scenario::PlatformDown,
-        Scenario::TimesWrong,
-        Scenario::NeverRuns,
+        Scenario::ServiceTimesShift,
+        Scenario::ClassUnrunnable,
         Scenario::CancelWave,
     ];
 
@@ -69,13 +69,13 @@
             Scenario::Burst => "burst 10x".to_owned(),
             Scenario::SlowExecutor => "slow".to_owned(),
             Scenario::FailingExecutor => "failing".to_owned(),
-            Scenario::SilentExecutor => "silent".to_owned(),
-            Scenario::RackDies => "rack dies".to_owned(),
-            Scenario::EntryDies => "entry dies".to_owned(),
-            Scenario::HostsCutOff => "cut off".to_owned(),
+            Scenario::UnresponsiveExecutor => "silent".to_owned(),
+            Scenario::RackFails => "rack dies".to_owned(),
+            Scenario::EntryHostFails => "entry dies".to_owned(),
+            Scenario::HostsPartitioned => "cut off".to_owned(),
             Scenario::PlatformDown => "no platform".to_owned(),
-            Scenario::TimesWrong => "times 10x".to_owned(),
-            Scenario::NeverRuns => "never runs".to_owned(),
+            Scenario::ServiceTimesShift => "times 10x".to_owned(),
+            Scenario::ClassUnrunnable => "never runs".to_owned(),
             Scenario::CancelWave => "cancels".to_owned(),
         }
     }
@@ -86,7 +86,9 @@
         match self {
             Scenario::Load(percent) => f64::from(percent) / 100.0,
             Scenario::Overload(_) | Scenario::Burst => LOAD_AROUND_OVERLOAD,
-            Scenario::RackDies | Scenario::PlatformDown | Scenario::TimesWrong => LOAD_AROUND_LOSS,
+            Scenario::RackFails | Scenario::PlatformDown | Scenario::ServiceTimesShift => {
+                LOAD_AROUND_LOSS
+            }
             _ => STEADY_LOAD,
         }
     }
--- a/crates/onyxshed-load/src/sim/summary.rs
+++ b/crates/onyxshed-load/src/sim/summary.rs
@@ -7,7 +7,7 @@
 use smol_str::SmolStr;
 
 use super::SimOptions;
-use super::chooser::Rival;
+use super::chooser::PolicyKind;
 use super::scenario::Scenario;
 use super::world::RunResult;
 use crate::error::Result;
@@ -34,7 +34,7 @@
     /// The scenario.
     pub scenario: String,
     /// The policy.
-    pub rival: Rival,
+    pub rival: PolicyKind,
     /// Each class's results.
     pub classes: Vec<ClassCell>,
     /// Wasted messages in percent of tasks.
@@ -93,7 +93,12 @@
 
 impl Cell {
     /// Sums up the runs of one scenario with one policy.
-    pub fn of(options: &SimOptions, scenario: Scenario, rival: Rival, runs: &[RunResult]) -> Self {
+    pub fn of(
+        options: &SimOptions,
+        scenario: Scenario,
+        policy: PolicyKind,
+        runs: &[RunResult],
+    ) -> Self {
         let span_s = options.span_s;
         let classes = options
             .mix
@@ -101,12 +106,12 @@
             .iter()
             .enumerate()
             .map(|(place, load)| {
-                let each = runs.iter().map(move |run| &run.tally.classes[place]);
+                let tallies = runs.iter().map(move |run| &run.tally.classes[place]);
                 ClassCell {
                     class: load.class,
-                    hit_percent: Spread::of(each.clone().map(|class| class.hit_percent())),
-                    ratio_p50: Spread::of(each.clone().map(|class| class.ratio_at(50.0))),
-                    ratio_p99: Spread::of(each.map(|class| class.ratio_at(99.0))),
+                    hit_percent: Spread::of(tallies.clone().map(|class| class.hit_percent())),
+                    ratio_p50: Spread::of(tallies.clone().map(|class| class.ratio_at(50.0))),
+                    ratio_p99: Spread::of(tallies.map(|class| class.ratio_at(99.0))),
                 }
             });
         let goodput = runs.iter().map(|run| {
@@ -116,7 +121,7 @@
         let end_s = scenario.overload_end_s(span_s);
         Cell {
             scenario: scenario.name(),
-            rival,
+            rival: policy,
             classes: classes.collect(),
             wasted_percent: Spread::of(runs.iter().map(|run| run.tally.wasted_percent())),
             goodput_per_s: Spread::of(goodput),
@@ -184,18 +189,18 @@
     }
 
     fn bars(&self, title: &str, unit: &'static str, floor: f64, value: fn(&Cell) -> f64) -> Bars {
-        let cells_of = |rival| self.cells.iter().filter(move |cell| cell.rival == rival);
+        let cells_of = |policy| self.cells.iter().filter(move |cell| cell.rival == policy);
         Bars {
             title: format!("{title}, {}", self.mix).into(),
             unit,
             floor,
-            groups: cells_of(Rival::Onyxshed)
+            groups: cells_of(PolicyKind::Onyxshed)
                 .map(|cell| SmolStr::from(&cell.scenario))
                 .collect(),
-            series: Rival::ALL
-                .map(|rival| Series {
-                    name: rival.name().into(),
-                    values: cells_of(rival).map(value).collect(),
+            series: PolicyKind::ALL
+                .map(|policy| Series {
+                    name: policy.name().into(),
+                    values: cells_of(policy).map(value).collect(),
                 })
                 .into(),
         }
@@ -234,13 +239,13 @@
 impl fmt::Display for Cell {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (place, class) in self.classes.iter().enumerate() {
-            let (scenario, rival) = match place {
+            let (scenario, policy) = match place {
                 0 => (self.scenario.as_str(), self.rival.name()),
                 _ => ("", ""),
             };
             write!(
                 f,
-                "\n{scenario:<12} {rival:<13} {:<14} {:<20} {:<17} {:<17}",
+                "\n{scenario:<12} {policy:<13} {:<14} {:<20} {:<17} {:<17}",
                 class.class, class.hit_percent, class.ratio_p50, class.ratio_p99
             )?;
             if place == 0 {
--- a/crates/onyxshed-load/src/sim/world.rs
+++ b/crates/onyxshed-load/src/sim/world.rs
@@ -13,8 +13,8 @@
 use parts::{Attempt, Event, Host, Job, executor_info};
 
 use super::SimOptions;
-use super::chooser::Rival;
-use super::executor::{Health, ModelExecutor, Reached};
+use super::chooser::PolicyKind;
+use super::executor::{Health, ModelExecutor, StartOutcome};
 use super::scenario::Scenario;
 use crate::mix::Mix;
 use crate::plan::PlannedJob;
@@ -22,7 +22,7 @@
 
 /// The zone.
 #[derive(Debug, Clone)]
-pub struct WorldOptions {
+pub struct ZoneOptions {
     /// Entry hosts.
     pub hosts: usize,
     /// Executors; their speeds go 1, 2, 4, 1, 2, 4 …
@@ -35,9 +35,9 @@
     pub caller_us: u64,
 }
 
-impl Default for WorldOptions {
+impl Default for ZoneOptions {
     fn default() -> Self {
-        WorldOptions {
+        ZoneOptions {
             hosts: 3,
             executors: 16,
             slots: 8,
@@ -49,10 +49,10 @@
 
 const SPEEDS: [f64; 3] = [0.25, 0.5, 1.0];
 
-impl WorldOptions {
+impl ZoneOptions {
     /// Gets the work that all executors do in a second, in milliseconds of the fastest kind.
     pub fn capacity_ms_per_s(&self) -> f64 {
-        let speeds = (0..self.executors).map(|place| SPEEDS[place % SPEEDS.len()]);
+        let speeds = (0..self.executors).map(|index| SPEEDS[index % SPEEDS.len()]);
         speeds.sum::<f64>() * self.slots as f64 * 1_000.0
     }
 }
@@ -67,23 +67,23 @@
 }
 
 /// One run.
-pub struct World {
-    options: WorldOptions,
+pub struct Simulation {
+    options: ZoneOptions,
     mix: Mix,
     scenario: Scenario,
     span_us: u64,
     now_us: u64,
-    fault_is_on: bool,
+    is_fault_active: bool,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
     hosts: Vec<Host>,
     executors: Vec<ModelExecutor>,
-    infos: Vec<ExecutorInfo>,
-    places: BTreeMap<ExecutorName, usize>,
+    executor_infos: Vec<ExecutorInfo>,
+    executor_indexes: BTreeMap<ExecutorName, usize>,
     attempts: Vec<Attempt>,
     jobs: Vec<Job>,
     result: RunResult,
-    uncounted: Wasted,
+    uncounted_wasted: Wasted,
 }
 
 /// The wall clock at the start of every run; any value does.
@@ -91,59 +91,59 @@
 /// Executors of one rack.
 const RACK: usize = 8;
 
-impl World {
+impl Simulation {
     /// Makes a world before its first arrival.
     pub fn new(
         options: &SimOptions,
         scenario: Scenario,
-        rival: Rival,
+        policy_kind: PolicyKind,
         seed: u64,
         planned: Vec<PlannedJob>,
     ) -> Self {
-        let world = options.world.clone();
+        let zone = options.zone.clone();
         let upstream: UpstreamName = options
             .mix
             .upstream()
             .parse()
             .expect("the mixes' names keep the rules");
-        let infos: Vec<_> = (0..world.executors)
-            .map(|place| executor_info(place, world.slots, &upstream))
+        let executor_infos: Vec<_> = (0..zone.executors)
+            .map(|index| executor_info(index, zone.slots, &upstream))
             .collect();
-        let names = infos.iter().enumerate();
-        let places = names.map(|(place, info)| (info.name.clone(), place));
-        let speeds = (0..world.executors).map(|place| SPEEDS[place % SPEEDS.len()]);
-        let mut made = World {
+        let names = executor_infos.iter().enumerate();
+        let executor_indexes = names.map(|(index, info)| (info.name.clone(), index));
+        let speeds = (0..zone.executors).map(|index| SPEEDS[index % SPEEDS.len()]);
+        let mut simulation = Simulation {
             mix: options.mix,
             scenario,
             span_us: micros(options.span_s),
             now_us: 0,
-            fault_is_on: false,
+            is_fault_active: false,
             events: BinaryHeap::new(),
             sequence: 0,
             hosts: Vec::new(),
             executors: speeds
-                .map(|speed| ModelExecutor::new(world.slots, speed))
+                .map(|speed| ModelExecutor::new(zone.slots, speed))
                 .collect(),
-            places: places.collect(),
-            infos,
+            executor_indexes: executor_indexes.collect(),
+            executor_infos,
             attempts: Vec::new(),
             jobs: planned.into_iter().map(Job::new).collect(),
             result: RunResult {
                 tally: Tally::new(options.mix),
                 by_second: BTreeMap::new(),
             },
-            uncounted: Wasted::default(),
-            options: world,
+            uncounted_wasted: Wasted::default(),
+            options: zone,
         };
-        made.start_hosts(rival, seed, &upstream);
-        made.schedule_all();
-        made
+        simulation.start_hosts(policy_kind, seed, &upstream);
+        simulation.schedule_all();
+        simulation
     }
 
     fn schedule_all(&mut self) {
         for job in 0..self.jobs.len() {
             let at_us = self.jobs[job].planned.at_us + self.options.caller_us;
-            self.at(at_us, Event::Arrive { job });
+            self.schedule_at(at_us, Event::JobArrival { job });
         }
         self.schedule_faults();
     }
@@ -159,27 +159,27 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrive { job } => self.arrive(job),
-            Event::Reach { attempt } => self.reach(attempt),
-            Event::Leave { attempt } => self.leave(attempt),
-            Event::Answer { attempt } => self.answer(attempt),
-            Event::Stop { attempt } => self.stop(attempt),
-            Event::Deadline { job } => self.deadline(job),
-            Event::Wake { host } => self.wake(host),
-            Event::FaultOn => self.fault_on(),
-            Event::FaultOff => self.fault_off(),
-            Event::FaultKnown => self.fault_known(),
-            Event::CancelWave => self.cancel_wave(),
+            Event::JobArrival { job } => self.deliver_job(job),
+            Event::StartDelivery { attempt } => self.deliver_start(attempt),
+            Event::RunEnd { attempt } => self.end_run(attempt),
+            Event::AnswerDelivery { attempt } => self.deliver_answer(attempt),
+            Event::StopDelivery { attempt } => self.deliver_stop(attempt),
+            Event::Deadline { job } => self.check_deadline(job),
+            Event::Wake { host } => self.wake_host(host),
+            Event::FaultStart => self.start_fault(),
+            Event::FaultEnd => self.end_fault(),
+            Event::FaultDetection => self.detect_fault(),
+            Event::CancelWave => self.cancel_jobs(),
         }
     }
 
-    fn at(&mut self, at_us: u64, event: Event) {
+    fn schedule_at(&mut self, at_us: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at_us, self.sequence, event)));
     }
 
-    fn after(&mut self, span_us: u64, event: Event) {
-        self.at(self.now_us + span_us, event);
+    fn schedule_after(&mut self, span_us: u64, event: Event) {
+        self.schedule_at(self.now_us + span_us, event);
     }
 
     fn now(&self) -> Now {
@@ -189,18 +189,18 @@
         }
     }
 
-    fn reach(&mut self, attempt: usize) {
-        let place = self.attempts[attempt].executor;
-        match self.executors[place].reach(attempt) {
-            Reached::Runs => self.begin(attempt),
-            Reached::Waits | Reached::Swallowed => {}
-            Reached::Refused => self.reply(attempt, AttemptOutcome::Refused),
-            Reached::Unreachable => self.reply(attempt, AttemptOutcome::Unsent),
+    fn deliver_start(&mut self, attempt: usize) {
+        let executor = self.attempts[attempt].executor;
+        match self.executors[executor].receive_start(attempt) {
+            StartOutcome::Running => self.start_run(attempt),
+            StartOutcome::Queued | StartOutcome::Unanswered => {}
+            StartOutcome::Refused => self.send_answer(attempt, AttemptOutcome::Refused),
+            StartOutcome::Unreachable => self.send_answer(attempt, AttemptOutcome::Unsent),
         }
     }
 
     /// Starts an attempt in the slot that it holds.
-    fn begin(&mut self, attempt: usize) {
+    fn start_run(&mut self, attempt: usize) {
         let Attempt {
             executor,
             job,
@@ -211,52 +211,55 @@
         let service_ms = planned.service_ms[usize::from(task.index)];
         let factor = self.service_factor(planned.class);
         let service_us = f64::from(service_ms) * 1_000.0 * factor;
-        let span_us = match self.is_poisoned(planned.class) {
-            true => POISON_US,
-            false => self.executors[executor].span_us(service_us),
+        let run_time_us = match self.is_unrunnable(planned.class) {
+            true => UNRUNNABLE_FAILS_AFTER_US,
+            false => self.executors[executor].run_time_us(service_us),
         };
-        self.attempts[attempt].service_us = span_us;
-        self.after(span_us, Event::Leave { attempt });
+        self.attempts[attempt].service_us = run_time_us;
+        self.schedule_after(run_time_us, Event::RunEnd { attempt });
     }
 
-    fn leave(&mut self, attempt: usize) {
-        let place = self.attempts[attempt].executor;
-        if !self.executors[place].remove(attempt) {
+    fn end_run(&mut self, attempt: usize) {
+        let executor = self.attempts[attempt].executor;
+        if !self.executors[executor].remove(attempt) {
             return;
         }
         let class = self.jobs[self.attempts[attempt].job].planned.class;
-        let is_failing = self.executors[place].health == Health::Failing;
-        let verdict = match is_failing || self.is_poisoned(class) {
+        let is_executor_failing = self.executors[executor].health == Health::Failing;
+        let outcome = match is_executor_failing || self.is_unrunnable(class) {
             true => AttemptOutcome::Failed,
             false => AttemptOutcome::Finished,
         };
-        self.reply(attempt, verdict);
-        self.fill(place);
+        self.send_answer(attempt, outcome);
+        self.start_queued(executor);
     }
 
     /// Starts what waits, as far as slots are free.
-    fn fill(&mut self, place: usize) {
-        while let Some(next) = self.executors[place].next_start() {
-            self.begin(next);
+    fn start_queued(&mut self, executor: usize) {
+        while let Some(next) = self.executors[executor].start_next() {
+            self.start_run(next);
         }
     }
 
-    fn reply(&mut self, attempt: usize, verdict: AttemptOutcome) {
-        self.attempts[attempt].verdict = verdict;
-        self.after(self.options.upstream_us, Event::Answer { attempt });
+    fn send_answer(&mut self, attempt: usize, outcome: AttemptOutcome) {
+        self.attempts[attempt].outcome = outcome;
+        self.schedule_after(self.options.upstream_us, Event::AnswerDelivery { attempt });
     }
 
     /// A stop reaches the executor; one that is silent or dead leaves the attempt to be held lost.
-    fn stop(&mut self, attempt: usize) {
-        let place = self.attempts[attempt].executor;
-        if matches!(self.executors[place].health, Health::Silent | Health::Dead) {
-            self.attempts[attempt].verdict = AttemptOutcome::Lost;
-            self.after(STOP_TIMEOUT_US, Event::Answer { attempt });
+    fn deliver_stop(&mut self, attempt: usize) {
+        let executor = self.attempts[attempt].executor;
+        if matches!(
+            self.executors[executor].health,
+            Health::Unresponsive | Health::Down
+        ) {
+            self.attempts[attempt].outcome = AttemptOutcome::Lost;
+            self.schedule_after(STOP_TIMEOUT_US, Event::AnswerDelivery { attempt });
             return;
         }
-        if self.executors[place].remove(attempt) {
-            self.reply(attempt, AttemptOutcome::Stopped);
-            self.fill(place);
+        if self.executors[executor].remove(attempt) {
+            self.send_answer(attempt, AttemptOutcome::Stopped);
+            self.start_queued(executor);
         }
     }
 
@@ -264,7 +267,7 @@
     fn wasted(&mut self) -> &mut Wasted {
         match self.is_in_middle(self.now_us) {
             true => &mut self.result.tally.wasted,
-            false => &mut self.uncounted,
+            false => &mut self.uncounted_wasted,
         }
     }
 
@@ -272,7 +275,7 @@
         (self.span_us / 3..2 * self.span_us / 3).contains(&at_us)
     }
 
-    fn record(&mut self, job: usize, code: Option<ResultCode>) {
+    fn record_job_end(&mut self, job: usize, code: Option<ResultCode>) {
         let planned = &self.jobs[job].planned;
         let load = &self.mix.classes()[planned.class];
         let network_us = 2 * (self.options.caller_us + self.options.upstream_us);
@@ -286,7 +289,7 @@
         };
         let second = planned.at_us / 1_000_000;
         let is_counted = self.is_in_middle(planned.at_us);
-        self.jobs[job].is_over = true;
+        self.jobs[job].has_ended = true;
         if is_counted {
             self.result.tally.record(&end);
         }
@@ -300,7 +303,7 @@
 /// How long a stop is waited for before the attempt is held lost.
 const STOP_TIMEOUT_US: u64 = 500_000;
 /// How soon a task that can never run fails.
-const POISON_US: u64 = 5_000;
+const UNRUNNABLE_FAILS_AFTER_US: u64 = 5_000;
 
 #[expect(
     clippy::cast_possible_truncation,
--- a/crates/onyxshed-load/src/sim/world/parts.rs
+++ b/crates/onyxshed-load/src/sim/world/parts.rs
@@ -7,20 +7,20 @@
 
 use super::{RACK, WALL_START};
 use crate::plan::PlannedJob;
-use crate::sim::chooser::Chooser;
+use crate::sim::chooser::HostPolicy;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
-    Arrive { job: usize },
-    Reach { attempt: usize },
-    Leave { attempt: usize },
-    Answer { attempt: usize },
-    Stop { attempt: usize },
+    JobArrival { job: usize },
+    StartDelivery { attempt: usize },
+    RunEnd { attempt: usize },
+    AnswerDelivery { attempt: usize },
+    StopDelivery { attempt: usize },
     Deadline { job: usize },
     Wake { host: usize },
-    FaultOn,
-    FaultOff,
-    FaultKnown,
+    FaultStart,
+    FaultEnd,
+    FaultDetection,
     CancelWave,
 }
 
@@ -30,8 +30,8 @@
     pub(super) job: usize,
     pub(super) task: TaskId,
     pub(super) executor: usize,
-    pub(super) is_open: bool,
-    pub(super) verdict: AttemptOutcome,
+    pub(super) is_pending: bool,
+    pub(super) outcome: AttemptOutcome,
     pub(super) service_us: u64,
 }
 
@@ -39,32 +39,32 @@
 pub(super) struct Job {
     pub(super) planned: PlannedJob,
     pub(super) host: usize,
-    pub(super) tries: u32,
-    pub(super) left: usize,
+    pub(super) repeats: u32,
+    pub(super) remaining: usize,
     pub(super) has_started: bool,
     pub(super) is_running: bool,
-    pub(super) is_over: bool,
-    pub(super) done: Vec<bool>,
+    pub(super) has_ended: bool,
+    pub(super) done_tasks: Vec<bool>,
     pub(super) deadline: Mono,
     pub(super) attempts: Vec<usize>,
 }
 
 pub(super) struct Host {
-    pub(super) chooser: Chooser,
-    pub(super) is_alive: bool,
-    pub(super) wakes_at: Option<Mono>,
+    pub(super) policy: HostPolicy,
+    pub(super) is_up: bool,
+    pub(super) wake_at: Option<Mono>,
 }
 
 impl Job {
     pub(super) fn new(planned: PlannedJob) -> Self {
         Job {
             host: 0,
-            tries: 0,
-            left: planned.service_ms.len(),
+            repeats: 0,
+            remaining: planned.service_ms.len(),
             has_started: false,
             is_running: false,
-            is_over: false,
-            done: vec![false; planned.service_ms.len()],
+            has_ended: false,
+            done_tasks: vec![false; planned.service_ms.len()],
             deadline: Mono(0),
             attempts: Vec::new(),
             planned,
@@ -72,12 +72,12 @@
     }
 }
 
-pub(super) fn executor_info(place: usize, slots: usize, upstream: &UpstreamName) -> ExecutorInfo {
+pub(super) fn executor_info(index: usize, slots: usize, upstream: &UpstreamName) -> ExecutorInfo {
     ExecutorInfo {
-        name: format!("x{place:03}").parse().expect("a valid name"),
+        name: format!("x{index:03}").parse().expect("a valid name"),
         upstream: upstream.clone(),
         zone: "zone-a".parse().expect("a valid name"),
-        rack: format_smolstr!("rack-{}", place / RACK),
+        rack: format_smolstr!("rack-{}", index / RACK),
         slots: u32::try_from(slots).unwrap_or(u32::MAX),
         is_draining: false,
     }
@@ -92,14 +92,14 @@
     }
 }
 
-pub(super) fn job_of(task: &TaskId) -> usize {
+pub(super) fn job_index(task: &TaskId) -> usize {
     usize::try_from(task.submission.ulid.random()).unwrap_or(usize::MAX)
 }
 
 /// Turns what an attempt took into the policy's unit.
-pub(super) fn service_of(attempt: &Attempt) -> Option<Micros> {
+pub(super) fn service_time(attempt: &Attempt) -> Option<Micros> {
     let did_run = matches!(
-        attempt.verdict,
+        attempt.outcome,
         AttemptOutcome::Finished | AttemptOutcome::Failed
     );
     did_run.then_some(Micros(attempt.service_us))
--- a/crates/onyxshed-load/src/slopes.rs
+++ b/crates/onyxshed-load/src/slopes.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use crate::bench::{held, loaded};
+use crate::bench::{hold_requests, run_closed_loop};
 use crate::error::{Error, Result};
 use crate::local::{LocalOptions, LocalSet, call};
 use crate::report::write_json;
@@ -36,7 +36,7 @@
 
 /// One thing whose growth is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Subject {
+enum Experiment {
     InFlight,
     Executors,
     Claims,
@@ -44,63 +44,69 @@
     Members,
 }
 
-impl Subject {
-    const ALL: [Subject; 5] = [
-        Subject::InFlight,
-        Subject::Executors,
-        Subject::Claims,
-        Subject::JobSize,
-        Subject::Members,
+impl Experiment {
+    const ALL: [Experiment; 5] = [
+        Experiment::InFlight,
+        Experiment::Executors,
+        Experiment::Claims,
+        Experiment::JobSize,
+        Experiment::Members,
     ];
 
     fn name(self) -> &'static str {
         match self {
-            Subject::InFlight => "in-flight",
-            Subject::Executors => "executors",
-            Subject::Claims => "claims",
-            Subject::JobSize => "job-size",
-            Subject::Members => "members",
+            Experiment::InFlight => "in-flight",
+            Experiment::Executors => "executors",
+            Experiment::Claims => "claims",
+            Experiment::JobSize => "job-size",
+            Experiment::Members => "members",
         }
     }
 }
 
 /// Tries to measure every slope asked for.
-pub async fn slopes(
+pub async fn measure_slopes(
     executor: &LocalExecutor<'static>,
     options: &SlopeOptions,
 ) -> Result<Vec<Slope>> {
-    let is_wanted = |subject: &Subject| {
+    let is_selected = |experiment: &Experiment| {
         let only = options.only.as_deref();
-        only.is_none_or(|only| subject.name().contains(only))
+        only.is_none_or(|only| experiment.name().contains(only))
     };
     let mut all = Vec::new();
-    for subject in Subject::ALL.into_iter().filter(is_wanted) {
-        all.extend(match subject {
-            Subject::InFlight => in_flight(executor, &options.binaries).await?,
-            Subject::Executors => executors(executor, &options.binaries).await?,
-            Subject::Claims => claims(executor, &options.binaries).await?,
-            Subject::JobSize => job_size(executor, &options.binaries).await?,
-            Subject::Members => members::members(&options.binaries).await?,
+    for experiment in Experiment::ALL.into_iter().filter(is_selected) {
+        all.extend(match experiment {
+            Experiment::InFlight => measure_in_flight(executor, &options.binaries).await?,
+            Experiment::Executors => measure_executors(executor, &options.binaries).await?,
+            Experiment::Claims => measure_claims(executor, &options.binaries).await?,
+            Experiment::JobSize => measure_job_size(executor, &options.binaries).await?,
+            Experiment::Members => members::measure_members(&options.binaries).await?,
         });
     }
     Ok(all)
 }
 
 /// Memory of an entry process against requests in flight.
-async fn in_flight(executor: &LocalExecutor<'static>, binaries: &Path) -> Result<Vec<Slope>> {
+async fn measure_in_flight(
+    executor: &LocalExecutor<'static>,
+    binaries: &Path,
+) -> Result<Vec<Slope>> {
     let mut memory = Slope::new("in-flight-memory", "requests in flight", "entry MiB");
     let mut processor = Slope::new("in-flight-processor", "requests", "entry processor ms");
     for count in [100, 1_000, 2_500, 5_000, 9_000] {
-        let report = held(executor, binaries.into(), count, false).await?;
-        memory.add(count.into(), mib(report.held.resident_kib));
-        let spent_ms = report.held.processor_ms - report.before.processor_ms;
-        processor.add(count.into(), float(spent_ms));
+        let report = hold_requests(executor, binaries.into(), count, false).await?;
+        memory.add_point(count.into(), mib(report.held.resident_kib));
+        let used_ms = report.held.processor_ms - report.before.processor_ms;
+        processor.add_point(count.into(), float(used_ms));
     }
     Ok(vec![memory, processor])
 }
 
 /// Idle memory and processor time of both processes, and the cost of a task, against executors.
-async fn executors(executor: &LocalExecutor<'static>, binaries: &Path) -> Result<Vec<Slope>> {
+async fn measure_executors(
+    executor: &LocalExecutor<'static>,
+    binaries: &Path,
+) -> Result<Vec<Slope>> {
     const PROCESSES: usize = 10;
     const IDLE: Duration = Duration::from_secs(3);
     let mut entry_memory = Slope::new("executors-entry-memory", "executors", "entry MiB");
@@ -112,30 +118,33 @@
         "control read bytes/s",
     );
     let mut task = Slope::new("executors-task", "executors", "entry us/task");
-    for listed_each in [5, 20, 50, 100, 200] {
+    for listed_per_process in [5, 20, 50, 100, 200] {
         let options = LocalOptions {
             executors: PROCESSES,
-            listed_each,
+            listed_per_process,
             slots: 8,
             ..LocalOptions::small(binaries.into())
         };
         let set = LocalSet::start(&options).await?;
-        let listed = options.listed() as f64;
+        let executor_count = options.listed_executors() as f64;
         let before = set.entries[0].control.usage()?;
-        let lists_before = counts(&set).await?.host_lists;
+        let lists_before = read_counts(&set).await?.host_lists;
         Timer::after(IDLE).await;
-        let lists = counts(&set).await?.host_lists - lists_before;
-        bytes.add(
-            listed,
-            list_bytes(&set).await? * float(lists) / IDLE.as_secs_f64(),
+        let lists = read_counts(&set).await?.host_lists - lists_before;
+        bytes.add_point(
+            executor_count,
+            read_list_bytes(&set).await? * float(lists) / IDLE.as_secs_f64(),
         );
         let control = set.entries[0].control.usage()?;
-        let spent_ms = float(control.processor_ms - before.processor_ms);
-        entry_memory.add(listed, mib(set.entries[0].entry.usage()?.resident_kib));
-        control_memory.add(listed, mib(control.resident_kib));
-        control_core.add(listed, spent_ms / IDLE.as_secs_f64() / 10.0);
-        let load = loaded(executor, &set, 32, 8, true).await?;
-        task.add(listed, load.entry_us_per_task);
+        let used_ms = float(control.processor_ms - before.processor_ms);
+        entry_memory.add_point(
+            executor_count,
+            mib(set.entries[0].entry.usage()?.resident_kib),
+        );
+        control_memory.add_point(executor_count, mib(control.resident_kib));
+        control_core.add_point(executor_count, used_ms / IDLE.as_secs_f64() / 10.0);
+        let load = run_closed_loop(executor, &set, 32, 8, true).await?;
+        task.add_point(executor_count, load.entry_us_per_task);
     }
     Ok(vec![
         entry_memory,
@@ -147,42 +156,45 @@
 }
 
 /// Appends a second against claims a second, by callers that all use ids of their own.
-async fn claims(executor: &LocalExecutor<'static>, binaries: &Path) -> Result<Vec<Slope>> {
+async fn measure_claims(executor: &LocalExecutor<'static>, binaries: &Path) -> Result<Vec<Slope>> {
     let mut appends = Slope::new("claims-appends", "claims a second", "appends a second");
     let mut delay = Slope::new("claims-delay", "claims a second", "job p50 ms");
     for callers in [1, 4, 16, 64, 256] {
         let set = LocalSet::start(&LocalOptions::small(binaries.into())).await?;
-        let before = counts(&set).await?.claims();
-        let load = loaded(executor, &set, callers, 1, false).await?;
-        let after = counts(&set).await?.claims();
-        let span_s = crate::bench::SPAN.as_secs_f64();
-        appends.add(load.jobs_per_s, float(after - before) / span_s);
-        delay.add(load.jobs_per_s, load.took_ms.p50);
+        let before = read_counts(&set).await?.claim_appends();
+        let load = run_closed_loop(executor, &set, callers, 1, false).await?;
+        let after = read_counts(&set).await?.claim_appends();
+        let span_s = crate::bench::CLOSED_LOOP_SPAN.as_secs_f64();
+        appends.add_point(load.jobs_per_s, float(after - before) / span_s);
+        delay.add_point(load.jobs_per_s, load.took_ms.p50);
     }
     Ok(vec![appends, delay])
 }
 
 /// Processor time of one job against its number of tasks.
-async fn job_size(executor: &LocalExecutor<'static>, binaries: &Path) -> Result<Vec<Slope>> {
+async fn measure_job_size(
+    executor: &LocalExecutor<'static>,
+    binaries: &Path,
+) -> Result<Vec<Slope>> {
     let mut job = Slope::new("job-size-processor", "tasks in a job", "entry us/job");
     for tasks in [1, 10, 50, 150, 550] {
         let set = LocalSet::start(&LocalOptions::small(binaries.into())).await?;
-        let load = loaded(executor, &set, 8, tasks, true).await?;
+        let load = run_closed_loop(executor, &set, 8, tasks, true).await?;
         let tasks = f64::from(tasks);
-        job.add(tasks, load.entry_us_per_task * tasks);
+        job.add_point(tasks, load.entry_us_per_task * tasks);
     }
     Ok(vec![job])
 }
 
 /// What the platform's stand-in counted.
 #[derive(Debug, Deserialize)]
-struct Counts {
+struct PlatformCounts {
     appended: BTreeMap<SmolStr, u64>,
     host_lists: u64,
 }
 
-impl Counts {
-    fn claims(&self) -> u64 {
+impl PlatformCounts {
+    fn claim_appends(&self) -> u64 {
         self.appended
             .get(CLAIMS_STREAM)
             .copied()
@@ -190,14 +202,14 @@
     }
 }
 
-async fn counts(set: &LocalSet) -> Result<Counts> {
+async fn read_counts(set: &LocalSet) -> Result<PlatformCounts> {
     let address = set.platform.address;
     let reply = call(address, Method::Get, "/control/counts", Vec::new()).await?;
     serde_json::from_slice(&reply.body).map_err(|error| Error::unreachable(address, error))
 }
 
 /// Gets the size of the host list as a control process reads it, in bytes.
-async fn list_bytes(set: &LocalSet) -> Result<f64> {
+async fn read_list_bytes(set: &LocalSet) -> Result<f64> {
     let list = call(set.platform.address, Method::Get, HOSTS_PATH, Vec::new()).await?;
     Ok(list.body.len() as f64)
 }
@@ -208,7 +220,7 @@
 
 /// All slopes as written to a file.
 #[derive(Debug, Serialize)]
-struct Written<'a> {
+struct SlopeFile<'a> {
     name: &'a str,
     x_unit: &'a str,
     y_unit: &'a str,
@@ -219,14 +231,14 @@
 /// Tries to write figures and plots into a folder.
 pub fn write(slopes: &[Slope], folder: &Path) -> Result<()> {
     for slope in slopes {
-        let written = Written {
+        let file = SlopeFile {
             name: slope.name,
             x_unit: slope.x_unit,
             y_unit: slope.y_unit,
             points: &slope.points,
             fit: slope.fit(),
         };
-        write_json(&folder.join(format!("{}.json", slope.name)), &written)?;
+        write_json(&folder.join(format!("{}.json", slope.name)), &file)?;
         slope
             .plot()
             .draw(&folder.join(format!("{}.svg", slope.name)))?;
--- a/crates/onyxshed-load/src/slopes/fit.rs
+++ b/crates/onyxshed-load/src/slopes/fit.rs
@@ -43,7 +43,7 @@
     }
 
     /// Adds a measured point.
-    pub fn add(&mut self, x: f64, y: f64) {
+    pub fn add_point(&mut self, x: f64, y: f64) {
         self.points.push((x, y));
     }
 
@@ -53,9 +53,9 @@
         let mean = |pick: fn(&(f64, f64)) -> f64| self.points.iter().map(pick).sum::<f64>() / count;
         let (mean_x, mean_y) = (mean(|point| point.0), mean(|point| point.1));
         let points = self.points.iter();
-        let both: f64 = points.map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
-        let spread: f64 = self.points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        let slope = if spread > 0.0 { both / spread } else { 0.0 };
+        let sum_xy: f64 = points.map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+        let sum_xx: f64 = self.points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+        let slope = if sum_xx > 0.0 { sum_xy / sum_xx } else { 0.0 };
         let intercept = mean_y - slope * mean_x;
         let residuals = self.points.iter();
         let residuals = residuals.map(|(x, y)| (y - intercept - slope * x).abs());
--- a/crates/onyxshed-load/src/slopes/members.rs
+++ b/crates/onyxshed-load/src/slopes/members.rs
@@ -14,17 +14,17 @@
 use super::mib;
 use crate::error::{Error, Result};
 use crate::local::{LocalOptions, LocalSet, call};
-use crate::run::{class_name, fresh_ulid, payload};
+use crate::run::{class_name, new_ulid, payload};
 use crate::tally::float;
 
 /// How long views settle, and how long is measured then.
-const SETTLE: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 const SPAN: Duration = Duration::from_secs(6);
 /// Wait before an entry host is asked again whether it knows a class.
-const POLL: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Memory, processor time and bytes sent to peers by one control process, on average.
-pub(super) async fn members(binaries: &Path) -> Result<Vec<Slope>> {
+pub(super) async fn measure_members(binaries: &Path) -> Result<Vec<Slope>> {
     let mut memory = Slope::new("members-memory", "entry hosts", "control MiB");
     let mut core = Slope::new("members-core", "entry hosts", "control % of a core");
     let mut sent = Slope::new("members-bytes", "entry hosts", "bytes/s to peers");
@@ -46,47 +46,51 @@
                 break;
             }
         };
-        Timer::after(SETTLE).await;
-        let (spent_before, bytes_before) = (processor_ms(&set)?, peer_bytes(&set)?);
+        Timer::after(SETTLE_TIME).await;
+        let (used_ms_before, bytes_before) = (processor_ms(&set)?, peer_bytes(&set)?);
         Timer::after(SPAN).await;
-        let (spent, bytes) = (processor_ms(&set)?, peer_bytes(&set)?);
+        let (used_ms, bytes) = (processor_ms(&set)?, peer_bytes(&set)?);
         let (count, span_s) = (entries as f64, SPAN.as_secs_f64());
         let resident = set.entries[0].control.usage()?.resident_kib;
-        memory.add(count, mib(resident));
-        core.add(count, float(spent - spent_before) / count / span_s / 10.0);
-        sent.add(
+        memory.add_point(count, mib(resident));
+        core.add_point(
+            count,
+            float(used_ms - used_ms_before) / count / span_s / 10.0,
+        );
+        sent.add_point(
             count,
             float(bytes.saturating_sub(bytes_before)) / count / span_s,
         );
-        in_force.add(count, in_force_ms(&set, &options).await?);
+        in_force.add_point(count, in_force_ms(&set, &options).await?);
     }
     Ok(vec![memory, core, sent, in_force])
 }
 
 /// Gets the processor time of all control processes together.
 fn processor_ms(set: &LocalSet) -> Result<u64> {
-    let each = set.entries.iter().map(|entry| entry.control.usage());
-    each.map(|usage| usage.map(|usage| usage.processor_ms))
+    let usages = set.entries.iter().map(|entry| entry.control.usage());
+    usages
+        .map(|usage| usage.map(|usage| usage.processor_ms))
         .sum()
 }
 
 /// Gets the bytes sent on all open connections between control processes, both ways.
 fn peer_bytes(set: &LocalSet) -> Result<u64> {
-    let listed = Command::new("ss")
+    let output = Command::new("ss")
         .args(["-tinHO"])
         .output()
         .map_err(Error::start)?;
-    let text = String::from_utf8_lossy(&listed.stdout).into_owned();
-    let ports: Vec<SocketAddr> = set.entries.iter().map(|entry| entry.control_peer).collect();
-    let ours = text.lines().filter(|line| is_between(line, &ports));
-    Ok(ours.filter_map(bytes_sent).sum())
+    let text = String::from_utf8_lossy(&output.stdout).into_owned();
+    let addresses: Vec<SocketAddr> = set.entries.iter().map(|entry| entry.control_peer).collect();
+    let peer_lines = text.lines().filter(|line| has_peer_end(line, &addresses));
+    Ok(peer_lines.filter_map(bytes_sent).sum())
 }
 
 /// Tells whether either end of a connection is a control process's peer address.
-fn is_between(line: &str, ports: &[SocketAddr]) -> bool {
+fn has_peer_end(line: &str, addresses: &[SocketAddr]) -> bool {
     let ends = line.split_whitespace().skip(3).take(2);
     let ends: Vec<SocketAddr> = ends.filter_map(|end| end.parse().ok()).collect();
-    ends.iter().any(|end| ports.contains(end))
+    ends.iter().any(|end| addresses.contains(end))
 }
 
 fn bytes_sent(line: &str) -> Option<u64> {
@@ -98,25 +102,25 @@
 
 /// Publishes one change and gets how long it takes until every entry host knows the class.
 async fn in_force_ms(set: &LocalSet, options: &LocalOptions) -> Result<f64> {
-    const FRESH_CLASS: &str = "fresh";
-    let fresh = ClassTarget {
-        class: class_name(FRESH_CLASS),
+    const NEW_CLASS: &str = "fresh";
+    let target = ClassTarget {
+        class: class_name(NEW_CLASS),
         ..options.classes[0].clone()
     };
     let based_on = options.classes.len() as u64;
-    set.publish_classes(Revision(based_on), &[fresh]).await?;
+    set.publish_classes(Revision(based_on), &[target]).await?;
     let published = Instant::now();
     for entry in &set.entries {
-        while !knows(entry.callers, FRESH_CLASS).await? {
-            Timer::after(POLL).await;
+        while !has_class(entry.callers, NEW_CLASS).await? {
+            Timer::after(POLL_INTERVAL).await;
         }
     }
     Ok(published.elapsed().as_secs_f64() * 1_000.0)
 }
 
-async fn knows(entry: SocketAddr, class: &str) -> Result<bool> {
+async fn has_class(entry: SocketAddr, class: &str) -> Result<bool> {
     let job = Submission {
-        submission: SubmissionId::unbound(fresh_ulid(0)),
+        submission: SubmissionId::unbound(new_ulid(0)),
         class: class_name(class),
         deadline_ms: None,
         copy: CopyMark::First,
--- a/crates/onyxshed-load/src/throughput.rs
+++ b/crates/onyxshed-load/src/throughput.rs
@@ -15,9 +15,9 @@
 use smol_str::SmolStr;
 
 use crate::error::Result;
-use crate::process::usage;
+use crate::process::read_usage;
 use crate::report::Percentiles;
-use crate::run::{class_name, fresh_ulid, payload};
+use crate::run::{class_name, new_ulid, payload};
 use crate::tally::{float, histogram};
 
 /// What to send.
@@ -74,7 +74,7 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Tries to load one entry host for a while.
-pub async fn throughput(
+pub async fn measure_throughput(
     executor: &LocalExecutor<'static>,
     options: Rc<ThroughputOptions>,
 ) -> Result<Throughput> {
@@ -84,16 +84,16 @@
         took_us: histogram(),
         bound_to: None,
     }));
-    let before = usage(options.pid)?;
-    let started = Instant::now();
+    let before = read_usage(options.pid)?;
+    let started_at = Instant::now();
     let callers: Vec<_> = (0..options.callers)
-        .map(|_| executor.spawn(call_on(options.clone(), counts.clone(), started)))
+        .map(|_| executor.spawn(run_caller(options.clone(), counts.clone(), started_at)))
         .collect();
     for caller in callers {
         caller.await;
     }
-    let took_s = started.elapsed().as_secs_f64();
-    let after = usage(options.pid)?;
+    let took_s = started_at.elapsed().as_secs_f64();
+    let after = read_usage(options.pid)?;
     let counts = counts.borrow();
     let processor_ms = float(after.processor_ms - before.processor_ms);
     let tasks = float(counts.complete) * f64::from(options.tasks);
@@ -112,18 +112,22 @@
 }
 
 /// One caller: a job, its answer, the next job.
-async fn call_on(options: Rc<ThroughputOptions>, counts: Rc<RefCell<Counts>>, started: Instant) {
+async fn run_caller(
+    options: Rc<ThroughputOptions>,
+    counts: Rc<RefCell<Counts>>,
+    started_at: Instant,
+) {
     let opened = Connection::open(options.entry, ClientOptions::default()).await;
     let Ok(mut connection) = opened else {
         counts.borrow_mut().other += 1;
         return;
     };
-    while started.elapsed() < options.span {
+    while started_at.elapsed() < options.span {
         let bound_to = counts.borrow().bound_to;
-        let job = job(&options, bound_to);
-        let sent = Instant::now();
+        let body = encode_job(&options, bound_to);
+        let sent_at = Instant::now();
         let reply = connection
-            .call(Method::Post, JOBS_PATH, &[], job, TIMEOUT)
+            .call(Method::Post, JOBS_PATH, &[], body, TIMEOUT)
             .await;
         let Ok(reply) = reply else {
             counts.borrow_mut().other += 1;
@@ -137,7 +141,7 @@
         match answer.and_then(|answer| answer.code) {
             Some(ResultCode::Complete) => {
                 counts.complete += 1;
-                let took_us = u64::try_from(sent.elapsed().as_micros()).unwrap_or(u64::MAX);
+                let took_us = u64::try_from(sent_at.elapsed().as_micros()).unwrap_or(u64::MAX);
                 counts.took_us.saturating_record(took_us);
             }
             _ => counts.other += 1,
@@ -145,10 +149,10 @@
     }
 }
 
-fn job(options: &ThroughputOptions, bound_to: Option<Incarnation>) -> Vec<u8> {
+fn encode_job(options: &ThroughputOptions, bound_to: Option<Incarnation>) -> Vec<u8> {
     let job = Submission {
         submission: SubmissionId {
-            ulid: fresh_ulid(rand::random()),
+            ulid: new_ulid(rand::random()),
             bound_to,
         },
         class: class_name(&options.class),
--- a/crates/onyxshed-load/src/whole_path.rs
+++ b/crates/onyxshed-load/src/whole_path.rs
@@ -36,7 +36,7 @@
     /// How long the sample load arrives, in seconds; none is sent for 0.
     pub span_s: f64,
     /// Whether everything goes on until standard input ends.
-    pub stays: bool,
+    pub keeps_running: bool,
 }
 
 /// Class that the sample job belongs to.
@@ -49,7 +49,7 @@
 const NETWORK_US: u64 = 100;
 
 /// Tries to show the whole path.
-pub async fn whole_path(
+pub async fn run_whole_path(
     executor: &LocalExecutor<'static>,
     options: &WholePathOptions,
 ) -> Result<()> {
@@ -61,8 +61,8 @@
     );
     let set = LocalSet::start(&zone).await?;
     let operator = Operator::new(&options.binaries, &set)?;
-    tell_addresses(&set, &operator);
-    operator.run(&publish_words())?;
+    print_addresses(&set, &operator);
+    operator.run(&publish_args())?;
     operator.run(&["status"])?;
     show_job(&set, &operator).await?;
     if options.span_s > 0.0 {
@@ -73,7 +73,7 @@
         let report = run(executor, &load_options(&set, options.span_s)).await;
         println!("{report}");
     }
-    if options.stays {
+    if options.keeps_running {
         println!("\n# Everything goes on until standard input ends (Ctrl-D)");
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
     }
@@ -82,7 +82,7 @@
 }
 
 /// Words that publish the sample job's class and wait until it is in force.
-fn publish_words() -> [&'static str; 8] {
+fn publish_args() -> [&'static str; 8] {
     [
         "target",
         "put",
@@ -105,10 +105,10 @@
     /// Writes the operator's settings beside the processes'.
     fn new(binaries: &Path, set: &LocalSet) -> Result<Self> {
         let settings = set.folder().join("operator.json");
-        let processes: Vec<_> = set.entries.iter().zip(0..).flat_map(|(entry, place)| {
+        let processes: Vec<_> = set.entries.iter().zip(0..).flat_map(|(entry, index)| {
             [
-                json!({"name": format!("entry-{place}"), "admin_address": entry.admin}),
-                json!({"name": format!("control-{place}"), "admin_address": entry.control_admin}),
+                json!({"name": format!("entry-{index}"), "admin_address": entry.admin}),
+                json!({"name": format!("control-{index}"), "admin_address": entry.control_admin}),
             ]
         }).collect();
         let document = json!({
@@ -123,10 +123,10 @@
     }
 
     /// Shows a command and what it says.
-    fn run(&self, words: &[&str]) -> Result<()> {
-        println!("\n$ onyxshed {} --settings operator.json", words.join(" "));
+    fn run(&self, args: &[&str]) -> Result<()> {
+        println!("\n$ onyxshed {} --settings operator.json", args.join(" "));
         let status = Command::new(&self.binary)
-            .args(words)
+            .args(args)
             .arg("--settings")
             .arg(&self.settings)
             .stdin(Stdio::null())
@@ -139,24 +139,24 @@
     }
 }
 
-fn tell_addresses(set: &LocalSet, operator: &Operator) {
+fn print_addresses(set: &LocalSet, operator: &Operator) {
     println!("# Started");
     println!(
         "platform       {}  process {}",
         set.platform.address,
         set.platform.id()
     );
-    for (place, executor) in set.executors.iter().enumerate() {
+    for (index, executor) in set.executors.iter().enumerate() {
         println!(
-            "executor x{place:05} {}  process {}",
+            "executor x{index:05} {}  process {}",
             executor.address,
             executor.id()
         );
     }
-    for (place, entry) in set.entries.iter().enumerate() {
+    for (index, entry) in set.entries.iter().enumerate() {
         let (callers, admin) = (entry.callers, entry.admin);
         println!(
-            "entry host e{place}  callers {callers}  admin {admin}  process {}",
+            "entry host e{index}  callers {callers}  admin {admin}  process {}",
             entry.entry.id()
         );
     }
@@ -172,13 +172,13 @@
     };
     let id = SubmissionId::unbound(Ulid::generate());
     println!("\n# A job of three tasks, to the first entry host");
-    post(first, &job(id, CopyMark::First)).await?;
+    post(first, &sample_job(id, CopyMark::First)).await?;
     println!("\n# The same again, to the last entry host: its answer, and no task runs twice");
-    post(last, &job(id, CopyMark::Again)).await?;
+    post(last, &sample_job(id, CopyMark::Again)).await?;
     operator.run(&["timeline", "--submission", &id.to_string()])
 }
 
-fn job(id: SubmissionId, copy: CopyMark) -> Submission {
+fn sample_job(id: SubmissionId, copy: CopyMark) -> Submission {
     let task = |number: u32| json!({"service_ms": 100, "echo": format!("fee {number}")});
     Submission {
         submission: id,
--- a/crates/onyxshed-load/tests/plan.rs
+++ b/crates/onyxshed-load/tests/plan.rs
@@ -25,13 +25,13 @@
 }
 
 #[rstest]
-fn a_seed_gives_one_plan(#[values(Mix::Inzira, Mix::Valbrenta)] mix: Mix) {
+fn same_seed_gives_same_plan(#[values(Mix::Inzira, Mix::Valbrenta)] mix: Mix) {
     assert_eq!(plan(&options(mix, 3)), plan(&options(mix, 3)));
     assert_ne!(plan(&options(mix, 3)), plan(&options(mix, 4)));
 }
 
 #[rstest]
-fn rates_hold_inside_and_outside_bursts(#[values(1, 2, 3)] seed: u64) {
+fn arrival_rate_matches_inside_and_outside_bursts(#[values(1, 2, 3)] seed: u64) {
     let jobs = plan(&options(Mix::Inzira, seed));
     let before = count(&jobs, 0, 10);
     let burst = count(&jobs, 10, 20);
@@ -41,7 +41,7 @@
 }
 
 #[rstest]
-fn the_mean_work_of_a_job_is_as_computed(#[values(Mix::Inzira, Mix::Valbrenta)] mix: Mix) {
+fn drawn_work_matches_computed_mean(#[values(Mix::Inzira, Mix::Valbrenta)] mix: Mix) {
     let jobs = plan(&options(mix, 7));
     let work_ms: u32 = jobs.iter().flat_map(|job| &job.service_ms).sum();
     let mean_ms = f64::from(work_ms) / jobs.len() as f64;
--- a/crates/onyxshed-load/tests/run.rs
+++ b/crates/onyxshed-load/tests/run.rs
@@ -17,16 +17,18 @@
 use rstest::rstest;
 
 /// How often the entry host was asked for one submission before.
-type Seen = Rc<RefCell<std::collections::BTreeMap<String, u32>>>;
+type RequestCounts = Rc<RefCell<std::collections::BTreeMap<String, u32>>>;
 
-fn answer(seen: &Seen, refusals: u32, call: &Call) -> Reply {
+fn answer(request_counts: &RequestCounts, refusals: u32, call: &Call) -> Reply {
     let Ok(job) = Submission::decode(&call.body) else {
         return Reply::bytes(400, "");
     };
-    let mut seen = seen.borrow_mut();
-    let times = seen.entry(job.submission.to_string()).or_default();
-    *times += 1;
-    let answer = match *times <= refusals {
+    let mut request_counts = request_counts.borrow_mut();
+    let requests = request_counts
+        .entry(job.submission.to_string())
+        .or_default();
+    *requests += 1;
+    let answer = match *requests <= refusals {
         true => {
             Answer::ended(Some(job.submission), ResultCode::Overloaded, "").retry_after(Millis(1))
         }
@@ -37,10 +39,10 @@
 
 fn report(refusals: u32) -> Report {
     let executor = Rc::new(LocalExecutor::new());
-    let seen = Seen::default();
+    let request_counts = RequestCounts::default();
     let handler: Handler = Rc::new(move |call| {
-        let seen = seen.clone();
-        Box::pin(async move { answer(&seen, refusals, &call) })
+        let request_counts = request_counts.clone();
+        Box::pin(async move { answer(&request_counts, refusals, &call) })
     });
     let reject: RejectReply = Rc::new(|code| Reply::bytes(code.http_status(), ""));
     async_io::block_on(executor.clone().run(async {
@@ -81,14 +83,14 @@
 }
 
 #[rstest]
-fn callers_come_back_when_told() {
+fn refused_job_is_sent_again_after_retry_time() {
     // Each job is refused once as not run with a time to come back; its caller comes back then, and
     // the second copy is answered. Both the refusal and the repeat count as wasted.
     insta::assert_snapshot!(summary(&report(1)));
 }
 
 #[rstest]
-fn callers_give_up_after_their_repeats() {
+fn refused_job_ends_after_maximum_repeats() {
     // The entry host refuses whatever it is sent: a caller comes back twice and then reports the
     // last refusal as the job's end.
     insta::assert_snapshot!(summary(&report(9)));
--- a/crates/onyxshed-load/tests/sim.rs
+++ b/crates/onyxshed-load/tests/sim.rs
@@ -1,10 +1,10 @@
 //! The decision core in virtual time: one seed gives one run, and every job ends exactly once.
 
 use onyxshed_load::mix::Mix;
-use onyxshed_load::sim::chooser::Rival;
+use onyxshed_load::sim::chooser::PolicyKind;
 use onyxshed_load::sim::scenario::Scenario;
-use onyxshed_load::sim::world::WorldOptions;
-use onyxshed_load::sim::{SimOptions, one_run, simulate};
+use onyxshed_load::sim::world::ZoneOptions;
+use onyxshed_load::sim::{SimOptions, run_once, simulate};
 use rstest::rstest;
 
 const SPAN_S: f64 = 9.0;
@@ -15,19 +15,24 @@
         seeds: vec![1],
         scenarios: Scenario::ALL.to_vec(),
         span_s: SPAN_S,
-        world: WorldOptions::default(),
+        zone: ZoneOptions::default(),
     }
 }
 
 #[rstest]
-fn a_seed_gives_one_run(#[values(Mix::Inzira, Mix::Valbrenta)] mix: Mix) {
+fn same_seed_gives_same_results(#[values(Mix::Inzira, Mix::Valbrenta)] mix: Mix) {
     let text = || simulate(&options(mix)).to_string();
     assert_eq!(text(), text());
 }
 
 #[rstest]
-fn every_job_ends_once(
-    #[values(Rival::Onyxshed, Rival::RoundRobin, Rival::LeastOutstanding)] rival: Rival,
+fn every_job_ends_exactly_once(
+    #[values(
+        PolicyKind::Onyxshed,
+        PolicyKind::RoundRobin,
+        PolicyKind::LeastOutstanding
+    )]
+    policy: PolicyKind,
     #[values(1, 2)] seed: u64,
 ) {
     for scenario in Scenario::ALL {
@@ -35,19 +40,21 @@
         if scenario == Scenario::CancelWave {
             continue;
         }
-        let (planned, run) = one_run(&options(Mix::Inzira), scenario, rival, seed);
+        let (planned, run) = run_once(&options(Mix::Inzira), scenario, policy, seed);
         let ended: u64 = run.by_second.values().map(|(jobs, _)| jobs).sum();
         assert_eq!(ended, planned as u64, "{scenario:?}");
     }
 }
 
 #[rstest]
-fn baselines_do_what_they_did() {
+fn baseline_results_match_snapshot() {
     let small = SimOptions {
-        scenarios: vec![Scenario::Load(50), Scenario::RackDies],
+        scenarios: vec![Scenario::Load(50), Scenario::RackFails],
         ..options(Mix::Valbrenta)
     };
     let mut summary = simulate(&small);
-    summary.cells.retain(|cell| cell.rival != Rival::Onyxshed);
+    summary
+        .cells
+        .retain(|cell| cell.rival != PolicyKind::Onyxshed);
     insta::assert_snapshot!(summary);
 }
--- a/crates/onyxshed-load/tests/tally.rs
+++ b/crates/onyxshed-load/tests/tally.rs
@@ -30,7 +30,7 @@
 }
 
 #[rstest]
-fn processes_are_read_from_the_systems_text() {
+fn usage_is_parsed_from_proc_text() {
     let status = "Name:\tonyxshed-entry\nVmPeak:\t 9 kB\nVmRSS:\t   12345 kB\n";
     let stat = "7 (a ) b) S 1 7 7 0 -1 4194304 100 0 0 0 150 50 0 0 20 0 1 0";
     assert_eq!(resident_kib(status), 12_345);
