--- a/crates/onyxshed-load/src/bench.rs
+++ b/crates/onyxshed-load/src/bench.rs
@@ -1,4 +1,5 @@
-//! `onyxshed-load bench`: real processes on this machine, and the bars they are held to.
+//! `onyxshed-load bench`: measurements of real processes on this machine: one entry host by itself,
+//! or a mix on one zone.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -18,40 +19,42 @@
 use crate::run::{RunOptions, run};
 use crate::throughput::{Throughput, ThroughputOptions, measure_throughput};
 
-/// Overhead, throughput, memory and start of one entry host.
+/// Start time, overhead, throughput and memory of one entry host.
 #[derive(Debug, Clone, Serialize)]
 pub struct EntryHostBench {
-    /// From the entry process's start to its first ready answer, in milliseconds, over some starts.
+    /// Time from the start of the entry process to its first ready answer, in milliseconds, for
+    /// each of several starts.
     pub cold_start_ms: Vec<f64>,
-    /// One task at a time, ids bound to the entry host.
+    /// Overhead of one task at a time, with ids bound to the entry host.
     pub overhead_bound: DirectReport,
-    /// One task at a time, each claimed in the platform's log first.
+    /// Overhead of one task at a time, each claimed in the platform's log first.
     pub overhead_claimed: DirectReport,
-    /// As many jobs as one entry host takes.
+    /// Greatest throughput of the entry host, for several numbers of callers and job sizes.
     pub throughput: Vec<Throughput>,
-    /// Requests in flight and what they cost.
+    /// Memory and processor time for requests in flight.
     pub held: IdleReport,
 }
 
-/// One mix on one zone of real processes.
+/// Result of one mix on one zone of real processes.
 #[derive(Debug, Clone, Serialize)]
 pub struct MixRun {
-    /// Part of the executors' capacity that was offered.
+    /// Offered load as a fraction of the executors' capacity.
     pub load: f64,
-    /// What callers saw.
+    /// The results as the callers saw them.
     pub report: Report,
 }
 
 const COLD_STARTS: usize = 5;
 const BOUND_TASKS: u32 = 2_000;
 const CLAIMED_TASKS: u32 = 200;
-/// One entry host may append 30 times a second; at 20 tasks a second no claim waits for that.
+/// Pause between two tasks that need a claim. An entry host may append 30 times a second, so at 20
+/// tasks a second no claim waits for its append budget.
 const CLAIM_PAUSE: Duration = Duration::from_millis(50);
-/// How long each closed loop runs.
+/// Duration of each closed loop.
 pub(crate) const CLOSED_LOOP_SPAN: Duration = Duration::from_secs(4);
 const HELD_REQUESTS: u32 = 10_000;
 
-/// Tries to measure the bars of one entry host.
+/// Measures the start time, overhead, throughput and memory of one entry host.
 pub async fn bench_entry_host(
     executor: &LocalExecutor<'static>,
     binaries: PathBuf,
@@ -102,7 +105,7 @@
     compare(options).await
 }
 
-/// Tries to load the set's first entry host in a closed loop.
+/// Loads the first entry host of the set in a closed loop.
 pub async fn run_closed_loop(
     executor: &LocalExecutor<'static>,
     set: &LocalSet,
@@ -122,7 +125,7 @@
     measure_throughput(executor, Rc::new(options)).await
 }
 
-/// Tries to hold `count` requests in flight at a fresh entry host.
+/// Holds `count` requests in flight at a newly started entry host.
 pub async fn hold_requests(
     executor: &LocalExecutor<'static>,
     binaries: PathBuf,
@@ -151,29 +154,29 @@
     hold_connections(executor, Rc::new(options)).await
 }
 
-/// What to run a mix on.
+/// Options of a mix on one zone.
 #[derive(Debug, Clone)]
 pub struct MixOptions {
     /// Folder of the binaries.
     pub binaries: PathBuf,
-    /// Whose work it is.
+    /// The mix that jobs are drawn from.
     pub mix: Mix,
-    /// Part of the executors' capacity to offer.
+    /// Load to offer, as a fraction of the executors' capacity.
     pub load: f64,
-    /// How long jobs arrive, in seconds.
+    /// Time during which jobs arrive, in seconds.
     pub span_s: f64,
     /// Seed of the arrivals.
     pub seed: u64,
-    /// Whether ids are bound.
+    /// Whether ids are bound to the entry host that they are sent to.
     pub may_bind: bool,
 }
 
-/// Entry hosts and executors of one zone.
+/// Number of entry hosts of the zone.
 const ZONE_ENTRIES: usize = 3;
 const ZONE_EXECUTORS: usize = 16;
 const NETWORK_US: u64 = 200;
 
-/// Tries to run a mix on one zone of real processes.
+/// Runs a mix on one zone of real processes.
 pub async fn run_mix(executor: &LocalExecutor<'static>, options: &MixOptions) -> Result<MixRun> {
     let zone = LocalOptions::zone(
         options.binaries.clone(),
--- a/crates/onyxshed-load/src/caller.rs
+++ b/crates/onyxshed-load/src/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: connections to the entry hosts, and one submission from first try to final answer.
+//! Callers: the connections to the entry hosts, and the steps of one submission from its first copy
+//! to the final answer.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,15 +13,15 @@
 
 use crate::tally::Wasted;
 
-/// Rules for callers.
+/// Retry, binding and timeout rules of the callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerOptions {
-    /// Most times that a submission is sent again. Default 2.
+    /// Maximum number of times that a submission is sent again. Default 2.
     pub repeats_max: u32,
-    /// Whether ids are bound to the entry host that they are sent to, once it has told its
-    /// incarnation. Default no.
+    /// Whether ids are bound to the entry host that they are sent to, as soon as an answer has
+    /// given its incarnation. Default false.
     pub may_bind: bool,
-    /// How long past its target a caller waits for an answer. Default 5 s.
+    /// Time after its target that a caller waits for an answer. Default 5 s.
     pub wait_past_target: Duration,
 }
 
@@ -34,7 +35,8 @@
     }
 }
 
-/// One entry host as callers see it.
+/// An entry host: its address, the idle connections to it, and its incarnation once an answer has
+/// given it.
 #[derive(Debug)]
 struct EntryHost {
     address: SocketAddr,
@@ -42,7 +44,7 @@
     incarnation: RefCell<Option<Incarnation>>,
 }
 
-/// All callers of a run.
+/// The callers of a run, which share connections.
 #[derive(Debug)]
 pub struct Callers {
     entries: Vec<EntryHost>,
@@ -50,21 +52,21 @@
     wasted: RefCell<Wasted>,
 }
 
-/// What a caller does after an answer or its loss.
+/// The next step of a caller after an answer or a failed call.
 enum CallerStep {
     Done(Option<Answer>),
     Poll(Duration),
     Repeat(Duration),
 }
 
-/// Wait before a lost submission is sent again.
+/// Wait before a submission is sent again after a failed call.
 const REPEAT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Wait before an answer that is still running is asked for again.
+/// Wait between two polls of a job that is still running, if the answer names no time.
 const POLL_PAUSE: Duration = Duration::from_millis(100);
 
 impl Callers {
-    /// Makes callers of these entry hosts, of which there must be one.
+    /// Returns callers of these entry hosts. There must be at least one.
     pub fn new(addresses: &[SocketAddr], options: CallerOptions) -> Self {
         let entry = |address: &SocketAddr| EntryHost {
             address: *address,
@@ -78,12 +80,13 @@
         }
     }
 
-    /// Gets the messages wasted so far.
+    /// Returns the messages wasted so far.
     pub fn wasted(&self) -> Wasted {
         *self.wasted.borrow()
     }
 
-    /// Binds an id to the entry host that a draw sends it to, if callers bind.
+    /// Binds an id to the incarnation of the entry host that `draw` selects. The id stays unbound
+    /// if callers do not bind ids or the incarnation is not known yet.
     pub fn bind_id(&self, draw: u64, id: SubmissionId) -> SubmissionId {
         let incarnation = *self.entry(draw).incarnation.borrow();
         SubmissionId {
@@ -92,7 +95,8 @@
         }
     }
 
-    /// Submits and follows a job to its final answer; none if no answer came in time.
+    /// Submits a job and polls or sends it again until its final answer. Returns `None` if no
+    /// answer came in time or the last permitted call failed.
     pub async fn submit(&self, draw: u64, job: &Submission, target: Duration) -> Option<Answer> {
         let timeout = target + self.options.wait_past_target;
         let mut job = job.clone();
@@ -145,7 +149,8 @@
     }
 }
 
-/// Gets what a repeat says of the copies before it: their fate is open only if no answer came.
+/// Returns the mark of the next copy. It is [`CopyMark::Again`] only if the copy before it may have
+/// been received and was not answered, so that the job may be running.
 fn copy_mark_after(result: &Result<Answer, CallError>) -> CopyMark {
     match result {
         Ok(_) => CopyMark::Unmarked,
@@ -155,7 +160,7 @@
 }
 
 fn encode(job: &Submission) -> Vec<u8> {
-    serde_json::to_vec(job).expect("submissions hold only what JSON can write")
+    serde_json::to_vec(job).expect("submissions are serializable as JSON")
 }
 
 impl EntryHost {
--- a/crates/onyxshed-load/src/claims.rs
+++ b/crates/onyxshed-load/src/claims.rs
@@ -1,7 +1,9 @@
-//! `onyxshed-load claims`: what at-most-once costs, and what is served when the log is gone.
+//! `onyxshed-load claims`: the cost of at-most-once execution, and the answers during an outage of
+//! the platform's log.
 //!
-//! One caller after another submits one short task to the first of three entry hosts, under each
-//! kind of id, in normal times and while the platform refuses every connection.
+//! One caller submits jobs of one short task, one after another, to the first of three entry hosts:
+//! with each kind of id, first in normal operation and then while the platform refuses every
+//! connection.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,28 +24,28 @@
 use crate::run::{class_name, new_ulid, payload};
 use crate::tally::histogram;
 
-/// How an id is made.
+/// How ids of submissions are made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IdKind {
-    /// A plain ULID, claimed in the log.
+    /// A ULID without a host, which is claimed in the log.
     Unbound,
-    /// Bound to the host it is sent to.
+    /// An id bound to the host that receives the job.
     Bound,
-    /// Bound to another host, which it is passed on to.
+    /// An id bound to another host, to which the receiving host forwards the job.
     BoundElsewhere,
 }
 
-/// What one kind of id got.
+/// Results of the jobs with one kind of id, with or without the platform.
 #[derive(Debug, Clone, Serialize)]
 pub struct ClaimRun {
-    /// How ids were made.
+    /// Kind of the ids.
     pub ids: IdKind,
     /// Whether the platform was down.
     pub is_platform_down: bool,
-    /// Jobs sent.
+    /// Number of jobs sent.
     pub sent: u32,
-    /// Answers by code.
+    /// Number of answers by result code; 0 stands for an answer without a code.
     pub codes: BTreeMap<u16, u32>,
     /// Response times of complete jobs, in milliseconds.
     pub complete_ms: Percentiles,
@@ -55,13 +57,13 @@
 const JOBS: u32 = 400;
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time between two jobs: a claim finds the budget of appends free.
+/// Time between two jobs, long enough that a claim never waits for the entry host's append budget.
 const JOB_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How long entry hosts take to notice an outage before it is measured.
+/// Time in which the entry hosts detect the outage before the measurement starts.
 const OUTAGE_DETECTION: Duration = Duration::from_secs(3);
 
-/// Tries to run every kind in normal times and in an outage.
+/// Measures every kind of id, in normal operation and then during an outage of the platform.
 pub async fn measure_claims(binaries: PathBuf) -> Result<Vec<ClaimRun>> {
     let options = LocalOptions {
         entries: ENTRIES,
@@ -127,7 +129,8 @@
     times.saturating_record(took_us);
 }
 
-/// Gets the incarnation to bind ids to, from an answer of the host that has it.
+/// Returns the incarnation that ids are bound to, read from an answer of the host concerned.
+/// Returns `None` for unbound ids.
 async fn read_incarnation(set: &LocalSet, ids: IdKind) -> Result<Option<Incarnation>> {
     let host = match ids {
         IdKind::Unbound => return Ok(None),
@@ -160,7 +163,7 @@
         copy: CopyMark::First,
         tasks: vec![payload(0)],
     };
-    let body = serde_json::to_vec(&job).expect("submissions hold only what JSON can write");
+    let body = serde_json::to_vec(&job).expect("submissions are serializable as JSON");
     let reply = connection
         .call(Method::Post, JOBS_PATH, &[], body, TIMEOUT)
         .await;
--- a/crates/onyxshed-load/src/cli.rs
+++ b/crates/onyxshed-load/src/cli.rs
@@ -1,4 +1,5 @@
-//! The command line.
+//! Command line of `onyxshed-load`: parses the arguments, runs the subcommand, and prints and
+//! writes its result.
 
 mod args;
 mod values;
@@ -28,7 +29,7 @@
 /// Exit status after an error.
 const EXIT_ERROR: u8 = 1;
 
-/// Runs the command line to its end.
+/// Runs the subcommand that the process's arguments name, and returns the exit status.
 pub fn main() -> ExitCode {
     let matches = args::command().get_matches();
     match run_subcommand(&matches) {
@@ -40,7 +41,7 @@
     }
 }
 
-/// Gets the command line's shape, for the pages that describe it.
+/// Returns the definition of the command line, from which its documentation can be written.
 pub fn command() -> Command {
     args::command()
 }
@@ -157,7 +158,7 @@
 }
 
 fn print_json(value: &impl Serialize) {
-    let text = serde_json::to_string_pretty(value).expect("reports hold only what JSON can write");
+    let text = serde_json::to_string_pretty(value).expect("reports are serializable as JSON");
     println!("{text}");
 }
 
--- a/crates/onyxshed-load/src/cli/args.rs
+++ b/crates/onyxshed-load/src/cli/args.rs
@@ -1,4 +1,4 @@
-//! Options of each command.
+//! Definitions of the subcommands and their options.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use crate::mix::Mix;
 use crate::plan::Burst;
 
-/// Makes the whole command.
+/// Returns the definition of the whole command line.
 pub fn command() -> Command {
     Command::new("onyxshed-load")
         .version(clap::crate_version!())
@@ -29,11 +29,11 @@
 
 fn local_args() -> Command {
     Command::new("local")
-        .about("Runs the whole path on this machine with stand-ins, and shows each step")
+        .about("Runs a complete zone on this machine with stand-ins, and shows each step")
         .after_help(
             "Starts the platform's and the executors' stand-ins and the entry hosts, publishes a \
-             class, submits a job twice, shows its time line, sends a sample load, and ends \
-             everything that it started.",
+             class, submits a job twice, shows its time line, sends a sample load, and stops \
+             every process that it started.",
         )
         .arg(
             number_arg("entries", "3", "Entry hosts, each with its control process")
@@ -47,7 +47,7 @@
             number_arg(
                 "span-s",
                 "5",
-                "How long the sample load arrives; 0 sends none",
+                "Seconds during which the sample load arrives; 0 sends none",
             )
             .value_parser(value_parser!(f64)),
         )
@@ -55,7 +55,7 @@
             Arg::new("stay")
                 .long("stay")
                 .action(ArgAction::SetTrue)
-                .help("Let everything go on until standard input ends"),
+                .help("Keep the processes running until standard input ends"),
         )
         .arg(binaries_arg())
 }
@@ -78,10 +78,13 @@
         )
         .arg(mix_arg())
         .arg(
-            number_arg("jobs-per-s", "20", "Jobs a second outside bursts")
+            number_arg("jobs-per-s", "20", "Jobs per second outside bursts")
+                .value_parser(value_parser!(f64)),
+        )
+        .arg(
+            number_arg("span-s", "10", "Seconds during which jobs arrive")
                 .value_parser(value_parser!(f64)),
         )
-        .arg(number_arg("span-s", "10", "How long jobs arrive").value_parser(value_parser!(f64)))
         .arg(
             number_arg("time-scale", "1", "Multiplies every service time")
                 .value_parser(value_parser!(f64)),
@@ -92,19 +95,23 @@
                 .action(ArgAction::Append)
                 .value_name("FROM_S:TO_S:FACTOR")
                 .value_parser(parse_burst)
-                .help("A stretch with another rate; in order, not overlapping"),
+                .help("A period with a different rate; in order, without overlap"),
         )
-        .arg(number_arg("seed", "1", "Seed of every draw").value_parser(value_parser!(u64)))
+        .arg(number_arg("seed", "1", "Seed of the random numbers").value_parser(value_parser!(u64)))
         .arg(
-            number_arg("repeats", "2", "Most times a refused job is sent again")
-                .value_parser(value_parser!(u32)),
+            number_arg(
+                "repeats",
+                "2",
+                "Maximum number of times a refused job is sent again",
+            )
+            .value_parser(value_parser!(u32)),
         )
         .arg(bind_arg())
         .arg(
             number_arg(
                 "network-us",
                 "500",
-                "Least network time of one job, part of the ideal",
+                "Least network time of one job, in microseconds; part of the ideal",
             )
             .value_parser(value_parser!(u64)),
         )
@@ -113,13 +120,13 @@
 
 fn direct_args() -> Command {
     Command::new("direct")
-        .about("One task at a time, at an executor and through an entry host in turns")
+        .about("Runs one task at a time, alternately at an executor and through an entry host")
         .arg(address_arg("executor", "The executor's address").required(true))
         .arg(address_arg("entry", "The entry host's address"))
         .arg(class_arg("The class of the tasks").default_value("lock-order"))
-        .arg(number_arg("count", "1000", "Tasks each way").value_parser(value_parser!(u32)))
+        .arg(number_arg("count", "1000", "Tasks on each path").value_parser(value_parser!(u32)))
         .arg(
-            number_arg("service-ms", "0", "How long each task runs")
+            number_arg("service-ms", "0", "Run time of each task, in milliseconds")
                 .value_parser(value_parser!(u32)),
         )
         .arg(bind_arg())
@@ -128,7 +135,7 @@
 
 fn idle_args() -> Command {
     Command::new("idle")
-        .about("Holds connections or requests in flight and reads what they cost the other process")
+        .about("Holds connections or requests in flight and measures the other process")
         .arg(address_arg("address", "The process's address").required(true))
         .arg(
             Arg::new("pid")
@@ -138,17 +145,21 @@
         )
         .arg(number_arg("count", "1000", "Connections to hold").value_parser(value_parser!(u32)))
         .arg(class_arg(
-            "Send one job of this class on each connection; without it they idle",
+            "Send one job of this class on each connection; without it connections stay idle",
         ))
         .arg(
-            number_arg("service-ms", "10000", "How long each job's one task runs")
-                .value_parser(value_parser!(u32)),
+            number_arg(
+                "service-ms",
+                "10000",
+                "Run time of each job's one task, in milliseconds",
+            )
+            .value_parser(value_parser!(u32)),
         )
         .arg(
             number_arg(
                 "hold-ms",
                 "2000",
-                "How long to hold before reading the cost",
+                "Milliseconds to hold before memory and processor time are read",
             )
             .value_parser(value_parser!(u64)),
         )
@@ -160,15 +171,18 @@
         .about("Starts real processes on this machine and measures them")
         .after_help(
             "Without --mix: start, overhead, throughput and memory of one entry host.\n\
-             With --mix: callers' view of one zone, 3 entry hosts and 16 executors.",
+             With --mix: callers' results for a zone of 3 entry hosts and 16 executors.",
         )
         .arg(optional_mix_arg())
         .arg(
-            number_arg("load", "0.8", "Part of the capacity offered")
+            number_arg("load", "0.8", "Offered load as a fraction of capacity")
                 .value_parser(value_parser!(f64)),
         )
-        .arg(number_arg("span-s", "20", "How long jobs arrive").value_parser(value_parser!(f64)))
-        .arg(number_arg("seed", "1", "Seed of every draw").value_parser(value_parser!(u64)))
+        .arg(
+            number_arg("span-s", "20", "Seconds during which jobs arrive")
+                .value_parser(value_parser!(f64)),
+        )
+        .arg(number_arg("seed", "1", "Seed of the random numbers").value_parser(value_parser!(u64)))
         .arg(bind_arg())
         .arg(binaries_arg())
         .arg(out_arg("File for the report in JSON"))
@@ -182,7 +196,7 @@
                 .long("only")
                 .value_name("NAME")
                 .value_parser(value_parser!(SmolStr))
-                .help("Only this: in-flight, executors, claims, job-size or members"),
+                .help("Part of the name: in-flight, executors, claims, job-size or members"),
         )
         .arg(binaries_arg())
         .arg(out_arg(
@@ -192,9 +206,9 @@
 
 fn claims_args() -> Command {
     Command::new("claims")
-        .about("What at-most-once costs, and what is served while the platform is down")
+        .about("Measures the cost of at-most-once execution, and an outage of the platform")
         .after_help(
-            "Three entry hosts, one caller, each kind of id in normal times and in an outage.",
+            "Three entry hosts and one caller; each kind of id, with and without the platform.",
         )
         .arg(binaries_arg())
         .arg(out_arg("File for the report in JSON"))
@@ -205,22 +219,26 @@
         .long("binaries")
         .value_name("FOLDER")
         .value_parser(value_parser!(PathBuf))
-        .help("Folder of the other binaries; the one of this binary if not given")
+        .help("Folder of the other binaries; by default the folder of this binary")
 }
 
 fn simulate_args() -> Command {
     Command::new("simulate")
-        .about("The decision core in virtual time, beside round robin and least outstanding")
+        .about("Compares the decision core with round robin and least outstanding in virtual time")
         .arg(mix_arg())
         .arg(
-            number_arg("seeds", "5", "Runs of each, with seeds from 1")
-                .value_parser(value_parser!(u64)),
+            number_arg(
+                "seeds",
+                "5",
+                "Runs of each scenario and policy, with seeds from 1",
+            )
+            .value_parser(value_parser!(u64)),
         )
         .arg(
             number_arg(
                 "span-s",
                 "90",
-                "How long jobs arrive; the middle third counts",
+                "Seconds during which jobs arrive; the middle third counts",
             )
             .value_parser(value_parser!(f64)),
         )
@@ -242,7 +260,7 @@
     Arg::new("mix")
         .long("mix")
         .value_parser(value_parser!(Mix))
-        .help("Whose work: inzira or valbrenta")
+        .help("Mix of work: inzira or valbrenta")
 }
 
 fn number_arg(name: &'static str, default: &'static str, help: &'static str) -> Arg {
@@ -272,7 +290,9 @@
     Arg::new("bind")
         .long("bind")
         .action(ArgAction::SetTrue)
-        .help("Bind ids to the entry host once it has told its incarnation: no claim is needed")
+        .help(
+            "Bind ids to the entry host once its incarnation is known, so that no claim is needed",
+        )
 }
 
 fn out_arg(help: &'static str) -> Arg {
@@ -286,7 +306,10 @@
 fn parse_burst(text: &str) -> Result<Burst, String> {
     let numbers: Vec<f64> = text
         .split(':')
-        .map(|part| part.parse().map_err(|_| format!("{part:?} is no number")))
+        .map(|part| {
+            part.parse()
+                .map_err(|_| format!("{part:?} is not a number"))
+        })
         .collect::<Result<_, _>>()?;
     match numbers[..] {
         [from_s, to_s, factor] if 0.0 <= from_s && from_s < to_s && factor >= 0.0 => Ok(Burst {
@@ -294,6 +317,6 @@
             to_s,
             factor,
         }),
-        _ => Err("allowed is FROM_S:TO_S:FACTOR, such as 5:7:10".to_owned()),
+        _ => Err("expected FROM_S:TO_S:FACTOR, such as 5:7:10".to_owned()),
     }
 }
--- a/crates/onyxshed-load/src/cli/values.rs
+++ b/crates/onyxshed-load/src/cli/values.rs
@@ -1,4 +1,4 @@
-//! The options' values, as each command takes them.
+//! Conversion of parsed arguments into the options of each subcommand.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::sim::world::ZoneOptions;
 use crate::whole_path::WholePathOptions;
 
-/// Gets an option that is required or has a default.
+/// Returns the value of an option that is required or has a default. Panics if it has none.
 pub fn required<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> T {
     optional(args, name).expect("the option is required or has a default")
 }
 
-/// Gets an option's value, none if it was not given.
+/// Returns the value of an option, or `None` if it was not given.
 pub fn optional<T: Clone + Send + Sync + 'static>(args: &ArgMatches, name: &str) -> Option<T> {
     args.get_one::<T>(name).cloned()
 }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Gets the folder of the other binaries.
+/// Returns the folder of the other binaries: `--binaries`, or else the folder of this binary.
 pub fn binaries(args: &ArgMatches) -> PathBuf {
     optional(args, "binaries").unwrap_or_else(|| {
         let own_path = std::env::current_exe().unwrap_or_default();
--- a/crates/onyxshed-load/src/direct.rs
+++ b/crates/onyxshed-load/src/direct.rs
@@ -1,5 +1,6 @@
-//! `onyxshed-load direct`: one task after another, straight at an executor and through an entry
-//! host in turns, so that the entry host's added time is measured under the same conditions.
+//! `onyxshed-load direct`: runs one task at a time, alternately by a direct call to an executor and
+//! through an entry host, so that the time which the entry host adds is measured under the same
+//! conditions.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -21,35 +22,35 @@
 use crate::run::{class_name, new_ulid, payload};
 use crate::tally::histogram;
 
-/// What to compare.
+/// Options of the comparison.
 #[derive(Debug, Clone)]
 pub struct DirectOptions {
-    /// The executor to call.
+    /// Address of the executor to call.
     pub executor: SocketAddr,
-    /// The entry host to compare with.
+    /// Address of the entry host to compare with. Without it, only the executor is measured.
     pub entry: Option<SocketAddr>,
-    /// The class under which tasks are submitted.
+    /// Class of the submitted tasks.
     pub class: SmolStr,
-    /// Tasks through each.
+    /// Number of tasks on each path.
     pub count: u32,
-    /// How long each task runs, in milliseconds.
+    /// Run time of each task, in milliseconds.
     pub service_ms: u32,
-    /// Wait between two tasks, so that claims are not slowed by their budget of appends.
+    /// Pause between two tasks, which keeps claims from waiting for the entry host's append budget.
     pub pause: Duration,
     /// Whether ids are bound to the entry host's incarnation, so that they need no claim.
     pub may_bind: bool,
 }
 
-/// Response times both ways, in microseconds.
+/// Response times on both paths, in microseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct DirectReport {
-    /// Straight at the executor.
+    /// Response times of direct calls to the executor.
     pub direct_us: Percentiles,
-    /// Through the entry host.
+    /// Response times through the entry host; `None` if there is none.
     pub entry_us: Option<Percentiles>,
-    /// What the entry host adds, percentile by percentile.
+    /// Difference of the two, percentile by percentile; `None` if there is no entry host.
     pub added_us: Option<Percentiles>,
-    /// Calls that did not finish their task.
+    /// Number of calls whose task did not finish.
     pub failed: u64,
 }
 
@@ -64,7 +65,7 @@
     failed: u64,
 }
 
-/// Tries to run the comparison, one task at a time.
+/// Runs the comparison, one task at a time. Fails if a call fails or the executor finishes no task.
 pub async fn compare(options: DirectOptions) -> Result<DirectReport> {
     let executor = connect(options.executor).await?;
     let entry = match options.entry {
@@ -102,7 +103,7 @@
             }
         }
         if direct_times.is_empty() {
-            let reason = "it finished none of the tasks";
+            let reason = "the executor finished none of the tasks";
             return Err(Error::unreachable(self.options.executor, reason));
         }
         let direct_us = Percentiles::of(&direct_times, 1.0);
@@ -157,7 +158,7 @@
             copy: CopyMark::First,
             tasks: vec![payload(self.options.service_ms)],
         };
-        let body = serde_json::to_vec(&job).expect("submissions hold only what JSON can write");
+        let body = serde_json::to_vec(&job).expect("submissions are serializable as JSON");
         let started_at = Instant::now();
         let reply = entry
             .call(Method::Post, JOBS_PATH, &[], body, TIMEOUT)
--- a/crates/onyxshed-load/src/error.rs
+++ b/crates/onyxshed-load/src/error.rs
@@ -7,62 +7,62 @@
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// Why a command could not do its work.
+/// The error that ended a command.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// A file can't be written.
+    /// A file or its folder can't be written.
     #[snafu(display("can't write {}: {source}", path.display()))]
     Write {
-        /// The file.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// The system's words.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A plot can't be drawn.
     #[snafu(display("can't draw {}: {reason}", path.display()))]
     Draw {
-        /// The file.
+        /// Path of the plot's file.
         path: PathBuf,
-        /// The library's words.
+        /// The message of the plotting library.
         reason: SmolStr,
     },
-    /// A process can't be observed.
+    /// The memory and processor time of a process can't be read.
     #[snafu(display("can't read the state of process {pid}: {source}"))]
     Process {
-        /// The process.
+        /// Id of the process.
         pid: u32,
-        /// The system's words.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// An option has a value that can't be used.
-    #[snafu(display("{option} is {found:?}: allowed is {allowed}"))]
+    /// An option has a value that is not allowed.
+    #[snafu(display("{option} is {found:?}, expected {allowed}"))]
     Option {
-        /// The option.
+        /// The option, such as `--mix`.
         option: &'static str,
-        /// The value as given.
+        /// The value that was given.
         found: SmolStr,
-        /// What is allowed.
+        /// Description of the allowed values.
         allowed: &'static str,
     },
-    /// A process can't be started.
+    /// A process, or something that it needs, can't be started.
     #[snafu(display("can't start a process: {reason}"))]
     Start {
-        /// What happened.
+        /// The cause.
         reason: SmolStr,
     },
-    /// Another process can't be reached.
+    /// Another process can't be reached, or its reply can't be used.
     #[snafu(display("can't reach {address}: {reason}"))]
     Unreachable {
-        /// Its address.
+        /// The address that was called.
         address: std::net::SocketAddr,
-        /// What happened.
+        /// The cause.
         reason: SmolStr,
     },
 }
 
 impl Error {
-    /// Makes an error for an option's value.
+    /// Returns an error for an option's value that is not allowed.
     pub fn option(option: &'static str, found: impl ToString, allowed: &'static str) -> Self {
         Error::Option {
             option,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Makes an error for a plot.
+    /// Returns an error for a plot that can't be drawn.
     pub fn draw(path: impl Into<PathBuf>, reason: impl ToString) -> Self {
         Error::Draw {
             path: path.into(),
@@ -79,14 +79,14 @@
         }
     }
 
-    /// Makes an error for a process that did not start.
+    /// Returns an error for a process that did not start.
     pub fn start(reason: impl ToString) -> Self {
         Error::Start {
             reason: reason.to_string().into(),
         }
     }
 
-    /// Makes an error for a process that can't be reached.
+    /// Returns an error for a process that can't be reached.
     pub fn unreachable(address: std::net::SocketAddr, reason: impl ToString) -> Self {
         Error::Unreachable {
             address,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Gets the numbered code.
+    /// Returns the result code that the command prints with the error.
     pub fn code(&self) -> ResultCode {
         match self {
             Error::Option { .. } => ResultCode::Usage,
--- a/crates/onyxshed-load/src/idle.rs
+++ b/crates/onyxshed-load/src/idle.rs
@@ -1,5 +1,5 @@
-//! `onyxshed-load idle`: holds many connections, or many requests in flight, and reads what that
-//! costs the process at the other end.
+//! `onyxshed-load idle`: holds many connections, or many requests in flight, and reads the memory
+//! and processor time that they cost the process at the other end.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,46 +18,48 @@
 use crate::process::{Usage, read_usage};
 use crate::run::{class_name, new_ulid, payload};
 
-/// What to hold.
+/// Options of `idle`.
 #[derive(Debug, Clone)]
 pub struct IdleOptions {
-    /// The process's address.
+    /// Address of the measured process.
     pub address: SocketAddr,
-    /// Its process id, to read memory and processor time.
+    /// Id of the measured process. Without it, memory and processor time are reported as 0.
     pub pid: Option<u32>,
-    /// How many connections.
+    /// Number of connections.
     pub count: u32,
-    /// Send one job on each, of this class.
+    /// Class of the one job that is sent on each connection. Without it the connections stay idle.
     pub class: Option<SmolStr>,
-    /// How long each job's one task runs, in milliseconds.
+    /// Run time of each job's one task, in milliseconds.
     pub service_ms: u32,
-    /// How long to hold before reading the use of the machine.
+    /// Time to hold the connections before memory and processor time are read.
     pub hold: Duration,
-    /// Whether the answers of the jobs are waited for; without it their connections are closed.
+    /// Whether to wait for the answers of the jobs. If not, their connections are closed after the
+    /// measurement.
     pub awaits_answers: bool,
 }
 
-/// What holding them cost.
+/// Memory and processor time of a process while it held the connections.
 #[derive(Debug, Clone, Serialize)]
 pub struct IdleReport {
-    /// Connections opened.
+    /// Number of connections opened.
     pub open: u32,
-    /// Connections refused or broken while opening.
+    /// Number of connections that could not be opened.
     pub refused: u32,
-    /// Use of the machine before.
+    /// Memory and processor time before the connections were opened.
     pub before: Usage,
-    /// Use of the machine while all are held.
+    /// Memory and processor time while all connections were held.
     pub held: Usage,
-    /// Jobs answered complete, if jobs were sent.
+    /// Number of jobs answered as complete, if jobs were sent.
     pub complete: u32,
-    /// Jobs answered otherwise or not at all.
+    /// Number of jobs with another answer or none.
     pub other: u32,
 }
 
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Tries to hold the connections and read the other end's use of the machine.
+/// Opens the connections, holds them, and reads the memory and processor time of the other process.
+/// Fails if those can't be read.
 pub async fn hold_connections(
     executor: &LocalExecutor<'static>,
     options: Rc<IdleOptions>,
@@ -109,7 +111,7 @@
     connections
 }
 
-/// Submits one job and tells whether it was complete.
+/// Submits one job and returns whether it was complete.
 async fn submit(mut connection: Connection, options: Rc<IdleOptions>) -> bool {
     let class = options.class.as_deref().unwrap_or_default();
     let job = Submission {
@@ -119,7 +121,7 @@
         copy: CopyMark::First,
         tasks: vec![payload(options.service_ms)],
     };
-    let body = serde_json::to_vec(&job).expect("submissions hold only what JSON can write");
+    let body = serde_json::to_vec(&job).expect("submissions are serializable as JSON");
     let reply = connection
         .call(Method::Post, JOBS_PATH, &[], body, ANSWER_TIMEOUT)
         .await;
--- a/crates/onyxshed-load/src/lib.rs
+++ b/crates/onyxshed-load/src/lib.rs
@@ -1,10 +1,10 @@
-//! Load and experiments: what callers would see, measured without flattering the system.
+//! Load generator and experiments: measures what callers see.
 //!
-//! Arrivals are planned ahead from a seed ([`plan`]) and sent at their planned time whatever became
-//! of earlier ones ([`run`]); latency counts from the planned time, so a system that stalls cannot
-//! hide behind a caller that waits for it. The same plans drive the decision core in virtual time
-//! ([`sim`]), where policies are set side by side. [`slopes`] measures how one process's memory and
-//! processor time grow, for docs/CAPACITY.md.
+//! Arrivals are planned in advance from a seed ([`plan`]) and each job is sent at its planned time,
+//! even if earlier jobs are still unanswered ([`run`]). Latency counts from the planned time, so
+//! time during which the system stalls is part of the measurement (no coordinated omission). The
+//! same plans drive the decision core in virtual time ([`sim`]), which compares policies.
+//! [`slopes`] measures how the memory and processor time of one process grow, for docs/CAPACITY.md.
 
 pub mod bench;
 pub mod caller;
--- a/crates/onyxshed-load/src/local.rs
+++ b/crates/onyxshed-load/src/local.rs
@@ -1,6 +1,6 @@
-//! A set of real processes on this machine: platform, executors, entry hosts.
+//! A set of real processes on this machine: the platform's stand-in, executors and entry hosts.
 //!
-//! Experiments start it, load it and end it; every process is ended when the set is dropped.
+//! Experiments start a set, measure it and drop it, which ends all its processes.
 
 mod child;
 mod options;
@@ -29,33 +29,33 @@
 use crate::error::{Error, Result};
 use settings::EntryPorts;
 
-/// The running processes.
+/// A set of running processes.
 pub struct LocalSet {
-    /// The entry hosts; ended first, so that they do not report the others' end.
+    /// The entry hosts. They end first, so that they do not report the end of the other processes.
     pub entries: Vec<LocalEntry>,
-    /// The executors, several of the host list behind one where asked for.
+    /// The executor processes. Each may stand for several executors of the host list.
     pub executors: Vec<Child>,
-    /// The platform.
+    /// The platform's stand-in.
     pub platform: Child,
     folder: tempfile::TempDir,
 }
 
-/// One entry host's processes.
+/// The two processes of an entry host, and their addresses.
 pub struct LocalEntry {
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where operators reach the entry process.
+    /// Admin address of the entry process.
     pub admin: SocketAddr,
-    /// Where operators reach the control process.
+    /// Admin address of the control process.
     pub control_admin: SocketAddr,
-    /// Where other control processes reach this one.
+    /// Address of the control process for the control processes of other hosts.
     pub control_peer: SocketAddr,
     /// The entry process.
     pub entry: Child,
     /// The control process.
     pub control: Child,
     started_at: Instant,
-    /// From the entry process's start to its first ready answer.
+    /// Time from the start of the entry process to its first ready answer.
     pub time_to_ready: Duration,
 }
 
@@ -71,7 +71,7 @@
 const READY_POLL: Duration = Duration::from_millis(2);
 
 impl LocalSet {
-    /// Tries to start everything and waits until every entry host is ready.
+    /// Starts all processes and waits until every entry host is ready.
     pub async fn start(options: &LocalOptions) -> Result<Self> {
         let folder = tempfile::tempdir().map_err(Error::start)?;
         let appends = options.appends_per_s.to_string();
@@ -98,7 +98,8 @@
             let entry = set.start_entry(options, index, ports).await?;
             set.entries.push(entry);
         }
-        // Each is ready once it has heard the others, so all are started before one is waited for.
+        // An entry host is ready only after contact with the others, so all are started before any
+        // is waited for.
         for entry in &mut set.entries {
             wait_ready(entry.admin, entry.started_at).await?;
             entry.time_to_ready = entry.started_at.elapsed();
@@ -106,17 +107,17 @@
         Ok(set)
     }
 
-    /// Gets the folder of the processes' settings, which goes with the set.
+    /// Returns the folder of the processes' settings, which is removed when the set is dropped.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Gets where callers reach each entry host.
+    /// Returns the address for callers of each entry host.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|entry| entry.callers).collect()
     }
 
-    /// Tries to set the host list.
+    /// Publishes the host list: the entry hosts at `ports`, and the executors of this set.
     pub async fn publish_hosts(&self, options: &LocalOptions, ports: &[EntryPorts]) -> Result<()> {
         let entries = ports.iter().enumerate().map(|(index, ports)| EntryHost {
             name: parse_name(&format!("e{index}")),
@@ -130,7 +131,7 @@
                 .collect(),
             entries: entries.collect(),
         };
-        let body = serde_json::to_vec(&hosts).expect("hosts hold only what JSON can write");
+        let body = serde_json::to_vec(&hosts).expect("hosts are serializable as JSON");
         self.call_platform(Method::Put, HOSTS_PATH, body).await
     }
 
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Tries to publish classes as changes on top of each other, the first on top of a revision.
+    /// Publishes classes, one change each, where every change is based on the revision before it
+    /// and the first one on `base`.
     pub async fn publish_classes(&self, base: Revision, classes: &[ClassTarget]) -> Result<()> {
         for (revision, target) in (base.0..).zip(classes) {
             let record = ConfigRecord::ChangeV1(ConfigChange {
@@ -229,17 +231,17 @@
     }
 }
 
-/// Tries to make one call and read its reply.
+/// Calls an address once and returns the reply.
 pub async fn call(address: SocketAddr, method: Method, path: &str, body: Vec<u8>) -> Result<Reply> {
     call_once(address, method, path, body, CALL_TIMEOUT)
         .await
         .map_err(|error| Error::unreachable(address, error.reason))
 }
 
-/// Makes a name that is known to keep the rules.
+/// Parses a name. Panics if it is not valid.
 fn parse_name<T: std::str::FromStr>(text: &str) -> T {
     match text.parse() {
         Ok(name) => name,
-        Err(_) => unreachable!("{text} keeps the rules"),
+        Err(_) => unreachable!("{text} is not a valid name"),
     }
 }
--- a/crates/onyxshed-load/src/local/child.rs
+++ b/crates/onyxshed-load/src/local/child.rs
@@ -1,4 +1,4 @@
-//! One process that is ended when it is dropped.
+//! A child process that is killed when its handle is dropped.
 
 use std::io::{BufRead, BufReader};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,16 +8,17 @@
 use crate::error::{Error, Result};
 use crate::process::{Usage, read_usage};
 
-/// One process.
+/// A handle of a child process, which kills the process when it is dropped.
 #[derive(Debug)]
 pub struct Child {
     process: std::process::Child,
-    /// Where it serves, if it said so on its first line.
+    /// Address from the process's first line of output; unspecified for a process whose output is
+    /// not read.
     pub address: SocketAddr,
 }
 
 impl Child {
-    /// Tries to start a stand-in and reads its address from the first line that it prints.
+    /// Starts a stand-in and reads its address from the first line that it prints.
     pub fn start_standin(program: &Path, args: &[&str]) -> Result<Self> {
         let mut process = Command::new(program)
             .args(args)
@@ -38,7 +39,7 @@
         })
     }
 
-    /// Tries to start one of the product's processes; it prints its ready line to nobody.
+    /// Starts an entry or control process with a settings file. Its output is discarded.
     pub fn start_service(program: &Path, settings: &Path) -> Result<Self> {
         let process = Command::new(program)
             .arg("--settings")
@@ -52,12 +53,12 @@
         })
     }
 
-    /// Tries to read its use of the machine.
+    /// Reads the memory and processor time of the process.
     pub fn usage(&self) -> Result<Usage> {
         read_usage(self.process.id())
     }
 
-    /// Gets its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.process.id()
     }
@@ -65,7 +66,7 @@
 
 impl Drop for Child {
     fn drop(&mut self) {
-        // It may have ended by itself; there is nothing left to do then.
+        // Both calls fail if the process has already ended, which needs no action.
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
--- a/crates/onyxshed-load/src/local/options.rs
+++ b/crates/onyxshed-load/src/local/options.rs
@@ -1,4 +1,4 @@
-//! What to start.
+//! Options of a set of local processes.
 
 use std::path::PathBuf;
 
@@ -7,39 +7,40 @@
 use crate::mix::Mix;
 use crate::run::class_name;
 
-/// What to start.
+/// Options of a set of local processes.
 #[derive(Debug, Clone)]
 pub struct LocalOptions {
     /// Folder of the binaries.
     pub binaries: PathBuf,
-    /// Entry hosts, each with its control process.
+    /// Number of entry hosts, each with its control process.
     pub entries: usize,
-    /// Executor processes.
+    /// Number of executor processes.
     pub executors: usize,
-    /// Executors in the host list for each executor process; 1 but for measurements of size.
+    /// Number of executors in the host list per executor process. It is 1 except in measurements
+    /// that depend on the number of executors.
     pub listed_per_process: u32,
-    /// Slots of each executor in the host list.
+    /// Number of slots of each executor in the host list.
     pub slots: u32,
-    /// Tasks that may wait on an executor process.
+    /// Maximum number of tasks in the queue of an executor process.
     pub executor_queue: u32,
-    /// Speeds of the executors, in turn.
+    /// Speeds of the executor processes, assigned in turn.
     pub speeds: Vec<f64>,
     /// The upstream of all executors.
     pub upstream: UpstreamName,
-    /// The classes published.
+    /// The classes to publish.
     pub classes: Vec<ClassTarget>,
-    /// Appends a second that the platform takes.
+    /// Number of appends per second that the platform's stand-in accepts.
     pub appends_per_s: u32,
-    /// Connections that an entry host holds open to one executor.
+    /// Maximum number of connections from an entry host to one executor.
     pub connections_per_executor: u32,
 }
 
-/// Class of the tasks that are only held, which must not be late.
+/// Class of the measurements' tasks. Its target is so long that no task is late.
 pub const BENCH_CLASS: &str = "held";
 const BENCH_FINISH_WITHIN_MS: Millis = Millis(120_000);
 
 impl LocalOptions {
-    /// Makes one entry host before some immediate executors.
+    /// Returns the options of one entry host with four executors of full speed.
     pub fn small(binaries: PathBuf) -> Self {
         let upstream: UpstreamName = "desk".parse().expect("a valid name");
         LocalOptions {
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Makes one zone of a deployment: executors of speeds 1:2:4, the fastest running a task in
-    /// the service time that it names.
+    /// Returns the options of one zone of a deployment. The executors' speeds are 1:2:4; the
+    /// fastest kind runs a task in exactly the service time that its payload names.
     pub fn zone(binaries: PathBuf, mix: Mix, entries: usize, executors: usize) -> Self {
         let upstream: UpstreamName = mix.upstream().parse().expect("a valid name");
         let targets = mix.classes().iter().map(|load| ClassTarget {
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Gets how many executors the host list names.
+    /// Returns the number of executors in the host list.
     pub fn listed_executors(&self) -> usize {
         self.executors * usize::try_from(self.listed_per_process).unwrap_or(1)
     }
--- a/crates/onyxshed-load/src/local/settings.rs
+++ b/crates/onyxshed-load/src/local/settings.rs
@@ -10,7 +10,7 @@
 use crate::error::{Error, Result};
 use crate::report::write_json;
 
-/// The one zone of a local set.
+/// The zone of all hosts of a local set.
 pub(super) const ZONE: &str = "zone-a";
 
 /// Addresses of one entry host, each on a free port.
@@ -24,18 +24,18 @@
     pub(super) control_admin: SocketAddr,
 }
 
-/// Settings files of one entry host.
+/// Paths of the settings files of one entry host.
 pub(super) struct SettingsFiles {
     pub(super) entry: PathBuf,
     pub(super) control: PathBuf,
 }
 
 impl EntryPorts {
-    /// Tries to find six free ports. They are all held until the last is found, so they differ.
+    /// Finds six free ports. All six are held open until the last is found, so they differ.
     ///
-    /// Failure guarded against: a port that the system also hands to outgoing connections is taken
-    /// by one before its process listens. Symptom: now and then a process of a large set does not
-    /// start. Ports below the system's own range are never handed out.
+    /// The ports lie below the range that the system assigns to outgoing connections. From that
+    /// range an outgoing connection could take a port before the process listens on it, and now and
+    /// then a process of a large set would not start.
     pub(super) fn find_free() -> Result<Self> {
         let listeners: Result<Vec<_>> = (0..6).map(|_| listen()).collect();
         let listeners = listeners?;
@@ -51,12 +51,12 @@
     }
 }
 
-/// Ports that the system does not hand to outgoing connections.
+/// Ports that the system does not assign to outgoing connections.
 const PORT_RANGE: std::ops::Range<u16> = 12_000..32_000;
 const TRIES_MAX: usize = 1_000;
 
-/// Tries to listen on the next free port. Ports are tried in turn from one drawn at random, so that
-/// no two processes of a set get the same, nor as a rule those of two sets.
+/// Listens on the next free port. Ports are tried in sequence from a random start, so that no two
+/// processes of a set get the same port, and processes of different sets rarely do.
 fn listen() -> Result<TcpListener> {
     thread_local! {
         static NEXT_PORT: Cell<u16> = Cell::new(rand::random_range(PORT_RANGE));
@@ -75,7 +75,7 @@
     found.ok_or_else(|| Error::start("no free port was found"))
 }
 
-/// Tries to write the settings of one entry host.
+/// Writes the settings files of one entry host.
 pub(super) fn write(
     folder: &Path,
     index: usize,
--- a/crates/onyxshed-load/src/main.rs
+++ b/crates/onyxshed-load/src/main.rs
@@ -1,4 +1,4 @@
-//! The command `onyxshed-load`.
+//! Entry point of the command `onyxshed-load`.
 
 use std::process::ExitCode;
 
--- a/crates/onyxshed-load/src/mix.rs
+++ b/crates/onyxshed-load/src/mix.rs
@@ -1,4 +1,4 @@
-//! The two deployments' mixes of work.
+//! The work mixes of the two deployments, from which the load tool draws jobs.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,31 +7,31 @@
 
 use crate::error::Error;
 
-/// Span of service times on an executor of the fastest kind, in milliseconds.
+/// Range of service times on an executor of the fastest kind, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceTimeRange {
-    /// Shortest.
+    /// Shortest service time.
     pub min_ms: u32,
-    /// Longest.
+    /// Longest service time.
     pub max_ms: u32,
 }
 
-/// One class's part in a mix.
+/// The jobs of one class in a mix.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ClassLoad {
-    /// The class's name.
+    /// Name of the class.
     pub class: &'static str,
-    /// Part of all jobs, 0 to 1.
+    /// Fraction of all jobs that belong to the class, 0 to 1.
     pub share: f64,
-    /// Most tasks in a job; sizes fall off so that small jobs are common.
+    /// Maximum number of tasks in a job. Small jobs are more common than large ones.
     pub tasks_max: u16,
     /// Service times of ordinary tasks.
     pub service: ServiceTimeRange,
-    /// Part of the tasks that take several seconds, 0 to 1.
+    /// Fraction of tasks that take several seconds, 0 to 1.
     pub slow_share: f64,
-    /// The class's target, in milliseconds.
+    /// The class's target for the response time, in milliseconds.
     pub finish_within_ms: u32,
-    /// Whether its tasks may run twice.
+    /// Whether the class's tasks may run twice.
     pub may_run_twice: bool,
 }
 
@@ -41,7 +41,7 @@
     max_ms: 4_000,
 };
 
-/// A deployment whose work is imitated.
+/// A deployment whose work is generated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
     /// Fleet commands for counter tablets.
@@ -129,10 +129,10 @@
 ];
 
 impl Mix {
-    /// Every mix.
+    /// All mixes.
     pub const ALL: [Mix; 2] = [Mix::Inzira, Mix::Valbrenta];
 
-    /// Gets the classes of the mix.
+    /// Returns the classes of the mix.
     pub fn classes(self) -> &'static [ClassLoad] {
         match self {
             Mix::Inzira => &INZIRA,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Gets the name of the upstream that runs the mix.
+    /// Returns the name of the upstream that runs the mix.
     pub fn upstream(self) -> &'static str {
         match self {
             Mix::Inzira => "tablet-fleet",
@@ -148,13 +148,14 @@
         }
     }
 
-    /// Gets the mean work of a job: the sum of its tasks' service times, in milliseconds.
+    /// Returns the mean work of a job, which is the sum of its tasks' service times, in
+    /// milliseconds.
     pub fn mean_job_ms(self) -> f64 {
         let work = |load: &ClassLoad| load.share * load.mean_tasks() * load.mean_service_ms();
         self.classes().iter().map(work).sum()
     }
 
-    /// Draws a class by its share; gets its place in [`Mix::classes`].
+    /// Draws a class by its share and returns its index in [`Mix::classes`].
     pub fn draw_class(self, rng: &mut impl Rng) -> usize {
         let mut remaining: f64 = rng.random();
         let classes = self.classes();
@@ -187,7 +188,8 @@
 }
 
 impl ClassLoad {
-    /// Draws the number of tasks of one job: the square of an even draw, so most jobs are small.
+    /// Draws the number of tasks of one job. The number is proportional to the square of a uniform
+    /// random number, so most jobs are small.
     pub fn draw_tasks(&self, rng: &mut impl Rng) -> u16 {
         let uniform: f64 = rng.random();
         let above_one = uniform * uniform * f64::from(self.tasks_max);
@@ -197,7 +199,7 @@
             .map_or(1, |tasks| tasks + 1)
     }
 
-    /// Draws one task's service time in milliseconds, even on a logarithmic scale.
+    /// Draws the service time of one task, in milliseconds, uniformly on a logarithmic scale.
     pub fn draw_service_ms(&self, rng: &mut impl Rng) -> u32 {
         let is_slow = rng.random_bool(self.slow_share);
         let range = if is_slow { SLOW_SERVICE } else { self.service };
@@ -216,7 +218,7 @@
 }
 
 impl ServiceTimeRange {
-    /// Gets the service time at `part`, 0 to 1, of the span on a logarithmic scale.
+    /// Returns the service time at `fraction` (0 to 1) of the range on a logarithmic scale.
     fn interpolate(self, fraction: f64) -> u32 {
         let (min, max) = (f64::from(self.min_ms), f64::from(self.max_ms));
         whole_ms(min * (max / min).powf(fraction))
@@ -228,7 +230,7 @@
     }
 }
 
-/// Rounds a span that is known to be small and not negative.
+/// Rounds a service time, which must be small and not negative, to whole milliseconds.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/onyxshed-load/src/plan.rs
+++ b/crates/onyxshed-load/src/plan.rs
@@ -1,59 +1,59 @@
-//! Planned arrivals: an open loop, drawn ahead of the run from a seed.
+//! Planned arrivals of an open loop, drawn from a seed before the run starts.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 use crate::mix::Mix;
 
-/// A stretch of the run with another rate of arrivals.
+/// A period of the run with a different arrival rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Burst {
-    /// When it starts, in seconds from the start of the run.
+    /// Start of the period, in seconds from the start of the run.
     pub from_s: f64,
-    /// When it ends.
+    /// End of the period, in seconds from the start of the run.
     pub to_s: f64,
-    /// The rate during it, as a multiple of the ordinary one.
+    /// Arrival rate in the period, as a multiple of the rate outside bursts.
     pub factor: f64,
 }
 
-/// What to plan.
+/// Options of a plan.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlanOptions {
-    /// Whose work it is.
+    /// The mix that classes, job sizes and service times are drawn from.
     pub mix: Mix,
-    /// Jobs a second on average outside bursts.
+    /// Mean arrival rate outside bursts, in jobs per second.
     pub jobs_per_s: f64,
-    /// How long jobs arrive, in seconds.
+    /// Time during which jobs arrive, in seconds.
     pub span_s: f64,
-    /// Stretches with another rate; they do not overlap and are in order.
+    /// Periods with a different rate, in order and without overlap.
     pub bursts: Vec<Burst>,
-    /// Every service time is multiplied by this.
+    /// Factor that every service time is multiplied by.
     pub time_scale: f64,
-    /// Seed of every draw.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// One job to send.
+/// A job with its planned arrival.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedJob {
-    /// When it is to arrive, in microseconds from the start of the run.
+    /// Planned arrival, in microseconds from the start of the run.
     pub at_us: u64,
-    /// Place of its class in [`Mix::classes`].
+    /// Index of the job's class in [`Mix::classes`].
     pub class: usize,
-    /// Each task's service time on an executor of the fastest kind, in milliseconds.
+    /// Service time of each task on an executor of the fastest kind, in milliseconds.
     pub service_ms: Vec<u32>,
-    /// Draw that decides where it goes.
+    /// Random number that selects the entry host.
     pub draw: u64,
 }
 
 impl PlannedJob {
-    /// Gets the longest of its tasks' service times, in milliseconds.
+    /// Returns the longest service time of the job's tasks, in milliseconds.
     pub fn longest_ms(&self) -> u32 {
         self.service_ms.iter().copied().max().unwrap_or_default()
     }
 }
 
-/// Draws every arrival of a run.
+/// Draws the jobs of a run, in order of arrival.
 pub fn plan(options: &PlanOptions) -> Vec<PlannedJob> {
     let mut rng = StdRng::seed_from_u64(options.seed);
     let mut jobs = Vec::new();
@@ -65,7 +65,8 @@
     jobs
 }
 
-/// Draws the next arrival. The exponential has no memory, so at a change of rate it is drawn anew.
+/// Draws the time of the next arrival, or returns `None` after the end of the run. The exponential
+/// distribution is memoryless, so the interval is drawn anew where the rate changes.
 fn next_arrival(options: &PlanOptions, from_s: f64, rng: &mut StdRng) -> Option<f64> {
     let mut at_s = from_s;
     while at_s < options.span_s {
@@ -80,7 +81,7 @@
     None
 }
 
-/// Gets the rate at a time and until when it holds.
+/// Returns the arrival rate at a time, and the time at which that rate ends.
 fn rate_at(options: &PlanOptions, at_s: f64) -> (f64, f64) {
     for burst in &options.bursts {
         if at_s < burst.from_s {
--- a/crates/onyxshed-load/src/plot.rs
+++ b/crates/onyxshed-load/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG: bars by group and series, and points with their fitted line.
+//! Plots as SVG files: grouped bars, and points with a fitted line.
 
 use std::path::Path;
 
@@ -12,44 +12,44 @@
 use crate::report::{Percentiles, Report};
 use crate::tally::float;
 
-/// One series of values.
+/// A series of values with one bar per group.
 #[derive(Debug, Clone)]
 pub struct Series {
-    /// Its name in the legend.
+    /// Name of the series in the legend.
     pub name: SmolStr,
-    /// One value a group.
+    /// One value per group.
     pub values: Vec<f64>,
 }
 
-/// Bars in groups, on a logarithmic scale that starts at `floor`.
+/// A plot of grouped bars on a logarithmic scale that starts at `floor`.
 #[derive(Debug, Clone)]
 pub struct Bars {
     /// Title of the plot.
     pub title: SmolStr,
-    /// What the values are, with their unit.
+    /// Label of the vertical axis: the quantity with its unit.
     pub unit: &'static str,
-    /// Where the scale starts; smaller values have no bar.
+    /// Start of the scale; smaller values have no bar.
     pub floor: f64,
     /// Names of the groups.
     pub groups: Vec<SmolStr>,
-    /// The series, each with a value for every group.
+    /// The series, each with one value per group.
     pub series: Vec<Series>,
 }
 
-/// Points with the line fitted to them.
+/// A plot of points with the line fitted to them.
 #[derive(Debug, Clone)]
 pub struct FitPlot {
     /// Title of the plot.
     pub title: SmolStr,
-    /// What is on the horizontal axis, with its unit.
+    /// Label of the horizontal axis: the quantity with its unit.
     pub x_unit: SmolStr,
-    /// What is on the vertical axis, with its unit.
+    /// Label of the vertical axis: the quantity with its unit.
     pub y_unit: SmolStr,
-    /// The points measured.
+    /// The measured points.
     pub points: Vec<(f64, f64)>,
     /// Value of the line at 0.
     pub intercept: f64,
-    /// Rise of the line for each unit of x.
+    /// Rise of the line per unit of x.
     pub slope: f64,
 }
 
@@ -71,7 +71,7 @@
 type DrawResult = std::result::Result<(), DrawingAreaErrorKind<std::io::Error>>;
 
 impl Bars {
-    /// Tries to draw the plot into a file.
+    /// Draws the plot into a file.
     pub fn draw(&self, path: &Path) -> Result<()> {
         let groups = u32::try_from(self.groups.len()).unwrap_or(u32::MAX);
         let width = 120 + groups.saturating_mul(GROUP_WIDTH).max(360);
@@ -108,7 +108,7 @@
         area.present()
     }
 
-    /// Draws one series' bars beside those of the others.
+    /// Draws the bars of one series next to those of the other series.
     fn paint_series(&self, chart: &mut BarChart<'_, '_>, index: usize) -> DrawResult {
         let series = &self.series[index];
         let width = 0.8 / self.series.len() as f64;
@@ -133,7 +133,7 @@
     }
 }
 
-/// Gets the group whose middle lies at `x`, nothing elsewhere.
+/// Returns the name of the group whose middle lies at `x`, or an empty text if there is none.
 fn group_label(groups: &[SmolStr], x: f64) -> String {
     let group = groups
         .iter()
@@ -143,7 +143,7 @@
 }
 
 impl FitPlot {
-    /// Tries to draw the plot into a file.
+    /// Draws the plot into a file.
     pub fn draw(&self, path: &Path) -> Result<()> {
         let area = SVGBackend::new(path, FIT_SIZE).into_drawing_area();
         self.paint(&area).map_err(|error| Error::draw(path, error))
@@ -175,7 +175,7 @@
     }
 }
 
-/// Makes the plot of a run's response times over ideal by class.
+/// Returns the plot of a run's response times divided by the ideal, by class.
 pub fn ratio_bars(report: &Report) -> Bars {
     let percentile = |name, value: fn(&Percentiles) -> f64| Series {
         name: SmolStr::new_static(name),
@@ -194,7 +194,7 @@
     }
 }
 
-/// Makes the plot of a run's wasted messages by kind.
+/// Returns the plot of a run's wasted messages by kind.
 pub fn wasted_bars(report: &Report) -> Bars {
     let kinds = report.wasted.kinds();
     Bars {
--- a/crates/onyxshed-load/src/process.rs
+++ b/crates/onyxshed-load/src/process.rs
@@ -1,4 +1,4 @@
-//! Memory and processor time of a process, as the system tells them.
+//! Memory and processor time of a process, read from `/proc`.
 
 use std::fs;
 
@@ -6,16 +6,16 @@
 
 use crate::error::{ProcessSnafu, Result};
 
-/// A process's use of the machine.
+/// Memory and processor time that a process uses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Usage {
     /// Resident memory, in KiB.
     pub resident_kib: u64,
-    /// Processor time since its start, in milliseconds.
+    /// Processor time since the process started, in milliseconds.
     pub processor_ms: u64,
 }
 
-/// Tries to read a process's use of the machine.
+/// Reads the memory and processor time of a process. Fails if its files in `/proc` can't be read.
 pub fn read_usage(pid: u32) -> Result<Usage> {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).context(ProcessSnafu { pid })?;
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).context(ProcessSnafu { pid })?;
@@ -25,7 +25,7 @@
     })
 }
 
-/// Reads the resident memory out of `/proc/PID/status`, 0 if it is not there.
+/// Parses the resident memory, in KiB, from the text of `/proc/PID/status`; 0 if it is missing.
 pub fn resident_kib(status: &str) -> u64 {
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     line.and_then(|rest| rest.split_whitespace().next())
@@ -33,8 +33,9 @@
         .unwrap_or_default()
 }
 
-/// Reads user and system time out of `/proc/PID/stat`. The name before them may hold blanks, so
-/// fields are counted from the bracket behind it.
+/// Parses the sum of user and system time, in milliseconds, from the text of `/proc/PID/stat`. The
+/// process name before them may contain blanks, so fields are counted from the bracket that ends
+/// it.
 pub fn processor_ms(stat: &str, ticks_per_s: u64) -> u64 {
     const USER_AFTER_NAME: usize = 11;
     let behind_name = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
--- a/crates/onyxshed-load/src/report.rs
+++ b/crates/onyxshed-load/src/report.rs
@@ -1,4 +1,4 @@
-//! Results for people and for other programs.
+//! Reports of runs, as text for a terminal and as JSON.
 
 use std::fmt;
 use std::fs;
@@ -10,55 +10,55 @@
 use crate::error::{Result, WriteSnafu};
 use crate::tally::{ClassTally, RATIO_UNIT, Tally, Wasted, float};
 
-/// A run's results.
+/// The results of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// The mix.
+    /// Name of the mix.
     pub mix: String,
     /// Seed of the plan.
     pub seed: u64,
-    /// How long jobs arrived, in seconds.
+    /// Time during which jobs arrived, in seconds.
     pub span_s: f64,
     /// Results by class.
     pub classes: Vec<ClassReport>,
     /// Wasted messages by kind.
     pub wasted: Wasted,
-    /// Wasted messages in percent of tasks.
+    /// Wasted messages as a percentage of tasks.
     pub wasted_percent: f64,
-    /// Tasks of jobs complete within their target, a second.
+    /// Tasks per second that belonged to jobs complete within their target.
     pub goodput_per_s: f64,
-    /// The sender's largest lag behind the plan, in microseconds; a lag near the response times
-    /// means that the sender was short of processor time.
+    /// Largest delay of a submission after its planned time, in microseconds. A delay close to the
+    /// response times means that the load tool was short of processor time.
     pub sender_lag_max_us: u64,
 }
 
-/// One class's results.
+/// Results of one class.
 #[derive(Debug, Clone, Serialize)]
 pub struct ClassReport {
-    /// The class.
+    /// Name of the class.
     pub class: &'static str,
-    /// Jobs.
+    /// Number of jobs.
     pub jobs: u64,
-    /// Tasks.
+    /// Number of tasks.
     pub tasks: u64,
-    /// Jobs complete within the target, in percent.
+    /// Percentage of jobs that were complete within the target.
     pub hit_percent: f64,
-    /// Percentiles of response time over ideal.
+    /// Percentiles of the response time divided by the ideal.
     pub ratio: Percentiles,
-    /// Percentiles of response time, in milliseconds.
+    /// Percentiles of the response time, in milliseconds.
     pub took_ms: Percentiles,
-    /// Jobs without an answer.
+    /// Number of jobs without an answer.
     pub unanswered: u64,
     /// Final answers by result code.
     pub codes: Vec<CodeCount>,
 }
 
-/// Final answers with one code.
+/// Number of final answers with one result code.
 #[derive(Debug, Clone, Serialize)]
 pub struct CodeCount {
-    /// The code.
+    /// The result code.
     pub code: u16,
-    /// How many.
+    /// Number of jobs with that code.
     pub jobs: u64,
 }
 
@@ -67,18 +67,18 @@
 pub struct Percentiles {
     /// Median.
     pub p50: f64,
-    /// 90th.
+    /// 90th percentile.
     pub p90: f64,
-    /// 99th.
+    /// 99th percentile.
     pub p99: f64,
-    /// 99.9th.
+    /// 99.9th percentile.
     pub p999: f64,
-    /// Largest.
+    /// Largest value.
     pub max: f64,
 }
 
 impl Percentiles {
-    /// Reads a histogram, dividing each value by `unit`.
+    /// Reads the percentiles of a histogram and divides each by `unit`; all are 0 if it is empty.
     pub fn of(histogram: &hdrhistogram::Histogram<u64>, unit: f64) -> Self {
         if histogram.is_empty() {
             return Percentiles::default();
@@ -97,7 +97,7 @@
 const US_PER_MS: f64 = 1_000.0;
 
 impl Report {
-    /// Makes the report of a run.
+    /// Returns the report of a run.
     pub fn new(tally: &Tally, seed: u64, span_s: f64, sender_lag_max_us: u64) -> Self {
         let loads = tally.mix.classes().iter();
         let good: u64 = tally.classes.iter().map(|class| class.good_tasks).sum();
@@ -190,13 +190,13 @@
     }
 }
 
-/// Writes a value as indented JSON.
+/// Writes a value as indented JSON, and creates the file's folder where needed.
 pub fn write_json(path: &Path, value: &impl Serialize) -> Result<()> {
-    let text = serde_json::to_string_pretty(value).expect("reports hold only what JSON can write");
+    let text = serde_json::to_string_pretty(value).expect("reports are serializable as JSON");
     write_text(path, &(text + "\n"))
 }
 
-/// Writes a text file, making its folder where needed.
+/// Writes a text file, and creates its folder where needed.
 pub fn write_text(path: &Path, text: &str) -> Result<()> {
     if let Some(folder) = path.parent() {
         fs::create_dir_all(folder).context(WriteSnafu { path: folder })?;
--- a/crates/onyxshed-load/src/run.rs
+++ b/crates/onyxshed-load/src/run.rs
@@ -17,16 +17,16 @@
 use crate::report::Report;
 use crate::tally::{JobEnd, Tally};
 
-/// What to run.
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct RunOptions {
-    /// The entry hosts; jobs are spread evenly over them.
+    /// Addresses of the entry hosts; jobs are spread evenly over them.
     pub entries: Vec<SocketAddr>,
     /// The arrivals.
     pub plan: PlanOptions,
-    /// Rules for callers.
+    /// Retry, binding and timeout rules of the callers.
     pub caller: CallerOptions,
-    /// Least network time of one job, in microseconds, part of the ideal.
+    /// Least network time of one job, in microseconds; part of the ideal response time.
     pub network_us: u64,
 }
 
@@ -39,7 +39,7 @@
     started_at: Instant,
 }
 
-/// Sends every planned job at its time and waits for the last answer.
+/// Sends every planned job at its time, waits until the last job has ended, and returns the report.
 pub async fn run(executor: &LocalExecutor<'static>, options: &RunOptions) -> Report {
     let jobs = plan(&options.plan);
     let runner = Rc::new(Runner {
@@ -69,7 +69,7 @@
 }
 
 impl Runner {
-    /// Follows one job from its planned arrival to its end.
+    /// Submits one job at its planned arrival and records its end.
     async fn submit_job(&self, job: PlannedJob) {
         let lag_us = self.now_us().saturating_sub(job.at_us);
         self.lag_max_us.set(self.lag_max_us.get().max(lag_us));
@@ -104,7 +104,8 @@
     }
 }
 
-/// Makes an id of now; the rest of it is random, so that two runs with one seed do not share ids.
+/// Returns a new ULID with the current time. Part of it is drawn anew at each call, so that two
+/// runs with the same seed do not share ids.
 pub fn new_ulid(draw: u64) -> Ulid {
     let since_epoch = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
@@ -114,12 +115,12 @@
     Ulid::from_parts(now_ms, random)
 }
 
-/// Makes the payload that a stand-in executor works on for `service_ms`.
+/// Returns the payload that makes a stand-in executor run a task for `service_ms` milliseconds.
 pub fn payload(service_ms: u32) -> Vec<u8> {
     format!("{{\"service_ms\":{service_ms},\"echo\":\"x\"}}").into_bytes()
 }
 
-/// Gets the name of one of the mixes' classes.
+/// Parses the name of a class. Panics if the name is not valid.
 pub fn class_name(class: &str) -> ClassName {
-    class.parse().expect("the mixes' names keep the rules")
+    class.parse().expect("the mixes' names are valid")
 }
--- a/crates/onyxshed-load/src/sim.rs
+++ b/crates/onyxshed-load/src/sim.rs
@@ -1,8 +1,9 @@
-//! The decision core under planned load in virtual time, policies side by side.
+//! Simulation of the decision core in virtual time, which compares policies under planned load.
 //!
-//! A focused fake stands at the core's interface: executors with slots, a queue and a speed, and
-//! fixed delays between them and the entry hosts of one zone. Nothing else of a cluster is imitated:
-//! no log, no claims, no sockets. Every policy of one row sees the same arrivals and faults.
+//! The core runs against a small model: executors with slots, a queue and a speed, and fixed
+//! network delays between the executors, the entry hosts of one zone and the callers. Nothing else
+//! of a cluster is modelled: no log, no claims, no sockets. All policies see the same arrivals and
+//! faults for a scenario and seed.
 
 pub mod chooser;
 pub mod executor;
@@ -18,22 +19,22 @@
 use summary::{Cell, Summary};
 use world::{RunResult, Simulation, ZoneOptions};
 
-/// What to run.
+/// Options of a simulation.
 #[derive(Debug, Clone)]
 pub struct SimOptions {
-    /// Whose work it is.
+    /// The mix that jobs are drawn from.
     pub mix: Mix,
-    /// Seeds; each gives one run a scenario and policy.
+    /// Seeds of the runs; every pair of a scenario and a policy runs once with each.
     pub seeds: Vec<u64>,
-    /// Scenarios.
+    /// The scenarios to run.
     pub scenarios: Vec<Scenario>,
-    /// How long jobs arrive, in seconds; faults last the middle third.
+    /// Time during which jobs arrive, in seconds; faults last for the middle third.
     pub span_s: f64,
-    /// The zone.
+    /// Size and network delays of the zone.
     pub zone: ZoneOptions,
 }
 
-/// Runs every scenario with every policy and seed.
+/// Runs every scenario with every policy and seed, and returns the results.
 pub fn simulate(options: &SimOptions) -> Summary {
     let mut summary = Summary::new(options);
     for scenario in &options.scenarios {
@@ -47,7 +48,7 @@
     summary
 }
 
-/// Makes one run; gets how many jobs were planned and what became of them.
+/// Runs one scenario with one policy and seed. Returns the number of planned jobs and the results.
 pub fn run_once(
     options: &SimOptions,
     scenario: Scenario,
--- a/crates/onyxshed-load/src/sim/chooser.rs
+++ b/crates/onyxshed-load/src/sim/chooser.rs
@@ -1,4 +1,4 @@
-//! The policies set side by side: the product's, and what users would otherwise reach for.
+//! The compared policies: the dispatcher's own, and two baselines that users could choose instead.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,27 +9,28 @@
 };
 use serde::Serialize;
 
-/// One of the policies compared.
+/// Kind of a compared policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
-    /// The product's policy.
+    /// The dispatcher's own policy.
     Onyxshed,
-    /// Executors in turn; retries and timeouts, no admission.
+    /// Selects the executors in turn, with retries and timeouts but without admission control.
     RoundRobin,
-    /// The executor with the fewest of this host's own tasks; retries and timeouts, no admission.
+    /// Selects the executor with the fewest running attempts of this host, with retries and
+    /// timeouts but without admission control.
     LeastOutstanding,
 }
 
 impl PolicyKind {
-    /// All of them.
+    /// All policies.
     pub const ALL: [PolicyKind; 3] = [
         PolicyKind::Onyxshed,
         PolicyKind::RoundRobin,
         PolicyKind::LeastOutstanding,
     ];
 
-    /// Gets a short name.
+    /// Returns the short name of the policy for tables and plots.
     pub fn name(self) -> &'static str {
         match self {
             PolicyKind::Onyxshed => "onyxshed",
@@ -39,16 +40,17 @@
     }
 }
 
-/// One entry host's policy.
+/// The policy of one simulated entry host.
 #[derive(Debug)]
 pub enum HostPolicy {
-    /// The product's.
+    /// The dispatcher's own policy.
     Policy(Box<Policy>),
-    /// A baseline.
+    /// A baseline policy.
     Baseline(Baseline),
 }
 
-/// First in, first out, without admission; up to two retries of what may run twice.
+/// A baseline: a first-in, first-out queue without admission control. An attempt is retried up to
+/// twice if its task did not start or may run twice.
 #[derive(Debug)]
 pub struct Baseline {
     kind: PolicyKind,
@@ -59,12 +61,12 @@
     connections_max: u32,
 }
 
-/// Connections of an executor, over all entry hosts.
+/// Number of connections to an executor from all entry hosts together.
 const EXECUTOR_CONNECTIONS: u32 = 60;
 const RETRIES_MAX: u32 = 2;
 
 impl HostPolicy {
-    /// Makes the policy of one of `hosts` entry hosts.
+    /// Returns the policy of one of `hosts` entry hosts.
     pub fn new(policy: PolicyKind, seed: u64, hosts: u32) -> Self {
         match policy {
             PolicyKind::Onyxshed => {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Sets the executors known.
+    /// Sets the known executors.
     pub fn set_executors(&mut self, now: Now, executors: &[ExecutorInfo]) {
         match self {
             HostPolicy::Policy(policy) => policy.set_executors(now, executors),
@@ -89,14 +91,14 @@
         }
     }
 
-    /// Sets how many entry hosts share the executors.
+    /// Sets the number of entry hosts that share the executors.
     pub fn set_zone_hosts(&mut self, now: Now, zone_hosts: u32) {
         if let HostPolicy::Policy(policy) = self {
             policy.set_zone_hosts(now, zone_hosts);
         }
     }
 
-    /// Decides whether to take in a job.
+    /// Decides whether to admit a job.
     pub fn admit(
         &mut self,
         now: Now,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Queues a task.
+    /// Enqueues a task.
     pub fn enqueue(&mut self, now: Now, queued: QueuedTask) {
         match self {
             HostPolicy::Policy(policy) => policy.enqueue(now, queued),
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Takes a waiting task out of the queue.
+    /// Removes a task from the queue.
     pub fn withdraw(&mut self, task: TaskId) {
         match self {
             HostPolicy::Policy(policy) => {
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Decides what to start now.
+    /// Decides which task to start next and on which executor.
     pub fn next(&mut self, now: Now) -> NextStep {
         match self {
             HostPolicy::Policy(policy) => policy.next(now),
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Takes in an attempt's end.
+    /// Applies the end of an attempt and decides whether its task is retried.
     pub fn apply_attempt_end(&mut self, now: Now, end: &AttemptEnd) -> RetryStep {
         match self {
             HostPolicy::Policy(policy) => policy.apply_attempt_end(now, end),
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Takes out the waiting tasks whose deadline has passed.
+    /// Removes and returns the queued tasks whose deadline has passed. The baselines return none.
     pub fn take_expired(&mut self, now: Now) -> Vec<ExpiredTask> {
         match self {
             HostPolicy::Policy(policy) => policy.take_expired(now),
--- a/crates/onyxshed-load/src/sim/executor.rs
+++ b/crates/onyxshed-load/src/sim/executor.rs
@@ -1,59 +1,59 @@
-//! A small model of an executor: slots, a queue, a speed, and what is wrong with it.
+//! A model of an executor with slots, a queue, a speed and a fault.
 
 use std::collections::VecDeque;
 
-/// What is wrong with an executor.
+/// The fault of an executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// Nothing.
+    /// No fault.
     Healthy,
-    /// Everything takes 20 times as long.
+    /// Every task takes 20 times as long.
     Slow,
-    /// Everything fails at once.
+    /// Every task fails shortly after its start.
     Failing,
-    /// Takes everything, answers nothing.
+    /// Accepts tasks and never answers.
     Unresponsive,
     /// Refuses connections.
     Down,
 }
 
-/// What becomes of a start that reaches an executor.
+/// The outcome of a start request at an executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartOutcome {
-    /// It runs now.
+    /// The attempt runs.
     Running,
-    /// It waits.
+    /// The attempt is in the executor's queue.
     Queued,
-    /// It is refused, provably not started.
+    /// The executor refused the attempt, which provably did not start.
     Refused,
-    /// Nobody answers, now or later.
+    /// The executor never answers.
     Unanswered,
     /// The connection can't be opened.
     Unreachable,
 }
 
-/// One executor.
+/// A modelled executor. Attempts are indexes into the simulation's list.
 #[derive(Debug)]
 pub struct ModelExecutor {
-    /// Tasks it runs at the same time.
+    /// Number of tasks that run at the same time.
     pub slots: usize,
-    /// Its speed as a part of the fastest kind's.
+    /// Speed as a fraction of the fastest kind's.
     pub speed: f64,
-    /// What is wrong with it.
+    /// The fault of the executor.
     pub health: Health,
-    /// Attempts running.
+    /// Running attempts.
     pub running: Vec<usize>,
-    /// Attempts waiting.
+    /// Queued attempts.
     pub queue: VecDeque<usize>,
 }
 
-/// Attempts that may wait: 60 connections less 8 that run.
+/// Maximum number of queued attempts: 60 connections less 8 that run.
 const QUEUE_MAX: usize = 52;
 const SLOWDOWN: f64 = 20.0;
 const FAILS_AFTER_US: u64 = 1_000;
 
 impl ModelExecutor {
-    /// Makes an idle, healthy executor.
+    /// Returns an idle executor without a fault.
     pub fn new(slots: usize, speed: f64) -> Self {
         ModelExecutor {
             slots,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes in a start.
+    /// Handles a start request.
     pub fn receive_start(&mut self, attempt: usize) -> StartOutcome {
         match self.health {
             Health::Down => StartOutcome::Unreachable,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Gets how long a task runs, in microseconds.
+    /// Returns the run time of a task, in microseconds.
     pub fn run_time_us(&self, service_us: f64) -> u64 {
         match self.health {
             Health::Failing => FAILS_AFTER_US,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Takes out an attempt; false if it neither ran nor waited.
+    /// Removes an attempt. Returns false if it was neither running nor queued.
     pub fn remove(&mut self, attempt: usize) -> bool {
         let before = self.running.len() + self.queue.len();
         self.running.retain(|other| *other != attempt);
@@ -98,7 +98,8 @@
         self.running.len() + self.queue.len() < before
     }
 
-    /// Moves a waiting attempt into a free slot.
+    /// Moves the first queued attempt into a free slot. Returns `None` if no slot is free or the
+    /// queue is empty.
     pub fn start_next(&mut self) -> Option<usize> {
         if self.running.len() >= self.slots {
             return None;
--- a/crates/onyxshed-load/src/sim/scenario.rs
+++ b/crates/onyxshed-load/src/sim/scenario.rs
@@ -1,35 +1,36 @@
-//! The scenarios: how much load, and what goes wrong in the middle third.
+//! The scenarios of the simulation: the load, and the fault in the middle third of a run.
 
 use crate::plan::Burst;
 
-/// One scenario.
+/// A scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
-    /// Steady load at this percentage of capacity.
+    /// Constant load at this percentage of capacity.
     Load(u32),
-    /// 60% of capacity, in the middle third this percentage, then 60% again.
+    /// Load at 60% of capacity, except in the middle third, where it is at this percentage.
     Overload(u32),
     /// Ten times the arrivals for 2 s.
     Burst,
-    /// One executor runs everything 20 times slower.
+    /// One executor runs every task 20 times slower.
     SlowExecutor,
-    /// One executor fails everything at once.
+    /// One executor fails every task immediately.
     FailingExecutor,
-    /// One executor takes tasks and never answers.
+    /// One executor accepts tasks and never answers.
     UnresponsiveExecutor,
-    /// A rack of 8 executors dies; the host list tells it 5 s later.
+    /// A rack of 8 executors fails; the host list shows it 5 s later.
     RackFails,
-    /// One entry host dies; its peers notice after 2 s.
+    /// One entry host fails; its peers detect it after 2 s.
     EntryHostFails,
-    /// The zone's entry hosts lose sight of one another: each holds itself to be alone.
+    /// The entry hosts of the zone lose contact with each other, and each takes itself for the only
+    /// one.
     HostsPartitioned,
-    /// The host list stands still throughout, and a rack of 8 dies.
+    /// The host list is frozen throughout, and a rack of 8 executors fails.
     PlatformDown,
-    /// One class's tasks take 10 times as long as learned so far.
+    /// The tasks of one class take 10 times as long as the policy has learned.
     ServiceTimesShift,
-    /// One class's tasks fail wherever they run.
+    /// The tasks of one class fail on every executor.
     ClassUnrunnable,
-    /// Half of all jobs in flight are cancelled, every two seconds.
+    /// Callers cancel half of all jobs in flight, every two seconds.
     CancelWave,
 }
 
@@ -40,7 +41,7 @@
 const BURST_S: f64 = 2.0;
 
 impl Scenario {
-    /// Every scenario.
+    /// All scenarios.
     pub const ALL: [Scenario; 17] = [
         Scenario::Load(50),
         Scenario::Load(80),
@@ -61,7 +62,7 @@
         Scenario::CancelWave,
     ];
 
-    /// Gets a short name.
+    /// Returns the short name of the scenario for tables, plots and `--scenario`.
     pub fn name(self) -> String {
         match self {
             Scenario::Load(percent) => format!("load {percent}%"),
@@ -80,8 +81,9 @@
         }
     }
 
-    /// Gets the load outside bursts as a part of capacity. Where half of the zone's executors die,
-    /// it is low enough for the rest to carry, so that what is lost is the policy's doing.
+    /// Returns the load outside bursts as a fraction of capacity. Where half of the zone's
+    /// executors fail, the load is low enough for the other half, so that missed targets are due to
+    /// the policy.
     pub fn load(self) -> f64 {
         match self {
             Scenario::Load(percent) => f64::from(percent) / 100.0,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Gets the stretches with another rate.
+    /// Returns the periods with a different arrival rate.
     pub fn bursts(self, span_s: f64) -> Vec<Burst> {
         let from_s = span_s / 3.0;
         let (to_s, factor) = match self {
@@ -111,7 +113,7 @@
         }]
     }
 
-    /// Gets when the overload ends, none without one.
+    /// Returns the end of the overload in seconds, or `None` for a scenario without one.
     pub fn overload_end_s(self, span_s: f64) -> Option<f64> {
         self.bursts(span_s).first().map(|burst| burst.to_s)
     }
--- a/crates/onyxshed-load/src/sim/summary.rs
+++ b/crates/onyxshed-load/src/sim/summary.rs
@@ -1,4 +1,4 @@
-//! Results of all runs: medians and spread over the seeds, as table, JSON and plots.
+//! Summary of all runs: median and range over the seeds, as a table, JSON and plots.
 
 use std::fmt;
 use std::path::Path;
@@ -18,11 +18,11 @@
 /// Results of all scenarios and policies.
 #[derive(Debug, Clone, Serialize)]
 pub struct Summary {
-    /// The mix.
+    /// Name of the mix.
     pub mix: String,
-    /// The seeds.
+    /// Seeds of the runs.
     pub seeds: Vec<u64>,
-    /// How long jobs arrived in each run, in seconds.
+    /// Time during which jobs arrived in each run, in seconds.
     pub span_s: f64,
     /// One cell for each scenario and policy.
     pub cells: Vec<Cell>,
@@ -31,47 +31,48 @@
 /// Results of one scenario with one policy.
 #[derive(Debug, Clone, Serialize)]
 pub struct Cell {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
     /// The policy.
     pub rival: PolicyKind,
-    /// Each class's results.
+    /// Results by class.
     pub classes: Vec<ClassCell>,
-    /// Wasted messages in percent of tasks.
+    /// Wasted messages as a percentage of tasks.
     pub wasted_percent: Spread,
-    /// Tasks of jobs complete within their target, a second of the middle third.
+    /// Tasks per second that belonged to jobs complete within their target, in the middle third.
     pub goodput_per_s: Spread,
-    /// Seconds from the overload's end to the last later second in which fewer than 90% of the
-    /// arriving jobs were hits.
+    /// Seconds from the end of the overload to the end of the last second in which less than 90% of
+    /// the arriving jobs met their target; 0 if there was none, and `None` for a scenario without
+    /// overload.
     pub recovery_s: Option<Spread>,
 }
 
-/// One class's results in one cell.
+/// Results of one class in one cell.
 #[derive(Debug, Clone, Serialize)]
 pub struct ClassCell {
-    /// The class.
+    /// Name of the class.
     pub class: &'static str,
-    /// Jobs complete within the target, in percent.
+    /// Percentage of jobs that were complete within the target.
     pub hit_percent: Spread,
-    /// Median of response time over ideal, of complete jobs.
+    /// Median of the response time of complete jobs divided by the ideal.
     pub ratio_p50: Spread,
-    /// Its 99th percentile.
+    /// 99th percentile of the response time of complete jobs divided by the ideal.
     pub ratio_p99: Spread,
 }
 
-/// A figure over the seeds.
+/// Median and range of a value over the seeds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Spread {
     /// Median.
     pub median: f64,
-    /// Least.
+    /// Smallest value.
     pub min: f64,
-    /// Greatest.
+    /// Largest value.
     pub max: f64,
 }
 
 impl Spread {
-    /// Takes the median and the ends of some values.
+    /// Returns the median and the range of some values; all are 0 if there are none.
     pub fn of(values: impl Iterator<Item = f64>) -> Self {
         let mut sorted: Vec<f64> = values.collect();
         sorted.sort_by(f64::total_cmp);
@@ -92,7 +93,7 @@
 }
 
 impl Cell {
-    /// Sums up the runs of one scenario with one policy.
+    /// Summarizes the runs of one scenario with one policy.
     pub fn of(
         options: &SimOptions,
         scenario: Scenario,
@@ -146,7 +147,7 @@
 }
 
 impl Summary {
-    /// Makes an empty summary.
+    /// Returns a summary without cells.
     pub fn new(options: &SimOptions) -> Self {
         Summary {
             mix: options.mix.to_string(),
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Tries to write JSON and plots into a folder.
+    /// Writes the summary as JSON, and its plots, into a folder.
     pub fn write(&self, folder: &Path) -> Result<()> {
         write_json(&folder.join(format!("policy-{}.json", self.mix)), self)?;
         let draw = |name: &str, bars: Bars| {
--- a/crates/onyxshed-load/src/sim/world.rs
+++ b/crates/onyxshed-load/src/sim/world.rs
@@ -1,4 +1,5 @@
-//! The event loop: callers, entry hosts with their policies, and executors in virtual time.
+//! The event loop of the simulation: callers, entry hosts with their policies, and executors in
+//! virtual time.
 
 mod fault;
 mod host;
@@ -20,18 +21,18 @@
 use crate::plan::PlannedJob;
 use crate::tally::{JobEnd, Tally, Wasted};
 
-/// The zone.
+/// Size and network delays of the simulated zone.
 #[derive(Debug, Clone)]
 pub struct ZoneOptions {
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub hosts: usize,
-    /// Executors; their speeds go 1, 2, 4, 1, 2, 4 …
+    /// Number of executors; their speeds are in the ratio 1:2:4 in turn.
     pub executors: usize,
-    /// Slots of each executor.
+    /// Number of slots of each executor.
     pub slots: usize,
-    /// One way between entry host and executor, in microseconds.
+    /// One-way delay between an entry host and an executor, in microseconds.
     pub upstream_us: u64,
-    /// One way between caller and entry host, in microseconds.
+    /// One-way delay between a caller and an entry host, in microseconds.
     pub caller_us: u64,
 }
 
@@ -50,23 +51,25 @@
 const SPEEDS: [f64; 3] = [0.25, 0.5, 1.0];
 
 impl ZoneOptions {
-    /// Gets the work that all executors do in a second, in milliseconds of the fastest kind.
+    /// Returns the work that all executors together do per second, in milliseconds of service time
+    /// on the fastest kind.
     pub fn capacity_ms_per_s(&self) -> f64 {
         let speeds = (0..self.executors).map(|index| SPEEDS[index % SPEEDS.len()]);
         speeds.sum::<f64>() * self.slots as f64 * 1_000.0
     }
 }
 
-/// What one run gave.
+/// Results of one run.
 #[derive(Debug, Clone)]
 pub struct RunResult {
-    /// Outcomes of the jobs that arrived in the middle third, and the messages wasted in it.
+    /// Ends of the jobs that arrived in the middle third, and the messages wasted in that time.
     pub tally: Tally,
-    /// Jobs and deadline hits of the whole run, by the second of their arrival.
+    /// Numbers of jobs and of hits (jobs complete within the target) by the second of their planned
+    /// arrival, over the whole run.
     pub by_second: BTreeMap<u64, (u64, u64)>,
 }
 
-/// One run.
+/// The state of one simulated run.
 pub struct Simulation {
     options: ZoneOptions,
     mix: Mix,
@@ -86,13 +89,13 @@
     uncounted_wasted: Wasted,
 }
 
-/// The wall clock at the start of every run; any value does.
+/// Wall clock at the start of every run. No result depends on its value.
 const WALL_START: UnixMs = UnixMs(1_700_000_000_000);
-/// Executors of one rack.
+/// Number of executors in one rack.
 const RACK: usize = 8;
 
 impl Simulation {
-    /// Makes a world before its first arrival.
+    /// Returns a simulation before its first arrival.
     pub fn new(
         options: &SimOptions,
         scenario: Scenario,
@@ -105,7 +108,7 @@
             .mix
             .upstream()
             .parse()
-            .expect("the mixes' names keep the rules");
+            .expect("the mixes' names are valid");
         let executor_infos: Vec<_> = (0..zone.executors)
             .map(|index| executor_info(index, zone.slots, &upstream))
             .collect();
@@ -148,7 +151,7 @@
         self.schedule_faults();
     }
 
-    /// Runs until every job has ended.
+    /// Runs until no event is left, when every job has ended, and returns the results.
     pub fn run(mut self) -> RunResult {
         while let Some(Reverse((at_us, _, event))) = self.events.pop() {
             self.now_us = at_us;
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Starts an attempt in the slot that it holds.
+    /// Starts the run of an attempt that holds a slot.
     fn start_run(&mut self, attempt: usize) {
         let Attempt {
             executor,
@@ -234,7 +237,7 @@
         self.start_queued(executor);
     }
 
-    /// Starts what waits, as far as slots are free.
+    /// Starts queued attempts while slots are free.
     fn start_queued(&mut self, executor: usize) {
         while let Some(next) = self.executors[executor].start_next() {
             self.start_run(next);
@@ -246,7 +249,8 @@
         self.schedule_after(self.options.upstream_us, Event::AnswerDelivery { attempt });
     }
 
-    /// A stop reaches the executor; one that is silent or dead leaves the attempt to be held lost.
+    /// Delivers a stop request to an executor. An executor that is unresponsive or down does not
+    /// answer it, and the attempt counts as lost after a timeout.
     fn deliver_stop(&mut self, attempt: usize) {
         let executor = self.attempts[attempt].executor;
         if matches!(
@@ -263,7 +267,8 @@
         }
     }
 
-    /// Gets where wasted messages are counted just now: those outside the middle third are not.
+    /// Returns the current counts of wasted messages. Those outside the middle third are not
+    /// reported.
     fn wasted(&mut self) -> &mut Wasted {
         match self.is_in_middle(self.now_us) {
             true => &mut self.result.tally.wasted,
@@ -300,9 +305,9 @@
     }
 }
 
-/// How long a stop is waited for before the attempt is held lost.
+/// Time after which an unanswered stop request counts its attempt as lost.
 const STOP_TIMEOUT_US: u64 = 500_000;
-/// How soon a task that can never run fails.
+/// Time after which a task of an unrunnable class fails.
 const UNRUNNABLE_FAILS_AFTER_US: u64 = 5_000;
 
 #[expect(
--- a/crates/onyxshed-load/src/sim/world/fault.rs
+++ b/crates/onyxshed-load/src/sim/world/fault.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, when, and when it is known.
+//! The faults of each scenario: their start, their end and their detection.
 
 use onyxshed_core::ResultCode;
 use onyxshed_policy::AttemptOutcome;
@@ -8,13 +8,14 @@
 use crate::sim::executor::Health;
 use crate::sim::scenario::Scenario;
 
-/// The executor that goes wrong alone: one of the fastest kind, which draws most work.
+/// Index of the only faulty executor. It is of the fastest kind, which receives the most work.
 const FAULTY_EXECUTOR: usize = 2;
-/// The entry host that dies.
+/// Index of the entry host that fails.
 const FAILED_HOST: usize = 0;
-/// The class whose service times change: the one with the least work, so that capacity holds.
+/// Index of the class whose service times change. It has the least work, so that the load stays
+/// within capacity.
 const CHANGED_CLASS: usize = 0;
-/// The class whose tasks never run.
+/// Index of the class whose tasks always fail.
 const UNRUNNABLE_CLASS: usize = 2;
 const HOST_LIST_LAG_US: u64 = 5_000_000;
 const PEER_LAG_US: u64 = 2_000_000;
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Undoes what heals by itself. Dead executors and hosts stay dead.
+    /// Ends the faults that are temporary. Executors and hosts that are down stay down.
     pub(super) fn end_fault(&mut self) {
         self.is_fault_active = false;
         match self.scenario {
@@ -66,7 +67,8 @@
         }
     }
 
-    /// The host list or the peers tell what happened.
+    /// Applies the detection of a fault: by the host list for executors, by the peers for an entry
+    /// host.
     pub(super) fn detect_fault(&mut self) {
         let now = self.now();
         match self.scenario {
@@ -91,7 +93,7 @@
         }
     }
 
-    /// What runs or waits on the executor is never answered.
+    /// Makes an executor unresponsive: its running and queued attempts are never answered.
     fn make_unresponsive(&mut self, index: usize) {
         let executor = &mut self.executors[index];
         executor.health = Health::Unresponsive;
@@ -99,7 +101,8 @@
         executor.queue.clear();
     }
 
-    /// Connections to dead executors are reset, so what ran there is lost at once.
+    /// Fails the executors of one rack. Their connections are reset, so their attempts are lost at
+    /// once.
     fn fail_rack(&mut self) {
         for index in 0..RACK.min(self.executors.len()) {
             let executor = &mut self.executors[index];
@@ -112,8 +115,8 @@
         }
     }
 
-    /// Callers of the dead host see their connections break. What may run twice is sent again to
-    /// another host; of the rest the outcome is unknown.
+    /// Fails one entry host. The connections of its callers break: jobs whose tasks may run twice
+    /// are sent again to another host, and the outcome of the others is unknown.
     fn fail_host(&mut self) {
         self.hosts[FAILED_HOST].is_up = false;
         for job in 0..self.jobs.len() {
@@ -140,7 +143,7 @@
         self.schedule_after(REPEAT_DELAY_US, Event::JobArrival { job });
     }
 
-    /// Every second job in flight is cancelled by its caller.
+    /// Cancels every second job that is in flight, as its caller would.
     pub(super) fn cancel_jobs(&mut self) {
         for job in (0..self.jobs.len()).step_by(2) {
             let state = &mut self.jobs[job];
@@ -155,7 +158,7 @@
         }
     }
 
-    /// Gets by what a class's service times are multiplied just now.
+    /// Returns the current factor for the service times of a class.
     pub(super) fn service_factor(&self, class: usize) -> f64 {
         const FACTOR: f64 = 10.0;
         let is_shifted = self.is_fault_active && self.scenario == Scenario::ServiceTimesShift;
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Tells whether a class's tasks fail wherever they run.
+    /// Returns whether the tasks of a class currently fail on every executor.
     pub(super) fn is_unrunnable(&self, class: usize) -> bool {
         self.is_fault_active
             && self.scenario == Scenario::ClassUnrunnable
--- a/crates/onyxshed-load/src/sim/world/host.rs
+++ b/crates/onyxshed-load/src/sim/world/host.rs
@@ -1,4 +1,4 @@
-//! The entry hosts: what the thin shell around the policy does with its steps.
+//! The simulated entry hosts, which carry out the steps that their policies decide.
 
 use std::collections::BTreeMap;
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A job reaches an entry host: the one its draw names, or the next that lives.
+    /// Delivers a job to the entry host that its draw selects, or to the next one that is up.
     pub(super) fn deliver_job(&mut self, job: usize) {
         let now = self.now();
         let count = self.hosts.len();
@@ -92,7 +92,8 @@
         self.dispatch(host);
     }
 
-    /// The caller is told "not run" and comes back when told, a bounded number of times.
+    /// Handles the refusal of a job. Its caller sends it again after the wait in the answer, up to
+    /// a maximum number of times.
     fn refuse_job(&mut self, job: usize, code: ResultCode, wait: Millis) {
         self.wasted().refusals += 1;
         if self.jobs[job].repeats >= REPEATS_MAX {
@@ -104,7 +105,7 @@
         self.schedule_after(delay_us, Event::JobArrival { job });
     }
 
-    /// Starts whatever the policy wants started.
+    /// Ends the jobs of expired tasks and starts every attempt that the policy decides.
     pub(super) fn dispatch(&mut self, host: usize) {
         let now = self.now();
         for expired in self.hosts[host].policy.take_expired(now) {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// An attempt's end is known to its entry host.
+    /// Delivers the end of an attempt to its entry host.
     pub(super) fn deliver_answer(&mut self, attempt: usize) {
         let ended = &mut self.attempts[attempt];
         let (host, job) = (ended.host, ended.job);
@@ -173,7 +174,7 @@
         match (outcome, step) {
             (AttemptOutcome::Finished, _) if is_current => self.finish_task(attempt),
             (AttemptOutcome::Finished, _) => {}
-            // A job that has ended meanwhile gets no further start.
+            // The job has already ended, so its task is not started again.
             (_, RetryStep::Queued) if !is_current => {
                 let task = self.attempts[attempt].task;
                 self.hosts[host].policy.withdraw(task);
@@ -185,7 +186,7 @@
         self.dispatch(host);
     }
 
-    /// Counts an attempt that served no answer.
+    /// Counts an attempt that contributed to no answer.
     fn count_wasted_attempt(&mut self, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Finished | AttemptOutcome::Stopped => {}
@@ -228,8 +229,8 @@
         }
     }
 
-    /// Ends a job before it is complete: its answer goes out at once, what waits is withdrawn and
-    /// what runs is stopped.
+    /// Ends a job before it is complete: its answer is sent at once, its queued tasks are withdrawn
+    /// and its running attempts are stopped.
     pub(super) fn end_job(&mut self, job: usize, code: ResultCode) {
         self.record_job_end(job, Some(code));
         self.withdraw_job(job);
@@ -256,7 +257,7 @@
         }
     }
 
-    /// The policy has given up a waiting task, and its job with it.
+    /// Ends the job of a queued task that the policy has removed.
     fn expire_job(&mut self, job: usize, code: ResultCode) {
         if self.jobs[job].has_ended || !self.jobs[job].is_running {
             return;
--- a/crates/onyxshed-load/src/sim/world/parts.rs
+++ b/crates/onyxshed-load/src/sim/world/parts.rs
@@ -1,4 +1,4 @@
-//! What the event loop keeps of attempts, jobs and entry hosts.
+//! Events of the simulation, and its state of attempts, jobs and entry hosts.
 
 use onyxshed_core::{Micros, Mono, SubmissionId, TaskId, UpstreamName};
 use onyxshed_policy::{AttemptOutcome, ExecutorInfo};
@@ -9,49 +9,75 @@
 use crate::plan::PlannedJob;
 use crate::sim::chooser::HostPolicy;
 
+/// An event of the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
+    /// A job reaches an entry host.
     JobArrival { job: usize },
+    /// A start request reaches an executor.
     StartDelivery { attempt: usize },
+    /// The run of an attempt ends on its executor.
     RunEnd { attempt: usize },
+    /// The end of an attempt reaches its entry host.
     AnswerDelivery { attempt: usize },
+    /// A stop request reaches an executor.
     StopDelivery { attempt: usize },
+    /// The deadline of a job passes.
     Deadline { job: usize },
+    /// The time comes at which a policy asked for its next decision.
     Wake { host: usize },
+    /// The fault of the scenario starts.
     FaultStart,
+    /// The fault of the scenario ends.
     FaultEnd,
+    /// The host list or the peers show the fault.
     FaultDetection,
+    /// Callers cancel half of their jobs.
     CancelWave,
 }
 
+/// An attempt at a task on an executor.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) host: usize,
     pub(super) job: usize,
     pub(super) task: TaskId,
     pub(super) executor: usize,
+    /// Whether the entry host waits for the end of the attempt.
     pub(super) is_pending: bool,
     pub(super) outcome: AttemptOutcome,
+    /// Run time on the executor in microseconds; 0 until the run starts.
     pub(super) service_us: u64,
 }
 
+/// A job and its progress.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) planned: PlannedJob,
     pub(super) host: usize,
+    /// Number of times that the caller has sent the job again.
     pub(super) repeats: u32,
+    /// Number of tasks that have not finished.
     pub(super) remaining: usize,
+    /// Whether an attempt at one of the tasks has been started.
     pub(super) has_started: bool,
+    /// Whether an entry host has admitted the job.
     pub(super) is_running: bool,
+    /// Whether the job has its final answer or was cancelled.
     pub(super) has_ended: bool,
+    /// Whether each task has finished, by task index.
     pub(super) done_tasks: Vec<bool>,
     pub(super) deadline: Mono,
+    /// Indexes of the attempts at the tasks.
     pub(super) attempts: Vec<usize>,
 }
 
+/// An entry host.
 pub(super) struct Host {
     pub(super) policy: HostPolicy,
+    /// Whether the host has not failed.
     pub(super) is_up: bool,
+    /// Time of the next [`Event::Wake`], if one is scheduled.
     pub(super) wake_at: Option<Mono>,
 }
 
@@ -83,7 +109,7 @@
     }
 }
 
-/// Gets the id of a job's task; the ULID's random part holds the job's place.
+/// Returns the id of a job's task. The random part of the ULID holds the job's index.
 pub(super) fn task_id(job: usize, at_us: u64, index: usize) -> TaskId {
     let time_ms = WALL_START.0 + at_us / 1_000;
     TaskId {
@@ -92,11 +118,13 @@
     }
 }
 
+/// Returns the index of the job that a task belongs to.
 pub(super) fn job_index(task: &TaskId) -> usize {
     usize::try_from(task.submission.ulid.random()).unwrap_or(usize::MAX)
 }
 
-/// Turns what an attempt took into the policy's unit.
+/// Returns the service time of an attempt for the policy, or `None` if its task did not run to an
+/// end.
 pub(super) fn service_time(attempt: &Attempt) -> Option<Micros> {
     let did_run = matches!(
         attempt.outcome,
--- a/crates/onyxshed-load/src/slopes.rs
+++ b/crates/onyxshed-load/src/slopes.rs
@@ -1,8 +1,9 @@
-//! `onyxshed-load slopes`: how one process's memory, processor time and appends grow with size.
+//! `onyxshed-load slopes`: measures how memory, processor time and appends of one process grow with
+//! size.
 //!
-//! Each slope is measured at several sizes against real processes and fitted by a straight line;
-//! docs/CAPACITY.md multiplies the slopes up. The fit's largest residual is reported with it, so
-//! that a reader sees where a line does not describe what happens.
+//! Each quantity is measured at several sizes against real processes and fitted with a straight
+//! line. docs/CAPACITY.md extrapolates the slopes. The largest residual of each fit is reported
+//! with it, so that a reader sees where the growth is not linear.
 
 pub mod fit;
 mod members;
@@ -25,16 +26,16 @@
 use crate::tally::float;
 use fit::{Fit, Slope};
 
-/// What to measure and where to write it.
+/// Options of `slopes`.
 #[derive(Debug, Clone)]
 pub struct SlopeOptions {
     /// Folder of the binaries.
     pub binaries: PathBuf,
-    /// Only slopes whose name contains this.
+    /// If given, only experiments whose name contains this text are run.
     pub only: Option<SmolStr>,
 }
 
-/// One thing whose growth is measured.
+/// An experiment, named after the size that it varies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Experiment {
     InFlight,
@@ -64,7 +65,7 @@
     }
 }
 
-/// Tries to measure every slope asked for.
+/// Runs the experiments that the options select and returns the measured points.
 pub async fn measure_slopes(
     executor: &LocalExecutor<'static>,
     options: &SlopeOptions,
@@ -86,7 +87,7 @@
     Ok(all)
 }
 
-/// Memory of an entry process against requests in flight.
+/// Measures memory and processor time of an entry process against requests in flight.
 async fn measure_in_flight(
     executor: &LocalExecutor<'static>,
     binaries: &Path,
@@ -102,7 +103,8 @@
     Ok(vec![memory, processor])
 }
 
-/// Idle memory and processor time of both processes, and the cost of a task, against executors.
+/// Measures, against the number of executors: memory of both idle processes, processor time and
+/// bytes read of the control process, and processor time of the entry process per task.
 async fn measure_executors(
     executor: &LocalExecutor<'static>,
     binaries: &Path,
@@ -155,7 +157,7 @@
     ])
 }
 
-/// Appends a second against claims a second, by callers that all use ids of their own.
+/// Measures appends per second and response time against claims per second. Every job has a new id.
 async fn measure_claims(executor: &LocalExecutor<'static>, binaries: &Path) -> Result<Vec<Slope>> {
     let mut appends = Slope::new("claims-appends", "claims a second", "appends a second");
     let mut delay = Slope::new("claims-delay", "claims a second", "job p50 ms");
@@ -171,7 +173,7 @@
     Ok(vec![appends, delay])
 }
 
-/// Processor time of one job against its number of tasks.
+/// Measures processor time of the entry process per job against the job's number of tasks.
 async fn measure_job_size(
     executor: &LocalExecutor<'static>,
     binaries: &Path,
@@ -186,7 +188,7 @@
     Ok(vec![job])
 }
 
-/// What the platform's stand-in counted.
+/// Counters of the platform's stand-in since its start.
 #[derive(Debug, Deserialize)]
 struct PlatformCounts {
     appended: BTreeMap<SmolStr, u64>,
@@ -208,7 +210,7 @@
     serde_json::from_slice(&reply.body).map_err(|error| Error::unreachable(address, error))
 }
 
-/// Gets the size of the host list as a control process reads it, in bytes.
+/// Returns the size of the host list as a control process reads it, in bytes.
 async fn read_list_bytes(set: &LocalSet) -> Result<f64> {
     let list = call(set.platform.address, Method::Get, HOSTS_PATH, Vec::new()).await?;
     Ok(list.body.len() as f64)
@@ -218,7 +220,7 @@
     float(kib) / 1_024.0
 }
 
-/// All slopes as written to a file.
+/// Content of the file of one slope.
 #[derive(Debug, Serialize)]
 struct SlopeFile<'a> {
     name: &'a str,
@@ -228,7 +230,7 @@
     fit: Fit,
 }
 
-/// Tries to write figures and plots into a folder.
+/// Writes the points and the fit of each slope as JSON, and its plot, into a folder.
 pub fn write(slopes: &[Slope], folder: &Path) -> Result<()> {
     for slope in slopes {
         let file = SlopeFile {
--- a/crates/onyxshed-load/src/slopes/fit.rs
+++ b/crates/onyxshed-load/src/slopes/fit.rs
@@ -1,4 +1,4 @@
-//! A straight line through measured points.
+//! Measured points and the straight line fitted to them.
 
 use std::fmt;
 
@@ -7,32 +7,32 @@
 
 use crate::plot::FitPlot;
 
-/// Points measured for one quantity.
+/// Measured points of one quantity against a size.
 #[derive(Debug, Clone)]
 pub struct Slope {
-    /// Its name, which is also its file's.
+    /// Name of the quantity, and of its files without extension.
     pub name: &'static str,
-    /// What grows, with its unit.
+    /// The size that is varied, with its unit.
     pub x_unit: &'static str,
-    /// What grows with it, with its unit.
+    /// The quantity that is measured, with its unit.
     pub y_unit: &'static str,
-    /// The points.
+    /// The points, as size and quantity.
     pub points: Vec<(f64, f64)>,
 }
 
 /// A line fitted by least squares.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Fit {
-    /// Value at 0.
+    /// Value of the line at 0.
     pub intercept: f64,
-    /// Rise for each unit of x.
+    /// Rise of the line per unit of x.
     pub slope: f64,
-    /// Largest distance of a point from the line.
+    /// Largest vertical distance of a point from the line.
     pub residual_max: f64,
 }
 
 impl Slope {
-    /// Makes a quantity without points.
+    /// Returns a quantity without points.
     pub fn new(name: &'static str, x_unit: &'static str, y_unit: &'static str) -> Self {
         Slope {
             name,
@@ -47,7 +47,7 @@
         self.points.push((x, y));
     }
 
-    /// Fits a line; with fewer than two different x it is flat.
+    /// Fits a line. It is flat if there are fewer than two different values of x.
     pub fn fit(&self) -> Fit {
         let count = self.points.len().max(1) as f64;
         let mean = |pick: fn(&(f64, f64)) -> f64| self.points.iter().map(pick).sum::<f64>() / count;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Makes its plot.
+    /// Returns the plot of the points and the fitted line.
     pub fn plot(&self) -> FitPlot {
         let fit = self.fit();
         FitPlot {
--- a/crates/onyxshed-load/src/slopes/members.rs
+++ b/crates/onyxshed-load/src/slopes/members.rs
@@ -1,4 +1,5 @@
-//! What a control process spends on its peers, against the number of entry hosts.
+//! Measures the cost of membership: what a control process spends on its peers, against the number
+//! of entry hosts.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -17,13 +18,14 @@
 use crate::run::{class_name, new_ulid, payload};
 use crate::tally::float;
 
-/// How long views settle, and how long is measured then.
+/// Time for the hosts' membership views to settle, before a measurement of [`SPAN`].
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 const SPAN: Duration = Duration::from_secs(6);
-/// Wait before an entry host is asked again whether it knows a class.
+/// Wait between two checks whether an entry host knows a class.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Memory, processor time and bytes sent to peers by one control process, on average.
+/// Measures the averages of one control process for memory, processor time and bytes sent to peers,
+/// and the time until a change is in force on every entry host.
 pub(super) async fn measure_members(binaries: &Path) -> Result<Vec<Slope>> {
     let mut memory = Slope::new("members-memory", "entry hosts", "control MiB");
     let mut core = Slope::new("members-core", "entry hosts", "control % of a core");
@@ -42,7 +44,9 @@
         let set = match LocalSet::start(&options).await {
             Ok(set) => set,
             Err(error) => {
-                eprintln!("{entries} entry hosts did not start, sizes end here: {error}");
+                eprintln!(
+                    "{entries} entry hosts did not start, larger sets are not measured: {error}"
+                );
                 break;
             }
         };
@@ -66,7 +70,7 @@
     Ok(vec![memory, core, sent, in_force])
 }
 
-/// Gets the processor time of all control processes together.
+/// Returns the processor time of all control processes together, in milliseconds.
 fn processor_ms(set: &LocalSet) -> Result<u64> {
     let usages = set.entries.iter().map(|entry| entry.control.usage());
     usages
@@ -74,7 +78,8 @@
         .sum()
 }
 
-/// Gets the bytes sent on all open connections between control processes, both ways.
+/// Returns the bytes sent so far on all open connections between control processes, in both
+/// directions.
 fn peer_bytes(set: &LocalSet) -> Result<u64> {
     let output = Command::new("ss")
         .args(["-tinHO"])
@@ -86,7 +91,7 @@
     Ok(peer_lines.filter_map(bytes_sent).sum())
 }
 
-/// Tells whether either end of a connection is a control process's peer address.
+/// Returns whether either end of a connection is the peer address of a control process.
 fn has_peer_end(line: &str, addresses: &[SocketAddr]) -> bool {
     let ends = line.split_whitespace().skip(3).take(2);
     let ends: Vec<SocketAddr> = ends.filter_map(|end| end.parse().ok()).collect();
@@ -100,7 +105,8 @@
     field.parse().ok()
 }
 
-/// Publishes one change and gets how long it takes until every entry host knows the class.
+/// Publishes one change and returns the time until every entry host knows its class, in
+/// milliseconds.
 async fn in_force_ms(set: &LocalSet, options: &LocalOptions) -> Result<f64> {
     const NEW_CLASS: &str = "fresh";
     let target = ClassTarget {
@@ -126,7 +132,7 @@
         copy: CopyMark::First,
         tasks: vec![payload(0)],
     };
-    let body = serde_json::to_vec(&job).expect("submissions hold only what JSON can write");
+    let body = serde_json::to_vec(&job).expect("submissions are serializable as JSON");
     let reply = call(entry, Method::Post, JOBS_PATH, body).await?;
     let code = Answer::decode(&reply.body)
         .ok()
--- a/crates/onyxshed-load/src/tally.rs
+++ b/crates/onyxshed-load/src/tally.rs
@@ -1,4 +1,4 @@
-//! What became of the jobs of a run, class by class.
+//! Counts and response times of the jobs of a run, by class.
 
 use std::collections::BTreeMap;
 
@@ -7,52 +7,52 @@
 
 use crate::mix::Mix;
 
-/// Response ratios are kept in thousandths.
+/// Number of histogram units in a response ratio of 1: ratios are recorded in thousandths.
 pub const RATIO_UNIT: f64 = 1_000.0;
 
-/// Largest value that a histogram keeps: an hour in microseconds, or a ratio of 3.6 million.
+/// Largest value that a histogram records: an hour in microseconds, or a ratio of 3.6 million.
 const HISTOGRAM_MAX: u64 = 3_600_000_000;
 
-/// Makes an empty histogram with three significant digits.
+/// Returns an empty histogram with three significant digits.
 pub fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, HISTOGRAM_MAX, 3).expect("the bounds are constants that fit")
+    Histogram::new_with_bounds(1, HISTOGRAM_MAX, 3).expect("the histogram bounds are valid")
 }
 
-/// How one job ended, as its caller saw it.
+/// The end of one job as its caller saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JobEnd {
-    /// Place of its class in the mix.
+    /// Index of the job's class in the mix.
     pub class: usize,
-    /// Tasks it had.
+    /// Number of tasks in the job.
     pub tasks: u64,
-    /// The final answer's code, none if no answer came.
+    /// Result code of the final answer, or `None` if no answer came.
     pub code: Option<ResultCode>,
-    /// From its planned arrival to the final answer, in microseconds.
+    /// Time from the planned arrival to the final answer, in microseconds.
     pub took_us: u64,
-    /// The shortest that it could have taken, in microseconds.
+    /// Shortest possible response time of the job, in microseconds.
     pub ideal_us: u64,
-    /// What its class's target allows, in microseconds.
+    /// The class's target for the response time, in microseconds.
     pub finish_within_us: u64,
 }
 
-/// One class's results.
+/// Results of one class.
 #[derive(Debug, Clone)]
 pub struct ClassTally {
-    /// Jobs that ended.
+    /// Number of jobs that ended.
     pub jobs: u64,
-    /// Tasks in them.
+    /// Number of tasks in those jobs.
     pub tasks: u64,
-    /// Jobs answered complete.
+    /// Number of jobs answered as complete.
     pub complete: u64,
-    /// Jobs answered complete within the target.
+    /// Number of jobs answered as complete within the target.
     pub hits: u64,
-    /// Tasks of jobs answered complete within the target.
+    /// Number of tasks in the jobs answered as complete within the target.
     pub good_tasks: u64,
-    /// Jobs that got no answer.
+    /// Number of jobs without an answer.
     pub unanswered: u64,
-    /// Final answers by code.
+    /// Number of final answers by result code.
     pub codes: BTreeMap<ResultCode, u64>,
-    /// Response time over ideal of complete jobs, in thousandths.
+    /// Response time of complete jobs divided by the ideal, in thousandths.
     pub ratio: Histogram<u64>,
     /// Response time of complete jobs, in microseconds.
     pub took_us: Histogram<u64>,
@@ -74,34 +74,35 @@
     }
 }
 
-/// Messages that did not contribute to the answer a caller got, by kind.
+/// Numbers of messages that did not contribute to an answer that a caller received, by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Wasted {
     /// Answers "not run" to callers.
     pub refusals: u64,
     /// Submissions that callers sent again.
     pub repeats: u64,
-    /// Requests for an answer that was not there yet.
+    /// Polls of jobs that were still running.
     pub polls: u64,
-    /// Attempts at an executor beyond a task's first: retries after a refusal or a loss.
+    /// Attempts after a task's first that followed a refusal or a loss.
     pub retries: u64,
-    /// Second copies of slow tasks.
+    /// Second attempts at slow tasks, started while the first one ran.
     pub hedges: u64,
     /// Refusals by executors.
     pub executor_refusals: u64,
-    /// Starts whose job had ended otherwise, and the messages that stopped them.
+    /// Attempts that were stopped because their job or task had already ended, with the messages
+    /// that stopped them.
     pub stops: u64,
-    /// Attempts that brought no answer in time or failed.
+    /// Attempts that failed or brought no answer in time.
     pub lost_starts: u64,
 }
 
 impl Wasted {
-    /// Gets the sum over all kinds.
+    /// Returns the sum over all kinds.
     pub fn total(&self) -> u64 {
         self.kinds().iter().map(|(_, count)| count).sum()
     }
 
-    /// Gets every kind's name and count.
+    /// Returns the name and the count of every kind.
     pub fn kinds(&self) -> [(&'static str, u64); 8] {
         [
             ("refusals", self.refusals),
@@ -116,19 +117,19 @@
     }
 }
 
-/// All results of a run.
+/// Results of a run.
 #[derive(Debug, Clone)]
 pub struct Tally {
-    /// Whose work it was.
+    /// The mix that the jobs were drawn from.
     pub mix: Mix,
-    /// Results in the order of [`Mix::classes`].
+    /// Results by class, in the order of [`Mix::classes`].
     pub classes: Vec<ClassTally>,
     /// Wasted messages.
     pub wasted: Wasted,
 }
 
 impl Tally {
-    /// Makes an empty tally.
+    /// Returns an empty tally.
     pub fn new(mix: Mix) -> Self {
         Tally {
             mix,
@@ -137,17 +138,17 @@
         }
     }
 
-    /// Takes in how one job ended.
+    /// Records the end of one job.
     pub fn record(&mut self, end: &JobEnd) {
         self.classes[end.class].record(end);
     }
 
-    /// Gets the number of tasks over all classes.
+    /// Returns the number of tasks over all classes.
     pub fn tasks(&self) -> u64 {
         self.classes.iter().map(|class| class.tasks).sum()
     }
 
-    /// Gets wasted messages as a percentage of tasks.
+    /// Returns the number of wasted messages as a percentage of the number of tasks.
     pub fn wasted_percent(&self) -> f64 {
         percent(self.wasted.total(), self.tasks())
     }
@@ -178,12 +179,12 @@
         }
     }
 
-    /// Gets the part of jobs that were complete within the target, in percent.
+    /// Returns the percentage of jobs that were complete within the target.
     pub fn hit_percent(&self) -> f64 {
         percent(self.hits, self.jobs)
     }
 
-    /// Gets a percentile of response time over ideal, 0 if no job was complete.
+    /// Returns a percentile of the response time divided by the ideal, or 0 if no job was complete.
     pub fn ratio_at(&self, percentile: f64) -> f64 {
         if self.ratio.is_empty() {
             return 0.0;
@@ -192,7 +193,7 @@
     }
 }
 
-/// Gets a part in percent, 0 of nothing.
+/// Returns a part as a percentage of the whole, or 0 if the whole is 0.
 pub fn percent(part: u64, whole: u64) -> f64 {
     match whole {
         0 => 0.0,
@@ -200,7 +201,7 @@
     }
 }
 
-/// Turns a count into a float; counts stay far below 2^52.
+/// Converts a count into a float, exactly for counts below 2^52.
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^52")]
 pub fn float(count: u64) -> f64 {
     count as f64
--- a/crates/onyxshed-load/src/throughput.rs
+++ b/crates/onyxshed-load/src/throughput.rs
@@ -1,4 +1,5 @@
-//! Closed-loop load: as many jobs as one entry host takes, with what each costs it.
+//! Closed-loop load: measures the greatest throughput of one entry host, and the processor time
+//! that each task costs it.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -20,45 +21,45 @@
 use crate::run::{class_name, new_ulid, payload};
 use crate::tally::{float, histogram};
 
-/// What to send.
+/// Options of a closed loop.
 #[derive(Debug, Clone)]
 pub struct ThroughputOptions {
-    /// The entry host.
+    /// Address of the entry host.
     pub entry: SocketAddr,
-    /// Its process id.
+    /// Process id of the entry process.
     pub pid: u32,
-    /// The class of the jobs.
+    /// Class of the jobs.
     pub class: SmolStr,
-    /// Callers, each with one job at a time.
+    /// Number of callers, each with one job at a time.
     pub callers: u32,
-    /// Tasks in each job, which run in no time.
+    /// Number of tasks in each job; their service time is 0.
     pub tasks: u16,
-    /// How long to send.
+    /// Time after which no caller sends another job.
     pub span: Duration,
     /// Whether ids are bound, so that no claim is needed.
     pub may_bind: bool,
 }
 
-/// What it took.
+/// Throughput of an entry host and what it cost.
 #[derive(Debug, Clone, Serialize)]
 pub struct Throughput {
-    /// Callers.
+    /// Number of callers.
     pub callers: u32,
-    /// Tasks in each job.
+    /// Number of tasks in each job.
     pub tasks_per_job: u16,
     /// Whether ids were bound.
     pub is_bound: bool,
-    /// Jobs answered complete, a second.
+    /// Jobs per second that were answered as complete.
     pub jobs_per_s: f64,
-    /// Tasks in them, a second.
+    /// Tasks per second in those jobs.
     pub tasks_per_s: f64,
-    /// Jobs answered otherwise or not at all.
+    /// Number of jobs with another answer or none.
     pub other: u64,
-    /// Processor time of the entry process, in percent of one core.
+    /// Processor time of the entry process, as a percentage of one core.
     pub entry_core_percent: f64,
-    /// Processor time of the entry process for each task, in microseconds.
+    /// Processor time of the entry process per task, in microseconds.
     pub entry_us_per_task: f64,
-    /// Its resident memory at the end, in KiB.
+    /// Resident memory of the entry process at the end, in KiB.
     pub entry_resident_kib: u64,
     /// Response times of complete jobs, in milliseconds.
     pub took_ms: Percentiles,
@@ -73,7 +74,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Tries to load one entry host for a while.
+/// Loads one entry host in a closed loop. Fails if the usage of its process can't be read.
 pub async fn measure_throughput(
     executor: &LocalExecutor<'static>,
     options: Rc<ThroughputOptions>,
@@ -111,7 +112,7 @@
     })
 }
 
-/// One caller: a job, its answer, the next job.
+/// Runs one caller, which sends the next job when it has the answer to the one before.
 async fn run_caller(
     options: Rc<ThroughputOptions>,
     counts: Rc<RefCell<Counts>>,
@@ -160,5 +161,5 @@
         copy: CopyMark::First,
         tasks: (0..options.tasks).map(|_| payload(0)).collect(),
     };
-    serde_json::to_vec(&job).expect("submissions hold only what JSON can write")
+    serde_json::to_vec(&job).expect("submissions are serializable as JSON")
 }
--- a/crates/onyxshed-load/src/whole_path.rs
+++ b/crates/onyxshed-load/src/whole_path.rs
@@ -1,8 +1,9 @@
-//! `onyxshed-load local`: the whole path on this machine, shown step by step.
+//! `onyxshed-load local`: runs a complete zone on this machine and shows each step.
 //!
-//! Starts the platform's and the executors' stand-ins and several entry hosts, publishes a class with
-//! the operator's command line, submits a job to one entry host and again to another, shows its time
-//! line, sends a sample load, and ends every process that it started.
+//! Starts the stand-ins of the platform and the executors and several entry hosts, publishes a
+//! class with the operator's command line, submits a job to one entry host and then under the same
+//! id to another, shows the job's time line, sends a sample load, and stops every process that it
+//! started.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -24,31 +25,32 @@
 use crate::report::write_json;
 use crate::run::{RunOptions, class_name, run};
 
-/// What to show.
+/// Options of `local`.
 #[derive(Debug, Clone)]
 pub struct WholePathOptions {
     /// Folder of the other binaries.
     pub binaries: PathBuf,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub entries: usize,
-    /// Executors.
+    /// Number of executors.
     pub executors: usize,
-    /// How long the sample load arrives, in seconds; none is sent for 0.
+    /// Time during which the sample load arrives, in seconds; 0 sends none.
     pub span_s: f64,
-    /// Whether everything goes on until standard input ends.
+    /// Whether the processes keep running until standard input ends.
     pub keeps_running: bool,
 }
 
-/// Class that the sample job belongs to.
+/// Class of the sample job.
 const CLASS: &str = "fee-charge";
 
-/// Jobs a second of the sample load, a quarter of what the executors can take.
+/// Arrival rate of the sample load in jobs per second, a quarter of the executors' capacity.
 const JOBS_PER_S: f64 = 4.0;
 
 /// Least network time of a job on one machine, in microseconds.
 const NETWORK_US: u64 = 100;
 
-/// Tries to show the whole path.
+/// Starts the processes and shows each step. Fails if a process can't be started or reached, or a
+/// command of the operator fails.
 pub async fn run_whole_path(
     executor: &LocalExecutor<'static>,
     options: &WholePathOptions,
@@ -67,21 +69,21 @@
     show_job(&set, &operator).await?;
     if options.span_s > 0.0 {
         println!(
-            "\n# A sample load of {} s on every entry host",
+            "\n# A sample load on all entry hosts for {} s",
             options.span_s
         );
         let report = run(executor, &load_options(&set, options.span_s)).await;
         println!("{report}");
     }
     if options.keeps_running {
-        println!("\n# Everything goes on until standard input ends (Ctrl-D)");
+        println!("\n# The processes keep running until standard input ends (Ctrl-D)");
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
     }
-    println!("\n# Ending the processes");
+    println!("\n# Stopping the processes");
     Ok(())
 }
 
-/// Words that publish the sample job's class and wait until it is in force.
+/// Returns the arguments that publish the sample job's class and wait until it is in force.
 fn publish_args() -> [&'static str; 8] {
     [
         "target",
@@ -95,14 +97,14 @@
     ]
 }
 
-/// The operator's command line with its settings.
+/// The operator's command line with its settings file.
 struct Operator {
     binary: PathBuf,
     settings: PathBuf,
 }
 
 impl Operator {
-    /// Writes the operator's settings beside the processes'.
+    /// Writes the operator's settings into the folder of the processes' settings.
     fn new(binaries: &Path, set: &LocalSet) -> Result<Self> {
         let settings = set.folder().join("operator.json");
         let processes: Vec<_> = set.entries.iter().zip(0..).flat_map(|(entry, index)| {
@@ -122,7 +124,7 @@
         })
     }
 
-    /// Shows a command and what it says.
+    /// Prints a command and runs it, with its output on the terminal.
     fn run(&self, args: &[&str]) -> Result<()> {
         println!("\n$ onyxshed {} --settings operator.json", args.join(" "));
         let status = Command::new(&self.binary)
@@ -134,7 +136,9 @@
             .map_err(Error::start)?;
         match status.success() {
             true => Ok(()),
-            false => Err(Error::start(format!("onyxshed ended with {status}"))),
+            false => Err(Error::start(format!(
+                "the command onyxshed failed with {status}"
+            ))),
         }
     }
 }
@@ -163,7 +167,8 @@
     println!("operator's settings: {}", operator.settings.display());
 }
 
-/// Submits a job to one entry host and, under the same id, to another, and shows what happened.
+/// Submits a job to one entry host and then, under the same id, to another, and shows the answers
+/// and the job's time line.
 async fn show_job(set: &LocalSet, operator: &Operator) -> Result<()> {
     let (first, last) = match set.callers()[..] {
         [first, .., last] => (first, last),
@@ -173,7 +178,7 @@
     let id = SubmissionId::unbound(Ulid::generate());
     println!("\n# A job of three tasks, to the first entry host");
     post(first, &sample_job(id, CopyMark::First)).await?;
-    println!("\n# The same again, to the last entry host: its answer, and no task runs twice");
+    println!("\n# The same job again, to the last entry host: same answer, and no task runs twice");
     post(last, &sample_job(id, CopyMark::Again)).await?;
     operator.run(&["timeline", "--submission", &id.to_string()])
 }
@@ -192,7 +197,7 @@
 }
 
 async fn post(address: SocketAddr, job: &Submission) -> Result<()> {
-    let body = serde_json::to_string(job).expect("a job is plain JSON");
+    let body = serde_json::to_string(job).expect("jobs are serializable as JSON");
     println!("POST http://{address}{JOBS_PATH}\n{body}");
     let reply = call(address, Method::Post, JOBS_PATH, body.into_bytes()).await?;
     println!("{} {}", reply.status, String::from_utf8_lossy(&reply.body));
--- a/crates/onyxshed-load/tests/fit.rs
+++ b/crates/onyxshed-load/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Lines through points.
+//! Tests of the line fitted to measured points.
 
 use onyxshed_load::slopes::fit::Slope;
 use proptest::prelude::*;
--- a/crates/onyxshed-load/tests/plan.rs
+++ b/crates/onyxshed-load/tests/plan.rs
@@ -1,4 +1,5 @@
-//! Planned arrivals: the same for a seed, at the rate asked for, bursts included.
+//! Tests of planned arrivals: a seed determines the plan, and rates are as configured, in bursts as
+//! well.
 
 use onyxshed_load::mix::Mix;
 use onyxshed_load::plan::{Burst, PlanOptions, PlannedJob, plan};
--- a/crates/onyxshed-load/tests/run.rs
+++ b/crates/onyxshed-load/tests/run.rs
@@ -1,4 +1,4 @@
-//! Callers against a small entry host that answers from a script.
+//! Tests of the callers against a scripted entry host.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use onyxshed_wire::caller::{Answer, Submission};
 use rstest::rstest;
 
-/// How often the entry host was asked for one submission before.
+/// Number of requests for each submission so far.
 type RequestCounts = Rc<RefCell<std::collections::BTreeMap<String, u32>>>;
 
 fn answer(request_counts: &RequestCounts, refusals: u32, call: &Call) -> Reply {
@@ -70,7 +70,7 @@
     }))
 }
 
-/// The codes of all answers and the wasted messages, which do not depend on timing.
+/// Returns the codes of all answers and the wasted messages, which do not depend on timing.
 fn summary(report: &Report) -> String {
     let codes = report.classes.iter().flat_map(|class| &class.codes);
     let codes: Vec<_> = codes.map(|count| (count.code, count.jobs)).collect();
@@ -84,14 +84,15 @@
 
 #[rstest]
 fn refused_job_is_sent_again_after_retry_time() {
-    // Each job is refused once as not run with a time to come back; its caller comes back then, and
-    // the second copy is answered. Both the refusal and the repeat count as wasted.
+    // Each job is refused once with result "not run" and a retry time. Its caller sends it again
+    // after that time, and the second copy is answered. The refusal and the repeat each count as
+    // wasted.
     insta::assert_snapshot!(summary(&report(1)));
 }
 
 #[rstest]
 fn refused_job_ends_after_maximum_repeats() {
-    // The entry host refuses whatever it is sent: a caller comes back twice and then reports the
-    // last refusal as the job's end.
+    // The entry host refuses every submission. A caller sends a job again twice and then reports
+    // the last refusal as the job's end.
     insta::assert_snapshot!(summary(&report(9)));
 }
--- a/crates/onyxshed-load/tests/sim.rs
+++ b/crates/onyxshed-load/tests/sim.rs
@@ -1,4 +1,4 @@
-//! The decision core in virtual time: one seed gives one run, and every job ends exactly once.
+//! Tests of the simulation: a seed determines a run, and every job ends exactly once.
 
 use onyxshed_load::mix::Mix;
 use onyxshed_load::sim::chooser::PolicyKind;
@@ -36,7 +36,7 @@
     #[values(1, 2)] seed: u64,
 ) {
     for scenario in Scenario::ALL {
-        // Cancelled jobs are taken out of the books.
+        // Cancelled jobs have no recorded end.
         if scenario == Scenario::CancelWave {
             continue;
         }
--- a/crates/onyxshed-load/tests/tally.rs
+++ b/crates/onyxshed-load/tests/tally.rs
@@ -1,4 +1,4 @@
-//! What a report says of a handful of jobs.
+//! Tests of the tally, its report, and the parsers of process usage.
 
 use onyxshed_core::ResultCode;
 use onyxshed_load::mix::Mix;
