--- a/crates/onyxshed-load/src/caller.rs
+++ b/crates/onyxshed-load/src/caller.rs
@@ -21,7 +21,7 @@
     /// Whether ids are bound to the entry host that they are sent to, as soon as an answer has
     /// given its incarnation. Default false.
     pub may_bind: bool,
-    /// Time after its target that a caller waits for an answer. Default 5 s.
+    /// Time that each call may take beyond the target of the job's class. Default 5 s.
     pub wait_past_target: Duration,
 }
 
@@ -54,8 +54,11 @@
 
 /// The next step of a caller after an answer or a failed call.
 enum CallerStep {
+    /// Ends with the final answer, or without one.
     Done(Option<Answer>),
+    /// Polls the job's answer at the same entry host after this time.
     Poll(Duration),
+    /// Sends the job again, to the next entry host, after this time.
     Repeat(Duration),
 }
 
