--- a/crates/onyxshed-load/src/caller.rs
+++ b/crates/onyxshed-load/src/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: connections to the entry hosts, and one submission from first try to final answer.
+//! Callers: the connections to the entry hosts, and the steps of one submission from its first copy
+//! to the final answer.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,16 +13,16 @@
 
 use crate::tally::Wasted;
 
-/// Rules for callers.
+/// Retry, binding and timeout rules of the callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerOptions {
-    /// Most times that a submission is sent again. Default 2.
+    /// Maximum number of times that a submission is sent again. Default 2.
     pub repeats_max: u32,
-    /// Whether ids are bound to the entry host that they are sent to, once it has told its
-    /// incarnation. Default no.
+    /// Whether ids are bound to the entry host that they are sent to, as soon as an answer has
+    /// given its incarnation. Default false.
     pub may_bind: bool,
-    /// How long past its target a caller waits for an answer. Default 5 s.
-    pub patience: Duration,
+    /// Time that each call may take beyond the target of the job's class. Default 5 s.
+    pub wait_past_target: Duration,
 }
 
 impl Default for CallerOptions {
@@ -29,44 +30,48 @@
         CallerOptions {
             repeats_max: 2,
             may_bind: false,
-            patience: Duration::from_secs(5),
+            wait_past_target: Duration::from_secs(5),
         }
     }
 }
 
-/// One entry host as callers see it.
+/// An entry host: its address, the idle connections to it, and its incarnation once an answer has
+/// given it.
 #[derive(Debug)]
-struct Entry {
+struct EntryHost {
     address: SocketAddr,
     idle: RefCell<Vec<Connection>>,
     incarnation: RefCell<Option<Incarnation>>,
 }
 
-/// All callers of a run.
+/// The callers of a run, which share connections.
 #[derive(Debug)]
 pub struct Callers {
-    entries: Vec<Entry>,
+    entries: Vec<EntryHost>,
     options: CallerOptions,
     wasted: RefCell<Wasted>,
 }
 
-/// What a caller does after an answer or its loss.
-enum AfterTry {
+/// The next step of a caller after an answer or a failed call.
+enum CallerStep {
+    /// Ends with the final answer, or without one.
     Done(Option<Answer>),
+    /// Polls the job's answer at the same entry host after this time.
     Poll(Duration),
+    /// Sends the job again, to the next entry host, after this time.
     Repeat(Duration),
 }
 
-/// Wait before a lost submission is sent again.
+/// Wait before a submission is sent again after a failed call.
 const REPEAT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Wait before an answer that is still running is asked for again.
+/// Wait between two polls of a job that is still running, if the answer names no time.
 const POLL_PAUSE: Duration = Duration::from_millis(100);
 
 impl Callers {
-    /// Makes callers of these entry hosts, of which there must be one.
+    /// Returns callers of these entry hosts. There must be at least one.
     pub fn new(addresses: &[SocketAddr], options: CallerOptions) -> Self {
-        let entry = |address: &SocketAddr| Entry {
+        let entry = |address: &SocketAddr| EntryHost {
             address: *address,
             idle: RefCell::default(),
             incarnation: RefCell::default(),
@@ -78,76 +83,79 @@
         }
     }
 
-    /// Gets the messages wasted so far.
+    /// Returns the messages wasted so far.
     pub fn wasted(&self) -> Wasted {
         *self.wasted.borrow()
     }
 
-    /// Binds an id to the entry host that a draw sends it to, if callers bind.
-    pub fn bind(&self, draw: u64, id: SubmissionId) -> SubmissionId {
-        let known = *self.entry(draw).incarnation.borrow();
+    /// Binds an id to the incarnation of the entry host that `draw` selects. The id stays unbound
+    /// if callers do not bind ids or the incarnation is not known yet.
+    pub fn bind_id(&self, draw: u64, id: SubmissionId) -> SubmissionId {
+        let incarnation = *self.entry(draw).incarnation.borrow();
         SubmissionId {
-            bound_to: known.filter(|_| self.options.may_bind),
+            bound_to: incarnation.filter(|_| self.options.may_bind),
             ..id
         }
     }
 
-    /// Submits and follows a job to its final answer; none if no answer came in time.
+    /// Submits a job and polls or sends it again until its final answer. Returns `None` if no
+    /// answer came in time or the last permitted call failed.
     pub async fn submit(&self, draw: u64, job: &Submission, target: Duration) -> Option<Answer> {
-        let patience = target + self.options.patience;
+        let timeout = target + self.options.wait_past_target;
         let mut job = job.clone();
         let mut repeats = 0;
         loop {
             let entry = self.entry(draw.wrapping_add(u64::from(repeats)));
-            let mut tried = entry.post(encode(&job), patience).await;
-            let mut step = self.after(&tried, repeats);
-            while let AfterTry::Poll(pause) = step {
+            let mut result = entry.post(encode(&job), timeout).await;
+            let mut step = self.next_step(&result, repeats);
+            while let CallerStep::Poll(pause) = step {
                 self.wasted.borrow_mut().polls += 1;
                 Timer::after(pause).await;
-                tried = entry.fetch(&job.submission, patience).await;
-                step = self.after(&tried, repeats);
+                result = entry.fetch(&job.submission, timeout).await;
+                step = self.next_step(&result, repeats);
             }
             match step {
-                AfterTry::Done(answer) => return answer,
-                AfterTry::Repeat(pause) | AfterTry::Poll(pause) => Timer::after(pause).await,
+                CallerStep::Done(answer) => return answer,
+                CallerStep::Repeat(pause) | CallerStep::Poll(pause) => Timer::after(pause).await,
             };
             repeats += 1;
-            job.copy = copy_after(&tried);
+            job.copy = copy_mark_after(&result);
             self.wasted.borrow_mut().repeats += 1;
         }
     }
 
-    fn entry(&self, draw: u64) -> &Entry {
+    fn entry(&self, draw: u64) -> &EntryHost {
         let count = u64::try_from(self.entries.len()).unwrap_or(1).max(1);
-        let place = usize::try_from(draw % count).unwrap_or_default();
-        &self.entries[place]
+        let index = usize::try_from(draw % count).unwrap_or_default();
+        &self.entries[index]
     }
 
-    fn after(&self, tried: &Result<Answer, CallError>, repeats: u32) -> AfterTry {
+    fn next_step(&self, result: &Result<Answer, CallError>, repeats: u32) -> CallerStep {
         let may_repeat = repeats < self.options.repeats_max;
-        let answer = match tried {
+        let answer = match result {
             Ok(answer) => answer,
-            Err(error) if error.is_timeout || !may_repeat => return AfterTry::Done(None),
-            Err(_) => return AfterTry::Repeat(REPEAT_PAUSE),
+            Err(error) if error.is_timeout || !may_repeat => return CallerStep::Done(None),
+            Err(_) => return CallerStep::Repeat(REPEAT_PAUSE),
         };
         match (answer.outcome, answer.retry_after_ms) {
-            (None, wait) => AfterTry::Poll(wait.map_or(POLL_PAUSE, Duration::from)),
+            (None, wait) => CallerStep::Poll(wait.map_or(POLL_PAUSE, Duration::from)),
             (Some(Outcome::NotRun), Some(Millis(wait_ms))) if may_repeat => {
                 self.wasted.borrow_mut().refusals += 1;
-                AfterTry::Repeat(Duration::from_millis(wait_ms))
+                CallerStep::Repeat(Duration::from_millis(wait_ms))
             }
             (Some(Outcome::NotRun), _) => {
                 self.wasted.borrow_mut().refusals += 1;
-                AfterTry::Done(Some(answer.clone()))
+                CallerStep::Done(Some(answer.clone()))
             }
-            _ => AfterTry::Done(Some(answer.clone())),
+            _ => CallerStep::Done(Some(answer.clone())),
         }
     }
 }
 
-/// Gets what a repeat says of the copies before it: their fate is open only if no answer came.
-fn copy_after(tried: &Result<Answer, CallError>) -> CopyMark {
-    match tried {
+/// Returns the mark of the next copy. It is [`CopyMark::Again`] only if the copy before it may have
+/// been received and was not answered, so that the job may be running.
+fn copy_mark_after(result: &Result<Answer, CallError>) -> CopyMark {
+    match result {
         Ok(_) => CopyMark::Unmarked,
         Err(error) if error.sent == SendState::NotSent => CopyMark::Unmarked,
         Err(_) => CopyMark::Again,
@@ -155,17 +163,17 @@
 }
 
 fn encode(job: &Submission) -> Vec<u8> {
-    serde_json::to_vec(job).expect("submissions hold only what JSON can write")
+    serde_json::to_vec(job).expect("submissions are serializable as JSON")
 }
 
-impl Entry {
-    async fn post(&self, body: Vec<u8>, patience: Duration) -> Result<Answer, CallError> {
-        self.call(Method::Post, JOBS_PATH, body, patience).await
+impl EntryHost {
+    async fn post(&self, body: Vec<u8>, timeout: Duration) -> Result<Answer, CallError> {
+        self.call(Method::Post, JOBS_PATH, body, timeout).await
     }
 
-    async fn fetch(&self, id: &SubmissionId, patience: Duration) -> Result<Answer, CallError> {
+    async fn fetch(&self, id: &SubmissionId, timeout: Duration) -> Result<Answer, CallError> {
         let path = format!("{JOBS_PATH}/{id}");
-        self.call(Method::Get, &path, Vec::new(), patience).await
+        self.call(Method::Get, &path, Vec::new(), timeout).await
     }
 
     async fn call(
@@ -173,10 +181,10 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Answer, CallError> {
         let mut connection = self.connection().await?;
-        let reply = connection.call(method, path, &[], body, patience).await?;
+        let reply = connection.call(method, path, &[], body, timeout).await?;
         let answer = Answer::decode(&reply.body)
             .map_err(|error| CallError::broken(SendState::MaybeSent, error))?;
         if reply.header_value("connection") != Some("close") {
--- a/crates/onyxshed-load/src/direct.rs
+++ b/crates/onyxshed-load/src/direct.rs
@@ -1,5 +1,6 @@
-//! `onyxshed-load direct`: one task after another, straight at an executor and through an entry
-//! host in turns, so that the entry host's added time is measured under the same conditions.
+//! `onyxshed-load direct`: runs one task at a time, alternately by a direct call to an executor and
+//! through an entry host, so that the time which the entry host adds is measured under the same
+//! conditions.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,45 +19,45 @@
 
 use crate::error::{Error, Result};
 use crate::report::Percentiles;
-use crate::run::{class_name, fresh_ulid, payload};
+use crate::run::{class_name, new_ulid, payload};
 use crate::tally::histogram;
 
-/// What to compare.
+/// Options of the comparison.
 #[derive(Debug, Clone)]
 pub struct DirectOptions {
-    /// The executor to call.
+    /// Address of the executor to call.
     pub executor: SocketAddr,
-    /// The entry host to compare with.
+    /// Address of the entry host to compare with. Without it, only the executor is measured.
     pub entry: Option<SocketAddr>,
-    /// The class under which tasks are submitted.
+    /// Class of the submitted tasks.
     pub class: SmolStr,
-    /// Tasks through each.
+    /// Number of tasks on each path.
     pub count: u32,
-    /// How long each task runs, in milliseconds.
+    /// Run time of each task, in milliseconds.
     pub service_ms: u32,
-    /// Wait between two tasks, so that claims are not slowed by their budget of appends.
+    /// Pause between two tasks, which keeps claims from waiting for the entry host's append budget.
     pub pause: Duration,
     /// Whether ids are bound to the entry host's incarnation, so that they need no claim.
     pub may_bind: bool,
 }
 
-/// Response times both ways, in microseconds.
+/// Response times on both paths, in microseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct DirectReport {
-    /// Straight at the executor.
+    /// Response times of direct calls to the executor.
     pub direct_us: Percentiles,
-    /// Through the entry host.
+    /// Response times through the entry host; `None` if there is none.
     pub entry_us: Option<Percentiles>,
-    /// What the entry host adds, percentile by percentile.
+    /// Difference of the two, percentile by percentile; `None` if there is no entry host.
     pub added_us: Option<Percentiles>,
-    /// Calls that did not finish their task.
+    /// Number of calls whose task did not finish.
     pub failed: u64,
 }
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 const LEASE_MS: &str = "10000";
 
-struct Pair {
+struct Comparison {
     options: DirectOptions,
     executor: Connection,
     entry: Option<Connection>,
@@ -64,60 +65,63 @@
     failed: u64,
 }
 
-/// Tries to run the comparison, one task at a time.
-pub async fn direct(options: DirectOptions) -> Result<DirectReport> {
-    let executor = open(options.executor).await?;
+/// Runs the comparison, one task at a time. Fails if a call fails or the executor finishes no task.
+pub async fn compare(options: DirectOptions) -> Result<DirectReport> {
+    let executor = connect(options.executor).await?;
     let entry = match options.entry {
-        Some(address) => Some(open(address).await?),
+        Some(address) => Some(connect(address).await?),
         None => None,
     };
-    let mut pair = Pair {
+    let mut comparison = Comparison {
         options,
         executor,
         entry,
         bound_to: None,
         failed: 0,
     };
-    pair.compare().await
+    comparison.run().await
 }
 
-async fn open(address: SocketAddr) -> Result<Connection> {
+async fn connect(address: SocketAddr) -> Result<Connection> {
     Connection::open(address, ClientOptions::default())
         .await
-        .map_err(|error| unreachable(address, &error))
+        .map_err(|error| call_error(address, &error))
 }
 
-fn unreachable(address: SocketAddr, error: &CallError) -> Error {
+fn call_error(address: SocketAddr, error: &CallError) -> Error {
     Error::unreachable(address, &error.reason)
 }
 
-impl Pair {
-    async fn compare(&mut self) -> Result<DirectReport> {
-        let (mut straight, mut through) = (histogram(), histogram());
+impl Comparison {
+    async fn run(&mut self) -> Result<DirectReport> {
+        let (mut direct_times, mut entry_times) = (histogram(), histogram());
         for draw in 0..u64::from(self.options.count) {
-            self.time_executor(draw, &mut straight).await?;
-            self.time_entry(draw, &mut through).await?;
+            self.measure_executor(draw, &mut direct_times).await?;
+            self.measure_entry(draw, &mut entry_times).await?;
             if !self.options.pause.is_zero() {
                 Timer::after(self.options.pause).await;
             }
         }
-        if straight.is_empty() {
-            let reason = "it finished none of the tasks";
+        if direct_times.is_empty() {
+            let reason = "the executor finished none of the tasks";
             return Err(Error::unreachable(self.options.executor, reason));
         }
-        let direct_us = Percentiles::of(&straight, 1.0);
-        let entry_us = self.entry.is_some().then(|| Percentiles::of(&through, 1.0));
+        let direct_us = Percentiles::of(&direct_times, 1.0);
+        let entry_us = self
+            .entry
+            .is_some()
+            .then(|| Percentiles::of(&entry_times, 1.0));
         Ok(DirectReport {
             direct_us,
             entry_us,
-            added_us: entry_us.map(|entry| entry.minus(&direct_us)),
+            added_us: entry_us.map(|entry| entry.subtract(&direct_us)),
             failed: self.failed,
         })
     }
 
-    async fn time_executor(&mut self, draw: u64, took: &mut Histogram<u64>) -> Result<()> {
+    async fn measure_executor(&mut self, draw: u64, times: &mut Histogram<u64>) -> Result<()> {
         let task = TaskId {
-            submission: SubmissionId::unbound(fresh_ulid(draw)),
+            submission: SubmissionId::unbound(new_ulid(draw)),
             index: 0,
         };
         let headers = [
@@ -127,26 +131,26 @@
             (ATTEMPT_HEADER, SmolStr::new_static("1")),
         ];
         let body = payload(self.options.service_ms);
-        let started = Instant::now();
+        let started_at = Instant::now();
         let reply = self
             .executor
             .call(Method::Post, &task_path(&task), &headers, body, TIMEOUT)
             .await
-            .map_err(|error| unreachable(self.options.executor, &error))?;
+            .map_err(|error| call_error(self.options.executor, &error))?;
         match reply.header_value(STATE_HEADER) == Some(TaskState::Finished.as_str()) {
-            true => took.saturating_record(elapsed_us(started)),
+            true => times.saturating_record(elapsed_us(started_at)),
             false => self.failed += 1,
         }
         Ok(())
     }
 
-    async fn time_entry(&mut self, draw: u64, took: &mut Histogram<u64>) -> Result<()> {
+    async fn measure_entry(&mut self, draw: u64, times: &mut Histogram<u64>) -> Result<()> {
         let (Some(entry), Some(address)) = (&mut self.entry, self.options.entry) else {
             return Ok(());
         };
         let job = Submission {
             submission: SubmissionId {
-                ulid: fresh_ulid(draw),
+                ulid: new_ulid(draw),
                 bound_to: self.bound_to,
             },
             class: class_name(&self.options.class),
@@ -154,19 +158,19 @@
             copy: CopyMark::First,
             tasks: vec![payload(self.options.service_ms)],
         };
-        let body = serde_json::to_vec(&job).expect("submissions hold only what JSON can write");
-        let started = Instant::now();
+        let body = serde_json::to_vec(&job).expect("submissions are serializable as JSON");
+        let started_at = Instant::now();
         let reply = entry
             .call(Method::Post, JOBS_PATH, &[], body, TIMEOUT)
             .await
-            .map_err(|error| unreachable(address, &error))?;
-        let took_us = elapsed_us(started);
+            .map_err(|error| call_error(address, &error))?;
+        let took_us = elapsed_us(started_at);
         let answer = Answer::decode(&reply.body).ok();
         if self.options.may_bind {
             self.bound_to = answer.as_ref().and_then(|answer| answer.bind_to);
         }
         match answer.and_then(|answer| answer.code) {
-            Some(ResultCode::Complete) => took.saturating_record(took_us),
+            Some(ResultCode::Complete) => times.saturating_record(took_us),
             _ => self.failed += 1,
         }
         Ok(())
@@ -175,7 +179,7 @@
 
 impl Percentiles {
     /// Subtracts another distribution's percentiles, one by one.
-    fn minus(&self, other: &Percentiles) -> Percentiles {
+    fn subtract(&self, other: &Percentiles) -> Percentiles {
         Percentiles {
             p50: self.p50 - other.p50,
             p90: self.p90 - other.p90,
@@ -186,6 +190,6 @@
     }
 }
 
-fn elapsed_us(started: Instant) -> u64 {
-    u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX)
+fn elapsed_us(started_at: Instant) -> u64 {
+    u64::try_from(started_at.elapsed().as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/onyxshed-load/src/idle.rs
+++ b/crates/onyxshed-load/src/idle.rs
@@ -1,5 +1,5 @@
-//! `onyxshed-load idle`: holds many connections, or many requests in flight, and reads what that
-//! costs the process at the other end.
+//! `onyxshed-load idle`: holds many connections, or many requests in flight, and reads the memory
+//! and processor time that they cost the process at the other end.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,62 +15,64 @@
 use smol_str::SmolStr;
 
 use crate::error::Result;
-use crate::process::{Usage, usage};
-use crate::run::{class_name, fresh_ulid, payload};
+use crate::process::{Usage, read_usage};
+use crate::run::{class_name, new_ulid, payload};
 
-/// What to hold.
+/// Options of `idle`.
 #[derive(Debug, Clone)]
 pub struct IdleOptions {
-    /// The process's address.
+    /// Address of the measured process.
     pub address: SocketAddr,
-    /// Its process id, to read memory and processor time.
+    /// Id of the measured process. Without it, memory and processor time are reported as 0.
     pub pid: Option<u32>,
-    /// How many connections.
+    /// Number of connections.
     pub count: u32,
-    /// Send one job on each, of this class.
+    /// Class of the one job that is sent on each connection. Without it the connections stay idle.
     pub class: Option<SmolStr>,
-    /// How long each job's one task runs, in milliseconds.
+    /// Run time of each job's one task, in milliseconds.
     pub service_ms: u32,
-    /// How long to hold before reading the use of the machine.
+    /// Time to hold the connections before memory and processor time are read.
     pub hold: Duration,
-    /// Whether the answers of the jobs are waited for; without it their connections are closed.
+    /// Whether to wait for the answers of the jobs. If not, their connections are closed after the
+    /// measurement.
     pub awaits_answers: bool,
 }
 
-/// What holding them cost.
+/// Memory and processor time of a process while it held the connections.
 #[derive(Debug, Clone, Serialize)]
 pub struct IdleReport {
-    /// Connections opened.
+    /// Number of connections opened.
     pub open: u32,
-    /// Connections refused or broken while opening.
+    /// Number of connections that could not be opened.
     pub refused: u32,
-    /// Use of the machine before.
+    /// Memory and processor time before the connections were opened.
     pub before: Usage,
-    /// Use of the machine while all are held.
+    /// Memory and processor time while all connections were held.
     pub held: Usage,
-    /// Jobs answered complete, if jobs were sent.
+    /// Number of jobs answered as complete, if jobs were sent.
     pub complete: u32,
-    /// Jobs answered otherwise or not at all.
+    /// Number of jobs with another answer or none.
     pub other: u32,
 }
 
 const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
-const PATIENCE: Duration = Duration::from_secs(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Tries to hold the connections and read the other end's use of the machine.
-pub async fn idle(
+/// Opens the connections, holds them, and reads the memory and processor time of the other process.
+/// Fails if those can't be read.
+pub async fn hold_connections(
     executor: &LocalExecutor<'static>,
     options: Rc<IdleOptions>,
 ) -> Result<IdleReport> {
-    let before = observe(&options)?;
-    let held = open_all(&options).await;
-    let open = u32::try_from(held.len()).unwrap_or(u32::MAX);
+    let before = read_target_usage(&options)?;
+    let connections = open_all(&options).await;
+    let open = u32::try_from(connections.len()).unwrap_or(u32::MAX);
     let mut jobs = Vec::new();
-    let mut idle = Vec::new();
-    for connection in held {
+    let mut idle_connections = Vec::new();
+    for connection in connections {
         match &options.class {
             Some(_) => jobs.push(executor.spawn(submit(connection, options.clone()))),
-            None => idle.push(connection),
+            None => idle_connections.push(connection),
         }
     }
     Timer::after(options.hold).await;
@@ -78,7 +80,7 @@
         open,
         refused: options.count - open,
         before,
-        held: observe(&options)?,
+        held: read_target_usage(&options)?,
         complete: 0,
         other: 0,
     };
@@ -91,8 +93,8 @@
     Ok(report)
 }
 
-fn observe(options: &IdleOptions) -> Result<Usage> {
-    options.pid.map_or(Ok(Usage::default()), usage)
+fn read_target_usage(options: &IdleOptions) -> Result<Usage> {
+    options.pid.map_or(Ok(Usage::default()), read_usage)
 }
 
 async fn open_all(options: &IdleOptions) -> Vec<Connection> {
@@ -100,28 +102,28 @@
         connect_timeout: OPEN_TIMEOUT,
         ..ClientOptions::default()
     };
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..options.count {
         if let Ok(connection) = Connection::open(options.address, client).await {
-            held.push(connection);
+            connections.push(connection);
         }
     }
-    held
+    connections
 }
 
-/// Submits one job and tells whether it was complete.
+/// Submits one job and returns whether it was complete.
 async fn submit(mut connection: Connection, options: Rc<IdleOptions>) -> bool {
     let class = options.class.as_deref().unwrap_or_default();
     let job = Submission {
-        submission: SubmissionId::unbound(fresh_ulid(rand::random())),
+        submission: SubmissionId::unbound(new_ulid(rand::random())),
         class: class_name(class),
         deadline_ms: None,
         copy: CopyMark::First,
         tasks: vec![payload(options.service_ms)],
     };
-    let body = serde_json::to_vec(&job).expect("submissions hold only what JSON can write");
+    let body = serde_json::to_vec(&job).expect("submissions are serializable as JSON");
     let reply = connection
-        .call(Method::Post, JOBS_PATH, &[], body, PATIENCE)
+        .call(Method::Post, JOBS_PATH, &[], body, ANSWER_TIMEOUT)
         .await;
     let answer = reply
         .ok()
--- a/crates/onyxshed-load/src/local.rs
+++ b/crates/onyxshed-load/src/local.rs
@@ -1,6 +1,6 @@
-//! A set of real processes on this machine: platform, executors, entry hosts.
+//! A set of real processes on this machine: the platform's stand-in, executors and entry hosts.
 //!
-//! Experiments start it, load it and end it; every process is ended when the set is dropped.
+//! Experiments start a set, measure it and drop it, which ends all its processes.
 
 mod child;
 mod options;
@@ -24,39 +24,39 @@
 use ulid::Ulid;
 
 pub use child::Child;
-pub use options::{HELD_CLASS, LocalOptions};
+pub use options::{BENCH_CLASS, LocalOptions};
 
 use crate::error::{Error, Result};
 use settings::EntryPorts;
 
-/// The running processes.
+/// A set of running processes.
 pub struct LocalSet {
-    /// The entry hosts; ended first, so that they do not report the others' end.
+    /// The entry hosts. They end first, so that they do not report the end of the other processes.
     pub entries: Vec<LocalEntry>,
-    /// The executors, several of the host list behind one where asked for.
+    /// The executor processes. Each may stand for several executors of the host list.
     pub executors: Vec<Child>,
-    /// The platform.
+    /// The platform's stand-in.
     pub platform: Child,
     folder: tempfile::TempDir,
 }
 
-/// One entry host's processes.
+/// The two processes of an entry host, and their addresses.
 pub struct LocalEntry {
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where operators reach the entry process.
+    /// Admin address of the entry process.
     pub admin: SocketAddr,
-    /// Where operators reach the control process.
+    /// Admin address of the control process.
     pub control_admin: SocketAddr,
-    /// Where other control processes reach this one.
+    /// Address of the control process for the control processes of other hosts.
     pub control_peer: SocketAddr,
     /// The entry process.
     pub entry: Child,
     /// The control process.
     pub control: Child,
-    started: Instant,
-    /// From the entry process's start to its first ready answer.
-    pub ready_after: Duration,
+    started_at: Instant,
+    /// Time from the start of the entry process to its first ready answer.
+    pub time_to_ready: Duration,
 }
 
 /// Body of `PUT /v1/hosts`.
@@ -71,16 +71,16 @@
 const READY_POLL: Duration = Duration::from_millis(2);
 
 impl LocalSet {
-    /// Tries to start everything and waits until every entry host is ready.
+    /// Starts all processes and waits until every entry host is ready.
     pub async fn start(options: &LocalOptions) -> Result<Self> {
         let folder = tempfile::tempdir().map_err(Error::start)?;
         let appends = options.appends_per_s.to_string();
-        let platform = Child::start(
-            &options.folder.join("standin-platform"),
+        let platform = Child::start_standin(
+            &options.binaries.join("standin-platform"),
             &["--appends-per-s", &appends],
         )?;
         let executors: Result<Vec<_>> = (0..options.executors)
-            .map(|place| start_executor(options, place))
+            .map(|index| start_executor(options, index))
             .collect();
         let mut set = LocalSet {
             platform,
@@ -88,66 +88,70 @@
             entries: Vec::new(),
             folder,
         };
-        let ports: Result<Vec<_>> = (0..options.entries).map(|_| EntryPorts::free()).collect();
+        let ports: Result<Vec<_>> = (0..options.entries)
+            .map(|_| EntryPorts::find_free())
+            .collect();
         let ports = ports?;
         set.publish_hosts(options, &ports).await?;
         set.publish_classes(Revision(0), &options.classes).await?;
-        for (place, ports) in ports.iter().enumerate() {
-            let entry = set.start_entry(options, place, ports).await?;
+        for (index, ports) in ports.iter().enumerate() {
+            let entry = set.start_entry(options, index, ports).await?;
             set.entries.push(entry);
         }
-        // Each is ready once it has heard the others, so all are started before one is waited for.
+        // An entry host is ready only after contact with the others, so all are started before any
+        // is waited for.
         for entry in &mut set.entries {
-            wait_ready(entry.admin, entry.started).await?;
-            entry.ready_after = entry.started.elapsed();
+            wait_ready(entry.admin, entry.started_at).await?;
+            entry.time_to_ready = entry.started_at.elapsed();
         }
         Ok(set)
     }
 
-    /// Gets the folder of the processes' settings, which goes with the set.
+    /// Returns the folder of the processes' settings, which is removed when the set is dropped.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Gets where callers reach each entry host.
+    /// Returns the address for callers of each entry host.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|entry| entry.callers).collect()
     }
 
-    /// Tries to set the host list.
+    /// Publishes the host list: the entry hosts at `ports`, and the executors of this set.
     pub async fn publish_hosts(&self, options: &LocalOptions, ports: &[EntryPorts]) -> Result<()> {
-        let entries = ports.iter().enumerate().map(|(place, ports)| EntryHost {
-            name: name(&format!("e{place}")),
-            zone: name(settings::ZONE),
+        let entries = ports.iter().enumerate().map(|(index, ports)| EntryHost {
+            name: parse_name(&format!("e{index}")),
+            zone: parse_name(settings::ZONE),
             peer_address: ports.control_peer,
             state: HostState::Live,
         });
         let hosts = Hosts {
-            executors: (0..options.listed())
-                .map(|place| self.listed(options, place))
+            executors: (0..options.listed_executors())
+                .map(|index| self.executor_host(options, index))
                 .collect(),
             entries: entries.collect(),
         };
-        let body = serde_json::to_vec(&hosts).expect("hosts hold only what JSON can write");
+        let body = serde_json::to_vec(&hosts).expect("hosts are serializable as JSON");
         self.call_platform(Method::Put, HOSTS_PATH, body).await
     }
 
-    fn listed(&self, options: &LocalOptions, place: usize) -> ExecutorHost {
-        let process = &self.executors[place % self.executors.len()];
+    fn executor_host(&self, options: &LocalOptions, index: usize) -> ExecutorHost {
+        let process = &self.executors[index % self.executors.len()];
         ExecutorHost {
-            name: name(&format!("x{place:05}")),
+            name: parse_name(&format!("x{index:05}")),
             upstream: options.upstream.clone(),
-            zone: name(settings::ZONE),
-            rack: format_smolstr!("rack-{}", place / 8),
+            zone: parse_name(settings::ZONE),
+            rack: format_smolstr!("rack-{}", index / 8),
             address: process.address,
             slots: options.slots,
             state: HostState::Live,
         }
     }
 
-    /// Tries to publish classes as changes on top of each other, the first on top of a revision.
-    pub async fn publish_classes(&self, on: Revision, classes: &[ClassTarget]) -> Result<()> {
-        for (revision, target) in (on.0..).zip(classes) {
+    /// Publishes classes, one change each, where every change is based on the revision before it
+    /// and the first one on `base`.
+    pub async fn publish_classes(&self, base: Revision, classes: &[ClassTarget]) -> Result<()> {
+        for (revision, target) in (base.0..).zip(classes) {
             let record = ConfigRecord::ChangeV1(ConfigChange {
                 change_id: ChangeId(Ulid::from_parts(0, rand::random())),
                 based_on: Revision(revision),
@@ -169,14 +173,15 @@
     async fn start_entry(
         &self,
         options: &LocalOptions,
-        place: usize,
+        index: usize,
         ports: &EntryPorts,
     ) -> Result<LocalEntry> {
         let folder = self.folder.path();
-        let files = settings::write(folder, place, ports, self.platform.address, options)?;
-        let control = Child::spawn(&options.folder.join("onyxshed-control"), &files.control)?;
-        let started = Instant::now();
-        let entry = Child::spawn(&options.folder.join("onyxshed-entry"), &files.entry)?;
+        let files = settings::write(folder, index, ports, self.platform.address, options)?;
+        let control =
+            Child::start_service(&options.binaries.join("onyxshed-control"), &files.control)?;
+        let started_at = Instant::now();
+        let entry = Child::start_service(&options.binaries.join("onyxshed-entry"), &files.entry)?;
         Ok(LocalEntry {
             callers: ports.callers,
             admin: ports.entry_admin,
@@ -184,24 +189,24 @@
             control_peer: ports.control_peer,
             entry,
             control,
-            started,
-            ready_after: Duration::ZERO,
+            started_at,
+            time_to_ready: Duration::ZERO,
         })
     }
 }
 
-fn start_executor(options: &LocalOptions, place: usize) -> Result<Child> {
-    let speed = options.speeds[place % options.speeds.len()].to_string();
-    let name = format!("x{place:05}");
-    Child::start(
-        &options.folder.join("standin-upstream"),
+fn start_executor(options: &LocalOptions, index: usize) -> Result<Child> {
+    let speed = options.speeds[index % options.speeds.len()].to_string();
+    let name = format!("x{index:05}");
+    Child::start_standin(
+        &options.binaries.join("standin-upstream"),
         &[
             "--name",
             &name,
             "--upstream",
             options.upstream.as_str(),
             "--slots",
-            &(options.slots * options.listed_each).to_string(),
+            &(options.slots * options.listed_per_process).to_string(),
             "--queue",
             &options.executor_queue.to_string(),
             "--speed",
@@ -210,15 +215,15 @@
     )
 }
 
-async fn wait_ready(admin: SocketAddr, started: Instant) -> Result<()> {
+async fn wait_ready(admin: SocketAddr, started_at: Instant) -> Result<()> {
     loop {
         let reply = call(admin, Method::Get, READY_PATH, Vec::new()).await;
         match reply {
             Ok(reply) if reply.status == 200 => return Ok(()),
-            _ if started.elapsed() < READY_TIMEOUT => {}
+            _ if started_at.elapsed() < READY_TIMEOUT => {}
             Ok(reply) => {
-                let why = String::from_utf8_lossy(&reply.body).into_owned();
-                return Err(Error::unreachable(admin, why));
+                let reason = String::from_utf8_lossy(&reply.body).into_owned();
+                return Err(Error::unreachable(admin, reason));
             }
             Err(error) => return Err(error),
         }
@@ -226,17 +231,17 @@
     }
 }
 
-/// Tries to make one call and read its reply.
+/// Calls an address once and returns the reply.
 pub async fn call(address: SocketAddr, method: Method, path: &str, body: Vec<u8>) -> Result<Reply> {
     call_once(address, method, path, body, CALL_TIMEOUT)
         .await
         .map_err(|error| Error::unreachable(address, error.reason))
 }
 
-/// Makes a name that is known to keep the rules.
-fn name<T: std::str::FromStr>(text: &str) -> T {
+/// Parses a name. Panics if it is not valid.
+fn parse_name<T: std::str::FromStr>(text: &str) -> T {
     match text.parse() {
         Ok(name) => name,
-        Err(_) => unreachable!("{text} keeps the rules"),
+        Err(_) => unreachable!("{text} is not a valid name"),
     }
 }
--- a/crates/onyxshed-load/src/run.rs
+++ b/crates/onyxshed-load/src/run.rs
@@ -17,16 +17,16 @@
 use crate::report::Report;
 use crate::tally::{JobEnd, Tally};
 
-/// What to run.
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct RunOptions {
-    /// The entry hosts; jobs are spread evenly over them.
+    /// Addresses of the entry hosts; jobs are spread evenly over them.
     pub entries: Vec<SocketAddr>,
     /// The arrivals.
     pub plan: PlanOptions,
-    /// Rules for callers.
+    /// Retry, binding and timeout rules of the callers.
     pub caller: CallerOptions,
-    /// Least network time of one job, in microseconds, part of the ideal.
+    /// Least network time of one job, in microseconds; part of the ideal response time.
     pub network_us: u64,
 }
 
@@ -36,10 +36,10 @@
     tally: RefCell<Tally>,
     network_us: u64,
     lag_max_us: Cell<u64>,
-    started: Instant,
+    started_at: Instant,
 }
 
-/// Sends every planned job at its time and waits for the last answer.
+/// Sends every planned job at its time, waits until the last job has ended, and returns the report.
 pub async fn run(executor: &LocalExecutor<'static>, options: &RunOptions) -> Report {
     let jobs = plan(&options.plan);
     let runner = Rc::new(Runner {
@@ -48,18 +48,18 @@
         tally: RefCell::new(Tally::new(options.plan.mix)),
         network_us: options.network_us,
         lag_max_us: Cell::new(0),
-        started: Instant::now(),
+        started_at: Instant::now(),
     });
-    let mut running = Vec::with_capacity(jobs.len());
+    let mut pending = Vec::with_capacity(jobs.len());
     for job in jobs {
-        let planned = runner.started + Duration::from_micros(job.at_us);
-        if planned > Instant::now() {
-            Timer::at(planned).await;
+        let planned_at = runner.started_at + Duration::from_micros(job.at_us);
+        if planned_at > Instant::now() {
+            Timer::at(planned_at).await;
         }
         let runner = runner.clone();
-        running.push(executor.spawn(async move { runner.follow(job).await }));
+        pending.push(executor.spawn(async move { runner.submit_job(job).await }));
     }
-    for job in running {
+    for job in pending {
         job.await;
     }
     let mut tally = runner.tally.borrow_mut();
@@ -69,13 +69,13 @@
 }
 
 impl Runner {
-    /// Follows one job from its planned arrival to its end.
-    async fn follow(&self, job: PlannedJob) {
+    /// Submits one job at its planned arrival and records its end.
+    async fn submit_job(&self, job: PlannedJob) {
         let lag_us = self.now_us().saturating_sub(job.at_us);
         self.lag_max_us.set(self.lag_max_us.get().max(lag_us));
         let load = &self.mix.classes()[job.class];
         let target = Duration::from_millis(load.finish_within_ms.into());
-        let submission = self.submission(&job);
+        let submission = self.build_submission(&job);
         let answer = self.callers.submit(job.draw, &submission, target).await;
         self.tally.borrow_mut().record(&JobEnd {
             class: job.class,
@@ -87,11 +87,11 @@
         });
     }
 
-    fn submission(&self, job: &PlannedJob) -> Submission {
+    fn build_submission(&self, job: &PlannedJob) -> Submission {
         let load = &self.mix.classes()[job.class];
-        let id = SubmissionId::unbound(fresh_ulid(job.draw));
+        let id = SubmissionId::unbound(new_ulid(job.draw));
         Submission {
-            submission: self.callers.bind(job.draw, id),
+            submission: self.callers.bind_id(job.draw, id),
             class: class_name(load.class),
             deadline_ms: None,
             copy: CopyMark::First,
@@ -100,12 +100,13 @@
     }
 
     fn now_us(&self) -> u64 {
-        u64::try_from(self.started.elapsed().as_micros()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 }
 
-/// Makes an id of now; the rest of it is random, so that two runs with one seed do not share ids.
-pub fn fresh_ulid(draw: u64) -> Ulid {
+/// Returns a new ULID with the current time. Part of it is drawn anew at each call, so that two
+/// runs with the same seed do not share ids.
+pub fn new_ulid(draw: u64) -> Ulid {
     let since_epoch = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
@@ -114,12 +115,12 @@
     Ulid::from_parts(now_ms, random)
 }
 
-/// Makes the payload that a stand-in executor works on for `service_ms`.
+/// Returns the payload that makes a stand-in executor run a task for `service_ms` milliseconds.
 pub fn payload(service_ms: u32) -> Vec<u8> {
     format!("{{\"service_ms\":{service_ms},\"echo\":\"x\"}}").into_bytes()
 }
 
-/// Gets the name of one of the mixes' classes.
+/// Parses the name of a class. Panics if the name is not valid.
 pub fn class_name(class: &str) -> ClassName {
-    class.parse().expect("the mixes' names keep the rules")
+    class.parse().expect("the mixes' names are valid")
 }
--- a/crates/onyxshed-load/src/sim/scenario.rs
+++ b/crates/onyxshed-load/src/sim/scenario.rs
@@ -1,35 +1,36 @@
-//! The scenarios: how much load, and what goes wrong in the middle third.
+//! The scenarios of the simulation: the load, and the fault in the middle third of a run.
 
 use crate::plan::Burst;
 
-/// One scenario.
+/// A scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
-    /// Steady load at this percentage of capacity.
+    /// Constant load at this percentage of capacity.
     Load(u32),
-    /// 60% of capacity, in the middle third this percentage, then 60% again.
+    /// Load at 60% of capacity, except in the middle third, where it is at this percentage.
     Overload(u32),
     /// Ten times the arrivals for 2 s.
     Burst,
-    /// One executor runs everything 20 times slower.
+    /// One executor runs every task 20 times slower.
     SlowExecutor,
-    /// One executor fails everything at once.
+    /// One executor fails every task immediately.
     FailingExecutor,
-    /// One executor takes tasks and never answers.
-    SilentExecutor,
-    /// A rack of 8 executors dies; the host list tells it 5 s later.
-    RackDies,
-    /// One entry host dies; its peers notice after 2 s.
-    EntryDies,
-    /// The zone's entry hosts lose sight of one another: each holds itself to be alone.
-    HostsCutOff,
-    /// The host list stands still throughout, and a rack of 8 dies.
+    /// One executor accepts tasks and never answers.
+    UnresponsiveExecutor,
+    /// A rack of 8 executors fails; the host list shows it 5 s later.
+    RackFails,
+    /// One entry host fails; its peers detect it after 2 s.
+    EntryHostFails,
+    /// The entry hosts of the zone lose contact with each other, and each takes itself for the only
+    /// one.
+    HostsPartitioned,
+    /// The host list is frozen throughout, and a rack of 8 executors fails.
     PlatformDown,
-    /// One class's tasks take 10 times as long as learned so far.
-    TimesWrong,
-    /// One class's tasks fail wherever they run.
-    NeverRuns,
-    /// Half of all jobs in flight are cancelled, every two seconds.
+    /// The tasks of one class take 10 times as long as the policy has learned.
+    ServiceTimesShift,
+    /// The tasks of one class fail on every executor.
+    ClassUnrunnable,
+    /// Callers cancel half of all jobs in flight, every two seconds.
     CancelWave,
 }
 
@@ -40,7 +41,7 @@
 const BURST_S: f64 = 2.0;
 
 impl Scenario {
-    /// Every scenario.
+    /// All scenarios.
     pub const ALL: [Scenario; 17] = [
         Scenario::Load(50),
         Scenario::Load(80),
@@ -51,17 +52,17 @@
         Scenario::Burst,
         Scenario::SlowExecutor,
         Scenario::FailingExecutor,
-        Scenario::SilentExecutor,
-        Scenario::RackDies,
-        Scenario::EntryDies,
-        Scenario::HostsCutOff,
+        Scenario::UnresponsiveExecutor,
+        Scenario::RackFails,
+        Scenario::EntryHostFails,
+        Scenario::HostsPartitioned,
         Scenario::PlatformDown,
-        Scenario::TimesWrong,
-        Scenario::NeverRuns,
+        Scenario::ServiceTimesShift,
+        Scenario::ClassUnrunnable,
         Scenario::CancelWave,
     ];
 
-    /// Gets a short name.
+    /// Returns the short name of the scenario for tables, plots and `--scenario`.
     pub fn name(self) -> String {
         match self {
             Scenario::Load(percent) => format!("load {percent}%"),
@@ -69,29 +70,32 @@
             Scenario::Burst => "burst 10x".to_owned(),
             Scenario::SlowExecutor => "slow".to_owned(),
             Scenario::FailingExecutor => "failing".to_owned(),
-            Scenario::SilentExecutor => "silent".to_owned(),
-            Scenario::RackDies => "rack dies".to_owned(),
-            Scenario::EntryDies => "entry dies".to_owned(),
-            Scenario::HostsCutOff => "cut off".to_owned(),
+            Scenario::UnresponsiveExecutor => "silent".to_owned(),
+            Scenario::RackFails => "rack dies".to_owned(),
+            Scenario::EntryHostFails => "entry dies".to_owned(),
+            Scenario::HostsPartitioned => "cut off".to_owned(),
             Scenario::PlatformDown => "no platform".to_owned(),
-            Scenario::TimesWrong => "times 10x".to_owned(),
-            Scenario::NeverRuns => "never runs".to_owned(),
+            Scenario::ServiceTimesShift => "times 10x".to_owned(),
+            Scenario::ClassUnrunnable => "never runs".to_owned(),
             Scenario::CancelWave => "cancels".to_owned(),
         }
     }
 
-    /// Gets the load outside bursts as a part of capacity. Where half of the zone's executors die,
-    /// it is low enough for the rest to carry, so that what is lost is the policy's doing.
+    /// Returns the load outside bursts as a fraction of capacity. Where half of the zone's
+    /// executors fail, the load is low enough for the other half, so that missed targets are due to
+    /// the policy.
     pub fn load(self) -> f64 {
         match self {
             Scenario::Load(percent) => f64::from(percent) / 100.0,
             Scenario::Overload(_) | Scenario::Burst => LOAD_AROUND_OVERLOAD,
-            Scenario::RackDies | Scenario::PlatformDown | Scenario::TimesWrong => LOAD_AROUND_LOSS,
+            Scenario::RackFails | Scenario::PlatformDown | Scenario::ServiceTimesShift => {
+                LOAD_AROUND_LOSS
+            }
             _ => STEADY_LOAD,
         }
     }
 
-    /// Gets the stretches with another rate.
+    /// Returns the periods with a different arrival rate.
     pub fn bursts(self, span_s: f64) -> Vec<Burst> {
         let from_s = span_s / 3.0;
         let (to_s, factor) = match self {
@@ -109,7 +113,7 @@
         }]
     }
 
-    /// Gets when the overload ends, none without one.
+    /// Returns the end of the overload in seconds, or `None` for a scenario without one.
     pub fn overload_end_s(self, span_s: f64) -> Option<f64> {
         self.bursts(span_s).first().map(|burst| burst.to_s)
     }
--- a/crates/onyxshed-load/src/sim/summary.rs
+++ b/crates/onyxshed-load/src/sim/summary.rs
@@ -1,4 +1,4 @@
-//! Results of all runs: medians and spread over the seeds, as table, JSON and plots.
+//! Summary of all runs: median and range over the seeds, as a table, JSON and plots.
 
 use std::fmt;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use smol_str::SmolStr;
 
 use super::SimOptions;
-use super::chooser::Rival;
+use super::chooser::PolicyKind;
 use super::scenario::Scenario;
 use super::world::RunResult;
 use crate::error::Result;
@@ -18,11 +18,11 @@
 /// Results of all scenarios and policies.
 #[derive(Debug, Clone, Serialize)]
 pub struct Summary {
-    /// The mix.
+    /// Name of the mix.
     pub mix: String,
-    /// The seeds.
+    /// Seeds of the runs.
     pub seeds: Vec<u64>,
-    /// How long jobs arrived in each run, in seconds.
+    /// Time during which jobs arrived in each run, in seconds.
     pub span_s: f64,
     /// One cell for each scenario and policy.
     pub cells: Vec<Cell>,
@@ -31,47 +31,48 @@
 /// Results of one scenario with one policy.
 #[derive(Debug, Clone, Serialize)]
 pub struct Cell {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
     /// The policy.
-    pub rival: Rival,
-    /// Each class's results.
+    pub rival: PolicyKind,
+    /// Results by class.
     pub classes: Vec<ClassCell>,
-    /// Wasted messages in percent of tasks.
+    /// Wasted messages as a percentage of tasks.
     pub wasted_percent: Spread,
-    /// Tasks of jobs complete within their target, a second of the middle third.
+    /// Tasks per second that belonged to jobs complete within their target, in the middle third.
     pub goodput_per_s: Spread,
-    /// Seconds from the overload's end to the last later second in which fewer than 90% of the
-    /// arriving jobs were hits.
+    /// Seconds from the end of the overload to the end of the last second in which less than 90% of
+    /// the arriving jobs met their target; 0 if there was none, and `None` for a scenario without
+    /// overload.
     pub recovery_s: Option<Spread>,
 }
 
-/// One class's results in one cell.
+/// Results of one class in one cell.
 #[derive(Debug, Clone, Serialize)]
 pub struct ClassCell {
-    /// The class.
+    /// Name of the class.
     pub class: &'static str,
-    /// Jobs complete within the target, in percent.
+    /// Percentage of jobs that were complete within the target.
     pub hit_percent: Spread,
-    /// Median of response time over ideal, of complete jobs.
+    /// Median of the response time of complete jobs divided by the ideal.
     pub ratio_p50: Spread,
-    /// Its 99th percentile.
+    /// 99th percentile of the response time of complete jobs divided by the ideal.
     pub ratio_p99: Spread,
 }
 
-/// A figure over the seeds.
+/// Median and range of a value over the seeds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Spread {
     /// Median.
     pub median: f64,
-    /// Least.
+    /// Smallest value.
     pub min: f64,
-    /// Greatest.
+    /// Largest value.
     pub max: f64,
 }
 
 impl Spread {
-    /// Takes the median and the ends of some values.
+    /// Returns the median and the range of some values; all are 0 if there are none.
     pub fn of(values: impl Iterator<Item = f64>) -> Self {
         let mut sorted: Vec<f64> = values.collect();
         sorted.sort_by(f64::total_cmp);
@@ -92,8 +93,13 @@
 }
 
 impl Cell {
-    /// Sums up the runs of one scenario with one policy.
-    pub fn of(options: &SimOptions, scenario: Scenario, rival: Rival, runs: &[RunResult]) -> Self {
+    /// Summarizes the runs of one scenario with one policy.
+    pub fn of(
+        options: &SimOptions,
+        scenario: Scenario,
+        policy: PolicyKind,
+        runs: &[RunResult],
+    ) -> Self {
         let span_s = options.span_s;
         let classes = options
             .mix
@@ -101,12 +107,12 @@
             .iter()
             .enumerate()
             .map(|(place, load)| {
-                let each = runs.iter().map(move |run| &run.tally.classes[place]);
+                let tallies = runs.iter().map(move |run| &run.tally.classes[place]);
                 ClassCell {
                     class: load.class,
-                    hit_percent: Spread::of(each.clone().map(|class| class.hit_percent())),
-                    ratio_p50: Spread::of(each.clone().map(|class| class.ratio_at(50.0))),
-                    ratio_p99: Spread::of(each.map(|class| class.ratio_at(99.0))),
+                    hit_percent: Spread::of(tallies.clone().map(|class| class.hit_percent())),
+                    ratio_p50: Spread::of(tallies.clone().map(|class| class.ratio_at(50.0))),
+                    ratio_p99: Spread::of(tallies.map(|class| class.ratio_at(99.0))),
                 }
             });
         let goodput = runs.iter().map(|run| {
@@ -116,7 +122,7 @@
         let end_s = scenario.overload_end_s(span_s);
         Cell {
             scenario: scenario.name(),
-            rival,
+            rival: policy,
             classes: classes.collect(),
             wasted_percent: Spread::of(runs.iter().map(|run| run.tally.wasted_percent())),
             goodput_per_s: Spread::of(goodput),
@@ -141,7 +147,7 @@
 }
 
 impl Summary {
-    /// Makes an empty summary.
+    /// Returns a summary without cells.
     pub fn new(options: &SimOptions) -> Self {
         Summary {
             mix: options.mix.to_string(),
@@ -151,7 +157,7 @@
         }
     }
 
-    /// Tries to write JSON and plots into a folder.
+    /// Writes the summary as JSON, and its plots, into a folder.
     pub fn write(&self, folder: &Path) -> Result<()> {
         write_json(&folder.join(format!("policy-{}.json", self.mix)), self)?;
         let draw = |name: &str, bars: Bars| {
@@ -184,18 +190,18 @@
     }
 
     fn bars(&self, title: &str, unit: &'static str, floor: f64, value: fn(&Cell) -> f64) -> Bars {
-        let cells_of = |rival| self.cells.iter().filter(move |cell| cell.rival == rival);
+        let cells_of = |policy| self.cells.iter().filter(move |cell| cell.rival == policy);
         Bars {
             title: format!("{title}, {}", self.mix).into(),
             unit,
             floor,
-            groups: cells_of(Rival::Onyxshed)
+            groups: cells_of(PolicyKind::Onyxshed)
                 .map(|cell| SmolStr::from(&cell.scenario))
                 .collect(),
-            series: Rival::ALL
-                .map(|rival| Series {
-                    name: rival.name().into(),
-                    values: cells_of(rival).map(value).collect(),
+            series: PolicyKind::ALL
+                .map(|policy| Series {
+                    name: policy.name().into(),
+                    values: cells_of(policy).map(value).collect(),
                 })
                 .into(),
         }
@@ -234,13 +240,13 @@
 impl fmt::Display for Cell {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (place, class) in self.classes.iter().enumerate() {
-            let (scenario, rival) = match place {
+            let (scenario, policy) = match place {
                 0 => (self.scenario.as_str(), self.rival.name()),
                 _ => ("", ""),
             };
             write!(
                 f,
-                "\n{scenario:<12} {rival:<13} {:<14} {:<20} {:<17} {:<17}",
+                "\n{scenario:<12} {policy:<13} {:<14} {:<20} {:<17} {:<17}",
                 class.class, class.hit_percent, class.ratio_p50, class.ratio_p99
             )?;
             if place == 0 {
--- a/crates/onyxshed-load/src/sim/world/parts.rs
+++ b/crates/onyxshed-load/src/sim/world/parts.rs
@@ -1,4 +1,4 @@
-//! What the event loop keeps of attempts, jobs and entry hosts.
+//! Events of the simulation, and its state of attempts, jobs and entry hosts.
 
 use onyxshed_core::{Micros, Mono, SubmissionId, TaskId, UpstreamName};
 use onyxshed_policy::{AttemptOutcome, ExecutorInfo};
@@ -7,64 +7,90 @@
 
 use super::{RACK, WALL_START};
 use crate::plan::PlannedJob;
-use crate::sim::chooser::Chooser;
+use crate::sim::chooser::HostPolicy;
 
+/// An event of the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
-    Arrive { job: usize },
-    Reach { attempt: usize },
-    Leave { attempt: usize },
-    Answer { attempt: usize },
-    Stop { attempt: usize },
+    /// A job reaches an entry host.
+    JobArrival { job: usize },
+    /// A start request reaches an executor.
+    StartDelivery { attempt: usize },
+    /// The run of an attempt ends on its executor.
+    RunEnd { attempt: usize },
+    /// The end of an attempt reaches its entry host.
+    AnswerDelivery { attempt: usize },
+    /// A stop request reaches an executor.
+    StopDelivery { attempt: usize },
+    /// The deadline of a job passes.
     Deadline { job: usize },
+    /// The time comes at which a policy asked for its next decision.
     Wake { host: usize },
-    FaultOn,
-    FaultOff,
-    FaultKnown,
+    /// The fault of the scenario starts.
+    FaultStart,
+    /// The fault of the scenario ends.
+    FaultEnd,
+    /// The host list or the peers show the fault.
+    FaultDetection,
+    /// Callers cancel half of their jobs.
     CancelWave,
 }
 
+/// An attempt at a task on an executor.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) host: usize,
     pub(super) job: usize,
     pub(super) task: TaskId,
     pub(super) executor: usize,
-    pub(super) is_open: bool,
-    pub(super) verdict: AttemptOutcome,
+    /// Whether the entry host waits for the end of the attempt.
+    pub(super) is_pending: bool,
+    pub(super) outcome: AttemptOutcome,
+    /// Run time on the executor in microseconds; 0 until the run starts.
     pub(super) service_us: u64,
 }
 
+/// A job and its progress.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) planned: PlannedJob,
     pub(super) host: usize,
-    pub(super) tries: u32,
-    pub(super) left: usize,
+    /// Number of times that the caller has sent the job again.
+    pub(super) repeats: u32,
+    /// Number of tasks that have not finished.
+    pub(super) remaining: usize,
+    /// Whether an attempt at one of the tasks has been started.
     pub(super) has_started: bool,
+    /// Whether an entry host has admitted the job.
     pub(super) is_running: bool,
-    pub(super) is_over: bool,
-    pub(super) done: Vec<bool>,
+    /// Whether the job has its final answer or was cancelled.
+    pub(super) has_ended: bool,
+    /// Whether each task has finished, by task index.
+    pub(super) done_tasks: Vec<bool>,
     pub(super) deadline: Mono,
+    /// Indexes of the attempts at the tasks.
     pub(super) attempts: Vec<usize>,
 }
 
+/// An entry host.
 pub(super) struct Host {
-    pub(super) chooser: Chooser,
-    pub(super) is_alive: bool,
-    pub(super) wakes_at: Option<Mono>,
+    pub(super) policy: HostPolicy,
+    /// Whether the host has not failed.
+    pub(super) is_up: bool,
+    /// Time of the next [`Event::Wake`], if one is scheduled.
+    pub(super) wake_at: Option<Mono>,
 }
 
 impl Job {
     pub(super) fn new(planned: PlannedJob) -> Self {
         Job {
             host: 0,
-            tries: 0,
-            left: planned.service_ms.len(),
+            repeats: 0,
+            remaining: planned.service_ms.len(),
             has_started: false,
             is_running: false,
-            is_over: false,
-            done: vec![false; planned.service_ms.len()],
+            has_ended: false,
+            done_tasks: vec![false; planned.service_ms.len()],
             deadline: Mono(0),
             attempts: Vec::new(),
             planned,
@@ -72,18 +98,18 @@
     }
 }
 
-pub(super) fn executor_info(place: usize, slots: usize, upstream: &UpstreamName) -> ExecutorInfo {
+pub(super) fn executor_info(index: usize, slots: usize, upstream: &UpstreamName) -> ExecutorInfo {
     ExecutorInfo {
-        name: format!("x{place:03}").parse().expect("a valid name"),
+        name: format!("x{index:03}").parse().expect("a valid name"),
         upstream: upstream.clone(),
         zone: "zone-a".parse().expect("a valid name"),
-        rack: format_smolstr!("rack-{}", place / RACK),
+        rack: format_smolstr!("rack-{}", index / RACK),
         slots: u32::try_from(slots).unwrap_or(u32::MAX),
         is_draining: false,
     }
 }
 
-/// Gets the id of a job's task; the ULID's random part holds the job's place.
+/// Returns the id of a job's task. The random part of the ULID holds the job's index.
 pub(super) fn task_id(job: usize, at_us: u64, index: usize) -> TaskId {
     let time_ms = WALL_START.0 + at_us / 1_000;
     TaskId {
@@ -92,14 +118,16 @@
     }
 }
 
-pub(super) fn job_of(task: &TaskId) -> usize {
+/// Returns the index of the job that a task belongs to.
+pub(super) fn job_index(task: &TaskId) -> usize {
     usize::try_from(task.submission.ulid.random()).unwrap_or(usize::MAX)
 }
 
-/// Turns what an attempt took into the policy's unit.
-pub(super) fn service_of(attempt: &Attempt) -> Option<Micros> {
+/// Returns the service time of an attempt for the policy, or `None` if its task did not run to an
+/// end.
+pub(super) fn service_time(attempt: &Attempt) -> Option<Micros> {
     let did_run = matches!(
-        attempt.verdict,
+        attempt.outcome,
         AttemptOutcome::Finished | AttemptOutcome::Failed
     );
     did_run.then_some(Micros(attempt.service_us))
--- a/crates/onyxshed-load/src/throughput.rs
+++ b/crates/onyxshed-load/src/throughput.rs
@@ -1,4 +1,5 @@
-//! Closed-loop load: as many jobs as one entry host takes, with what each costs it.
+//! Closed-loop load: measures the greatest throughput of one entry host, and the processor time
+//! that each task costs it.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,50 +16,50 @@
 use smol_str::SmolStr;
 
 use crate::error::Result;
-use crate::process::usage;
+use crate::process::read_usage;
 use crate::report::Percentiles;
-use crate::run::{class_name, fresh_ulid, payload};
+use crate::run::{class_name, new_ulid, payload};
 use crate::tally::{float, histogram};
 
-/// What to send.
+/// Options of a closed loop.
 #[derive(Debug, Clone)]
 pub struct ThroughputOptions {
-    /// The entry host.
+    /// Address of the entry host.
     pub entry: SocketAddr,
-    /// Its process id.
+    /// Process id of the entry process.
     pub pid: u32,
-    /// The class of the jobs.
+    /// Class of the jobs.
     pub class: SmolStr,
-    /// Callers, each with one job at a time.
+    /// Number of callers, each with one job at a time.
     pub callers: u32,
-    /// Tasks in each job, which run in no time.
+    /// Number of tasks in each job; their service time is 0.
     pub tasks: u16,
-    /// How long to send.
+    /// Time after which no caller sends another job.
     pub span: Duration,
     /// Whether ids are bound, so that no claim is needed.
     pub may_bind: bool,
 }
 
-/// What it took.
+/// Throughput of an entry host and what it cost.
 #[derive(Debug, Clone, Serialize)]
 pub struct Throughput {
-    /// Callers.
+    /// Number of callers.
     pub callers: u32,
-    /// Tasks in each job.
+    /// Number of tasks in each job.
     pub tasks_per_job: u16,
     /// Whether ids were bound.
     pub is_bound: bool,
-    /// Jobs answered complete, a second.
+    /// Jobs per second that were answered as complete.
     pub jobs_per_s: f64,
-    /// Tasks in them, a second.
+    /// Tasks per second in those jobs.
     pub tasks_per_s: f64,
-    /// Jobs answered otherwise or not at all.
+    /// Number of jobs with another answer or none.
     pub other: u64,
-    /// Processor time of the entry process, in percent of one core.
+    /// Processor time of the entry process, as a percentage of one core.
     pub entry_core_percent: f64,
-    /// Processor time of the entry process for each task, in microseconds.
+    /// Processor time of the entry process per task, in microseconds.
     pub entry_us_per_task: f64,
-    /// Its resident memory at the end, in KiB.
+    /// Resident memory of the entry process at the end, in KiB.
     pub entry_resident_kib: u64,
     /// Response times of complete jobs, in milliseconds.
     pub took_ms: Percentiles,
@@ -73,8 +74,8 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Tries to load one entry host for a while.
-pub async fn throughput(
+/// Loads one entry host in a closed loop. Fails if the usage of its process can't be read.
+pub async fn measure_throughput(
     executor: &LocalExecutor<'static>,
     options: Rc<ThroughputOptions>,
 ) -> Result<Throughput> {
@@ -84,16 +85,16 @@
         took_us: histogram(),
         bound_to: None,
     }));
-    let before = usage(options.pid)?;
-    let started = Instant::now();
+    let before = read_usage(options.pid)?;
+    let started_at = Instant::now();
     let callers: Vec<_> = (0..options.callers)
-        .map(|_| executor.spawn(call_on(options.clone(), counts.clone(), started)))
+        .map(|_| executor.spawn(run_caller(options.clone(), counts.clone(), started_at)))
         .collect();
     for caller in callers {
         caller.await;
     }
-    let took_s = started.elapsed().as_secs_f64();
-    let after = usage(options.pid)?;
+    let took_s = started_at.elapsed().as_secs_f64();
+    let after = read_usage(options.pid)?;
     let counts = counts.borrow();
     let processor_ms = float(after.processor_ms - before.processor_ms);
     let tasks = float(counts.complete) * f64::from(options.tasks);
@@ -111,19 +112,23 @@
     })
 }
 
-/// One caller: a job, its answer, the next job.
-async fn call_on(options: Rc<ThroughputOptions>, counts: Rc<RefCell<Counts>>, started: Instant) {
+/// Runs one caller, which sends the next job when it has the answer to the one before.
+async fn run_caller(
+    options: Rc<ThroughputOptions>,
+    counts: Rc<RefCell<Counts>>,
+    started_at: Instant,
+) {
     let opened = Connection::open(options.entry, ClientOptions::default()).await;
     let Ok(mut connection) = opened else {
         counts.borrow_mut().other += 1;
         return;
     };
-    while started.elapsed() < options.span {
+    while started_at.elapsed() < options.span {
         let bound_to = counts.borrow().bound_to;
-        let job = job(&options, bound_to);
-        let sent = Instant::now();
+        let body = encode_job(&options, bound_to);
+        let sent_at = Instant::now();
         let reply = connection
-            .call(Method::Post, JOBS_PATH, &[], job, TIMEOUT)
+            .call(Method::Post, JOBS_PATH, &[], body, TIMEOUT)
             .await;
         let Ok(reply) = reply else {
             counts.borrow_mut().other += 1;
@@ -137,7 +142,7 @@
         match answer.and_then(|answer| answer.code) {
             Some(ResultCode::Complete) => {
                 counts.complete += 1;
-                let took_us = u64::try_from(sent.elapsed().as_micros()).unwrap_or(u64::MAX);
+                let took_us = u64::try_from(sent_at.elapsed().as_micros()).unwrap_or(u64::MAX);
                 counts.took_us.saturating_record(took_us);
             }
             _ => counts.other += 1,
@@ -145,10 +150,10 @@
     }
 }
 
-fn job(options: &ThroughputOptions, bound_to: Option<Incarnation>) -> Vec<u8> {
+fn encode_job(options: &ThroughputOptions, bound_to: Option<Incarnation>) -> Vec<u8> {
     let job = Submission {
         submission: SubmissionId {
-            ulid: fresh_ulid(rand::random()),
+            ulid: new_ulid(rand::random()),
             bound_to,
         },
         class: class_name(&options.class),
@@ -156,5 +161,5 @@
         copy: CopyMark::First,
         tasks: (0..options.tasks).map(|_| payload(0)).collect(),
     };
-    serde_json::to_vec(&job).expect("submissions hold only what JSON can write")
+    serde_json::to_vec(&job).expect("submissions are serializable as JSON")
 }
--- a/crates/onyxshed-load/src/whole_path.rs
+++ b/crates/onyxshed-load/src/whole_path.rs
@@ -1,8 +1,9 @@
-//! `onyxshed-load local`: the whole path on this machine, shown step by step.
+//! `onyxshed-load local`: runs a complete zone on this machine and shows each step.
 //!
-//! Starts the platform's and the executors' stand-ins and several entry hosts, publishes a class with
-//! the operator's command line, submits a job to one entry host and again to another, shows its time
-//! line, sends a sample load, and ends every process that it started.
+//! Starts the stand-ins of the platform and the executors and several entry hosts, publishes a
+//! class with the operator's command line, submits a job to one entry host and then under the same
+//! id to another, shows the job's time line, sends a sample load, and stops every process that it
+//! started.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -24,32 +25,33 @@
 use crate::report::write_json;
 use crate::run::{RunOptions, class_name, run};
 
-/// What to show.
+/// Options of `local`.
 #[derive(Debug, Clone)]
 pub struct WholePathOptions {
     /// Folder of the other binaries.
     pub binaries: PathBuf,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub entries: usize,
-    /// Executors.
+    /// Number of executors.
     pub executors: usize,
-    /// How long the sample load arrives, in seconds; none is sent for 0.
+    /// Time during which the sample load arrives, in seconds; 0 sends none.
     pub span_s: f64,
-    /// Whether everything goes on until standard input ends.
-    pub stays: bool,
+    /// Whether the processes keep running until standard input ends.
+    pub keeps_running: bool,
 }
 
-/// Class that the sample job belongs to.
+/// Class of the sample job.
 const CLASS: &str = "fee-charge";
 
-/// Jobs a second of the sample load, a quarter of what the executors can take.
+/// Arrival rate of the sample load in jobs per second, a quarter of the executors' capacity.
 const JOBS_PER_S: f64 = 4.0;
 
 /// Least network time of a job on one machine, in microseconds.
 const NETWORK_US: u64 = 100;
 
-/// Tries to show the whole path.
-pub async fn whole_path(
+/// Starts the processes and shows each step. Fails if a process can't be started or reached, or a
+/// command of the operator fails.
+pub async fn run_whole_path(
     executor: &LocalExecutor<'static>,
     options: &WholePathOptions,
 ) -> Result<()> {
@@ -61,28 +63,28 @@
     );
     let set = LocalSet::start(&zone).await?;
     let operator = Operator::new(&options.binaries, &set)?;
-    tell_addresses(&set, &operator);
-    operator.run(&publish_words())?;
+    print_addresses(&set, &operator);
+    operator.run(&publish_args())?;
     operator.run(&["status"])?;
     show_job(&set, &operator).await?;
     if options.span_s > 0.0 {
         println!(
-            "\n# A sample load of {} s on every entry host",
+            "\n# A sample load on all entry hosts for {} s",
             options.span_s
         );
         let report = run(executor, &load_options(&set, options.span_s)).await;
         println!("{report}");
     }
-    if options.stays {
-        println!("\n# Everything goes on until standard input ends (Ctrl-D)");
+    if options.keeps_running {
+        println!("\n# The processes keep running until standard input ends (Ctrl-D)");
         let _ = std::io::stdin().read_to_end(&mut Vec::new());
     }
-    println!("\n# Ending the processes");
+    println!("\n# Stopping the processes");
     Ok(())
 }
 
-/// Words that publish the sample job's class and wait until it is in force.
-fn publish_words() -> [&'static str; 8] {
+/// Returns the arguments that publish the sample job's class and wait until it is in force.
+fn publish_args() -> [&'static str; 8] {
     [
         "target",
         "put",
@@ -95,20 +97,20 @@
     ]
 }
 
-/// The operator's command line with its settings.
+/// The operator's command line with its settings file.
 struct Operator {
     binary: PathBuf,
     settings: PathBuf,
 }
 
 impl Operator {
-    /// Writes the operator's settings beside the processes'.
+    /// Writes the operator's settings into the folder of the processes' settings.
     fn new(binaries: &Path, set: &LocalSet) -> Result<Self> {
         let settings = set.folder().join("operator.json");
-        let processes: Vec<_> = set.entries.iter().zip(0..).flat_map(|(entry, place)| {
+        let processes: Vec<_> = set.entries.iter().zip(0..).flat_map(|(entry, index)| {
             [
-                json!({"name": format!("entry-{place}"), "admin_address": entry.admin}),
-                json!({"name": format!("control-{place}"), "admin_address": entry.control_admin}),
+                json!({"name": format!("entry-{index}"), "admin_address": entry.admin}),
+                json!({"name": format!("control-{index}"), "admin_address": entry.control_admin}),
             ]
         }).collect();
         let document = json!({
@@ -122,11 +124,11 @@
         })
     }
 
-    /// Shows a command and what it says.
-    fn run(&self, words: &[&str]) -> Result<()> {
-        println!("\n$ onyxshed {} --settings operator.json", words.join(" "));
+    /// Prints a command and runs it, with its output on the terminal.
+    fn run(&self, args: &[&str]) -> Result<()> {
+        println!("\n$ onyxshed {} --settings operator.json", args.join(" "));
         let status = Command::new(&self.binary)
-            .args(words)
+            .args(args)
             .arg("--settings")
             .arg(&self.settings)
             .stdin(Stdio::null())
@@ -134,36 +136,39 @@
             .map_err(Error::start)?;
         match status.success() {
             true => Ok(()),
-            false => Err(Error::start(format!("onyxshed ended with {status}"))),
+            false => Err(Error::start(format!(
+                "the command onyxshed failed with {status}"
+            ))),
         }
     }
 }
 
-fn tell_addresses(set: &LocalSet, operator: &Operator) {
+fn print_addresses(set: &LocalSet, operator: &Operator) {
     println!("# Started");
     println!(
         "platform       {}  process {}",
         set.platform.address,
         set.platform.id()
     );
-    for (place, executor) in set.executors.iter().enumerate() {
+    for (index, executor) in set.executors.iter().enumerate() {
         println!(
-            "executor x{place:05} {}  process {}",
+            "executor x{index:05} {}  process {}",
             executor.address,
             executor.id()
         );
     }
-    for (place, entry) in set.entries.iter().enumerate() {
+    for (index, entry) in set.entries.iter().enumerate() {
         let (callers, admin) = (entry.callers, entry.admin);
         println!(
-            "entry host e{place}  callers {callers}  admin {admin}  process {}",
+            "entry host e{index}  callers {callers}  admin {admin}  process {}",
             entry.entry.id()
         );
     }
     println!("operator's settings: {}", operator.settings.display());
 }
 
-/// Submits a job to one entry host and, under the same id, to another, and shows what happened.
+/// Submits a job to one entry host and then, under the same id, to another, and shows the answers
+/// and the job's time line.
 async fn show_job(set: &LocalSet, operator: &Operator) -> Result<()> {
     let (first, last) = match set.callers()[..] {
         [first, .., last] => (first, last),
@@ -172,13 +177,13 @@
     };
     let id = SubmissionId::unbound(Ulid::generate());
     println!("\n# A job of three tasks, to the first entry host");
-    post(first, &job(id, CopyMark::First)).await?;
-    println!("\n# The same again, to the last entry host: its answer, and no task runs twice");
-    post(last, &job(id, CopyMark::Again)).await?;
+    post(first, &sample_job(id, CopyMark::First)).await?;
+    println!("\n# The same job again, to the last entry host: same answer, and no task runs twice");
+    post(last, &sample_job(id, CopyMark::Again)).await?;
     operator.run(&["timeline", "--submission", &id.to_string()])
 }
 
-fn job(id: SubmissionId, copy: CopyMark) -> Submission {
+fn sample_job(id: SubmissionId, copy: CopyMark) -> Submission {
     let task = |number: u32| json!({"service_ms": 100, "echo": format!("fee {number}")});
     Submission {
         submission: id,
@@ -192,7 +197,7 @@
 }
 
 async fn post(address: SocketAddr, job: &Submission) -> Result<()> {
-    let body = serde_json::to_string(job).expect("a job is plain JSON");
+    let body = serde_json::to_string(job).expect("jobs are serializable as JSON");
     println!("POST http://{address}{JOBS_PATH}\n{body}");
     let reply = call(address, Method::Post, JOBS_PATH, body.into_bytes()).await?;
     println!("{} {}", reply.status, String::from_utf8_lossy(&reply.body));
