--- a/crates/onyxshed-soak/src/callers.rs
+++ b/crates/onyxshed-soak/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: each sends a job and stays with it, and sends it again where its fate is unknown.
+//! Callers, each of which submits one job after the other and resubmits a job whose outcome is unknown.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,80 +16,82 @@
 
 use crate::fleet::{ROUTE_HOST, ROUTE_PREFIX};
 
-/// Pause before a job is sent again whose fate is unknown.
-const RESEND: Duration = Duration::from_millis(1_300);
+/// The delay before a job whose outcome is unknown is submitted again.
+const RESEND_DELAY: Duration = Duration::from_millis(1_300);
 
-/// Times that a job is sent.
+/// The greatest number of times that a job is submitted.
 const SENDS_MAX: u32 = 6;
 
-/// How long a caller waits for one answer.
-const PATIENCE: Duration = Duration::from_millis(3_000);
+/// The timeout of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// Requests that a caller makes on one connection before it opens another.
-const REQUESTS_A_CONNECTION: u32 = 20;
+/// The number of requests that a caller sends on one connection before it opens another.
+const REQUESTS_PER_CONNECTION: u32 = 20;
 
-/// What a caller heard last.
+/// The answer to one submission of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
-    /// Every task is done.
+pub enum Answer {
+    /// All tasks are done.
     Completed,
-    /// A task failed as often as it may.
+    /// A task failed and is not retried any more.
     Failed,
-    /// It has not run and never will.
+    /// The job has not run and will not run.
     NotRun,
-    /// Its fate is unknown, or no answer came.
+    /// The outcome of the job is unknown, or no answer arrived.
     Unknown,
 }
 
-/// A job and what became of it.
+/// A job that a caller submitted, and the answers.
 #[derive(Debug, Clone)]
-pub struct Sent {
-    /// Its id.
+pub struct SubmittedJob {
+    /// The id of the job.
     pub job: SmolStr,
-    /// How many tasks it has.
+    /// The number of its tasks.
     pub tasks: u16,
-    /// What its caller heard, hand-over by hand-over.
-    pub heard: Vec<Heard>,
-    /// How many of its requests ended with their connection, without an answer.
+    /// The answer to each submission, in order.
+    pub answers: Vec<Answer>,
+    /// The number of its requests whose connection broke before an answer arrived.
     pub cut_off: u32,
-    /// How long it took from its first sending.
-    pub took: Duration,
+    /// The time from the first submission to the last answer.
+    pub elapsed: Duration,
 }
 
-/// What all callers saw.
-pub type Book = Rc<RefCell<Vec<Sent>>>;
+/// The finished jobs of all callers of one phase.
+pub type SubmittedJobs = Rc<RefCell<Vec<SubmittedJob>>>;
 
-/// One caller's way of working, until a time.
-pub async fn call(hosts: Vec<SocketAddr>, seed: u64, until: Instant, book: Book) {
+/// Submits jobs one after the other until a time; draws the jobs, the pauses and the hosts from the seed.
+pub async fn run_caller(hosts: Vec<SocketAddr>, seed: u64, until: Instant, jobs: SubmittedJobs) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut caller = Caller {
         hosts,
         connection: None,
-        used: 0,
+        requests_on_connection: 0,
         cut_off: 0,
     };
     while Instant::now() < until {
         let pause = Duration::from_millis(rng.random_range(5..80));
         Timer::after(pause).await;
-        let sent = caller.serve_one(&mut rng).await;
-        book.borrow_mut().push(sent);
+        let job = caller.submit_until_answered(&mut rng).await;
+        jobs.borrow_mut().push(job);
     }
 }
 
+/// One caller and its connection.
 struct Caller {
     hosts: Vec<SocketAddr>,
     connection: Option<Connection>,
-    used: u32,
-    /// Requests that ended with their connection.
+    /// The number of requests sent on the connection.
+    requests_on_connection: u32,
+    /// The number of requests whose connection broke before an answer arrived.
     cut_off: u32,
 }
 
 impl Caller {
-    async fn serve_one(&mut self, rng: &mut SmallRng) -> Sent {
+    async fn submit_until_answered(&mut self, rng: &mut SmallRng) -> SubmittedJob {
         let job = format_smolstr!("{:016x}", rng.random::<u64>());
         let tasks = rng.random_range(1..5_u16);
         let ms = [20, 60, 200, 500][rng.random_range(0..4)];
-        // One job in forty can never be done.
+        // One job in forty fails in every run.
         let spec = match rng.random_range(0..40) {
             0 => format!("{ms} fail"),
             _ => format!("{ms}"),
@@ -100,43 +102,43 @@
                 "est_runtime_ms": ms * rng.random_range(50..200) / 100}],
         });
         let body = body.to_string();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let cut_off_before = self.cut_off;
-        let mut heard = Vec::new();
+        let mut answers = Vec::new();
         for _ in 0..SENDS_MAX {
-            let last = self.send(&job, &body, rng).await;
-            heard.push(last);
-            if last != Heard::Unknown {
+            let answer = self.submit(&job, &body, rng).await;
+            answers.push(answer);
+            if answer != Answer::Unknown {
                 break;
             }
-            Timer::after(RESEND).await;
+            Timer::after(RESEND_DELAY).await;
         }
-        Sent {
+        SubmittedJob {
             job,
             tasks,
-            heard,
+            answers,
             cut_off: self.cut_off - cut_off_before,
-            took: begun.elapsed(),
+            elapsed: started_at.elapsed(),
         }
     }
 
-    /// Sends the job once; an open connection is used until it breaks.
-    async fn send(&mut self, job: &str, body: &str, rng: &mut SmallRng) -> Heard {
-        if self.used >= REQUESTS_A_CONNECTION {
+    /// Submits a job once, on the open connection if there is one.
+    async fn submit(&mut self, job: &str, body: &str, rng: &mut SmallRng) -> Answer {
+        if self.requests_on_connection >= REQUESTS_PER_CONNECTION {
             self.connection = None;
         }
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => {
                 let host = self.hosts[rng.random_range(0..self.hosts.len())];
-                self.used = 0;
+                self.requests_on_connection = 0;
                 match Connection::open(host, ClientOptions::default()).await {
                     Ok(connection) => connection,
-                    Err(_) => return Heard::Unknown,
+                    Err(_) => return Answer::Unknown,
                 }
             }
         };
-        self.used += 1;
+        self.requests_on_connection += 1;
         let headers = [
             ("host", SmolStr::new_static(ROUTE_HOST)),
             ("x-onyxshed-deadline-ms", SmolStr::new_static("2500")),
@@ -144,35 +146,35 @@
         ];
         let path = format!("{ROUTE_PREFIX}{job}");
         let reply = connection
-            .call(Method::Post, &path, &headers, body.into(), PATIENCE)
+            .call(Method::Post, &path, &headers, body.into(), REQUEST_TIMEOUT)
             .await;
         let reply = match reply {
             Ok(reply) => reply,
             Err(error) => {
-                // The proxy takes connections for a host that has ended and not started again, and
-                // closes them: only one that a host has answered on tells of a host.
-                let is_a_hosts = self.used > 1;
+                // The proxy accepts connections for a host that has ended and not started again, and closes
+                // them: a break counts only on a connection on which a host has answered before.
+                let has_host_answered = self.requests_on_connection > 1;
                 let is_broken =
                     error.sent == onyxshed_http::SendState::MaybeSent && !error.is_timeout;
-                self.cut_off += u32::from(is_a_hosts && is_broken);
-                return Heard::Unknown;
+                self.cut_off += u32::from(has_host_answered && is_broken);
+                return Answer::Unknown;
             }
         };
         if reply.header_value("connection") != Some("close") {
             self.connection = Some(connection);
         }
-        read(&reply)
+        parse_answer(&reply)
     }
 }
 
-fn read(reply: &Reply) -> Heard {
+fn parse_answer(reply: &Reply) -> Answer {
     let state: Option<SmolStr> = serde_json::from_slice(&reply.body)
         .ok()
-        .and_then(|told: serde_json::Value| Some(told.get("state")?.as_str()?.into()));
+        .and_then(|body: serde_json::Value| Some(body.get("state")?.as_str()?.into()));
     match (reply.status, state.as_deref()) {
-        (200, Some("completed")) => Heard::Completed,
-        (200, Some("failed")) => Heard::Failed,
-        (429 | 503, _) => Heard::NotRun,
-        _ => Heard::Unknown,
+        (200, Some("completed")) => Answer::Completed,
+        (200, Some("failed")) => Answer::Failed,
+        (429 | 503, _) => Answer::NotRun,
+        _ => Answer::Unknown,
     }
 }
--- a/crates/onyxshed-soak/src/checks.rs
+++ b/crates/onyxshed-soak/src/checks.rs
@@ -1,17 +1,18 @@
-//! What must hold, from what callers heard and executors recorded.
+//! The checks of a soak: they compare the answers that callers got with the runs that executors recorded.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use onyxshed_standins::fleet::executor::RunRecord;
 use smol_str::SmolStr;
 
-use crate::callers::{Heard, Sent};
+use crate::callers::{Answer, SubmittedJob};
 use crate::fleet::zone_of;
 
-/// How far two processes' readings of the one clock may differ by rounding, in milliseconds.
+/// The difference by rounding between two processes' readings of the same clock, in milliseconds.
 const ROUNDING_MS: u64 = 2;
 
-/// A run with its beginning and end.
+/// A run with its start and end, in milliseconds since the Unix epoch; a run without a recorded end may still
+/// be in progress.
 #[derive(Debug, Clone)]
 struct Span {
     executor: SmolStr,
@@ -20,34 +21,37 @@
     to_ms: Option<u64>,
 }
 
-/// Finds what does not hold; each line names a promise and a job.
-pub fn broken(
-    sent: &[Sent],
+/// Returns the violations of two promises: at most one run of a task at a time, and true answers to callers.
+/// Each line names the promise and the task or job.
+pub fn find_violations(
+    jobs: &[SubmittedJob],
     records: &[(SmolStr, RunRecord)],
     killed_ms: &BTreeMap<SmolStr, Vec<u64>>,
 ) -> Vec<String> {
-    let spans = spans(records, killed_ms);
-    let mut found = Vec::new();
+    let spans = pair_runs(records, killed_ms);
+    let mut violations = Vec::new();
     for (task, spans) in &spans {
-        found.extend(at_work_twice(task, spans));
+        violations.extend(find_overlapping_runs(task, spans));
     }
     let started: BTreeSet<&str> = spans.keys().filter_map(|task| job_of(task)).collect();
-    for job in sent {
-        found.extend(untrue(job, &started, records, killed_ms));
+    for job in jobs {
+        violations.extend(find_false_answers(job, &started, records, killed_ms));
     }
-    found
+    violations
 }
 
-/// Time after which no task may start in a zone whose evacuation was confirmed, for hosts that reach the
-/// store: the grace of begun jobs (1,000 ms), and as much for a restarted host to learn of it.
+/// The time after the confirmation of a zone's evacuation from which on no task may start there, for hosts
+/// that reach the store: the grace for jobs in progress (1,000 ms), and as much for a restarted host to learn
+/// of the evacuation.
 const EVACUATED_WITHIN_MS: u64 = 2_000;
 
-/// When each zone was evacuated.
+/// The times during which zones were evacuated.
 #[derive(Debug, Clone, Default)]
 pub struct EvacuationSpans {
     spans: Vec<EvacuationSpan>,
 }
 
+/// One evacuation of a zone; `to_ms` is `None` while it lasts.
 #[derive(Debug, Clone)]
 struct EvacuationSpan {
     zone: SmolStr,
@@ -56,10 +60,10 @@
 }
 
 impl EvacuationSpans {
-    /// Notes that a zone's evacuation was confirmed.
+    /// Records that the evacuation of a zone was confirmed.
     pub fn begin(&mut self, zone: &SmolStr, at_ms: u64) {
-        // A second one of a zone that is evacuated changes nothing.
-        if self.open(zone).is_none() {
+        // Another evacuation of a zone that is evacuated has no effect.
+        if self.open_span(zone).is_none() {
             self.spans.push(EvacuationSpan {
                 zone: zone.clone(),
                 from_ms: at_ms,
@@ -68,19 +72,19 @@
         }
     }
 
-    /// Notes that a zone is about to be restored.
+    /// Records that a zone is about to be restored.
     pub fn end(&mut self, zone: &SmolStr, at_ms: u64) {
-        if let Some(span) = self.open(zone) {
+        if let Some(span) = self.open_span(zone) {
             span.to_ms = Some(at_ms);
         }
     }
 
-    fn open(&mut self, zone: &SmolStr) -> Option<&mut EvacuationSpan> {
+    fn open_span(&mut self, zone: &SmolStr) -> Option<&mut EvacuationSpan> {
         let mut spans = self.spans.iter_mut();
         spans.find(|span| span.zone == *zone && span.to_ms.is_none())
     }
 
-    fn forbids(&self, zone: &str, at_ms: u64) -> bool {
+    fn forbids_start(&self, zone: &str, at_ms: u64) -> bool {
         self.spans.iter().any(|span| {
             span.zone == zone
                 && at_ms > span.from_ms + EVACUATED_WITHIN_MS
@@ -89,26 +93,36 @@
     }
 }
 
-/// Finds tasks that started in evacuated zones.
-pub fn evacuated(records: &[(SmolStr, RunRecord)], evacuations: &EvacuationSpans) -> Vec<String> {
-    let starts = records.iter().filter(|(_, record)| record.what == "start");
+/// Returns the starts of tasks in zones that were evacuated.
+pub fn find_starts_in_evacuated_zones(
+    records: &[(SmolStr, RunRecord)],
+    evacuations: &EvacuationSpans,
+) -> Vec<String> {
+    let starts = records.iter().filter(|(_, record)| record.event == "start");
     let forbidden = starts.filter(|(executor, record)| {
-        zone_of(executor).is_some_and(|zone| evacuations.forbids(&zone, record.at_ms))
+        zone_of(executor).is_some_and(|zone| evacuations.forbids_start(&zone, record.at_ms))
     });
     forbidden
         .map(|(executor, record)| {
             format!(
-                "{} started in an evacuated zone, on {executor}",
+                "no task may start in an evacuated zone: {} started on {executor}",
                 record.task
             )
         })
         .collect()
 }
 
-/// Finds requests that planned work alone has cut off.
-pub fn cut_off(sent: &[Sent]) -> Vec<String> {
-    let cut = sent.iter().filter(|sent| sent.cut_off > 0);
-    cut.map(|sent| format!("planned work cut off a request for {}", sent.job))
+/// Returns the jobs with requests whose connection broke before an answer arrived, which must not happen
+/// where hosts are only stopped, reloaded and given new manifests.
+pub fn find_cut_off_requests(jobs: &[SubmittedJob]) -> Vec<String> {
+    let cut_off = jobs.iter().filter(|job| job.cut_off > 0);
+    cut_off
+        .map(|job| {
+            format!(
+                "planned work must not cut off a request: one for job {} got no answer",
+                job.job
+            )
+        })
         .collect()
 }
 
@@ -116,16 +130,17 @@
     task.split('.').next()
 }
 
-/// Pairs starts with their ends. A run of a killed executor ends with it.
-fn spans(
+/// Returns the runs of each task. A run without a recorded end, on an executor that was killed after its
+/// start, ends with the kill.
+fn pair_runs(
     records: &[(SmolStr, RunRecord)],
     killed_ms: &BTreeMap<SmolStr, Vec<u64>>,
 ) -> BTreeMap<SmolStr, Vec<Span>> {
     let mut spans: BTreeMap<SmolStr, Vec<Span>> = BTreeMap::new();
     for (executor, record) in records {
-        let of_task = spans.entry(record.task.clone()).or_default();
-        if record.what == "start" {
-            of_task.push(Span {
+        let task_spans = spans.entry(record.task.clone()).or_default();
+        if record.event == "start" {
+            task_spans.push(Span {
                 executor: executor.clone(),
                 run: record.run,
                 from_ms: record.at_ms,
@@ -133,69 +148,75 @@
             });
             continue;
         }
-        let mut open = of_task.iter_mut().rev();
-        let mine = open.find(|span| span.executor == *executor && span.run == record.run);
-        if let Some(span) = mine {
+        let mut open_spans = task_spans.iter_mut().rev();
+        let matching = open_spans.find(|span| span.executor == *executor && span.run == record.run);
+        if let Some(span) = matching {
             span.to_ms = Some(record.at_ms);
         }
     }
     for span in spans.values_mut().flatten() {
-        let killed = killed_ms.get(&span.executor);
-        let next = killed.and_then(|at| at.iter().find(|at| **at >= span.from_ms));
-        span.to_ms = span.to_ms.or(next.copied());
+        let kill_times = killed_ms.get(&span.executor);
+        let kill_ms = kill_times.and_then(|at| at.iter().find(|at| **at >= span.from_ms));
+        span.to_ms = span.to_ms.or(kill_ms.copied());
     }
     spans
 }
 
-fn at_work_twice(task: &str, spans: &[Span]) -> Vec<String> {
-    let mut found = Vec::new();
+fn find_overlapping_runs(task: &str, spans: &[Span]) -> Vec<String> {
+    let mut violations = Vec::new();
     for (index, first) in spans.iter().enumerate() {
         for second in &spans[index + 1..] {
-            if overlap(first, second) {
-                found.push(format!(
-                    "two runs of {task} at a time: {first:?} and {second:?}"
+            if is_overlap(first, second) {
+                violations.push(format!(
+                    "a task has at most one run at a time: {task} had {first:?} and {second:?}"
                 ));
             }
         }
     }
-    found
+    violations
 }
 
-fn overlap(first: &Span, second: &Span) -> bool {
-    let ends_before = |one: &Span, other: &Span| {
-        one.to_ms
-            .is_some_and(|end| end <= other.from_ms + ROUNDING_MS)
+fn is_overlap(first: &Span, second: &Span) -> bool {
+    let ends_before = |earlier: &Span, later: &Span| {
+        earlier
+            .to_ms
+            .is_some_and(|end| end <= later.from_ms + ROUNDING_MS)
     };
     !ends_before(first, second) && !ends_before(second, first)
 }
 
-/// Checks one caller's answers.
-fn untrue(
-    sent: &Sent,
+/// Returns the answers about a job that the executors' records contradict.
+fn find_false_answers(
+    submitted_job: &SubmittedJob,
     started: &BTreeSet<&str>,
     records: &[(SmolStr, RunRecord)],
     killed_ms: &BTreeMap<SmolStr, Vec<u64>>,
 ) -> Vec<String> {
-    let job = &sent.job;
-    let mut found = Vec::new();
-    let is_refused = sent.heard.iter().all(|heard| *heard == Heard::NotRun);
-    if is_refused && started.contains(job.as_str()) {
-        found.push(format!("{job} was answered \"not run\" and ran"));
+    let job_id = &submitted_job.job;
+    let mut violations = Vec::new();
+    let is_never_run = submitted_job
+        .answers
+        .iter()
+        .all(|answer| *answer == Answer::NotRun);
+    if is_never_run && started.contains(job_id.as_str()) {
+        violations.push(format!(
+            "a job that is answered \"not run\" must not run: {job_id} was started"
+        ));
     }
-    // Records of a killed executor's last moments are lost with it.
-    if sent.heard.last() == Some(&Heard::Completed) && killed_ms.is_empty() {
+    // An executor that is killed loses the records of its last moments.
+    if submitted_job.answers.last() == Some(&Answer::Completed) && killed_ms.is_empty() {
         let done: BTreeSet<&SmolStr> = records
             .iter()
-            .filter(|(_, record)| record.what == "done" && job_of(&record.task) == Some(job))
+            .filter(|(_, record)| record.event == "done" && job_of(&record.task) == Some(job_id))
             .map(|(_, record)| &record.task)
             .collect();
-        if done.len() != usize::from(sent.tasks) {
-            found.push(format!(
-                "{job} was answered complete with {} of {} tasks done",
+        if done.len() != usize::from(submitted_job.tasks) {
+            violations.push(format!(
+                "a job that is answered \"completed\" has all tasks done: {job_id} has {} of {}",
                 done.len(),
-                sent.tasks
+                submitted_job.tasks
             ));
         }
     }
-    found
+    violations
 }
--- a/crates/onyxshed-soak/src/faults.rs
+++ b/crates/onyxshed-soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a soak, drawn from its seed.
+//! The faults of a soak, and the plan of them that is drawn from its seed.
 
 use std::time::Duration;
 
@@ -10,60 +10,61 @@
 
 use crate::fleet::zone_of;
 
-/// One thing that goes wrong, or is put right.
+/// A fault that is injected, and for how long; or a planned action of operators.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Fault {
-    /// A host is killed; it starts again after the span.
+    /// Kills a host and starts it again after the duration.
     KillHost(SmolStr, Duration),
-    /// A host stands still for the span.
+    /// Freezes the process of a host for the duration.
     FreezeHost(SmolStr, Duration),
-    /// A host is asked to stop, and starts again once it has.
+    /// Asks a host to stop and starts it again once it has ended.
     StopHost(SmolStr),
-    /// A host is told that its settings changed.
+    /// Signals a host to reload its settings.
     HangUp(SmolStr),
-    /// An executor is killed; it starts again after the span.
+    /// Kills an executor and starts it again after the duration.
     KillExecutor(SmolStr, Duration),
-    /// An executor stands still for the span.
+    /// Freezes the process of an executor for the duration.
     FreezeExecutor(SmolStr, Duration),
-    /// An executor takes so many times as long for the span, also for what runs there.
+    /// Divides the speed of an executor by the factor for the duration, for runs in progress as well.
     SlowExecutor(SmolStr, f64, Duration),
-    /// Connections of the routes named misbehave for the span.
+    /// Sets the mode of the proxy's routes that match the name for the duration.
     Route(SmolStr, Mode, Duration),
-    /// The store misbehaves for the span.
+    /// Injects faults into the store for the duration.
     Store(StoreFaults, Duration),
-    /// The store does something once: forgets its history, takes all partitions away.
+    /// Sends a command to the store: `forget` drops its records, `revoke` takes all partitions from their
+    /// holders.
     Command(&'static str),
-    /// The manifest changes.
+    /// Publishes a new version of the manifest.
     Manifest,
-    /// Operators evacuate a zone, and restore it after the span.
+    /// Evacuates a zone as operators do, and restores it after the duration.
     Evacuate(SmolStr, Duration),
 }
 
-/// A fault and when it strikes, from the start of the faults.
+/// A fault and the time at which it is injected.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Planned {
-    /// When.
+    /// The time from the start of the plan.
     pub at: Duration,
-    /// What.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// Which faults a soak draws.
+/// The kinds of faults that a soak draws.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultMix {
-    /// All kinds but slow executors.
+    /// All kinds except slow executors and evacuations.
     All,
-    /// Slow executors, and now and then any other kind.
+    /// Slow executors, and in one draw of three any kind of [`FaultMix::All`].
     Slow,
-    /// Planned work alone: stops, reloads and new manifests.
+    /// Planned work only: stops, reloads and new manifests.
     Planned,
-    /// Evacuations of zones, and kills and planned work beside them; the store and the links stay sound, so that
-    /// every host hears of an evacuation in time.
+    /// Evacuations of zones, together with kills and planned work. The store and the links have no faults, so
+    /// that every host learns of an evacuation in time.
     Evacuations,
 }
 
-/// Draws a plan: faults in series, and overlapping.
-pub fn plan(
+/// Draws a plan of 4 to 11 faults, which may overlap, ordered by time.
+pub fn draw_plan(
     rng: &mut SmallRng,
     mix: FaultMix,
     length: Duration,
@@ -76,7 +77,7 @@
         .map(|_| Planned {
             at: Duration::from_millis(rng.random_range(0..length_ms)),
             fault: match mix {
-                FaultMix::All => draw(rng, hosts, executors),
+                FaultMix::All => draw_any(rng, hosts, executors),
                 FaultMix::Slow => draw_slow(rng, hosts, executors),
                 FaultMix::Planned => draw_planned(rng, hosts),
                 FaultMix::Evacuations => draw_evacuation(rng, hosts, executors),
@@ -87,31 +88,31 @@
     plan
 }
 
-fn one_of(rng: &mut SmallRng, names: &[SmolStr]) -> SmolStr {
+fn draw_name(rng: &mut SmallRng, names: &[SmolStr]) -> SmolStr {
     names[rng.random_range(0..names.len())].clone()
 }
 
-fn span(rng: &mut SmallRng) -> Duration {
+fn draw_duration(rng: &mut SmallRng) -> Duration {
     Duration::from_millis(rng.random_range(100..3_500))
 }
 
 fn draw_planned(rng: &mut SmallRng, hosts: &[SmolStr]) -> Fault {
     match rng.random_range(0..4) {
-        0 => Fault::HangUp(one_of(rng, hosts)),
+        0 => Fault::HangUp(draw_name(rng, hosts)),
         1 => Fault::Manifest,
-        _ => Fault::StopHost(one_of(rng, hosts)),
+        _ => Fault::StopHost(draw_name(rng, hosts)),
     }
 }
 
 fn draw_evacuation(rng: &mut SmallRng, hosts: &[SmolStr], executors: &[SmolStr]) -> Fault {
     match rng.random_range(0..5) {
-        0 => Fault::KillHost(one_of(rng, hosts), span(rng)),
-        1 => Fault::KillExecutor(one_of(rng, executors), span(rng)),
+        0 => Fault::KillHost(draw_name(rng, hosts), draw_duration(rng)),
+        1 => Fault::KillExecutor(draw_name(rng, executors), draw_duration(rng)),
         2 => draw_planned(rng, hosts),
         _ => {
             let mut zones: Vec<SmolStr> = hosts.iter().filter_map(|host| zone_of(host)).collect();
             zones.dedup();
-            let zone = one_of(rng, &zones);
+            let zone = draw_name(rng, &zones);
             Fault::Evacuate(zone, Duration::from_millis(rng.random_range(500..6_000)))
         }
     }
@@ -119,44 +120,44 @@
 
 fn draw_slow(rng: &mut SmallRng, hosts: &[SmolStr], executors: &[SmolStr]) -> Fault {
     match rng.random_range(0..3) {
-        0 => draw(rng, hosts, executors),
+        0 => draw_any(rng, hosts, executors),
         _ => {
-            let times = rng.random_range(2.0..10.0);
-            Fault::SlowExecutor(one_of(rng, executors), times, span(rng))
+            let factor = rng.random_range(2.0..10.0);
+            Fault::SlowExecutor(draw_name(rng, executors), factor, draw_duration(rng))
         }
     }
 }
 
-fn draw(rng: &mut SmallRng, hosts: &[SmolStr], executors: &[SmolStr]) -> Fault {
+fn draw_any(rng: &mut SmallRng, hosts: &[SmolStr], executors: &[SmolStr]) -> Fault {
     match rng.random_range(0..14) {
-        0 => Fault::KillHost(one_of(rng, hosts), span(rng)),
-        1 => Fault::FreezeHost(one_of(rng, hosts), span(rng)),
-        2 => Fault::StopHost(one_of(rng, hosts)),
-        3 => Fault::HangUp(one_of(rng, hosts)),
-        4 => Fault::KillExecutor(one_of(rng, executors), span(rng)),
-        5 => Fault::FreezeExecutor(one_of(rng, executors), span(rng)),
-        6 => Fault::Store(store_faults(rng), span(rng)),
+        0 => Fault::KillHost(draw_name(rng, hosts), draw_duration(rng)),
+        1 => Fault::FreezeHost(draw_name(rng, hosts), draw_duration(rng)),
+        2 => Fault::StopHost(draw_name(rng, hosts)),
+        3 => Fault::HangUp(draw_name(rng, hosts)),
+        4 => Fault::KillExecutor(draw_name(rng, executors), draw_duration(rng)),
+        5 => Fault::FreezeExecutor(draw_name(rng, executors), draw_duration(rng)),
+        6 => Fault::Store(draw_store_faults(rng), draw_duration(rng)),
         7 => Fault::Command(["forget", "revoke"][rng.random_range(0..2)]),
         8 => Fault::Manifest,
         _ => {
-            let (route, mode) = (route(rng, hosts, executors), mode(rng));
-            Fault::Route(route, mode, span(rng))
+            let (route, mode) = (draw_route(rng, hosts, executors), draw_mode(rng));
+            Fault::Route(route, mode, draw_duration(rng))
         }
     }
 }
 
-fn route(rng: &mut SmallRng, hosts: &[SmolStr], executors: &[SmolStr]) -> SmolStr {
+fn draw_route(rng: &mut SmallRng, hosts: &[SmolStr], executors: &[SmolStr]) -> SmolStr {
     match rng.random_range(0..6) {
         0 => SmolStr::new_static("store-*"),
-        1 => format_smolstr!("store-{}", one_of(rng, hosts)),
-        2 => format_smolstr!("peer-{}", one_of(rng, hosts)),
+        1 => format_smolstr!("store-{}", draw_name(rng, hosts)),
+        2 => format_smolstr!("peer-{}", draw_name(rng, hosts)),
         3 => SmolStr::new_static("peer-*"),
-        4 => format_smolstr!("callers-{}", one_of(rng, hosts)),
-        _ => format_smolstr!("executor-{}", one_of(rng, executors)),
+        4 => format_smolstr!("callers-{}", draw_name(rng, hosts)),
+        _ => format_smolstr!("executor-{}", draw_name(rng, executors)),
     }
 }
 
-fn mode(rng: &mut SmallRng) -> Mode {
+fn draw_mode(rng: &mut SmallRng) -> Mode {
     match rng.random_range(0..8) {
         0 => Mode::Cut,
         1 => Mode::Hold,
@@ -171,7 +172,7 @@
     }
 }
 
-fn store_faults(rng: &mut SmallRng) -> StoreFaults {
+fn draw_store_faults(rng: &mut SmallRng) -> StoreFaults {
     match rng.random_range(0..3) {
         0 => StoreFaults {
             is_busy: true,
--- a/crates/onyxshed-soak/src/fleet.rs
+++ b/crates/onyxshed-soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of one soak.
+//! The processes of one soak: the store, the proxy, the hosts and the executors.
 
 mod commands;
 mod executors;
@@ -18,50 +18,50 @@
 use smol_str::{SmolStr, format_smolstr};
 use tempfile::TempDir;
 
-/// How long a call to a stand-in may take, on a machine that is busy.
+/// The timeout of a call to a stand-in or of a readiness check, long enough for a busy machine.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long everything may take to come up.
-const READY_CEILING: Duration = Duration::from_secs(60);
+/// The time within which all hosts have to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long the platform waits before it kills a host that was asked to stop.
-pub const GRACE: Duration = Duration::from_secs(6);
+/// The time after which the platform kills a host that was asked to stop.
+pub const STOP_GRACE: Duration = Duration::from_secs(6);
 
-/// The host header of the one route.
+/// The host header of the only route in the manifest.
 pub const ROUTE_HOST: &str = "desk.example";
 
-/// The path prefix of the one route.
+/// The path prefix of the only route in the manifest.
 pub const ROUTE_PREFIX: &str = "/jobs/";
 
-/// What runs.
+/// The size of a fleet and the clocks of its executors.
 #[derive(Debug, Clone)]
 pub struct FleetOptions {
-    /// Zones.
+    /// The number of availability zones.
     pub zones: usize,
-    /// Hosts in each zone.
+    /// The number of hosts in each zone.
     pub hosts: usize,
-    /// Executors in each zone.
+    /// The number of executors in each zone.
     pub executors: usize,
-    /// What the executors' clocks show.
+    /// The accuracy of the executors' clocks.
     pub clocks: ExecutorClocks,
 }
 
-/// What the executors' clocks show.
+/// The accuracy of the executors' clocks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutorClocks {
-    /// The time since their start.
-    True,
-    /// Up to 90 s more, and up to 2% slow, which is the most that the platform allows.
-    Off,
+    /// Every clock shows the true time since the executor's start.
+    Accurate,
+    /// Clocks are up to 90 s ahead and up to 2% slow, which is the most that the platform allows.
+    Skewed,
 }
 
 impl ExecutorClocks {
-    /// Gets how far an executor's clock is ahead, in milliseconds, and by how many thousandths it is
-    /// slow.
-    fn of(self, index: usize) -> (u64, u64) {
+    /// Returns the time by which the clock of the executor with this index is ahead, in milliseconds, and the
+    /// rate by which it is slow, in thousandths.
+    fn skew_of(self, index: usize) -> (u64, u64) {
         match self {
-            ExecutorClocks::True => (0, 0),
-            ExecutorClocks::Off => [(90_000, 20), (0, 11), (4_000, 0)][index % 3],
+            ExecutorClocks::Accurate => (0, 0),
+            ExecutorClocks::Skewed => [(90_000, 20), (0, 11), (4_000, 0)][index % 3],
         }
     }
 }
@@ -72,56 +72,59 @@
             zones: 2,
             hosts: 2,
             executors: 3,
-            clocks: ExecutorClocks::True,
+            clocks: ExecutorClocks::Accurate,
         }
     }
 }
 
-/// One host: its process, and what is needed to start it again.
+/// One host: its process, the arguments to start it again, and its addresses for callers and for readiness
+/// checks.
 struct Host {
     process: Option<Process>,
     arguments: Vec<String>,
-    callers: SocketAddr,
-    ready: SocketAddr,
+    caller_address: SocketAddr,
+    ready_address: SocketAddr,
 }
 
-/// One executor.
+/// One executor: its process, the arguments to start it again, and the address that it listens on while it
+/// runs.
 struct Executor {
     process: Option<Process>,
     arguments: Vec<String>,
     address: Option<SocketAddr>,
 }
 
-/// Everything that one soak runs.
+/// All processes of one soak, and the folder of their settings and logs.
 pub struct Fleet {
     store: Process,
     proxy: Process,
     hosts: BTreeMap<SmolStr, Host>,
     executors: BTreeMap<SmolStr, Executor>,
-    /// What executors recorded that were killed since.
-    past: Vec<(SmolStr, RunRecord)>,
+    /// The records that were read from executors so far, among them those of executors killed since.
+    collected_records: Vec<(SmolStr, RunRecord)>,
     folder: TempDir,
 }
 
-/// A host that is to be added.
+/// A host that is to be added to the fleet.
 struct NewHost {
     name: SmolStr,
     zone: usize,
     ip: Ipv4Addr,
-    /// Where the others reach it.
+    /// The address at which other hosts reach the host, a route of the proxy.
     advertised: SocketAddr,
 }
 
-/// Port on which hosts serve one another.
+/// The port on which hosts accept connections of other hosts.
 const PEER_PORT: u16 = 8_166;
 
-/// Hosts that each host is told of, as on the platform.
+/// The number of hosts that the settings of each host name, as on the platform.
 const SEEDS_MAX: usize = 3;
 
 impl Fleet {
-    /// Tries to start all processes and waits until every host is ready.
+    /// Starts all processes and waits until every host is ready.
     pub async fn start(options: &FleetOptions) -> Result<Self> {
-        let folder = tempfile::tempdir().map_err(|error| unmet("a folder", &error.to_string()))?;
+        let folder = tempfile::tempdir()
+            .map_err(|error| unmet("a temporary folder is created", &error.to_string()))?;
         let path = folder.path();
         let mut store = Process::start("standin-fleet-store", "store", &[], path)?;
         let mut proxy = Process::start("standin-faults", "faults", &[], path)?;
@@ -132,12 +135,11 @@
             proxy,
             hosts: BTreeMap::new(),
             executors: BTreeMap::new(),
-            past: Vec::new(),
+            collected_records: Vec::new(),
             folder,
         };
         fleet.put_manifest(1, 60).await?;
-        // Addresses of this run alone on the loopback network, so that runs side by side share no
-        // port.
+        // Each run has its own addresses in the loopback network, so that parallel runs do not share a port.
         let network = [
             127,
             rand::random_range(16..=250),
@@ -149,21 +151,23 @@
             }
         }
         let mut number = 0;
-        let mut places = Vec::new();
+        let mut planned_hosts = Vec::new();
         for zone in 0..options.zones {
             for index in 0..options.hosts {
                 number += 1;
                 let ip = Ipv4Addr::new(network[0], network[1], network[2], number);
                 let name = format_smolstr!("h-{zone}-{index}");
-                let peer_at = SocketAddr::new(ip.into(), PEER_PORT);
-                let advertised = fleet.route(&format!("peer-{name}"), peer_at).await?;
-                places.push((zone, name, ip, advertised));
+                let peer_address = SocketAddr::new(ip.into(), PEER_PORT);
+                let advertised = fleet
+                    .open_route(&format!("peer-{name}"), peer_address)
+                    .await?;
+                planned_hosts.push((zone, name, ip, advertised));
             }
         }
-        // The platform names some hosts of the whole deployment to each.
-        let others = places.iter().map(|(.., advertised)| *advertised);
-        let seeds: Vec<SocketAddr> = others.take(SEEDS_MAX).collect();
-        for (zone, name, ip, advertised) in places {
+        // The platform names a few hosts of the whole deployment to each host.
+        let advertised_addresses = planned_hosts.iter().map(|(.., advertised)| *advertised);
+        let seeds: Vec<SocketAddr> = advertised_addresses.take(SEEDS_MAX).collect();
+        for (zone, name, ip, advertised) in planned_hosts {
             let host = NewHost {
                 name,
                 zone,
@@ -183,19 +187,22 @@
             ip,
             advertised,
         } = host;
-        let at = |port| SocketAddr::new(IpAddr::V4(ip), port);
+        let address_at = |port| SocketAddr::new(IpAddr::V4(ip), port);
         let store = self.store.address("store")?;
-        let store = self.route(&format!("store-{name}"), store).await?;
-        let callers = self.route(&format!("callers-{name}"), at(8_161)).await?;
+        let store = self.open_route(&format!("store-{name}"), store).await?;
+        let caller_address = self
+            .open_route(&format!("callers-{name}"), address_at(8_161))
+            .await?;
         let zones: BTreeMap<String, &str> =
             (0..zones).map(|zone| (format!("z{zone}"), "r")).collect();
         let settings = json!({
             "node_name": name, "ip": ip, "zone": format!("z{zone}"), "zones": zones,
-            "listen_addrs": {"front": at(8_161), "ready": at(8_167), "control": at(PEER_PORT)},
+            "listen_addrs": {"front": address_at(8_161), "ready": address_at(8_167),
+                "control": address_at(PEER_PORT)},
             "port_range": [7_720, 7_735], "seeds": seeds,
             "limits": {"cpu_share": 0.25, "cpu_cores": 1, "memory_mb": 260},
             "heartbeat_ms": 500,
-            "bounds": {"hold_max_ms": 1000, "grace_s": GRACE.as_secs(), "resend_ms": 1300},
+            "bounds": {"hold_max_ms": 1000, "grace_s": STOP_GRACE.as_secs(), "resend_ms": 1300},
             "platform": {"address": store, "ttl_min_ms": 1000},
         });
         let path = self.folder.path().join(format!("{name}.json"));
@@ -207,14 +214,14 @@
                 format!("--settings={}", path.display()),
                 format!("--advertise={advertised}"),
             ],
-            callers,
-            ready: at(8_167),
+            caller_address,
+            ready_address: address_at(8_167),
         };
         self.hosts.insert(name.clone(), host);
         self.start_host(&name)
     }
 
-    /// Starts a host that does not run.
+    /// Starts a host unless its process is running.
     pub fn start_host(&mut self, name: &SmolStr) -> Result<()> {
         let folder = self.folder.path().to_owned();
         let Some(host) = self.hosts.get_mut(name) else {
@@ -230,11 +237,11 @@
         Ok(())
     }
 
-    /// Does something to a host's process, if it runs.
+    /// Applies an action, such as a signal, to the process of a host if it is running.
     pub fn signal_host(
         &mut self,
         name: &SmolStr,
-        act: impl FnOnce(&mut Process) -> Result<()>,
+        action: impl FnOnce(&mut Process) -> Result<()>,
     ) -> Result<()> {
         let host = self.hosts.get_mut(name);
         let Some(process) = host.and_then(|host| host.process.as_mut()) else {
@@ -243,38 +250,47 @@
         if process.ended()?.is_some() {
             return Ok(());
         }
-        act(process)
+        action(process)
     }
 
-    /// Gets the hosts' names.
+    /// Returns the names of all hosts, in order.
     pub fn host_names(&self) -> Vec<SmolStr> {
         self.hosts.keys().cloned().collect()
     }
 
-    /// Gets the executors' ids.
+    /// Returns the ids of all executors, in order.
     pub fn executor_ids(&self) -> Vec<SmolStr> {
         self.executors.keys().cloned().collect()
     }
 
-    /// Gets where callers reach each host.
+    /// Returns the address for callers of each host, in the order of the hosts' names.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
-        self.hosts.values().map(|host| host.callers).collect()
+        self.hosts
+            .values()
+            .map(|host| host.caller_address)
+            .collect()
     }
 
-    /// Asks a host's readiness; its status, none without an answer.
-    pub async fn readiness(&self, name: &SmolStr) -> Option<u16> {
-        let ready = self.hosts.get(name)?.ready;
-        let asked = call_once(ready, Method::Get, "readyz", Vec::new(), CALL_TIMEOUT);
-        asked.await.ok().map(|reply| reply.status)
+    /// Returns the status of a host's readiness check; `None` if the host is unknown or does not answer.
+    pub async fn readiness_status(&self, name: &SmolStr) -> Option<u16> {
+        let ready_address = self.hosts.get(name)?.ready_address;
+        let request = call_once(
+            ready_address,
+            Method::Get,
+            "readyz",
+            Vec::new(),
+            CALL_TIMEOUT,
+        );
+        request.await.ok().map(|reply| reply.status)
     }
 
     /// Waits until every host is ready.
     pub async fn wait_ready(&self) -> Result<()> {
-        let begun = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         for name in self.host_names() {
-            while self.readiness(&name).await != Some(200) {
-                if begun.elapsed() > READY_CEILING {
-                    return Err(unmet("every host is ready", &self.log_of(&name)));
+            while self.readiness_status(&name).await != Some(200) {
+                if started_at.elapsed() > READY_TIMEOUT {
+                    return Err(unmet("every host is ready", &self.log_tail(&name)));
                 }
                 Timer::after(Duration::from_millis(50)).await;
             }
@@ -282,17 +298,17 @@
         Ok(())
     }
 
-    /// Gets the end of a process's log.
-    pub fn log_of(&self, name: &SmolStr) -> String {
+    /// Returns the tail of a host's log; empty if the host was not started.
+    pub fn log_tail(&self, name: &SmolStr) -> String {
         let process = self.hosts.get(name).and_then(|host| host.process.as_ref());
         process.map(Process::log_tail).unwrap_or_default()
     }
 
-    /// Gets the lines of all hosts' logs that name a job.
-    pub fn lines_about(&self, word: &str) -> Vec<String> {
+    /// Returns the lines of all hosts' logs that contain a text, each with the name of its host.
+    pub fn log_lines_with(&self, text: &str) -> Vec<String> {
         let logs = self.hosts.iter().filter_map(|(name, host)| {
             let log = host.process.as_ref()?.log();
-            let lines = log.lines().filter(|line| line.contains(word));
+            let lines = log.lines().filter(|line| line.contains(text));
             Some(
                 lines
                     .map(|line| format!("{name} {line}"))
@@ -302,26 +318,27 @@
         logs.flatten().collect()
     }
 
-    /// Gets the folder of settings and logs.
+    /// Returns the folder of settings and logs.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Keeps the folder after the end, for a failure to be looked into; gets where it is.
+    /// Keeps the folder of settings and logs after the end of the soak, for the analysis of a failure;
+    /// returns its path.
     pub fn keep_folder(&mut self) -> String {
         self.folder.disable_cleanup(true);
         self.folder.path().display().to_string()
     }
 }
 
-/// Makes the error of an expectation that does not hold.
-pub fn unmet(what: &str, found: &str) -> Error {
+/// Returns the error for an expectation that is not met, with what was found instead.
+pub fn unmet(expectation: &str, found: &str) -> Error {
     Error::Unmet {
-        what: format_smolstr!("{what}: {found}"),
+        what: format_smolstr!("{expectation}: {found}"),
     }
 }
 
-/// Gets the zone of a host or an executor by its name.
+/// Returns the availability zone in the name of a host or an executor; `None` if the name has another form.
 pub fn zone_of(name: &str) -> Option<SmolStr> {
     let number = name.split('-').nth(1)?;
     Some(format_smolstr!("z{number}"))
--- a/crates/onyxshed-soak/src/fleet/commands.rs
+++ b/crates/onyxshed-soak/src/fleet/commands.rs
@@ -1,4 +1,5 @@
-//! What a soak tells the stand-in of the store, as the operators and the platform would, and the proxy.
+//! Commands of a soak to the stand-in of the store, as operators and the platform send them, and to the
+//! proxy.
 
 use std::net::SocketAddr;
 
@@ -13,13 +14,24 @@
 use super::{CALL_TIMEOUT, Fleet, ROUTE_HOST, ROUTE_PREFIX, unmet};
 
 impl Fleet {
-    pub(super) async fn put<T: Serialize>(&self, topic: &str, key: &str, value: &T) -> Result<()> {
+    pub(super) async fn put_record<T: Serialize>(
+        &self,
+        topic: &str,
+        key: &str,
+        value: &T,
+    ) -> Result<()> {
         let path = format!("control/put?topic={topic}&key={key}");
-        let body = serde_json::to_vec(value).expect("plain JSON");
-        self.tell(self.store.address("store")?, &path, body).await
+        let body = serde_json::to_vec(value).expect("the value serializes to JSON");
+        self.post_command(self.store.address("store")?, &path, body)
+            .await
     }
 
-    pub(super) async fn tell(&self, address: SocketAddr, path: &str, body: Vec<u8>) -> Result<()> {
+    pub(super) async fn post_command(
+        &self,
+        address: SocketAddr,
+        path: &str,
+        body: Vec<u8>,
+    ) -> Result<()> {
         let reply = call_once(address, Method::Post, path, body, CALL_TIMEOUT).await;
         match reply {
             Ok(reply) if reply.status == 200 => Ok(()),
@@ -28,7 +40,7 @@
         }
     }
 
-    /// Publishes a version of the manifest.
+    /// Publishes a version of the manifest whose route has the given latency objective.
     pub async fn put_manifest(&self, version: u64, objective_ms: u64) -> Result<()> {
         let manifest = json!({
             "version": version,
@@ -37,25 +49,26 @@
                 "priority": 0, "service": "desk", "attempts": 2, "stretch": 1.6}],
             "services": [], "limits": {"max_header_bytes": 16384, "max_body_bytes": 262144},
         });
-        self.put("keyed.op", "config", &manifest).await
+        self.put_record("keyed.op", "config", &manifest).await
     }
 
-    /// Evacuates a zone, or restores it.
+    /// Evacuates a zone or restores it, as operators do.
     pub async fn set_evacuated(&self, zone: &str, is_evacuated: bool) -> Result<()> {
         let path = format!("control/put?topic=keyed.op&key=evacuate/{zone}");
         let body = match is_evacuated {
             true => b"{}".to_vec(),
             false => Vec::new(),
         };
-        self.tell(self.store.address("store")?, &path, body).await
+        self.post_command(self.store.address("store")?, &path, body)
+            .await
     }
 
-    pub(super) async fn route(&self, name: &str, to: SocketAddr) -> Result<SocketAddr> {
-        let new = NewRoute {
+    pub(super) async fn open_route(&self, name: &str, to: SocketAddr) -> Result<SocketAddr> {
+        let new_route = NewRoute {
             name: name.into(),
             to,
         };
-        let body = serde_json::to_vec(&new).expect("plain JSON");
+        let body = serde_json::to_vec(&new_route).expect("the value serializes to JSON");
         let control = self.proxy.address("http")?;
         let path = "control/routes";
         let reply = call_once(control, Method::Post, path, body, CALL_TIMEOUT).await;
@@ -63,33 +76,35 @@
         serde_json::from_slice(&reply.body).map_err(|error| unmet(path, &error.to_string()))
     }
 
-    /// Sets what happens on the routes named; a name that ends in '*' stands for all that begin so.
+    /// Sets the mode of the proxy's routes that match a name; a name that ends in `*` matches all with that
+    /// prefix.
     pub async fn set_mode(&self, routes: &str, mode: Mode) -> Result<()> {
         let command = SetMode {
             routes: vec![routes.into()],
             mode,
         };
-        let body = serde_json::to_vec(&command).expect("plain JSON");
+        let body = serde_json::to_vec(&command).expect("the value serializes to JSON");
         let control = self.proxy.address("http")?;
-        self.tell(control, "control/mode", body).await
+        self.post_command(control, "control/mode", body).await
     }
 
-    /// Sets what the store does wrong.
+    /// Replaces the faults of the store.
     pub async fn set_store_faults(&self, faults: &StoreFaults) -> Result<()> {
-        let body = serde_json::to_vec(faults).expect("plain JSON");
+        let body = serde_json::to_vec(faults).expect("the value serializes to JSON");
         let store = self.store.address("store")?;
-        self.tell(store, "control/faults", body).await
+        self.post_command(store, "control/faults", body).await
     }
 
-    /// Lets the store forget its history, or take every partition away.
-    pub async fn command_store(&self, what: &str) -> Result<()> {
+    /// Sends a command to the store: `forget` drops its records, `revoke` takes all partitions from their
+    /// holders.
+    pub async fn command_store(&self, command: &str) -> Result<()> {
         let store = self.store.address("store")?;
-        self.tell(store, &format!("control/{what}"), Vec::new())
+        self.post_command(store, &format!("control/{command}"), Vec::new())
             .await
     }
 
-    /// Gets how often members have joined a group of the store, or stayed in it.
-    pub async fn joins(&self) -> Result<u64> {
+    /// Returns the number of joins and of renewals of memberships in all groups of the store so far.
+    pub async fn join_count(&self) -> Result<u64> {
         let store = self.store.address("store")?;
         let path = "control/joins";
         let reply = call_once(store, Method::Post, path, Vec::new(), CALL_TIMEOUT).await;
@@ -97,14 +112,14 @@
         serde_json::from_slice(&reply.body).map_err(|error| unmet(path, &error.to_string()))
     }
 
-    /// Lets a member that is no host join a pool's group and leave it again.
-    pub async fn pass_through_group(&self, pool: &str) -> Result<()> {
+    /// Joins a member that is not a host to the group of a pool, and removes it again.
+    pub async fn join_and_leave_group(&self, pool: &str) -> Result<()> {
         let store = self.store.address("store")?;
-        let joined = json!({ "group": pool, "member": "0", "ttl_ms": 1_000, "generation": 0 });
-        let left = json!({ "group": pool, "member": "0" });
-        self.tell(store, "log-join", joined.to_string().into_bytes())
+        let join = json!({ "group": pool, "member": "0", "ttl_ms": 1_000, "generation": 0 });
+        let leave = json!({ "group": pool, "member": "0" });
+        self.post_command(store, "log-join", join.to_string().into_bytes())
             .await?;
-        self.tell(store, "log-leave", left.to_string().into_bytes())
+        self.post_command(store, "log-leave", leave.to_string().into_bytes())
             .await
     }
 }
--- a/crates/onyxshed-soak/src/fleet/executors.rs
+++ b/crates/onyxshed-soak/src/fleet/executors.rs
@@ -1,4 +1,4 @@
-//! The executors of a soak: their processes, their speed and what they recorded.
+//! The executors of a soak: their processes, their speed and their records of runs.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -12,19 +12,19 @@
 
 use super::{CALL_TIMEOUT, Executor, ExecutorClocks, Fleet};
 
-/// How long an executor may take to take a new speed; one that stands still does not answer.
+/// The timeout of a change of an executor's speed, short because a frozen executor does not answer.
 const SPEED_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Fleet {
-    /// Sets how many times faster than an ordinary one an executor works; nothing if it does not run.
+    /// Sets the factor by which an executor is faster than an ordinary one; no effect if it is not running.
     pub async fn set_executor_speed(&self, id: &SmolStr, speed: f64) -> Result<()> {
-        let Some(address) = self.executors.get(id).and_then(|found| found.address) else {
+        let Some(address) = self.executors.get(id).and_then(|executor| executor.address) else {
             return Ok(());
         };
-        let body = serde_json::to_vec(&speed).expect("a number");
+        let body = serde_json::to_vec(&speed).expect("a number serializes to JSON");
         let path = "control/speed";
-        // One that stands still finds it in its socket when it goes on; one that is killed starts again at
-        // its ordinary speed.
+        // An error is ignored: a frozen executor reads the request from its socket when it is thawed, and a
+        // killed one starts again at its ordinary speed.
         let _ = call_once(address, Method::Post, path, body, SPEED_TIMEOUT).await;
         Ok(())
     }
@@ -36,12 +36,15 @@
         clocks: ExecutorClocks,
     ) -> Result<()> {
         let id = format_smolstr!("x-{zone}-{index}");
-        // Opened with no target yet; the executor is told where it will be reached.
-        let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
-        let advertised = self.route(&format!("executor-{id}"), nowhere).await?;
+        // The route is opened without a usable target, since the executor needs the address to register
+        // before it starts.
+        let placeholder = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
+        let advertised = self
+            .open_route(&format!("executor-{id}"), placeholder)
+            .await?;
         let store = self.store.address("store")?;
         let speed = [0.7, 1.0, 1.6][index % 3];
-        let (ahead_ms, slow_millis) = clocks.of(index);
+        let (ahead_ms, slow_millis) = clocks.skew_of(index);
         let arguments: Vec<String> = [
             format!("--store={store}"),
             format!("--advertised={advertised}"),
@@ -61,7 +64,7 @@
         self.start_executor(&id).await
     }
 
-    /// Starts an executor that does not run.
+    /// Starts an executor and sets the target of its route.
     pub async fn start_executor(&mut self, id: &SmolStr) -> Result<()> {
         let folder = self.folder.path().to_owned();
         let Some(executor) = self.executors.get_mut(id) else {
@@ -73,13 +76,13 @@
         let address = process.address("executor")?;
         executor.address = Some(address);
         executor.process = Some(process);
-        self.route(&format!("executor-{id}"), address).await?;
+        self.open_route(&format!("executor-{id}"), address).await?;
         Ok(())
     }
 
-    /// Kills an executor, after its records were read.
+    /// Reads the records of an executor and kills it.
     pub async fn kill_executor(&mut self, id: &SmolStr) -> Result<()> {
-        self.read_records(id).await;
+        self.collect_records(id).await;
         if let Some(executor) = self.executors.get_mut(id)
             && let Some(mut process) = executor.process.take()
         {
@@ -89,8 +92,8 @@
         Ok(())
     }
 
-    /// Freezes an executor, or lets it go on.
-    pub fn freeze_executor(&self, id: &SmolStr, is_frozen: bool) -> Result<()> {
+    /// Freezes or thaws the process of an executor; no effect if it is not running.
+    pub fn set_executor_frozen(&self, id: &SmolStr, is_frozen: bool) -> Result<()> {
         let executor = self.executors.get(id);
         match executor.and_then(|executor| executor.process.as_ref()) {
             Some(process) if is_frozen => process.freeze(),
@@ -99,8 +102,8 @@
         }
     }
 
-    async fn read_records(&mut self, id: &SmolStr) {
-        let Some(address) = self.executors.get(id).and_then(|found| found.address) else {
+    async fn collect_records(&mut self, id: &SmolStr) {
+        let Some(address) = self.executors.get(id).and_then(|executor| executor.address) else {
             return;
         };
         let path = "control/runs";
@@ -109,16 +112,17 @@
             .ok()
             .and_then(|reply| serde_json::from_slice(&reply.body).ok())
             .unwrap_or_default();
-        self.past
+        self.collected_records
             .extend(records.into_iter().map(|record| (id.clone(), record)));
     }
 
-    /// Reads the records of every executor, those killed since included.
-    pub async fn all_records(&mut self) -> Vec<(SmolStr, RunRecord)> {
+    /// Reads the records of all executors; returns them together with those of executors killed since the
+    /// last call.
+    pub async fn take_records(&mut self) -> Vec<(SmolStr, RunRecord)> {
         let ids: Vec<SmolStr> = self.executors.keys().cloned().collect();
         for id in ids {
-            self.read_records(&id).await;
+            self.collect_records(&id).await;
         }
-        std::mem::take(&mut self.past)
+        std::mem::take(&mut self.collected_records)
     }
 }
--- a/crates/onyxshed-soak/src/lib.rs
+++ b/crates/onyxshed-soak/src/lib.rs
@@ -1,9 +1,10 @@
-//! A soak: the real programs as separate processes on one machine, under random faults.
+//! Soak tests: the real programs as separate processes on one machine, under random faults.
 //!
-//! [`fleet`] starts the store's and the executors' stand-ins, the hosts and a fault-injecting proxy
-//! between all of them. [`callers`] send jobs and stay with them as the platform's callers do.
-//! [`faults`] draws a plan from a seed. [`checks`] holds what callers heard against what executors
-//! recorded. Every process is ended by its id.
+//! [`fleet`] starts the stand-ins of the store and the executors, the hosts, and a fault-injecting proxy
+//! between all of them. [`callers`] submits jobs and resubmits those whose outcome is unknown, as the
+//! platform's callers do. [`faults`] draws a plan of faults from a seed. [`run`] carries the plan out, and
+//! [`checks`] compares the answers that callers got with what executors recorded. Every process is ended
+//! by its id.
 
 pub mod callers;
 pub mod checks;
--- a/crates/onyxshed-soak/src/main.rs
+++ b/crates/onyxshed-soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `onyxshed-soak`: soaks seed after seed and tells what did not hold.
+//! `onyxshed-soak`: runs soaks with consecutive seeds and prints the promises that were broken.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -26,35 +26,50 @@
         .version(clap::crate_version!())
         .about("Runs the real programs under random faults and checks their promises")
         .arg(number("seed", "1", "The first seed"))
-        .arg(number("seeds", "1", "How many seeds"))
-        .arg(number("seconds", "8", "How long faults strike, each seed"))
+        .arg(number("seeds", "1", "The number of seeds"))
+        .arg(number(
+            "seconds",
+            "8",
+            "The time in seconds during which faults are injected, for each seed",
+        ))
         .arg(number("zones", "2", "Zones"))
-        .arg(number("hosts", "2", "Hosts in each zone"))
-        .arg(number("executors", "3", "Executors in each zone"))
-        .arg(number("callers", "8", "Callers at a time"))
-        .arg(flag("planned", "Only stops, reloads and new manifests"))
-        .arg(flag("slow", "Mostly executors that turn slow"))
+        .arg(number("hosts", "2", "The number of hosts in each zone"))
+        .arg(number(
+            "executors",
+            "3",
+            "The number of executors in each zone",
+        ))
+        .arg(number("callers", "8", "The number of callers at a time"))
+        .arg(flag(
+            "planned",
+            "Injects only stops, reloads and new manifests",
+        ))
+        .arg(flag("slow", "Injects mostly slow executors"))
         .arg(flag(
             "evacuations",
-            "Evacuated zones beside kills and planned work",
+            "Injects evacuations of zones, kills and planned work",
         ))
         .arg(flag(
             "true-clocks",
-            "Executors' clocks are neither ahead nor slow",
+            "Gives executors accurate clocks, neither ahead nor slow",
         ))
 }
 
 fn options(matches: &ArgMatches, seed: u64) -> SoakOptions {
-    let number = |name: &str| *matches.get_one::<u64>(name).expect("it has a default");
+    let number = |name: &str| {
+        *matches
+            .get_one::<u64>(name)
+            .expect("the option has a default")
+    };
     let count = |name: &str| usize::try_from(number(name)).unwrap_or(usize::MAX);
-    let mut options = SoakOptions::of_seed(seed);
+    let mut options = SoakOptions::with_seed(seed);
     options.fleet.zones = count("zones");
     options.fleet.hosts = count("hosts");
     options.fleet.executors = count("executors");
     options.callers = count("callers");
     options.fleet.clocks = match matches.get_flag("true-clocks") {
-        true => ExecutorClocks::True,
-        false => ExecutorClocks::Off,
+        true => ExecutorClocks::Accurate,
+        false => ExecutorClocks::Skewed,
     };
     if matches.get_flag("planned") {
         options.mix = FaultMix::Planned;
@@ -71,8 +86,12 @@
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
-    let first = *matches.get_one::<u64>("seed").expect("it has a default");
-    let count = *matches.get_one::<u64>("seeds").expect("it has a default");
+    let first = *matches
+        .get_one::<u64>("seed")
+        .expect("the option has a default");
+    let count = *matches
+        .get_one::<u64>("seeds")
+        .expect("the option has a default");
     let mut failed = 0;
     for seed in first..first + count {
         match soak(&options(&matches, seed)) {
@@ -83,12 +102,12 @@
                     report.completed,
                     report.runs,
                     report.faults.len(),
-                    report.broken.len()
+                    report.violations.len()
                 );
-                for line in &report.broken {
+                for line in &report.violations {
                     println!("  {line}");
                 }
-                if !report.broken.is_empty() {
+                if !report.violations.is_empty() {
                     failed += 1;
                     println!("  logs in {:?}; faults {:#?}", report.logs, report.faults);
                 }
--- a/crates/onyxshed-soak/src/run.rs
+++ b/crates/onyxshed-soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One soak from its seed to its report.
+//! The course of one soak: draws the faults from the seed, injects them while callers submit jobs, checks
+//! that jobs are served afterwards, and reports what was violated.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,35 +14,36 @@
 use rand::rngs::SmallRng;
 use smol_str::SmolStr;
 
-use crate::callers::{self, Book, Heard};
+use crate::callers::{self, Answer, SubmittedJobs};
 use crate::checks::{self, EvacuationSpans};
-use crate::faults::{Fault, FaultMix, Planned, plan};
-use crate::fleet::{Fleet, FleetOptions, GRACE, unmet};
+use crate::faults::{Fault, FaultMix, Planned, draw_plan};
+use crate::fleet::{Fleet, FleetOptions, STOP_GRACE, unmet};
 
-/// Time for everything to settle after the last fault, before the calm jobs are sent.
-const SETTLE: Duration = Duration::from_millis(6_000);
+/// The time that the hosts have to recover after the last fault, before the jobs without faults are
+/// submitted.
+const RECOVERY_TIME: Duration = Duration::from_millis(6_000);
 
-/// Share of the calm jobs that must be served once the faults are over, in hundredths.
-const CALM_SERVED_PERCENT: usize = 90;
+/// The share of the jobs submitted after the faults that have to be served, in percent.
+const SERVED_MIN_PERCENT: usize = 90;
 
-/// What is soaked, and for how long.
+/// The options of one soak.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
-    /// Draws the faults and the jobs.
+    /// The seed of the plan of faults and of the jobs.
     pub seed: u64,
-    /// The processes.
+    /// The processes to start.
     pub fleet: FleetOptions,
-    /// Callers at a time.
+    /// The number of callers at a time.
     pub callers: usize,
-    /// How long faults strike.
+    /// The time during which faults are injected.
     pub length: Duration,
-    /// Which faults strike.
+    /// The kinds of faults.
     pub mix: FaultMix,
 }
 
 impl SoakOptions {
-    /// Makes the usual soak of a seed.
-    pub fn of_seed(seed: u64) -> Self {
+    /// Returns the default options with a seed.
+    pub fn with_seed(seed: u64) -> Self {
         SoakOptions {
             seed,
             fleet: FleetOptions::default(),
@@ -52,26 +54,26 @@
     }
 }
 
-/// What one soak showed.
+/// The results of one soak.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// The seed.
+    /// The seed of the soak.
     pub seed: u64,
-    /// Jobs sent.
+    /// The number of jobs submitted.
     pub jobs: usize,
-    /// Of these, completed.
+    /// The number of jobs answered as completed.
     pub completed: usize,
-    /// Runs recorded by executors.
+    /// The number of starts of runs that executors recorded.
     pub runs: usize,
-    /// The faults that struck.
+    /// The faults that were injected.
     pub faults: Vec<Planned>,
-    /// What did not hold; empty if everything did.
-    pub broken: Vec<String>,
-    /// Where the logs are, if something did not hold.
+    /// The promises that were broken, one line for each violation.
+    pub violations: Vec<String>,
+    /// The folder of the logs, which is kept if there are violations.
     pub logs: Option<String>,
 }
 
-/// Runs one soak on this thread.
+/// Runs one soak on the current thread.
 pub fn soak(options: &SoakOptions) -> Result<Report> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(options, executor.clone())))
@@ -80,128 +82,147 @@
 async fn run(options: &SoakOptions, executor: Rc<LocalExecutor<'static>>) -> Result<Report> {
     let mut fleet = Fleet::start(&options.fleet).await?;
     let mut rng = SmallRng::seed_from_u64(options.seed);
-    let faults = plan(
+    let faults = draw_plan(
         &mut rng,
         options.mix,
         options.length,
         &fleet.host_names(),
         &fleet.executor_ids(),
     );
-    let until = Instant::now() + options.length + SETTLE / 2;
-    let troubled = send(options, &fleet, &executor, options.seed, until);
-    let mut strikes = Strikes::default();
-    strikes.strike_all(&mut fleet, &faults).await?;
-    let troubled_sent = troubled.finish().await;
+    let until = Instant::now() + options.length + RECOVERY_TIME / 2;
+    let callers_during_faults = spawn_callers(options, &fleet, &executor, options.seed, until);
+    let mut injector = FaultInjector::default();
+    injector.inject_all(&mut fleet, &faults).await?;
+    let jobs_during_faults = callers_during_faults.finish().await;
     fleet.wait_ready().await?;
-    Timer::after(SETTLE).await;
+    Timer::after(RECOVERY_TIME).await;
     let until = Instant::now() + Duration::from_millis(1_500);
-    let calm = send(options, &fleet, &executor, options.seed ^ 1, until);
-    let calm_sent = calm.finish().await;
-    let records = fleet.all_records().await;
-    let all: Vec<callers::Sent> = troubled_sent.iter().chain(&calm_sent).cloned().collect();
-    let mut broken = checks::broken(&all, &records, &strikes.killed_ms);
-    broken.extend(checks::evacuated(&records, &strikes.evacuations));
+    let callers_after_faults = spawn_callers(options, &fleet, &executor, options.seed ^ 1, until);
+    let jobs_after_faults = callers_after_faults.finish().await;
+    let records = fleet.take_records().await;
+    let all_jobs: Vec<callers::SubmittedJob> = jobs_during_faults
+        .iter()
+        .chain(&jobs_after_faults)
+        .cloned()
+        .collect();
+    let mut violations = checks::find_violations(&all_jobs, &records, &injector.killed_ms);
+    violations.extend(checks::find_starts_in_evacuated_zones(
+        &records,
+        &injector.evacuations,
+    ));
     if options.mix == FaultMix::Planned {
-        broken.extend(checks::cut_off(&troubled_sent));
+        violations.extend(checks::find_cut_off_requests(&jobs_during_faults));
     }
-    let served = calm_sent
+    let served = jobs_after_faults
         .iter()
-        .filter(|sent| matches!(sent.heard[0], Heard::Completed | Heard::Failed));
+        .filter(|job| matches!(job.answers[0], Answer::Completed | Answer::Failed));
     let served = served.count();
-    if served * 100 < calm_sent.len() * CALM_SERVED_PERCENT {
-        let found = format!("{served} of {} jobs served", calm_sent.len());
-        broken.push(format!("after the faults the system serves again: {found}"));
+    if served * 100 < jobs_after_faults.len() * SERVED_MIN_PERCENT {
+        let found = format!("{served} of {} jobs were", jobs_after_faults.len());
+        violations.push(format!(
+            "{SERVED_MIN_PERCENT}% of jobs must be served after the faults: {found}"
+        ));
     }
-    let completed = all
+    let completed = all_jobs
         .iter()
-        .filter(|sent| sent.heard.last() == Some(&Heard::Completed));
-    let logs = (!broken.is_empty()).then(|| fleet.keep_folder());
+        .filter(|job| job.answers.last() == Some(&Answer::Completed));
+    let logs = (!violations.is_empty()).then(|| fleet.keep_folder());
     Ok(Report {
         seed: options.seed,
-        jobs: all.len(),
+        jobs: all_jobs.len(),
         completed: completed.count(),
         runs: records
             .iter()
-            .filter(|(_, record)| record.what == "start")
+            .filter(|(_, record)| record.event == "start")
             .count(),
         faults,
-        broken,
+        violations,
         logs,
     })
 }
 
-/// Callers at work.
-struct Sending {
-    book: Book,
+/// The running callers of one phase of a soak, and the jobs that they have finished.
+struct CallerGroup {
+    jobs: SubmittedJobs,
     tasks: Vec<async_executor::Task<()>>,
 }
 
-impl Sending {
-    async fn finish(self) -> Vec<callers::Sent> {
+impl CallerGroup {
+    async fn finish(self) -> Vec<callers::SubmittedJob> {
         for task in self.tasks {
             task.await;
         }
-        self.book.take()
+        self.jobs.take()
     }
 }
 
-fn send(
+fn spawn_callers(
     options: &SoakOptions,
     fleet: &Fleet,
     executor: &LocalExecutor<'static>,
     seed: u64,
     until: Instant,
-) -> Sending {
-    let book = Book::default();
+) -> CallerGroup {
+    let jobs = SubmittedJobs::default();
     let hosts = fleet.caller_addresses();
     let tasks = (0..options.callers)
         .map(|index| {
             let seed = seed.wrapping_mul(1_000).wrapping_add(index as u64);
-            executor.spawn(callers::call(hosts.clone(), seed, until, book.clone()))
+            executor.spawn(callers::run_caller(
+                hosts.clone(),
+                seed,
+                until,
+                jobs.clone(),
+            ))
         })
         .collect();
-    Sending { book, tasks }
+    CallerGroup { jobs, tasks }
 }
 
-/// What is to be put right, and when.
+/// Injects the planned faults, and records kills and evacuations for the checks.
 #[derive(Default)]
-struct Strikes {
+struct FaultInjector {
+    /// The pending repairs, with the times at which they are due.
     repairs: Vec<(Instant, Repair)>,
+    /// The times at which each executor was killed, in milliseconds since the Unix epoch.
     killed_ms: BTreeMap<SmolStr, Vec<u64>>,
     evacuations: EvacuationSpans,
 }
 
+/// An action that ends a fault.
 enum Repair {
     StartHost(SmolStr),
     ThawHost(SmolStr),
-    /// The host, the process that was asked to stop, and when it is killed.
+    /// Starts a host again once its process has ended: the host, the id of the process that was asked to
+    /// stop, and the time at which that is killed.
     RestartStopped(SmolStr, u32, Instant),
     StartExecutor(SmolStr),
     ThawExecutor(SmolStr),
-    SpeedOf(SmolStr),
-    Restore(SmolStr),
-    Route(SmolStr),
-    Store,
+    ResetSpeed(SmolStr),
+    RestoreZone(SmolStr),
+    ResetRoute(SmolStr),
+    ResetStore,
 }
 
-impl Strikes {
-    /// Lets every fault strike at its time, and puts it right at its end.
-    async fn strike_all(&mut self, fleet: &mut Fleet, faults: &[Planned]) -> Result<()> {
-        let begun = Instant::now();
+impl FaultInjector {
+    /// Injects every fault at its time, and repairs it at its end.
+    async fn inject_all(&mut self, fleet: &mut Fleet, faults: &[Planned]) -> Result<()> {
+        let started_at = Instant::now();
         let mut version = 1;
         for planned in faults {
-            self.repair_until(fleet, begun + planned.at).await?;
+            self.run_repairs_until(fleet, started_at + planned.at)
+                .await?;
             version += 1;
-            self.strike(fleet, &planned.fault, version).await?;
+            self.inject(fleet, &planned.fault, version).await?;
         }
         while let Some(at) = self.repairs.iter().map(|(at, _)| *at).min() {
-            self.repair_until(fleet, at + Duration::from_millis(1))
+            self.run_repairs_until(fleet, at + Duration::from_millis(1))
                 .await?;
         }
         Ok(())
     }
 
-    async fn repair_until(&mut self, fleet: &mut Fleet, until: Instant) -> Result<()> {
+    async fn run_repairs_until(&mut self, fleet: &mut Fleet, until: Instant) -> Result<()> {
         loop {
             self.repairs.sort_by_key(|(at, _)| *at);
             match self.repairs.first() {
@@ -217,19 +238,19 @@
         Ok(())
     }
 
-    fn later(&mut self, span: Duration, repair: Repair) {
+    fn schedule_repair(&mut self, span: Duration, repair: Repair) {
         self.repairs.push((Instant::now() + span, repair));
     }
 
-    async fn strike(&mut self, fleet: &mut Fleet, fault: &Fault, version: u64) -> Result<()> {
+    async fn inject(&mut self, fleet: &mut Fleet, fault: &Fault, version: u64) -> Result<()> {
         match fault {
             Fault::KillHost(name, span) => {
                 fleet.signal_host(name, |process| process.kill())?;
-                self.later(*span, Repair::StartHost(name.clone()));
+                self.schedule_repair(*span, Repair::StartHost(name.clone()));
             }
             Fault::FreezeHost(name, span) => {
                 fleet.signal_host(name, |process| process.freeze())?;
-                self.later(*span, Repair::ThawHost(name.clone()));
+                self.schedule_repair(*span, Repair::ThawHost(name.clone()));
             }
             Fault::StopHost(name) => {
                 let mut stopped = None;
@@ -237,41 +258,41 @@
                     stopped = Some(process.id());
                     process.ask_to_stop()
                 })?;
-                let kill_at = Instant::now() + GRACE;
-                // One that does not run is started again by whatever ended it.
+                let kill_at = Instant::now() + STOP_GRACE;
+                // A host that is not running is started again by the repair of the fault that ended it.
                 if let Some(process) = stopped {
                     let repair = Repair::RestartStopped(name.clone(), process, kill_at);
-                    self.later(Duration::from_millis(500), repair);
+                    self.schedule_repair(Duration::from_millis(500), repair);
                 }
             }
             Fault::HangUp(name) => fleet.signal_host(name, |process| process.hang_up())?,
             Fault::KillExecutor(id, span) => {
                 fleet.kill_executor(id).await?;
                 self.killed_ms.entry(id.clone()).or_default().push(now_ms());
-                self.later(*span, Repair::StartExecutor(id.clone()));
+                self.schedule_repair(*span, Repair::StartExecutor(id.clone()));
             }
             Fault::FreezeExecutor(id, span) => {
-                fleet.freeze_executor(id, true)?;
-                self.later(*span, Repair::ThawExecutor(id.clone()));
+                fleet.set_executor_frozen(id, true)?;
+                self.schedule_repair(*span, Repair::ThawExecutor(id.clone()));
             }
-            Fault::SlowExecutor(id, times, span) => {
-                fleet.set_executor_speed(id, 1.0 / times).await?;
-                self.later(*span, Repair::SpeedOf(id.clone()));
+            Fault::SlowExecutor(id, factor, span) => {
+                fleet.set_executor_speed(id, 1.0 / factor).await?;
+                self.schedule_repair(*span, Repair::ResetSpeed(id.clone()));
             }
             Fault::Route(route, mode, span) => {
                 fleet.set_mode(route, *mode).await?;
-                self.later(*span, Repair::Route(route.clone()));
+                self.schedule_repair(*span, Repair::ResetRoute(route.clone()));
             }
             Fault::Store(faults, span) => {
                 fleet.set_store_faults(faults).await?;
-                self.later(*span, Repair::Store);
+                self.schedule_repair(*span, Repair::ResetStore);
             }
-            Fault::Command(what) => fleet.command_store(what).await?,
+            Fault::Command(command) => fleet.command_store(command).await?,
             Fault::Manifest => fleet.put_manifest(version, 60 + version).await?,
             Fault::Evacuate(zone, span) => {
                 fleet.set_evacuated(zone, true).await?;
                 self.evacuations.begin(zone, now_ms());
-                self.later(*span, Repair::Restore(zone.clone()));
+                self.schedule_repair(*span, Repair::RestoreZone(zone.clone()));
             }
         }
         Ok(())
@@ -285,19 +306,19 @@
                 self.restart(fleet, name, process, kill_at)
             }
             Repair::StartExecutor(id) => fleet.start_executor(&id).await,
-            Repair::ThawExecutor(id) => fleet.freeze_executor(&id, false),
-            Repair::SpeedOf(id) => fleet.set_executor_speed(&id, 1.0).await,
-            Repair::Restore(zone) => {
+            Repair::ThawExecutor(id) => fleet.set_executor_frozen(&id, false),
+            Repair::ResetSpeed(id) => fleet.set_executor_speed(&id, 1.0).await,
+            Repair::RestoreZone(zone) => {
                 self.evacuations.end(&zone, now_ms());
                 fleet.set_evacuated(&zone, false).await
             }
-            Repair::Route(route) => fleet.set_mode(&route, Mode::Pass).await,
-            Repair::Store => fleet.set_store_faults(&StoreFaults::default()).await,
+            Repair::ResetRoute(route) => fleet.set_mode(&route, Mode::Pass).await,
+            Repair::ResetStore => fleet.set_store_faults(&StoreFaults::default()).await,
         }
     }
 
-    /// Starts a host again once the process that was asked to stop has ended. Another process that runs
-    /// there by now was started for an earlier stop, and is left alone.
+    /// Starts a host again once the process that was asked to stop has ended, and kills that process after
+    /// its grace. Another process that is running by then was started for an earlier stop and is not touched.
     fn restart(
         &mut self,
         fleet: &mut Fleet,
@@ -314,7 +335,7 @@
             Some(process) if process != stopped => return Ok(()),
             Some(_) if Instant::now() < kill_at => {
                 let again = Repair::RestartStopped(name, stopped, kill_at);
-                self.later(Duration::from_millis(200), again);
+                self.schedule_repair(Duration::from_millis(200), again);
                 return Ok(());
             }
             Some(_) => fleet.signal_host(&name, |process| process.kill())?,
@@ -330,18 +351,18 @@
     u64::try_from(ms).unwrap_or(u64::MAX)
 }
 
-/// Turns what did not hold into an error.
-pub fn must_hold(report: &Report) -> Result<()> {
-    match report.broken.first() {
+/// Returns an error with the first violation of a report, if there is one, and the faults and logs.
+pub fn require_no_violations(report: &Report) -> Result<()> {
+    match report.violations.first() {
         None => Ok(()),
         Some(first) => {
             let found = format!(
                 "{first} (and {} more); faults {:#?}; logs in {:?}",
-                report.broken.len() - 1,
+                report.violations.len() - 1,
                 report.faults,
                 report.logs
             );
-            Err(unmet("a promise", &found))
+            Err(unmet("a promise was broken", &found))
         }
     }
 }
--- a/crates/onyxshed-soak/tests/hosts/main.rs
+++ b/crates/onyxshed-soak/tests/hosts/main.rs
@@ -1,4 +1,4 @@
-//! Hosts on the platform's stand-ins, one promise at a time.
+//! Tests of real hosts on the stand-ins of the platform, each of one promise.
 
 mod callers;
 mod evacuation;
--- a/crates/onyxshed-soak/tests/hosts/support.rs
+++ b/crates/onyxshed-soak/tests/hosts/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of hosts share.
+//! Helpers that the tests of hosts share.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,25 +11,28 @@
 use serde_json::{Value, json};
 use smol_str::SmolStr;
 
-/// Nothing here depends on how long it takes; only a hang ends at this.
-pub const CEILING: Duration = Duration::from_secs(30);
+/// The timeout of every wait. No test depends on its value; only a hang reaches it.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Returns the options of a fleet with one zone, two hosts and two executors.
 pub fn one_zone() -> FleetOptions {
     FleetOptions {
         zones: 1,
         hosts: 2,
         executors: 2,
-        clocks: ExecutorClocks::True,
+        clocks: ExecutorClocks::Accurate,
     }
 }
 
-pub async fn open(host: SocketAddr) -> Connection {
+/// Opens a connection to a host.
+pub async fn connect(host: SocketAddr) -> Connection {
     Connection::open(host, ClientOptions::default())
         .await
-        .expect("it listens")
+        .expect("the host accepts the connection")
 }
 
-pub async fn ask(
+/// Sends a request about a job, as a caller of the route does, with a deadline of 20 s.
+pub async fn send_request(
     connection: &mut Connection,
     method: Method,
     path: &str,
@@ -42,71 +45,78 @@
     let path = format!("{ROUTE_PREFIX}{path}");
     let body = body.to_string().into_bytes();
     connection
-        .call(method, &path, &headers, body, CEILING)
+        .call(method, &path, &headers, body, TIMEOUT)
         .await
 }
 
-pub fn job(ms: u64, tasks: u64) -> Value {
+/// Returns the body of a best-effort job whose tasks take `ms` each.
+pub fn job_body(ms: u64, tasks: u64) -> Value {
     json!({"spec": ms.to_string(), "best_effort": true,
         "phases": [{"count": tasks, "cpu": 1_000, "mem_mb": 1, "est_runtime_ms": ms}]})
 }
 
-pub async fn until<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
-    let begun = Instant::now();
+/// Polls until there is a value and returns it; fails with the condition after the timeout.
+pub async fn wait_until<T>(condition: &str, mut poll: impl AsyncFnMut() -> Option<T>) -> T {
+    let started_at = Instant::now();
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = poll().await {
             return found;
         }
-        assert!(begun.elapsed() < CEILING, "waited in vain until {what}");
+        assert!(
+            started_at.elapsed() < TIMEOUT,
+            "timed out waiting until {condition}"
+        );
         Timer::after(Duration::from_millis(20)).await;
     }
 }
 
-/// Sends a job of one task to a host again and again, as its caller does, until it is completed; the
-/// logs of all hosts tell why it is not.
-pub async fn until_a_job_is_completed(fleet: &Fleet, place: usize) {
-    let address = fleet.caller_addresses()[place];
-    let begun = Instant::now();
+/// Submits a job of one task to a host repeatedly, as its caller does, until it is completed; fails with the
+/// logs of all hosts after the timeout.
+pub async fn wait_until_job_completes(fleet: &Fleet, host_index: usize) {
+    let address = fleet.caller_addresses()[host_index];
+    let started_at = Instant::now();
     let completed = loop {
         if let Ok(mut connection) = Connection::open(address, ClientOptions::default()).await {
-            let body = job(10, 1);
-            let reply = ask(&mut connection, Method::Post, "00000000000000aa", &body).await;
+            let body = job_body(10, 1);
+            let reply =
+                send_request(&mut connection, Method::Post, "00000000000000aa", &body).await;
             if let Some(reply) = reply.ok().filter(|reply| reply.status == 200) {
                 break reply;
             }
         }
         let names = fleet.host_names();
-        let logs = names.iter().map(|name| fleet.log_of(name));
+        let logs = names.iter().map(|name| fleet.log_tail(name));
         let logs: Vec<String> = logs.collect();
-        assert!(begun.elapsed() < CEILING, "{}", logs.join("\n"));
+        assert!(started_at.elapsed() < TIMEOUT, "{}", logs.join("\n"));
         Timer::after(Duration::from_millis(20)).await;
     };
     assert_eq!(completed.body, br#"{"state":"completed"}"#);
 }
 
-pub async fn until_it_has_ended(fleet: &mut Fleet, host: &SmolStr) {
-    until("it has ended", async || {
+/// Waits until the process of a host has ended.
+pub async fn wait_until_host_ends(fleet: &mut Fleet, host: &SmolStr) {
+    wait_until("the host has ended", async || {
         let mut is_running = false;
-        let looked = fleet.signal_host(host, |_| {
+        let checked = fleet.signal_host(host, |_| {
             is_running = true;
             Ok(())
         });
-        looked.expect("a look");
+        checked.expect("the process can be checked");
         (!is_running).then_some(())
     })
     .await;
 }
 
-/// Gets the place of the host that owns the pool of a zone with two executors, once it has taken
-/// both; one that is cut off before can serve nobody.
-pub async fn owner_of_both_executors(fleet: &Fleet) -> usize {
+/// Returns the index of the host that owns the pool of a zone with two executors, once it holds both: an
+/// owner that is cut off earlier can serve no caller.
+pub async fn wait_for_owner(fleet: &Fleet) -> usize {
     let names = fleet.host_names();
     let owner = names
         .iter()
-        .position(|name| fleet.log_of(name).contains("PoolOwned"));
-    let owner = owner.expect("a host owns the pool");
-    until("the owner has taken both executors", async || {
-        let log = fleet.log_of(&names[owner]);
+        .position(|name| fleet.log_tail(name).contains("PoolOwned"));
+    let owner = owner.expect("the log of a host says that it owns the pool");
+    wait_until("the owner holds both executors", async || {
+        let log = fleet.log_tail(&names[owner]);
         (log.matches("PoolExecutorTaken").count() >= 2).then_some(())
     })
     .await;
--- a/crates/onyxshed-soak/tests/seeds.rs
+++ b/crates/onyxshed-soak/tests/seeds.rs
@@ -1,108 +1,108 @@
-//! A short soak, and every seed that ever failed.
+//! Short soaks of fixed seeds, and the seeds that have failed before.
 
 use std::time::Duration;
 
 use onyxshed_soak::faults::FaultMix;
 use onyxshed_soak::fleet::ExecutorClocks;
-use onyxshed_soak::run::must_hold;
+use onyxshed_soak::run::require_no_violations;
 use onyxshed_soak::{SoakOptions, soak};
 use rstest::rstest;
 
-/// Plays a soak in which every promise has to hold and something has to be served.
-fn holds_and_serves(options: &SoakOptions) {
-    let report = soak(options).expect("it runs");
-    must_hold(&report).expect("every promise holds");
-    assert!(report.completed > 0, "nothing was served");
+/// Runs a soak, in which no promise may be broken and at least one job has to be completed.
+fn run_without_violations(options: &SoakOptions) {
+    let report = soak(options).expect("the soak runs to its end");
+    require_no_violations(&report).expect("no promise is broken");
+    assert!(report.completed > 0, "no job was completed");
 }
 
-/// An executor stands still past its leases and finds orders in its sockets when it goes on. The
-/// stand-in ended its runs as of that moment, not of their leases' end, and so seemed to run tasks
-/// that were at work elsewhere.
+/// An executor is frozen past the end of its lease and reads orders from its sockets when it is thawed. The
+/// stand-in recorded the ends of its runs at that time instead of at the end of the lease, and so appeared to
+/// run tasks that were running elsewhere.
 #[test]
-fn seed_116_executor_thaws_after_its_leases() {
-    let report = soak(&SoakOptions::of_seed(116)).expect("it runs");
-    must_hold(&report).expect("every promise holds");
+fn executor_thawed_after_its_lease_runs_no_task_twice() {
+    let report = soak(&SoakOptions::with_seed(116)).expect("the soak runs to its end");
+    require_no_violations(&report).expect("no promise is broken");
 }
 
-/// One host is stopped twice or three times within its grace. The soak itself killed the process that it
-/// had started again after the first stop, six seconds after the second, and callers were cut off.
+/// One host is stopped twice or three times within its grace. Six seconds after the second stop, the soak
+/// itself killed the process that it had started after the first one, and callers were cut off.
 #[rstest]
 #[case(940)]
 #[case(943)]
-fn stops_that_overlap_are_planned_work_all_the_same(#[case] seed: u64) {
+fn overlapping_stops_of_a_host_cut_off_no_request(#[case] seed: u64) {
     let options = SoakOptions {
         mix: FaultMix::Planned,
-        ..SoakOptions::of_seed(seed)
+        ..SoakOptions::with_seed(seed)
     };
-    let report = soak(&options).expect("it runs");
-    must_hold(&report).expect("every promise holds");
+    let report = soak(&options).expect("the soak runs to its end");
+    require_no_violations(&report).expect("no promise is broken");
 }
 
-/// A job that can never be done put all three executors of a zone out of use for up to a second, and
-/// jobs that could only be late by then were refused at once: 35 of 39 and 36 of 42 callers were served
-/// when all faults were over.
+/// A job that fails in every run put all three executors of a zone out of use for up to a second, and jobs
+/// that would miss their deadline by then were refused at once: 35 of 39 and 36 of 42 callers were served
+/// after all faults had ended.
 #[rstest]
 #[case(903)]
 #[case(904)]
-fn one_hopeless_job_takes_no_zone_out_of_use(#[case] seed: u64) {
-    let report = soak(&SoakOptions::of_seed(seed)).expect("it runs");
-    must_hold(&report).expect("every promise holds");
+fn job_that_always_fails_takes_no_zone_out_of_use(#[case] seed: u64) {
+    let report = soak(&SoakOptions::with_seed(seed)).expect("the soak runs to its end");
+    require_no_violations(&report).expect("no promise is broken");
 }
 
-/// Hosts are stopped, told to reload and given new manifests, in series and overlapping, with
-/// nothing else wrong. A caller whose request was taken and whose connection ends without an answer
-/// was cut off by a host that ended before it had answered.
+/// Hosts are stopped, reloaded and given new manifests, one after the other and overlapping, without other
+/// faults. A connection that breaks before the answer to a request shows that a host ended before it had
+/// answered.
 #[test]
-fn planned_work_alone_cuts_off_no_request() {
+fn planned_work_cuts_off_no_request() {
     let options = SoakOptions {
         mix: FaultMix::Planned,
-        ..SoakOptions::of_seed(21)
+        ..SoakOptions::with_seed(21)
     };
-    holds_and_serves(&options);
+    run_without_violations(&options);
 }
 
-/// Executors take up to ten times as long for a while, under the runs that they have. Jobs are refused or
-/// given up by what is believed of their speed; what is said of them has to be true all the same.
+/// Executors take up to ten times as long for a while, also for runs in progress. Hosts refuse or abandon
+/// jobs by their estimates of the executors' speed; the answers to callers have to be true nevertheless.
 #[test]
-fn slow_executors_make_no_answer_untrue() {
+fn slow_executors_make_no_answer_false() {
     let options = SoakOptions {
         mix: FaultMix::Slow,
-        ..SoakOptions::of_seed(31)
+        ..SoakOptions::with_seed(31)
     };
-    holds_and_serves(&options);
+    run_without_violations(&options);
 }
 
-/// Guards against tasks that start in an evacuated zone while owners and executors are killed, and against
-/// callers who are not served once the zones are restored.
+/// Guards against starts of tasks in an evacuated zone while owners and executors are killed, and against
+/// callers who are not served after the zones are restored.
 #[rstest]
 #[case(51)]
 #[case(52)]
-fn evacuated_zones_get_no_task(#[case] seed: u64) {
+fn evacuated_zones_start_no_task(#[case] seed: u64) {
     let options = SoakOptions {
         mix: FaultMix::Evacuations,
-        ..SoakOptions::of_seed(seed)
+        ..SoakOptions::with_seed(seed)
     };
-    holds_and_serves(&options);
+    run_without_violations(&options);
 }
 
-/// Executors' clocks are ahead and slow, as far as the platform allows: leases that are reckoned on
-/// the wrong clock would end too early, and tasks would run twice.
+/// The executors' clocks are as far ahead and as slow as the platform allows: if a lease were computed with
+/// the wrong clock, it would expire too early and its tasks would run twice.
 #[test]
-fn executors_clocks_that_are_off_break_no_promise() {
-    let mut options = SoakOptions::of_seed(13);
-    options.fleet.clocks = ExecutorClocks::Off;
+fn skewed_executor_clocks_break_no_promise() {
+    let mut options = SoakOptions::with_seed(13);
+    options.fleet.clocks = ExecutorClocks::Skewed;
     options.length = Duration::from_secs(5);
-    holds_and_serves(&options);
+    run_without_violations(&options);
 }
 
-/// A short run of fixed seeds; `onyxshed-soak --seeds N` runs more by hand.
+/// Soaks of 5 s with fixed seeds; `onyxshed-soak --seeds N` runs more by hand.
 #[rstest]
 #[case(11)]
 #[case(12)]
-fn a_short_soak_breaks_no_promise(#[case] seed: u64) {
+fn short_soak_breaks_no_promise(#[case] seed: u64) {
     let options = SoakOptions {
         length: Duration::from_secs(5),
-        ..SoakOptions::of_seed(seed)
+        ..SoakOptions::with_seed(seed)
     };
-    holds_and_serves(&options);
+    run_without_violations(&options);
 }
--- a/crates/onyxshed-standins/src/bin/standin-faults.rs
+++ b/crates/onyxshed-standins/src/bin/standin-faults.rs
@@ -1,4 +1,4 @@
-//! The fault-injecting proxy as a process.
+//! `standin-faults`: the fault-injecting proxy as a process.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,9 +14,9 @@
 fn command() -> Command {
     Command::new(NAME)
         .version(clap::crate_version!())
-        .about("Breaks TCP connections on command, in tests")
+        .about("Forwards TCP connections and breaks them on command, in tests")
         .after_help(
-            "Each --listen goes with the --to at the same place and makes a route named route0, \
+            "Each --listen forms a route with the --to at the same position, named route0, \
              route1 and so on. POST /control/routes {\"name\":\"n\",\"to\":\"127.0.0.1:80\"} opens \
              a route and answers its address; POST /control/mode \
              {\"routes\":[\"n\"],\"mode\":\"cut\"} sets the mode of routes: pass, cut, hold, \
@@ -26,17 +26,17 @@
         .arg(
             address("control")
                 .default_value("127.0.0.1:0")
-                .help("Where to take commands"),
+                .help("The address that commands are sent to"),
         )
         .arg(
             address("listen")
                 .action(ArgAction::Append)
-                .help("A route's address; port 0 takes a free one"),
+                .help("The address that a route listens on; port 0 takes a free port"),
         )
         .arg(
             address("to")
                 .action(ArgAction::Append)
-                .help("Where a route leads"),
+                .help("The target of a route"),
         )
 }
 
@@ -49,20 +49,20 @@
 async fn run(executor: Rc<LocalExecutor<'static>>) -> Result<()> {
     let matches = command().get_matches();
     let addresses = |name| -> Vec<SocketAddr> {
-        let given = matches.get_many::<SocketAddr>(name);
-        given.unwrap_or_default().copied().collect()
+        let values = matches.get_many::<SocketAddr>(name);
+        values.unwrap_or_default().copied().collect()
     };
     let control = serve::listen(addresses("control")[0]).await?;
     let proxy = Proxy::new(executor.clone());
     let mut ready = ReadyLine::single(NAME, "http", serve::local_address(&control));
-    let pairs = addresses("listen").into_iter().zip(addresses("to"));
-    for (place, (listen_on, to)) in pairs.enumerate() {
-        let name: smol_str::SmolStr = smol_str::format_smolstr!("route{place}");
+    let routes = addresses("listen").into_iter().zip(addresses("to"));
+    for (index, (listen_on, to)) in routes.enumerate() {
+        let name: smol_str::SmolStr = smol_str::format_smolstr!("route{index}");
         let new = NewRoute {
             name: name.clone(),
             to,
         };
-        let address = proxy.open(listen_on, new).await?;
+        let address = proxy.open_route(listen_on, new).await?;
         ready.addresses.insert(name, address);
     }
     ready.print()?;
--- a/crates/onyxshed-standins/src/bin/standin-fleet-executor.rs
+++ b/crates/onyxshed-standins/src/bin/standin-fleet-executor.rs
@@ -1,4 +1,4 @@
-//! One executor of the users' platform, as a process.
+//! `standin-fleet-executor`: one executor of the users' platform as a process.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -17,41 +17,56 @@
         .version(clap::crate_version!())
         .about("Stands in for one executor of the users' platform in tests")
         .arg(
-            option("address", "Where to listen; port 0 takes a free one")
-                .default_value("127.0.0.1:0")
-                .value_parser(value_parser!(SocketAddr)),
+            option(
+                "address",
+                "The address to listen on; port 0 takes a free port",
+            )
+            .default_value("127.0.0.1:0")
+            .value_parser(value_parser!(SocketAddr)),
         )
         .arg(
-            option("store", "The store that it enters itself in")
+            option("store", "The store that the executor registers in")
                 .required(true)
                 .value_parser(value_parser!(SocketAddr)),
         )
         .arg(
-            option("advertised", "Where hosts reach it, if elsewhere")
-                .value_parser(value_parser!(SocketAddr)),
+            option(
+                "advertised",
+                "The address to register, if not the one listened on",
+            )
+            .value_parser(value_parser!(SocketAddr)),
         )
-        .arg(option("id", "Its id").default_value("x1"))
-        .arg(option("upstream", "The upstream it belongs to").default_value("desk"))
-        .arg(option("zone", "Its zone").default_value("a"))
+        .arg(option("id", "The executor's id in the store").default_value("x1"))
+        .arg(option("upstream", "The upstream that the executor belongs to").default_value("desk"))
+        .arg(option("zone", "The executor's availability zone").default_value("a"))
         .arg(
-            option("cpu-millis", "Thousandths of a core; two tasks fit")
-                .default_value("2000")
-                .value_parser(value_parser!(u32)),
+            option(
+                "cpu-millis",
+                "CPU capacity in thousandths of a core; two tasks fit",
+            )
+            .default_value("2000")
+            .value_parser(value_parser!(u32)),
         )
         .arg(
-            option("speed", "How many times faster than ordinary it is")
-                .default_value("1")
-                .value_parser(value_parser!(f64)),
+            option(
+                "speed",
+                "The factor by which the executor is faster than an ordinary one",
+            )
+            .default_value("1")
+            .value_parser(value_parser!(f64)),
         )
         .arg(
-            option("clock-ahead-ms", "How far its clock is ahead")
-                .default_value("0")
-                .value_parser(value_parser!(u64)),
+            option(
+                "clock-ahead-ms",
+                "The time by which the executor's clock is ahead",
+            )
+            .default_value("0")
+            .value_parser(value_parser!(u64)),
         )
         .arg(
             option(
                 "clock-slow-millis",
-                "By how many thousandths its clock is slow",
+                "The rate by which the executor's clock is slow, in thousandths",
             )
             .default_value("0")
             .value_parser(value_parser!(u64).range(0..500)),
@@ -67,13 +82,17 @@
         id: text("id"),
         upstream: text("upstream"),
         zone: text("zone"),
-        cpu_millis: *matches.get_one("cpu-millis").expect("it has a default"),
-        speed: *matches.get_one("speed").expect("it has a default"),
-        clock_ahead_ms: *matches.get_one("clock-ahead-ms").expect("it has a default"),
+        cpu_millis: *matches
+            .get_one("cpu-millis")
+            .expect("the option has a default"),
+        speed: *matches.get_one("speed").expect("the option has a default"),
+        clock_ahead_ms: *matches
+            .get_one("clock-ahead-ms")
+            .expect("the option has a default"),
         clock_slow_millis: *matches
             .get_one("clock-slow-millis")
-            .expect("it has a default"),
-        store: *matches.get_one("store").expect("it is required"),
+            .expect("the option has a default"),
+        store: *matches.get_one("store").expect("the option is required"),
         advertised: matches.get_one("advertised").copied(),
     }
 }
@@ -82,15 +101,17 @@
     let matches = command().get_matches();
     let address = *matches
         .get_one::<SocketAddr>("address")
-        .expect("it has a default");
+        .expect("the option has a default");
     let options = options(&matches);
     serve::main(NAME, |executor| async move {
         let stand_in = FleetExecutor::new(options, executor.clone());
         let listener = serve::listen(address).await?;
-        let bound = serve::local_address(&listener);
-        executor.spawn(stand_in.clone().register(bound)).detach();
+        let bound_address = serve::local_address(&listener);
+        executor
+            .spawn(stand_in.clone().register(bound_address))
+            .detach();
         executor.spawn(stand_in.clone().watch_leases()).detach();
-        ReadyLine::single(NAME, "executor", bound).print()?;
+        ReadyLine::single(NAME, "executor", bound_address).print()?;
         serve::serve(listener, executor, stand_in.handler()).await;
         Ok(())
     })
--- a/crates/onyxshed-standins/src/bin/standin-fleet-store.rs
+++ b/crates/onyxshed-standins/src/bin/standin-fleet-store.rs
@@ -1,4 +1,4 @@
-//! The store of the users' platform, as a process.
+//! `standin-fleet-store`: the store of the users' platform as a process.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -19,12 +19,12 @@
                 .long("address")
                 .default_value("127.0.0.1:0")
                 .value_parser(value_parser!(SocketAddr))
-                .help("Where to listen; port 0 takes a free one"),
+                .help("The address to listen on; port 0 takes a free port"),
         )
         .get_matches();
     let address = *matches
         .get_one::<SocketAddr>("address")
-        .expect("it has a default");
+        .expect("the option has a default");
     serve::main(NAME, |executor| async move {
         let store = FleetStore::new();
         let listener = serve::listen(address).await?;
--- a/crates/onyxshed-standins/src/bin/standin-platform.rs
+++ b/crates/onyxshed-standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in as a process.
+//! `standin-platform`: the stand-in of the platform as a process.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,26 +23,26 @@
         .version(clap::crate_version!())
         .about("Stands in for the platform in tests: an append-only log and a lagging host list")
         .after_help(
-            "PUT /v1/hosts sets the host list, POST /control/faults the faults in force, \
-             GET /control/counts counts the calls. docs/PLATFORM.md describes all of them.",
+            "PUT /v1/hosts sets the host list, POST /control/faults sets the faults in force, \
+             GET /control/counts returns the numbers of calls. docs/PLATFORM.md describes all of them.",
         )
         .arg(
             Arg::new("address")
                 .long("address")
                 .default_value("127.0.0.1:0")
                 .value_parser(value_parser!(SocketAddr))
-                .help("Where to listen; port 0 takes a free one"),
+                .help("The address to listen on; port 0 takes a free port"),
         )
-        .arg(millis("sync-ms", "3").help("How long an append takes until it is synced"))
+        .arg(millis("sync-ms", "3").help("The time until an append is synced"))
         .arg(
             Arg::new("appends-per-s")
                 .long("appends-per-s")
                 .default_value("500")
                 .value_parser(value_parser!(u32).range(1..))
-                .help("Appends a second; more wait their turn"),
+                .help("The number of appends per second; further ones are delayed"),
         )
-        .arg(millis("retention-ms", "3600000").help("How long records are kept"))
-        .arg(millis("host-list-lag-ms", "0").help("How far the host list lags"))
+        .arg(millis("retention-ms", "3600000").help("The age at which records are dropped"))
+        .arg(millis("host-list-lag-ms", "0").help("The time by which the host list lags"))
 }
 
 async fn run(executor: Rc<LocalExecutor<'static>>) -> Result<()> {
--- a/crates/onyxshed-standins/src/bin/standin-upstream.rs
+++ b/crates/onyxshed-standins/src/bin/standin-upstream.rs
@@ -1,4 +1,4 @@
-//! One executor's stand-in as a process.
+//! `standin-upstream`: one executor of an upstream as a process.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,15 +21,15 @@
         .about("Stands in for one executor of an upstream in tests")
         .after_help(
             "A payload that is JSON of the form \
-             {\"service_ms\":100,\"fail\":false,\"echo\":\"x\",\"result_bytes\":10} asks for that; \
+             {\"service_ms\":100,\"fail\":false,\"echo\":\"x\",\"result_bytes\":10} sets the task's behavior; \
              any other payload is echoed. GET /control/starts lists every start, \
-             POST /control/faults sets faults, POST /control/drain begins to leave. \
+             POST /control/faults sets faults, POST /control/drain begins to drain. \
              docs/UPSTREAMS.md describes all of them.",
         )
         .arg(
             option("address", "127.0.0.1:0")
                 .value_parser(value_parser!(SocketAddr))
-                .help("Where to listen; port 0 takes a free one"),
+                .help("The address to listen on; port 0 takes a free port"),
         )
         .arg(
             option("name", "x1")
@@ -39,32 +39,32 @@
         .arg(
             option("upstream", "desk")
                 .value_parser(value_parser!(UpstreamName))
-                .help("The upstream it serves"),
+                .help("The upstream that the executor belongs to"),
         )
         .arg(
             option("slots", "8")
                 .value_parser(value_parser!(u32).range(1..))
-                .help("Tasks that run at the same time"),
+                .help("The number of tasks that may run at the same time"),
         )
         .arg(
             option("queue", "16")
                 .value_parser(value_parser!(u32))
-                .help("Tasks that may wait for a slot; more are refused"),
+                .help("The number of tasks that may wait for a slot; further ones are refused"),
         )
         .arg(
             option("speed", "1")
                 .value_parser(value_parser!(f64))
-                .help("How many times faster than a task's service time it runs"),
+                .help("The factor by which service times are divided"),
         )
         .arg(
             option("service-ms", "0")
                 .value_parser(value_parser!(u64))
-                .help("Service time of a task whose payload names none"),
+                .help("The service time of a task whose payload sets none"),
         )
         .arg(
             option("usage-lag-ms", "1000")
                 .value_parser(value_parser!(u64).range(1..))
-                .help("How far the usage report lags"),
+                .help("The interval at which the usage report is renewed"),
         )
         .arg(
             Arg::new("log-starts")
@@ -74,12 +74,12 @@
         )
 }
 
-/// Gets an option's value, which is there by its default.
+/// Returns the value of an option that has a default.
 fn value<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> T {
     matches
         .get_one::<T>(name)
         .cloned()
-        .expect("every option has a default")
+        .expect("the option has a default")
 }
 
 async fn run(executor: Rc<LocalExecutor<'static>>) -> Result<()> {
@@ -95,11 +95,11 @@
         logs_starts: matches.get_flag("log-starts"),
     };
     let listener = serve::listen(value(&matches, "address")).await?;
-    let standin = Executor::new(options);
-    executor.spawn(standin.clone().report_usage()).detach();
+    let stand_in = Executor::new(options);
+    executor.spawn(stand_in.clone().report_usage()).detach();
     let address = serve::local_address(&listener);
     ReadyLine::single(NAME, "http", address).print()?;
-    serve::serve(listener, executor, standin.handler()).await;
+    serve::serve(listener, executor, stand_in.handler()).await;
     Ok(())
 }
 
--- a/crates/onyxshed-standins/src/error.rs
+++ b/crates/onyxshed-standins/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of starting a stand-in.
+//! Errors that prevent a stand-in from starting.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,28 +6,28 @@
 use onyxshed_core::ResultCode;
 use snafu::Snafu;
 
-/// Why a stand-in could not start.
+/// The reason why a stand-in could not start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// An address can't be listened on.
+    /// A TCP listener could not be bound.
     #[snafu(display("can't listen on {address}: {source}"))]
     Listen {
-        /// The address.
+        /// The address that was to be bound.
         address: SocketAddr,
-        /// The system's words.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The ready line can't be written.
+    /// The ready line could not be written.
     #[snafu(display("can't write to standard output: {source}"))]
     Ready {
-        /// The system's words.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl Error {
-    /// Gets the numbered code.
+    /// Returns the result code that is printed with the error.
     pub fn code(&self) -> ResultCode {
         match self {
             Error::Listen { .. } => ResultCode::AddressInUse,
@@ -36,5 +36,5 @@
     }
 }
 
-/// Result of starting a stand-in.
+/// A result whose error is an [`Error`].
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-standins/src/faults.rs
+++ b/crates/onyxshed-standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that breaks connections on command.
+//! A TCP proxy that delays, drops or closes connections on command.
 
 pub mod control;
 pub mod mode;
--- a/crates/onyxshed-standins/src/faults/control.rs
+++ b/crates/onyxshed-standins/src/faults/control.rs
@@ -1,4 +1,4 @@
-//! The proxy's routes, and the address where tests command it.
+//! The routes of the proxy, and the HTTP interface by which tests add routes and set their modes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,19 +21,19 @@
 const NOT_FOUND: u16 = 404;
 const UNAVAILABLE: u16 = 503;
 
-/// A route as `GET /control/routes` shows it.
+/// The state of a route as `GET /control/routes` returns it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteView {
-    /// Where it listens.
+    /// The address that the route listens on.
     pub address: SocketAddr,
-    /// Its mode.
+    /// The mode in force.
     #[serde(flatten)]
     pub mode: Mode,
-    /// Connections so far.
+    /// The number of connections accepted so far.
     pub connections: u64,
 }
 
-/// All routes of one process.
+/// The routes of one proxy process, by name; clones share them.
 #[derive(Clone)]
 pub struct Proxy {
     executor: Rc<LocalExecutor<'static>>,
@@ -41,7 +41,7 @@
 }
 
 impl Proxy {
-    /// Makes a proxy without routes.
+    /// Creates a proxy without routes.
     pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
         Proxy {
             executor,
@@ -49,8 +49,9 @@
         }
     }
 
-    /// Opens a route, or leads an open one elsewhere; gets where it listens.
-    pub async fn open(&self, listen_on: SocketAddr, new: NewRoute) -> Result<SocketAddr> {
+    /// Opens a route, or changes the target of the open route of that name; returns the address that the
+    /// route listens on.
+    pub async fn open_route(&self, listen_on: SocketAddr, new: NewRoute) -> Result<SocketAddr> {
         if let Some(route) = self.routes.borrow().get(&new.name) {
             route.set_target(new.to);
             return Ok(route.address());
@@ -58,26 +59,26 @@
         let listener = listen(listen_on).await?;
         let address = local_address(&listener);
         let route = Rc::new(Route::new(address, new.to));
-        let serving = route.clone().run(listener, self.executor.clone());
-        self.executor.spawn(serving).detach();
+        let server = route.clone().run(listener, self.executor.clone());
+        self.executor.spawn(server).detach();
         self.routes.borrow_mut().insert(new.name, route);
         Ok(address)
     }
 
-    /// Gets what answers commands.
+    /// Returns the handler of the commands.
     pub fn handler(&self) -> Handler {
         let proxy = self.clone();
         Rc::new(move |call| {
             let proxy = proxy.clone();
-            Box::pin(async move { proxy.answer(call).await })
+            Box::pin(async move { proxy.handle(call).await })
         })
     }
 
-    async fn answer(&self, call: Call) -> Act {
+    async fn handle(&self, call: Call) -> Act {
         match (call.method(), call.path()) {
-            (Method::Get, "/control/routes") => self.view(),
+            (Method::Get, "/control/routes") => self.list_routes(),
             (Method::Post, "/control/routes") => match read_json(&call.body) {
-                Ok(new) => self.open_free(new).await,
+                Ok(new) => self.open_on_free_port(new).await,
                 Err(act) => act,
             },
             (Method::Post, "/control/mode") => match read_json(&call.body) {
@@ -88,39 +89,42 @@
         }
     }
 
-    async fn open_free(&self, new: NewRoute) -> Act {
-        match self.open(([127, 0, 0, 1], 0).into(), new).await {
+    async fn open_on_free_port(&self, new: NewRoute) -> Act {
+        match self.open_route(([127, 0, 0, 1], 0).into(), new).await {
             Ok(address) => Act::Reply(Reply::json(OK, &address)),
             Err(error) => Act::Reply(Reply::bytes(UNAVAILABLE, error.to_string())),
         }
     }
 
-    /// Sets the mode of all routes named; a name that fits none is an error.
+    /// Sets the mode of all routes that match the command's patterns; replies 404 at the first pattern
+    /// without a match.
     fn set_mode(&self, command: &SetMode) -> Act {
         let routes = self.routes.borrow();
         for pattern in &command.routes {
-            let mut fitting = routes.iter().filter(|(name, _)| fits(pattern, name));
-            let Some(first) = fitting.next() else {
+            let mut matching = routes
+                .iter()
+                .filter(|(name, _)| matches_pattern(pattern, name));
+            let Some(first) = matching.next() else {
                 return Act::Reply(Reply::bytes(NOT_FOUND, format!("no route {pattern}")));
             };
-            for (_, route) in std::iter::once(first).chain(fitting) {
+            for (_, route) in std::iter::once(first).chain(matching) {
                 route.set_mode(command.mode);
             }
         }
         Act::Reply(Reply::bytes(OK, ""))
     }
 
-    fn view(&self) -> Act {
+    fn list_routes(&self) -> Act {
         let routes = self.routes.borrow();
         let views: BTreeMap<&SmolStr, RouteView> = routes
             .iter()
-            .map(|(name, route)| (name, view_of(route)))
+            .map(|(name, route)| (name, route_view(route)))
             .collect();
         Act::Reply(Reply::json(OK, &views))
     }
 }
 
-fn view_of(route: &Route) -> RouteView {
+fn route_view(route: &Route) -> RouteView {
     RouteView {
         address: route.address(),
         mode: route.mode(),
@@ -128,9 +132,9 @@
     }
 }
 
-fn fits(pattern: &str, name: &str) -> bool {
+fn matches_pattern(pattern: &str, name: &str) -> bool {
     match pattern.strip_suffix('*') {
-        Some(start) => name.starts_with(start),
+        Some(prefix) => name.starts_with(prefix),
         None => pattern == name,
     }
 }
--- a/crates/onyxshed-standins/src/faults/mode.rs
+++ b/crates/onyxshed-standins/src/faults/mode.rs
@@ -1,55 +1,55 @@
-//! What the proxy does to a route's connections.
+//! The faults that the proxy can inject into the connections of a route, and the bodies of its commands.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// What happens on a route.
+/// The treatment of a route's connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "mode", rename_all = "snake_case")]
 pub enum Mode {
-    /// Bytes pass.
+    /// Forwards all bytes.
     #[default]
     Pass,
-    /// Connections are closed, new ones too.
+    /// Closes open connections, and new ones immediately.
     Cut,
-    /// Bytes wait in both directions until the mode changes, as in a partition that heals.
+    /// Holds all bytes back until the mode changes, as in a network partition that heals.
     Hold,
-    /// Bytes towards the target vanish; connections stay open.
+    /// Discards bytes to the target; connections stay open.
     BlackholeUp,
-    /// Bytes from the target vanish; connections stay open.
+    /// Discards bytes from the target; connections stay open.
     BlackholeDown,
-    /// All bytes vanish; connections stay open.
+    /// Discards all bytes; connections stay open.
     BlackholeBoth,
-    /// Bytes pass, each read later than it came.
+    /// Forwards each chunk of bytes after a delay.
     Delay {
-        /// By how much, in milliseconds.
+        /// The delay in milliseconds.
         delay_ms: u64,
     },
-    /// A connection is closed once it has passed that many bytes from the target.
+    /// Closes a connection at the first byte from the target beyond a limit.
     CloseAfterBytes {
-        /// Bytes that still pass.
+        /// The number of bytes from the target that are forwarded.
         bytes: u64,
     },
-    /// Requests pass; the first byte of an answer closes the connection.
+    /// Forwards requests; closes the connection at the first byte of a reply.
     DropAnswer,
-    /// Connections open now fall silent for good; new ones pass.
+    /// Stops forwarding on the connections that are open now, which stay open; forwards new ones.
     StallExisting,
 }
 
-/// A direction through the proxy.
+/// A direction of bytes through the proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// Towards the target.
+    /// From the client to the target.
     Up,
-    /// From the target.
+    /// From the target to the client.
     Down,
 }
 
 impl Mode {
-    /// Tells whether bytes in this direction vanish.
-    pub fn swallows(self, direction: Direction) -> bool {
+    /// Returns whether bytes in this direction are discarded.
+    pub fn discards(self, direction: Direction) -> bool {
         matches!(
             (self, direction),
             (Mode::BlackholeBoth, _)
@@ -62,9 +62,9 @@
 /// Body of `POST /control/mode`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SetMode {
-    /// Names of routes; one that ends in '*' stands for all that begin so.
+    /// Names of routes; a name that ends in `*` matches all routes with that prefix.
     pub routes: Vec<SmolStr>,
-    /// The mode from now on.
+    /// The new mode.
     #[serde(flatten)]
     pub mode: Mode,
 }
@@ -73,8 +73,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NewRoute {
-    /// The route's name.
+    /// The name of the route.
     pub name: SmolStr,
-    /// Where it leads. A route of that name which exists already leads there from now on.
+    /// The target of new connections. If a route of that name exists, only its target changes.
     pub to: SocketAddr,
 }
--- a/crates/onyxshed-standins/src/faults/pump.rs
+++ b/crates/onyxshed-standins/src/faults/pump.rs
@@ -1,4 +1,4 @@
-//! Moves one direction's bytes of one connection, or fails to.
+//! Forwards the bytes of one direction of a connection as the mode of its route says.
 
 use std::io;
 use std::net::Shutdown;
@@ -12,76 +12,92 @@
 use super::mode::{Direction, Mode};
 use super::route::Link;
 
-/// Bytes moved at a time.
+/// The size of the buffer for one read, in bytes.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// What to do next.
+/// The next action of a pump.
 enum Step {
+    /// Read from the source.
     Read,
-    Park,
+    /// Read nothing until the mode changes or the connection is closed.
+    Wait,
+    /// Close the connection.
     Close,
 }
 
-/// What ended a wait.
-enum Woken {
-    Bytes(io::Result<usize>),
-    Changed,
+/// The event that ended a pump's wait.
+enum PumpEvent {
+    /// A read returned.
+    ReadDone(io::Result<usize>),
+    /// The mode of the route changed or the connection was closed.
+    StateChanged,
 }
 
-/// Moves bytes until the connection ends.
+/// Forwards bytes from one stream to the other until the connection is closed.
 pub async fn pump(link: Rc<Link>, direction: Direction, mut from: TcpStream, mut to: TcpStream) {
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let changed = link.route.changed().subscribe();
         let closed = link.closed.subscribe();
-        let wake = async {
+        let state_changed = async {
             changed.wait().or(closed.wait()).await;
-            Woken::Changed
+            PumpEvent::StateChanged
         };
-        let woken = match next(&link, direction) {
-            Step::Close => return hang_up(&link, &from, &to),
-            Step::Park => wake.await,
+        let event = match next_step(&link, direction) {
+            Step::Close => return close_connection(&link, &from, &to),
+            Step::Wait => state_changed.await,
             Step::Read => {
-                wake.or(async { Woken::Bytes(from.read(&mut chunk).await) })
+                state_changed
+                    .or(async { PumpEvent::ReadDone(from.read(&mut chunk).await) })
                     .await
             }
         };
-        let is_done = match woken {
-            Woken::Changed => false,
-            Woken::Bytes(Ok(0)) => end_of_stream(&link, direction, &to),
-            Woken::Bytes(Ok(count)) => deliver(&link, direction, &mut to, &chunk[..count]).await,
-            Woken::Bytes(Err(_)) => true,
+        let must_close = match event {
+            PumpEvent::StateChanged => false,
+            PumpEvent::ReadDone(Ok(0)) => handle_end_of_stream(&link, direction, &to),
+            PumpEvent::ReadDone(Ok(read_bytes)) => {
+                forward_bytes(&link, direction, &mut to, &chunk[..read_bytes]).await
+            }
+            PumpEvent::ReadDone(Err(_)) => true,
         };
-        if is_done {
-            return hang_up(&link, &from, &to);
+        if must_close {
+            return close_connection(&link, &from, &to);
         }
     }
 }
 
-fn next(link: &Link, direction: Direction) -> Step {
+fn next_step(link: &Link, direction: Direction) -> Step {
     match link.route.mode() {
         _ if link.is_closed.get() => Step::Close,
         Mode::Cut => Step::Close,
-        Mode::Hold => Step::Park,
-        _ if link.is_dead(direction) => Step::Park,
+        Mode::Hold => Step::Wait,
+        _ if link.is_stalled(direction) => Step::Wait,
         _ => Step::Read,
     }
 }
 
-/// Passes bytes on as the mode has it; tells whether the connection is to be closed.
-async fn deliver(link: &Link, direction: Direction, to: &mut TcpStream, bytes: &[u8]) -> bool {
+/// Forwards, delays or discards bytes according to the mode; returns whether to close the connection.
+async fn forward_bytes(
+    link: &Link,
+    direction: Direction,
+    to: &mut TcpStream,
+    bytes: &[u8],
+) -> bool {
     let mode = link.route.mode();
-    if mode.swallows(direction) || link.is_dead(direction) {
-        link.lose_bytes(direction);
+    if mode.discards(direction) || link.is_stalled(direction) {
+        link.record_lost_bytes(direction);
         return false;
     }
     match (mode, direction) {
         (Mode::DropAnswer, Direction::Down) => true,
         (Mode::CloseAfterBytes { bytes: limit }, Direction::Down) => {
-            let left = limit.saturating_sub(link.down_bytes.get());
-            let passed = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
-            link.down_bytes.set(link.down_bytes.get() + passed as u64);
-            to.write_all(&bytes[..passed]).await.is_err() || passed < bytes.len()
+            let remaining = limit.saturating_sub(link.forwarded_down_bytes.get());
+            let forwarded = usize::try_from(remaining)
+                .unwrap_or(usize::MAX)
+                .min(bytes.len());
+            link.forwarded_down_bytes
+                .set(link.forwarded_down_bytes.get() + forwarded as u64);
+            to.write_all(&bytes[..forwarded]).await.is_err() || forwarded < bytes.len()
         }
         (Mode::Delay { delay_ms }, _) => {
             Timer::after(Duration::from_millis(delay_ms)).await;
@@ -91,18 +107,18 @@
     }
 }
 
-/// Passes the end of one direction on; tells whether the whole connection is to be closed.
-fn end_of_stream(link: &Link, direction: Direction, to: &TcpStream) -> bool {
-    if link.route.mode().swallows(direction) || link.is_dead(direction) {
-        // A close is lost like bytes are: the other end never learns of it.
-        link.lose_bytes(direction);
+/// Forwards the end of one direction; returns whether to close the whole connection.
+fn handle_end_of_stream(link: &Link, direction: Direction, to: &TcpStream) -> bool {
+    if link.route.mode().discards(direction) || link.is_stalled(direction) {
+        // The end of the stream is discarded as bytes are: the other end does not notice it.
+        link.record_lost_bytes(direction);
         return false;
     }
     let _ = to.shutdown(Shutdown::Write);
     true
 }
 
-fn hang_up(link: &Link, from: &TcpStream, to: &TcpStream) {
+fn close_connection(link: &Link, from: &TcpStream, to: &TcpStream) {
     link.close();
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
--- a/crates/onyxshed-standins/src/faults/route.rs
+++ b/crates/onyxshed-standins/src/faults/route.rs
@@ -1,4 +1,4 @@
-//! One route: an address whose connections lead to a target.
+//! A route of the proxy: a listening address whose connections are forwarded to a target.
 
 use onyxshed_kernel::Notifier;
 use std::cell::{Cell, RefCell};
@@ -11,56 +11,56 @@
 use super::mode::{Direction, Mode};
 use super::pump::pump;
 
-/// One route.
+/// The address, the target and the mode of one route.
 #[derive(Debug)]
 pub struct Route {
     address: SocketAddr,
-    to: Cell<SocketAddr>,
+    target: Cell<SocketAddr>,
     mode: Cell<Mode>,
-    stalls: Cell<u64>,
+    stall_count: Cell<u64>,
     connections: Cell<u64>,
     changed: Notifier,
 }
 
-/// One connection through a route.
+/// One connection through a route, shared by the pumps of both directions.
 #[derive(Debug)]
 pub struct Link {
     pub(super) route: Rc<Route>,
-    opened_after_stalls: u64,
-    pub(super) down_bytes: Cell<u64>,
+    stall_count_at_open: u64,
+    pub(super) forwarded_down_bytes: Cell<u64>,
     pub(super) closed: Notifier,
     pub(super) is_closed: Cell<bool>,
-    has_lost_bytes: RefCell<Vec<Direction>>,
+    lossy_directions: RefCell<Vec<Direction>>,
 }
 
 impl Route {
-    /// Makes a route that passes everything.
-    pub fn new(address: SocketAddr, to: SocketAddr) -> Self {
+    /// Creates a route that forwards everything.
+    pub fn new(address: SocketAddr, target: SocketAddr) -> Self {
         Route {
             address,
-            to: Cell::new(to),
+            target: Cell::new(target),
             mode: Cell::default(),
-            stalls: Cell::default(),
+            stall_count: Cell::default(),
             connections: Cell::default(),
             changed: Notifier::default(),
         }
     }
 
-    /// Gets where it listens.
+    /// Returns the address that the route listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets where new connections lead.
-    pub fn set_target(&self, to: SocketAddr) {
-        self.to.set(to);
+    /// Sets the target of new connections.
+    pub fn set_target(&self, target: SocketAddr) {
+        self.target.set(target);
     }
 
-    /// Sets the mode, for open connections too.
+    /// Sets the mode of new and open connections.
     pub fn set_mode(&self, mode: Mode) {
         match mode {
             Mode::StallExisting => {
-                self.stalls.set(self.stalls.get() + 1);
+                self.stall_count.set(self.stall_count.get() + 1);
                 self.mode.set(Mode::Pass);
             }
             mode => self.mode.set(mode),
@@ -68,22 +68,22 @@
         self.changed.notify();
     }
 
-    /// Gets the mode.
+    /// Returns the mode.
     pub fn mode(&self) -> Mode {
         self.mode.get()
     }
 
-    /// Gets how many connections came so far.
+    /// Returns the number of connections accepted so far.
     pub fn connections(&self) -> u64 {
         self.connections.get()
     }
 
-    /// Gets what wakes when the mode changes.
+    /// Returns the notifier of mode changes.
     pub(super) fn changed(&self) -> &Notifier {
         &self.changed
     }
 
-    /// Serves until dropped.
+    /// Accepts connections and forwards them until dropped.
     pub async fn run(self: Rc<Self>, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -103,42 +103,51 @@
 impl Link {
     fn new(route: Rc<Route>) -> Self {
         Link {
-            opened_after_stalls: route.stalls.get(),
+            stall_count_at_open: route.stall_count.get(),
             route,
-            down_bytes: Cell::default(),
+            forwarded_down_bytes: Cell::default(),
             closed: Notifier::default(),
             is_closed: Cell::default(),
-            has_lost_bytes: RefCell::default(),
+            lossy_directions: RefCell::default(),
         }
     }
 
-    async fn serve(self: Rc<Self>, near: TcpStream, executor: Rc<LocalExecutor<'static>>) {
-        let Ok(far) = TcpStream::connect(self.route.to.get()).await else {
+    async fn serve(self: Rc<Self>, client_stream: TcpStream, executor: Rc<LocalExecutor<'static>>) {
+        let Ok(target_stream) = TcpStream::connect(self.route.target.get()).await else {
             return;
         };
-        if near.set_nodelay(true).and(far.set_nodelay(true)).is_err() {
+        if client_stream
+            .set_nodelay(true)
+            .and(target_stream.set_nodelay(true))
+            .is_err()
+        {
             return;
         }
-        let up = pump(self.clone(), Direction::Up, near.clone(), far.clone());
+        let up = pump(
+            self.clone(),
+            Direction::Up,
+            client_stream.clone(),
+            target_stream.clone(),
+        );
         executor.spawn(up).detach();
         executor
-            .spawn(pump(self, Direction::Down, far, near))
+            .spawn(pump(self, Direction::Down, target_stream, client_stream))
             .detach();
     }
 
-    /// Tells whether the connection fell silent for good in this direction: by a stall, or because
-    /// bytes vanished, after which passing the rest would garble the stream.
-    pub(super) fn is_dead(&self, direction: Direction) -> bool {
-        self.opened_after_stalls < self.route.stalls.get()
-            || self.has_lost_bytes.borrow().contains(&direction)
+    /// Returns whether nothing more is forwarded in this direction: the connection was stalled, or bytes were
+    /// discarded, after which the rest of the stream would be garbled.
+    pub(super) fn is_stalled(&self, direction: Direction) -> bool {
+        self.stall_count_at_open < self.route.stall_count.get()
+            || self.lossy_directions.borrow().contains(&direction)
     }
 
-    /// Notes that bytes vanished.
-    pub(super) fn lose_bytes(&self, direction: Direction) {
-        self.has_lost_bytes.borrow_mut().push(direction);
+    /// Records that bytes of a direction were discarded.
+    pub(super) fn record_lost_bytes(&self, direction: Direction) {
+        self.lossy_directions.borrow_mut().push(direction);
     }
 
-    /// Closes both directions.
+    /// Marks the connection as closed and wakes the pumps of both directions.
     pub(super) fn close(&self) {
         self.is_closed.set(true);
         self.closed.notify();
--- a/crates/onyxshed-standins/src/fleet.rs
+++ b/crates/onyxshed-standins/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The users' platform: its store and its executors, as their pages describe them.
+//! The stand-ins of the users' platform: its store and its executors, as the platform's documentation
+//! describes them.
 
 pub mod executor;
 pub mod groups;
--- a/crates/onyxshed-standins/src/fleet/executor.rs
+++ b/crates/onyxshed-standins/src/fleet/executor.rs
@@ -1,7 +1,8 @@
-//! One executor: enters itself in the store, takes orders, and runs tasks by the clock.
+//! One executor of the users' platform: registers in the store, handles the orders of the pool's owner, and
+//! runs tasks that do nothing but take time.
 //!
-//! A task's spec is a text of the form `MS` or `MS fail`: how long an ordinary executor takes, and
-//! whether it fails. Every start is recorded, and may be read by a test.
+//! A task's spec is a text of the form `MS` or `MS fail`: the time that it takes at speed 1, and whether it
+//! fails. Every start and end of a run is recorded; tests read the records from `/control/runs`.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -29,32 +30,32 @@
 use crate::serve::{Act, Handler, no_such_path, read_json};
 
 const OK: u16 = 200;
-const REFUSED: u16 = 409;
-const OTHER_LIFE: u16 = 421;
+const CONFLICT: u16 = 409;
+const MISDIRECTED: u16 = 421;
 
-/// Time between two entries in the store.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+/// The interval between two entries of the executor in the store.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long the store may take for one.
+/// The timeout of the request that writes an entry.
 const PUT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often leases are looked at.
-const LEASE_TICK: Duration = Duration::from_millis(10);
+/// The interval at which the lease is checked.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How often a run looks whether its executor's speed has changed.
-const SPEED_TICK: Duration = Duration::from_millis(100);
+/// The longest time that a run waits before it takes a change of the executor's speed into account.
+const SPEED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a task's spec says.
+/// The parsed spec of a task.
 #[derive(Debug, Clone, Copy)]
 struct TaskSpec {
-    /// How long it takes on an ordinary executor.
+    /// The time that the task takes at speed 1.
     work: Micros,
-    /// Whether it ends failed.
+    /// Whether the task fails at its end.
     fails: bool,
 }
 
 impl TaskSpec {
-    fn read(spec: &str) -> Self {
+    fn parse(spec: &str) -> Self {
         let mut words = spec.split(' ');
         let ms: u64 = words.next().and_then(|text| text.parse().ok()).unwrap_or(1);
         TaskSpec {
@@ -64,44 +65,45 @@
     }
 }
 
-/// Who the executor is.
+/// The identity, capacity and clock of an executor.
 #[derive(Debug, Clone)]
 pub struct FleetExecutorOptions {
-    /// Its id in the store.
+    /// The id of the executor in the store.
     pub id: SmolStr,
-    /// The upstream that it belongs to.
+    /// The upstream that the executor belongs to.
     pub upstream: SmolStr,
-    /// Its zone.
+    /// The availability zone of the executor.
     pub zone: SmolStr,
-    /// Thousandths of a core.
+    /// The CPU capacity in thousandths of a core.
     pub cpu_millis: u32,
-    /// How many times faster than an ordinary executor it is.
+    /// The factor by which the executor is faster than an ordinary one.
     pub speed: f64,
-    /// How far its clock is ahead, in milliseconds.
+    /// The time by which the clock is ahead, in milliseconds.
     pub clock_ahead_ms: u64,
-    /// By how many thousandths its clock is slow.
+    /// The rate by which the clock is slow, in thousandths.
     pub clock_slow_millis: u64,
-    /// The store.
+    /// The address of the store.
     pub store: SocketAddr,
-    /// Where hosts reach it, if not where it listens.
+    /// The address that the executor registers; the one that it listens on if not set.
     pub advertised: Option<SocketAddr>,
 }
 
-/// A start or an end, as a test reads it.
+/// The record of the start or the end of a run, for tests.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// The task's name.
+    /// The name of the task.
     pub task: SmolStr,
-    /// Which run.
+    /// The number of the run among those of the task.
     pub run: u32,
-    /// When, by the executor's time of day, in milliseconds.
+    /// The time of the event by the wall clock, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Whether it began or how it ended.
-    pub what: SmolStr,
+    /// The event: `start`, `done`, `failed`, `stopped`, or `lapsed` for a run that ended with its lease.
+    #[serde(rename = "what")]
+    pub event: SmolStr,
 }
 
 #[derive(Deserialize)]
-struct Start {
+struct StartBody {
     task_id: SmolStr,
     run_id: u32,
     spec: SmolStr,
@@ -111,7 +113,7 @@
 }
 
 #[derive(Deserialize)]
-struct Stop {
+struct StopBody {
     task_id: SmolStr,
     run_id: u32,
     #[serde(default)]
@@ -119,7 +121,7 @@
 }
 
 #[derive(Deserialize)]
-struct Hold {
+struct HoldBody {
     #[serde(default)]
     expires_ms: Option<u64>,
     #[serde(default)]
@@ -130,7 +132,7 @@
     wait_ms: u64,
 }
 
-/// The executor.
+/// The stand-in of an executor; clones share its state.
 #[derive(Clone)]
 pub struct FleetExecutor {
     inner: Rc<Inner>,
@@ -139,13 +141,13 @@
 struct Inner {
     options: FleetExecutorOptions,
     executor: Rc<LocalExecutor<'static>>,
-    born: Instant,
+    started_at: Instant,
     book: RefCell<RunBook>,
     records: RefCell<Vec<RunRecord>>,
-    ended: Notifier,
+    run_ended: Notifier,
 }
 
-/// What each task takes: half of the smallest executor, so that two fit.
+/// Returns the resources that each task occupies: half of the executor's CPU, so that two fit.
 fn demand(capacity_cpu_millis: u32) -> Resources {
     Resources {
         cpu_millis: capacity_cpu_millis / 2,
@@ -155,7 +157,7 @@
 }
 
 impl FleetExecutor {
-    /// Makes an idle executor.
+    /// Creates an idle executor.
     pub fn new(options: FleetExecutorOptions, executor: Rc<LocalExecutor<'static>>) -> Self {
         let capacity = Resources {
             cpu_millis: options.cpu_millis,
@@ -173,29 +175,29 @@
             inner: Rc::new(Inner {
                 options,
                 executor,
-                born: Instant::now(),
+                started_at: Instant::now(),
                 book: RefCell::new(book),
                 records: RefCell::default(),
-                ended: Notifier::default(),
+                run_ended: Notifier::default(),
             }),
         }
     }
 
-    /// Gets what answers requests.
+    /// Returns the handler of all requests.
     pub fn handler(&self) -> Handler {
         let executor = self.clone();
         Rc::new(move |call| {
             let executor = executor.clone();
-            Box::pin(async move { executor.answer(call).await })
+            Box::pin(async move { executor.handle(call).await })
         })
     }
 
     fn now(&self) -> Mono {
-        let us = self.inner.born.elapsed().as_micros();
+        let us = self.inner.started_at.elapsed().as_micros();
         Mono(u64::try_from(us).unwrap_or(u64::MAX))
     }
 
-    /// Enters itself in the store until dropped.
+    /// Writes the executor's entry to the store at an interval until dropped.
     pub async fn register(self, address: SocketAddr) {
         let options = &self.inner.options;
         let address = options.advertised.unwrap_or(address);
@@ -210,44 +212,44 @@
                 "labels": ["a", "r1-1"], "seq": seq, "born": self.inner.book.borrow().born,
             });
             let body = entry.to_string().into_bytes();
-            // A heartbeat that is lost is made up for by the next one.
+            // A failed write is ignored: the next one replaces it.
             let _ = call_once(options.store, Method::Post, &path, body, PUT_TIMEOUT).await;
-            Timer::after(HEARTBEAT).await;
+            Timer::after(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    /// Ends runs whose lease is over, until dropped.
+    /// Stops all runs when the lease expires, until dropped.
     pub async fn watch_leases(self) {
         loop {
-            Timer::after(LEASE_TICK).await;
-            self.end_lapsed();
+            Timer::after(LEASE_CHECK_INTERVAL).await;
+            self.stop_expired_runs();
         }
     }
 
-    /// Ends runs whose lease is over, as of the lease's end: a process that stood still did no
-    /// work since, and notices only now.
-    fn end_lapsed(&self) {
+    /// Stops all runs if the lease has expired, and records the end of the lease as the time of their ends: a
+    /// process that was frozen past that time did no work since, and detects the expiry only now.
+    fn stop_expired_runs(&self) {
         let now = self.now();
-        let (lapsed, late): (Vec<TaskId>, u64) = {
+        let (expired_tasks, late_ms): (Vec<TaskId>, u64) = {
             let book = self.inner.book.borrow();
             if !book.is_lapsed(now) {
                 return;
             }
-            let late = now.since(book.lapses_at()).as_millis();
-            (book.runs.keys().copied().collect(), late.0)
+            let late_ms = now.since(book.lapses_at()).as_millis();
+            (book.runs.keys().copied().collect(), late_ms.0)
         };
-        for task in lapsed {
-            self.end_at(task, RunEnd::Stopped, "lapsed", now_ms().0 - late);
+        for task in expired_tasks {
+            self.end_run_at(task, RunEnd::Stopped, "lapsed", now_ms().0 - late_ms);
         }
     }
 
-    async fn answer(&self, call: Call) -> Act {
+    async fn handle(&self, call: Call) -> Act {
         if call.path() == "/control/runs" {
             return Act::Reply(Reply::json(OK, &*self.inner.records.borrow()));
         }
         let target = call.header("x-onyxshed-target-instance");
         if target.is_some_and(|target| target != self.inner.options.id) {
-            return Act::Reply(Reply::json(OTHER_LIFE, &json!({})));
+            return Act::Reply(Reply::json(MISDIRECTED, &json!({})));
         }
         match (call.method(), call.path()) {
             (Method::Post, "/run-start") => self.start(&call),
@@ -258,16 +260,16 @@
         }
     }
 
-    fn record(&self, task: TaskId, run: RunNumber, what: &str) {
-        self.record_at(task, run, what, now_ms().0);
+    fn record_event(&self, task: TaskId, run: RunNumber, event: &str) {
+        self.record_event_at(task, run, event, now_ms().0);
     }
 
-    fn record_at(&self, task: TaskId, run: RunNumber, what: &str, at_ms: u64) {
+    fn record_event_at(&self, task: TaskId, run: RunNumber, event: &str, at_ms: u64) {
         self.inner.records.borrow_mut().push(RunRecord {
             task: format_smolstr!("{task}"),
             run: run.0,
             at_ms,
-            what: what.into(),
+            event: event.into(),
         });
     }
 
@@ -276,23 +278,23 @@
     }
 
     fn refuse(&self, reason: &str) -> Act {
-        let told = json!({ "clock_ms": self.clock_ms(), "reason": reason });
-        Act::Reply(Reply::json(REFUSED, &told))
+        let reply = json!({ "clock_ms": self.clock_ms(), "reason": reason });
+        Act::Reply(Reply::json(CONFLICT, &reply))
     }
 
-    fn done(&self) -> Act {
+    fn accept(&self) -> Act {
         Act::Reply(Reply::json(OK, &json!({ "clock_ms": self.clock_ms() })))
     }
 
     fn start(&self, call: &Call) -> Act {
-        let order: Start = match read_json(&call.body) {
+        let order: StartBody = match read_json(&call.body) {
             Ok(order) => order,
             Err(act) => return act,
         };
-        let Some(task) = read_task(&order.task_id) else {
+        let Some(task) = parse_task(&order.task_id) else {
             return Act::Reply(Reply::bytes(400, "no such task"));
         };
-        self.end_lapsed();
+        self.stop_expired_runs();
         let start = StartOrder {
             task,
             run: RunNumber(order.run_id),
@@ -302,19 +304,19 @@
         };
         let now = self.now();
         let demand = demand(self.inner.options.cpu_millis);
-        let spec = TaskSpec::read(&order.spec);
+        let spec = TaskSpec::parse(&order.spec);
         let (answer, is_new) = self
             .inner
             .book
             .borrow_mut()
             .start(now, &start, demand, spec.work);
         if is_new {
-            self.record(task, start.run, "start");
-            let work = self.clone().work(task, start.run, spec);
+            self.record_event(task, start.run, "start");
+            let work = self.clone().execute(task, start.run, spec);
             self.inner.executor.spawn(work).detach();
         }
         match answer {
-            StartAnswer::Started { .. } => self.done(),
+            StartAnswer::Started { .. } => self.accept(),
             StartAnswer::Refused(RefuseReason::Fenced) => self.refuse("fence"),
             StartAnswer::Refused(RefuseReason::Ended) => self.refuse("old"),
             StartAnswer::Refused(RefuseReason::Expired) => self.refuse("late"),
@@ -322,64 +324,70 @@
         }
     }
 
-    async fn work(self, task: TaskId, run: RunNumber, spec: TaskSpec) {
-        while let Some(left) = self.left_of(task, run) {
-            Timer::after(left.min(SPEED_TICK)).await;
+    async fn execute(self, task: TaskId, run: RunNumber, spec: TaskSpec) {
+        while let Some(remaining) = self.remaining_time(task, run) {
+            Timer::after(remaining.min(SPEED_CHECK_INTERVAL)).await;
         }
-        self.end_lapsed();
-        let is_there = {
+        self.stop_expired_runs();
+        let is_running = {
             let book = self.inner.book.borrow();
-            book.runs.get(&task).is_some_and(|held| held.number == run)
+            book.runs
+                .get(&task)
+                .is_some_and(|run_in_progress| run_in_progress.number == run)
         };
-        if is_there {
+        if is_running {
             match spec.fails {
-                true => self.end(task, RunEnd::Failed, "failed"),
-                false => self.end(task, RunEnd::Done, "done"),
+                true => self.end_run(task, RunEnd::Failed, "failed"),
+                false => self.end_run(task, RunEnd::Done, "done"),
             }
         }
     }
 
-    /// Gets how long a run still takes at the present speed; none if it is over or gone.
-    fn left_of(&self, task: TaskId, run: RunNumber) -> Option<Duration> {
+    /// Returns the time that a run still takes at the present speed; `None` if its work is done or it is no
+    /// longer in progress.
+    fn remaining_time(&self, task: TaskId, run: RunNumber) -> Option<Duration> {
         let book = self.inner.book.borrow();
-        let is_there = book.runs.get(&task).is_some_and(|held| held.number == run);
-        let left = book.ends_at(task)?.since(self.now());
-        (is_there && left.0 > 0).then(|| Duration::from_micros(left.0))
+        let is_running = book
+            .runs
+            .get(&task)
+            .is_some_and(|run_in_progress| run_in_progress.number == run);
+        let remaining = book.ends_at(task)?.since(self.now());
+        (is_running && remaining.0 > 0).then(|| Duration::from_micros(remaining.0))
     }
 
-    /// Takes a new speed, also for what runs.
+    /// Handles a change of the speed, which applies to runs in progress as well.
     fn set_speed(&self, call: &Call) -> Act {
         match read_json::<f64>(&call.body) {
             Ok(speed) if speed > 0.0 => {
                 self.inner.book.borrow_mut().set_speed(self.now(), speed);
-                self.done()
+                self.accept()
             }
             Ok(_) => Act::Reply(Reply::bytes(400, "a speed is above zero")),
             Err(act) => act,
         }
     }
 
-    fn end(&self, task: TaskId, end: RunEnd, what: &str) {
-        self.end_at(task, end, what, now_ms().0);
+    fn end_run(&self, task: TaskId, end: RunEnd, event: &str) {
+        self.end_run_at(task, end, event, now_ms().0);
     }
 
-    fn end_at(&self, task: TaskId, end: RunEnd, what: &str, at_ms: u64) {
+    fn end_run_at(&self, task: TaskId, end: RunEnd, event: &str, at_ms: u64) {
         let mut book = self.inner.book.borrow_mut();
         let number = book.runs.get(&task).map(|run| run.number);
         book.end(task, end);
         drop(book);
         if let Some(number) = number {
-            self.record_at(task, number, what, at_ms);
+            self.record_event_at(task, number, event, at_ms);
         }
-        self.inner.ended.notify();
+        self.inner.run_ended.notify();
     }
 
     fn stop(&self, call: &Call) -> Act {
-        let order: Stop = match read_json(&call.body) {
+        let order: StopBody = match read_json(&call.body) {
             Ok(order) => order,
             Err(act) => return act,
         };
-        let Some(task) = read_task(&order.task_id) else {
+        let Some(task) = parse_task(&order.task_id) else {
             return Act::Reply(Reply::bytes(400, "no such task"));
         };
         let stop = StopOrder {
@@ -387,21 +395,21 @@
             run: RunNumber(order.run_id),
             token: FencingToken(order.fencing_token),
         };
-        self.end_lapsed();
-        let was_there = self.inner.book.borrow().runs.contains_key(&task);
+        self.stop_expired_runs();
+        let was_running = self.inner.book.borrow().runs.contains_key(&task);
         match self.inner.book.borrow_mut().stop(&stop) {
             StopAnswer::Fenced => return self.refuse("fence"),
             StopAnswer::Accepted | StopAnswer::OtherIncarnation | StopAnswer::Unknown => {}
         }
-        if was_there && !self.inner.book.borrow().runs.contains_key(&task) {
-            self.record(task, stop.run, "stopped");
-            self.inner.ended.notify();
+        if was_running && !self.inner.book.borrow().runs.contains_key(&task) {
+            self.record_event(task, stop.run, "stopped");
+            self.inner.run_ended.notify();
         }
-        self.done()
+        self.accept()
     }
 
     async fn hold(&self, call: &Call) -> Act {
-        let order: Hold = match read_json(&call.body) {
+        let order: HoldBody = match read_json(&call.body) {
             Ok(order) => order,
             Err(act) => return act,
         };
@@ -412,19 +420,19 @@
             wait: Millis(order.wait_ms),
             answer_within: Millis(0),
         };
-        self.end_lapsed();
+        self.stop_expired_runs();
         let now = self.now();
-        let taken = self.inner.book.borrow_mut().hold(now, &hold);
-        if taken.is_err() {
+        let result = self.inner.book.borrow_mut().hold(now, &hold);
+        if result.is_err() {
             return self.refuse("fence");
         }
         let deadline = Instant::now() + Duration::from_millis(order.wait_ms);
         while !self.inner.book.borrow().has_ends() && Instant::now() < deadline {
-            let waiting = self.inner.ended.subscribe();
-            let over = async {
+            let subscription = self.inner.run_ended.subscribe();
+            let timeout = async {
                 Timer::at(deadline).await;
             };
-            waiting.wait().or(over).await;
+            subscription.wait().or(timeout).await;
         }
         self.report()
     }
@@ -440,28 +448,28 @@
             .map(|row| json!([task_name(row.task), row.run.0, "", 100, 1]))
             .collect();
         let finished: Vec<Value> = lists.finished.iter().map(end_row).collect();
-        let told = json!({
+        let reply = json!({
             "clock_ms": lists.clock.0, "born": lists.started_at.map(|at| at.0),
             "running": running, "finished": finished,
         });
-        Act::Reply(Reply::json(OK, &told))
+        Act::Reply(Reply::json(OK, &reply))
     }
 }
 
 fn end_row(end: &FinishedRun) -> Value {
-    let how = match end.end {
+    let outcome = match end.end {
         RunEnd::Done => "done",
         RunEnd::Failed => "failed",
         RunEnd::Stopped => "stopped",
     };
-    json!([end.number, task_name(end.task), end.run.0, how, ""])
+    json!([end.number, task_name(end.task), end.run.0, outcome, ""])
 }
 
 fn task_name(task: TaskId) -> SmolStr {
     format_smolstr!("{}.0.0.{}", task.job, task.index)
 }
 
-fn read_task(name: &str) -> Option<TaskId> {
+fn parse_task(name: &str) -> Option<TaskId> {
     let mut parts = name.split('.');
     let job = parts.next()?.parse().ok()?;
     let index = parts.nth(2)?.parse().ok()?;
--- a/crates/onyxshed-standins/src/fleet/groups.rs
+++ b/crates/onyxshed-standins/src/fleet/groups.rs
@@ -1,12 +1,12 @@
-//! Groups of the store: members share the partitions of a topic.
+//! Consumer groups of the store, whose members share the partitions of a topic.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use smol_str::SmolStr;
 
-/// Partitions of a topic.
-pub const PARTS: usize = 8;
+/// The number of partitions of a topic.
+pub const PARTITIONS: usize = 8;
 
 #[derive(Debug)]
 struct Member {
@@ -14,27 +14,29 @@
     ttl: Duration,
 }
 
-/// One group.
+/// The members of one group and the partitions that they hold.
 #[derive(Debug, Default)]
 pub struct Group {
     generation: u64,
     members: BTreeMap<SmolStr, Member>,
-    holders: [Option<SmolStr>; PARTS],
-    /// Partitions that belong to another member than their holder, or did since its last join.
-    is_moving: [bool; PARTS],
+    holders: [Option<SmolStr>; PARTITIONS],
+    /// Whether each partition was assigned to a member other than its holder at any time since the holder's
+    /// last join.
+    is_moving: [bool; PARTITIONS],
 }
 
 impl Group {
-    /// Joins, or stays; gets the generation and the partitions that the member holds.
+    /// Joins a member or renews its membership; returns the generation and the partitions that the member
+    /// holds.
     ///
-    /// A member lets go of a partition that is moving with its next join, even if the partition belongs
-    /// to it again by then, and gets one that nobody holds with a join that names the newest generation.
+    /// A member releases a moving partition with its next join, even if the partition is assigned to it again
+    /// by then, and gets an assigned partition without a holder with a join that names the newest generation.
     pub fn join(
         &mut self,
         now: Instant,
         name: &SmolStr,
         ttl: Duration,
-        named: u64,
+        known_generation: u64,
     ) -> (u64, Vec<usize>) {
         self.expire(now);
         let is_new = !self.members.contains_key(name);
@@ -44,45 +46,46 @@
         };
         self.members.insert(name.clone(), member);
         if is_new {
-            self.advance();
+            self.begin_generation();
         }
-        let is_up_to_date = is_new || named == self.generation;
-        for part in 0..PARTS {
-            let is_held = self.holders[part].as_ref() == Some(name);
-            if is_held && self.is_moving[part] {
-                self.holders[part] = None;
-                self.is_moving[part] = false;
-            } else if is_up_to_date
-                && self.holders[part].is_none()
-                && self.target(part) == Some(name)
+        let knows_generation = is_new || known_generation == self.generation;
+        for partition in 0..PARTITIONS {
+            let is_held = self.holders[partition].as_ref() == Some(name);
+            if is_held && self.is_moving[partition] {
+                self.holders[partition] = None;
+                self.is_moving[partition] = false;
+            } else if knows_generation
+                && self.holders[partition].is_none()
+                && self.assigned_member(partition) == Some(name)
             {
-                self.holders[part] = Some(name.clone());
+                self.holders[partition] = Some(name.clone());
             }
         }
-        let mine = (0..PARTS).filter(|part| self.holders[*part].as_ref() == Some(name));
-        (self.generation, mine.collect())
+        let held =
+            (0..PARTITIONS).filter(|partition| self.holders[*partition].as_ref() == Some(name));
+        (self.generation, held.collect())
     }
 
-    /// Leaves the group.
+    /// Removes a member from the group.
     pub fn leave(&mut self, now: Instant, name: &SmolStr) {
         self.expire(now);
         if self.members.remove(name).is_some() {
-            self.advance();
+            self.begin_generation();
         }
     }
 
-    /// Takes every partition away from its holder, and drops all members without a word.
+    /// Removes all members, who are not notified, and so takes every partition away from its holder.
     pub fn revoke(&mut self) {
         self.members.clear();
-        self.advance();
+        self.begin_generation();
     }
 
-    /// Gets who holds each partition.
-    pub fn owners(&mut self, now: Instant) -> Vec<(usize, SmolStr)> {
+    /// Returns each partition that is held, with its holder.
+    pub fn partition_holders(&mut self, now: Instant) -> Vec<(usize, SmolStr)> {
         self.expire(now);
         let holders = self.holders.iter().enumerate();
         holders
-            .filter_map(|(part, holder)| Some((part, holder.clone()?)))
+            .filter_map(|(partition, holder)| Some((partition, holder.clone()?)))
             .collect()
     }
 
@@ -91,27 +94,28 @@
         self.members
             .retain(|_, member| now.duration_since(member.joined_at) < member.ttl);
         if self.members.len() < before {
-            self.advance();
+            self.begin_generation();
         }
     }
 
-    fn target(&self, part: usize) -> Option<&SmolStr> {
+    fn assigned_member(&self, partition: usize) -> Option<&SmolStr> {
         let count = self.members.len();
-        self.members.keys().nth(part % count.max(1))
+        self.members.keys().nth(partition % count.max(1))
     }
 
-    /// Begins a generation: frees what members that are gone held, and notes what has to move.
-    fn advance(&mut self) {
+    /// Begins a generation: releases the partitions of members that are gone, and marks those that have to
+    /// move.
+    fn begin_generation(&mut self) {
         self.generation += 1;
-        for part in 0..PARTS {
-            let holder = self.holders[part].as_ref();
-            let is_there = holder.is_some_and(|holder| self.members.contains_key(holder));
-            let belongs = holder == self.target(part);
-            if !is_there {
-                self.holders[part] = None;
-                self.is_moving[part] = false;
-            } else if !belongs {
-                self.is_moving[part] = true;
+        for partition in 0..PARTITIONS {
+            let holder = self.holders[partition].as_ref();
+            let is_member = holder.is_some_and(|holder| self.members.contains_key(holder));
+            let is_assigned = holder == self.assigned_member(partition);
+            if !is_member {
+                self.holders[partition] = None;
+                self.is_moving[partition] = false;
+            } else if !is_assigned {
+                self.is_moving[partition] = true;
             }
         }
     }
--- a/crates/onyxshed-standins/src/fleet/run_book.rs
+++ b/crates/onyxshed-standins/src/fleet/run_book.rs
@@ -1,6 +1,6 @@
-//! What runs on an executor of the users' platform: leases, fences, runs and ends.
+//! The state of an executor of the users' platform: its lease, fencing token, runs and their ends.
 //!
-//! Time is handed in, so the same book serves a process on real time and a search on virtual time.
+//! The caller passes the time, so that a process uses it on real time and a simulation on virtual time.
 
 use std::collections::BTreeMap;
 
@@ -10,43 +10,43 @@
     RunEnd, RunNumber, RunningRun, StartAnswer, StartOrder, StopAnswer, StopOrder, TaskId,
 };
 
-/// Longest lease that an executor grants.
+/// The longest lease that an executor accepts, in milliseconds; longer ones are cut to it.
 const LEASE_MAX_MS: u64 = 1_000;
 
-/// One run at work.
+/// One run in progress.
 #[derive(Debug, Clone, Copy)]
 pub struct BookedRun {
-    /// Which run of its task.
+    /// The number of the run among those of its task.
     pub number: RunNumber,
-    /// What it takes.
+    /// The resources that the run occupies.
     pub demand: Resources,
-    /// How long it takes on an ordinary executor.
+    /// The time that the run takes at speed 1.
     work: Micros,
-    /// How much of that was done at `counted_at`.
-    done: Micros,
-    /// When the work done was counted last.
-    counted_at: Mono,
-    /// Whether it stands still for ever.
+    /// The part of `work` that was done at `updated_at`.
+    work_done: Micros,
+    /// The time when `work_done` was updated last.
+    updated_at: Mono,
+    /// Whether the run makes no progress and never ends.
     is_stuck: bool,
 }
 
 impl BookedRun {
-    /// Gets the work done by a time, at a speed since it was counted last.
-    fn done_at(&self, now: Mono, speed: f64) -> Micros {
-        let since = scaled(now.since(self.counted_at), speed);
-        Micros(self.done.0.saturating_add(since.0).min(self.work.0))
+    /// Returns the work done at a time, given the speed since `work_done` was updated last.
+    fn work_done_at(&self, now: Mono, speed: f64) -> Micros {
+        let since = scaled(now.since(self.updated_at), speed);
+        Micros(self.work_done.0.saturating_add(since.0).min(self.work.0))
     }
 
-    /// Gets the share of the work done by a time.
+    /// Returns the share of the work done at a time.
     fn percent_at(&self, now: Mono, speed: f64) -> Percent {
         match self.is_stuck {
             true => Percent::new(0),
-            false => Percent::new(self.done_at(now, speed).0 * 100 / self.work.0.max(1)),
+            false => Percent::new(self.work_done_at(now, speed).0 * 100 / self.work.0.max(1)),
         }
     }
 }
 
-/// Stretches a span by a factor.
+/// Multiplies a duration by a factor.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -56,36 +56,41 @@
     Micros((span.0 as f64 * factor) as u64)
 }
 
-/// The executor.
+/// The state of one executor.
 #[derive(Debug)]
 pub struct RunBook {
-    /// Room when nothing runs.
+    /// The resources that are free when nothing runs.
     pub capacity: Resources,
-    /// How many times faster than an ordinary executor it is.
+    /// The factor by which the executor is faster than an ordinary one.
     pub speed: f64,
-    /// When this life of it began, as it says.
+    /// The start of this incarnation in milliseconds, as the executor reports it.
     pub born: u64,
-    /// How far its clock is ahead, in milliseconds.
+    /// The time by which the executor's clock is ahead, in milliseconds.
     pub ahead_ms: u64,
-    /// By how many thousandths its clock is slow.
+    /// The rate by which the executor's clock is slow, in thousandths.
     pub slow_millis: u64,
-    /// Whether it can be reached.
+    /// Whether the executor can be reached; only simulations read and set it.
     pub is_up: bool,
-    /// Whether all that it runs fails.
+    /// Whether every run fails; only simulations read and set it.
     pub fails_all: bool,
-    /// Whether nothing that it starts ever ends.
+    /// Whether the runs that start from now on never end.
     pub is_stuck: bool,
-    /// Runs at work.
+    /// The runs in progress, by task.
     pub runs: BTreeMap<TaskId, BookedRun>,
+    /// The highest fencing token seen.
     token: u64,
+    /// The end of the lease by the executor's clock.
     lease_end_ms: u64,
-    barred: BTreeMap<TaskId, u32>,
+    /// The highest run number of each task that is not started any more.
+    last_barred_runs: BTreeMap<TaskId, u32>,
+    /// The ends that the owner has not seen.
     ends: Vec<FinishedRun>,
-    last_end: u64,
+    /// The number of the newest end; ends are numbered from 1.
+    last_end_number: u64,
 }
 
 impl RunBook {
-    /// Makes an idle executor.
+    /// Creates an idle executor.
     pub fn new(capacity: Resources, speed: f64, ahead_ms: u64, slow_millis: u64) -> Self {
         RunBook {
             capacity,
@@ -99,35 +104,35 @@
             runs: BTreeMap::new(),
             token: 0,
             lease_end_ms: 0,
-            barred: BTreeMap::new(),
+            last_barred_runs: BTreeMap::new(),
             ends: Vec::new(),
-            last_end: 0,
+            last_end_number: 0,
         }
     }
 
-    /// Reads its clock.
+    /// Returns the time by the executor's clock, in milliseconds.
     pub fn clock_ms(&self, now: Mono) -> u64 {
         let ms = now.0 / 1_000;
         self.ahead_ms + ms - ms * self.slow_millis / 1_000
     }
 
-    /// Gets when the lease ends, in true time.
+    /// Returns the true time by which the lease has expired.
     pub fn lapses_at(&self) -> Mono {
         let ms = self.lease_end_ms.saturating_sub(self.ahead_ms);
         Mono((ms * 1_000 / (1_000 - self.slow_millis) + 1) * 1_000)
     }
 
-    /// Tells whether the lease has ended.
+    /// Returns whether the lease has expired by the executor's clock.
     pub fn is_lapsed(&self, now: Mono) -> bool {
         self.clock_ms(now) >= self.lease_end_ms
     }
 
-    fn renew(&mut self, now: Mono, end: UnixMs) {
-        let most = self.clock_ms(now) + LEASE_MAX_MS;
-        self.lease_end_ms = self.lease_end_ms.max(end.0.min(most));
+    fn renew_lease(&mut self, now: Mono, end: UnixMs) {
+        let latest_end_ms = self.clock_ms(now) + LEASE_MAX_MS;
+        self.lease_end_ms = self.lease_end_ms.max(end.0.min(latest_end_ms));
     }
 
-    /// Crashes and starts anew.
+    /// Simulates a crash and a restart: runs, ends, fences and lease are lost.
     pub fn restart(&mut self) {
         let born = self.born + 1;
         *self = RunBook {
@@ -136,7 +141,7 @@
         };
     }
 
-    fn free(&self) -> Resources {
+    fn free_capacity(&self) -> Resources {
         let mut free = self.capacity;
         for run in self.runs.values() {
             free -= run.demand;
@@ -144,24 +149,25 @@
         free
     }
 
-    /// Sets how fast it is from now on, also for what runs.
+    /// Sets the speed from now on, for runs in progress as well.
     pub fn set_speed(&mut self, now: Mono, speed: f64) {
         for run in self.runs.values_mut() {
-            run.done = run.done_at(now, self.speed);
-            run.counted_at = now;
+            run.work_done = run.work_done_at(now, self.speed);
+            run.updated_at = now;
         }
         self.speed = speed;
     }
 
-    /// Gets when a run will have ended at the present speed; none where nothing ever ends.
+    /// Returns the time at which a run ends at the present speed; `None` if the task has no run or the run
+    /// never ends.
     pub fn ends_at(&self, task: TaskId) -> Option<Mono> {
         let run = self.runs.get(&task)?;
-        let left = Micros(run.work.0 - run.done.0);
-        (!run.is_stuck).then(|| run.counted_at + scaled(left, 1.0 / self.speed))
+        let remaining = Micros(run.work.0 - run.work_done.0);
+        (!run.is_stuck).then(|| run.updated_at + scaled(remaining, 1.0 / self.speed))
     }
 
-    /// Takes an order to start a task that takes some time on an ordinary executor; tells whether a run
-    /// began by it.
+    /// Handles an order to start a task that takes `work` at speed 1; returns the answer and whether a new
+    /// run began.
     pub fn start(
         &mut self,
         now: Mono,
@@ -169,34 +175,34 @@
         demand: Resources,
         work: Micros,
     ) -> (StartAnswer, bool) {
-        let refused = |reason| (StartAnswer::Refused(reason), false);
+        let refuse = |reason| (StartAnswer::Refused(reason), false);
         if order.token.0 < self.token {
-            return refused(RefuseReason::Fenced);
+            return refuse(RefuseReason::Fenced);
         }
         self.token = order.token.0;
         if order.expires.0 <= self.clock_ms(now) {
-            return refused(RefuseReason::Expired);
+            return refuse(RefuseReason::Expired);
         }
-        let barred = self.barred.get(&order.task).copied().unwrap_or(0);
-        let held = self.runs.get(&order.task);
-        if held.is_some_and(|run| run.number == order.run) {
-            self.renew(now, order.expires);
+        let last_barred_run = self.last_barred_runs.get(&order.task).copied().unwrap_or(0);
+        let running = self.runs.get(&order.task);
+        if running.is_some_and(|run| run.number == order.run) {
+            self.renew_lease(now, order.expires);
             let clock = Some(UnixMs(self.clock_ms(now)));
             return (StartAnswer::Started { clock }, false);
         }
-        self.renew(now, order.expires);
-        if order.run.0 <= barred {
-            return refused(RefuseReason::Ended);
+        self.renew_lease(now, order.expires);
+        if order.run.0 <= last_barred_run {
+            return refuse(RefuseReason::Ended);
         }
-        if !self.free().can_fit(demand) {
-            return refused(RefuseReason::NoRoom);
+        if !self.free_capacity().can_fit(demand) {
+            return refuse(RefuseReason::NoRoom);
         }
         let run = BookedRun {
             number: order.run,
             demand,
             work,
-            done: Micros(0),
-            counted_at: now,
+            work_done: Micros(0),
+            updated_at: now,
             is_stuck: self.is_stuck,
         };
         self.runs.insert(order.task, run);
@@ -204,41 +210,41 @@
         (StartAnswer::Started { clock }, true)
     }
 
-    /// Takes an order to stop.
+    /// Handles an order to stop a run; that run and earlier ones of its task are not started afterwards.
     pub fn stop(&mut self, order: &StopOrder) -> StopAnswer {
         if order.token.0 < self.token {
             return StopAnswer::Fenced;
         }
         self.token = order.token.0;
-        let barred = self.barred.entry(order.task).or_default();
-        *barred = (*barred).max(order.run.0);
-        let is_there = self
+        let last_barred_run = self.last_barred_runs.entry(order.task).or_default();
+        *last_barred_run = (*last_barred_run).max(order.run.0);
+        let is_running = self
             .runs
             .get(&order.task)
             .is_some_and(|run| run.number <= order.run);
-        if is_there {
+        if is_running {
             self.end(order.task, RunEnd::Stopped);
         }
         StopAnswer::Accepted
     }
 
-    /// Ends a run and lists its end.
+    /// Removes the run of a task and adds its end to the report.
     pub fn end(&mut self, task: TaskId, end: RunEnd) {
         let Some(run) = self.runs.remove(&task) else {
             return;
         };
-        let barred = self.barred.entry(task).or_default();
-        *barred = (*barred).max(run.number.0);
-        self.last_end += 1;
+        let last_barred_run = self.last_barred_runs.entry(task).or_default();
+        *last_barred_run = (*last_barred_run).max(run.number.0);
+        self.last_end_number += 1;
         self.ends.push(FinishedRun {
-            number: self.last_end,
+            number: self.last_end_number,
             task,
             run: run.number,
             end,
         });
     }
 
-    /// Ends everything, as when the lease has ended.
+    /// Stops all runs, as an executor does when its lease has expired.
     pub fn lapse(&mut self) {
         let tasks: Vec<TaskId> = self.runs.keys().copied().collect();
         for task in tasks {
@@ -246,25 +252,26 @@
         }
     }
 
-    /// Takes a hold; an error holds the refusal.
+    /// Handles a hold order: renews the lease and drops the ends that the owner has seen. The error is the
+    /// report that refuses an order with an old fencing token.
     pub fn hold(&mut self, now: Mono, order: &HoldOrder) -> Result<(), ExecutorReport> {
         if order.token.0 < self.token {
             return Err(ExecutorReport::Fenced);
         }
         self.token = order.token.0;
         if let Some(end) = order.expires {
-            self.renew(now, end);
+            self.renew_lease(now, end);
         }
         self.ends.retain(|end| end.number > order.last_seen);
         Ok(())
     }
 
-    /// Tells whether an end is listed.
+    /// Returns whether the report has ends that the owner has not seen.
     pub fn has_ends(&self) -> bool {
         !self.ends.is_empty()
     }
 
-    /// Makes the report.
+    /// Returns the report of runs in progress and of ends.
     pub fn report(&self, now: Mono) -> ExecutorReport {
         let running = self.runs.iter().map(|(task, run)| RunningRun {
             task: *task,
@@ -276,7 +283,7 @@
             started_at: Some(UnixMs(self.born)),
             running: running.collect(),
             finished: self.ends.clone(),
-            listed_to: self.last_end,
+            listed_to: self.last_end_number,
         })
     }
 }
--- a/crates/onyxshed-standins/src/fleet/store.rs
+++ b/crates/onyxshed-standins/src/fleet/store.rs
@@ -1,4 +1,4 @@
-//! The store: keyed topics and groups, in memory.
+//! The store of the users' platform: keyed topics and consumer groups, kept in memory.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,26 +20,29 @@
 
 const OK: u16 = 200;
 const GONE: u16 = 410;
-const MOVED_ON: u16 = 412;
+const PRECONDITION_FAILED: u16 = 412;
 const UNAVAILABLE: u16 = 503;
 
-/// What the store does wrong.
+/// The faults of the store that are in force; a call of `/control/faults` replaces all of them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreFaults {
-    /// Answers 503 to everything.
+    /// Whether every call is answered with status 503.
     pub is_busy: bool,
-    /// Lets each answer wait, in milliseconds.
+    /// The delay of every call, in milliseconds.
     pub delay_ms: u64,
-    /// Share of the calls that are carried out and not answered.
+    /// The share of calls, from 0 to 1, that take effect but whose connection is closed without a reply.
     pub lost_answers: f64,
-    /// Keeps members of groups a thousand times as long as they ask for.
+    /// Whether memberships of groups last a thousand times as long as requested.
     pub keeps_members: bool,
 }
 
+/// The records of one topic.
 #[derive(Debug, Default)]
 struct Topic {
+    /// The offset of the oldest record that is kept.
     first: u64,
+    /// The kept records as keys and values; a value of `None` deletes the key.
     records: Vec<(SmolStr, Option<Vec<u8>>)>,
     /// The newest value of each key, with its offset.
     newest: BTreeMap<SmolStr, (u64, Vec<u8>)>,
@@ -61,7 +64,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Join {
+struct JoinRequest {
     group: SmolStr,
     member: SmolStr,
     ttl_ms: u64,
@@ -69,12 +72,12 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Leave {
+struct LeaveRequest {
     group: SmolStr,
     member: SmolStr,
 }
 
-/// The store.
+/// The stand-in of the store; clones share its state.
 #[derive(Clone, Default)]
 pub struct FleetStore {
     inner: Rc<Inner>,
@@ -85,27 +88,27 @@
     topics: RefCell<BTreeMap<SmolStr, Topic>>,
     groups: RefCell<BTreeMap<SmolStr, Group>>,
     faults: RefCell<StoreFaults>,
-    /// Joins of groups taken so far.
+    /// The number of joins and renewals of memberships so far.
     joins: Cell<u64>,
     changed: Notifier,
 }
 
 impl FleetStore {
-    /// Makes an empty store.
+    /// Creates an empty store.
     pub fn new() -> Self {
         FleetStore::default()
     }
 
-    /// Gets what answers requests.
+    /// Returns the handler of all requests.
     pub fn handler(&self) -> Handler {
         let store = self.clone();
         Rc::new(move |call| {
             let store = store.clone();
-            Box::pin(async move { store.answer(call).await })
+            Box::pin(async move { store.handle(call).await })
         })
     }
 
-    async fn answer(&self, call: Call) -> Act {
+    async fn handle(&self, call: Call) -> Act {
         if let Some(rest) = call.path().strip_prefix("/control/") {
             return self.control(rest, &call);
         }
@@ -117,25 +120,25 @@
             Timer::after(Duration::from_millis(faults.delay_ms)).await;
         }
         let act = match (call.method(), call.path()) {
-            (Method::Get, "/log-newest") => self.newest(&call),
+            (Method::Get, "/log-newest") => self.read_newest(&call),
             (Method::Get, "/log-read") => self.read(&call).await,
-            (Method::Get, "/log-owners") => self.owners(&call),
+            (Method::Get, "/log-owners") => self.read_owners(&call),
             (Method::Post, "/log-append") => self.append(&call),
             (Method::Post, "/log-join") => self.join(&call),
             (Method::Post, "/log-leave") => self.leave(&call),
             _ => no_such_path(),
         };
-        let is_lost = rand::rng().random_bool(faults.lost_answers.clamp(0.0, 1.0));
-        if is_lost { Act::Close } else { act }
+        let is_reply_lost = rand::rng().random_bool(faults.lost_answers.clamp(0.0, 1.0));
+        if is_reply_lost { Act::Close } else { act }
     }
 
-    fn control(&self, what: &str, call: &Call) -> Act {
-        match what {
+    fn control(&self, command: &str, call: &Call) -> Act {
+        match command {
             "put" => self.put(call),
             "faults" => match read_json(&call.body) {
                 Ok(faults) => {
                     self.inner.faults.replace(faults);
-                    done()
+                    empty_reply()
                 }
                 Err(act) => act,
             },
@@ -144,19 +147,19 @@
                     topic.first = topic.end();
                     topic.records.clear();
                 }
-                done()
+                empty_reply()
             }
             "joins" => Act::Reply(Reply::json(OK, &self.inner.joins.get())),
             "revoke" => {
                 let mut groups = self.inner.groups.borrow_mut();
                 groups.values_mut().for_each(Group::revoke);
-                done()
+                empty_reply()
             }
             _ => no_such_path(),
         }
     }
 
-    /// Writes a record, as operators and executors do; an empty body drops the key.
+    /// Handles a write of a record by operators or executors; an empty body deletes the key.
     fn put(&self, call: &Call) -> Act {
         let (Some(topic), Some(key)) = (call.query("topic"), call.query("key")) else {
             return no_such_path();
@@ -166,10 +169,11 @@
         topics.entry(topic).or_default().put(key, value);
         drop(topics);
         self.inner.changed.notify();
-        done()
+        empty_reply()
     }
 
-    /// Takes one record of a keyed topic in the store's framing.
+    /// Handles an append of one record in the store's framing: a length of four bytes, the length of the key
+    /// in one byte, the key and the value.
     fn append(&self, call: &Call) -> Act {
         const LENGTH_BYTES: usize = 4;
         let record = call.body.get(LENGTH_BYTES..).unwrap_or_default();
@@ -183,19 +187,19 @@
         let topic = call.query("topic").unwrap_or_default();
         let mut topics = self.inner.topics.borrow_mut();
         let topic = topics.entry(topic).or_default();
-        let wanted: Option<u64> = call.query("at").and_then(|text| text.parse().ok());
-        if wanted.is_some_and(|wanted| wanted != topic.end()) {
-            let told = json!({ "end": topic.end() });
-            return Act::Reply(Reply::json(MOVED_ON, &told));
+        let expected_end: Option<u64> = call.query("at").and_then(|text| text.parse().ok());
+        if expected_end.is_some_and(|expected_end| expected_end != topic.end()) {
+            let reply = json!({ "end": topic.end() });
+            return Act::Reply(Reply::json(PRECONDITION_FAILED, &reply));
         }
         topic.put(key, Some(value.to_vec()));
-        let told = json!({ "offset": topic.end() - 1, "end": topic.end() });
+        let reply = json!({ "offset": topic.end() - 1, "end": topic.end() });
         drop(topics);
         self.inner.changed.notify();
-        Act::Reply(Reply::json(OK, &told))
+        Act::Reply(Reply::json(OK, &reply))
     }
 
-    fn newest(&self, call: &Call) -> Act {
+    fn read_newest(&self, call: &Call) -> Act {
         let mut topics = self.inner.topics.borrow_mut();
         let topic = topics
             .entry(call.query("topic").unwrap_or_default())
@@ -226,18 +230,18 @@
         let (from, wait) = (number("from"), Duration::from_millis(number("wait_ms")));
         let deadline = Instant::now() + wait;
         loop {
-            let waiting = self.inner.changed.subscribe();
-            if let Some(act) = self.read_now(&topic, from, Instant::now() >= deadline) {
+            let subscription = self.inner.changed.subscribe();
+            if let Some(act) = self.try_read(&topic, from, Instant::now() >= deadline) {
                 return act;
             }
-            let over = async {
+            let timeout = async {
                 Timer::at(deadline).await;
             };
-            waiting.wait().or(over).await;
+            subscription.wait().or(timeout).await;
         }
     }
 
-    fn read_now(&self, topic: &SmolStr, from: u64, is_last: bool) -> Option<Act> {
+    fn try_read(&self, topic: &SmolStr, from: u64, is_last: bool) -> Option<Act> {
         let mut topics = self.inner.topics.borrow_mut();
         let topic = topics.entry(topic.clone()).or_default();
         if from < topic.first {
@@ -259,28 +263,30 @@
     }
 
     fn join(&self, call: &Call) -> Act {
-        let join: Join = match read_json(&call.body) {
+        let join: JoinRequest = match read_json(&call.body) {
             Ok(join) => join,
             Err(act) => return act,
         };
         self.inner.joins.set(self.inner.joins.get() + 1);
         let mut groups = self.inner.groups.borrow_mut();
         let group = groups.entry(join.group.clone()).or_default();
-        /// Long enough to outlast every test.
-        const KEPT_FACTOR: u32 = 1_000;
-        let kept = self.inner.faults.borrow().keeps_members;
-        let ttl = Duration::from_millis(join.ttl_ms) * if kept { KEPT_FACTOR } else { 1 };
-        let (generation, parts) = group.join(Instant::now(), &join.member, ttl, join.generation);
-        let rows: Vec<_> = parts
+        /// The factor by which memberships last longer under the fault, so that none expires during a test.
+        const EXTENDED_TTL_FACTOR: u32 = 1_000;
+        let is_extended = self.inner.faults.borrow().keeps_members;
+        let ttl =
+            Duration::from_millis(join.ttl_ms) * if is_extended { EXTENDED_TTL_FACTOR } else { 1 };
+        let (generation, partitions) =
+            group.join(Instant::now(), &join.member, ttl, join.generation);
+        let rows: Vec<_> = partitions
             .iter()
-            .map(|part| json!([join.group, part, 0]))
+            .map(|partition| json!([join.group, partition, 0]))
             .collect();
-        let told = json!({ "generation": generation, "ttl_ms": join.ttl_ms, "parts": rows });
-        Act::Reply(Reply::json(OK, &told))
+        let reply = json!({ "generation": generation, "ttl_ms": join.ttl_ms, "parts": rows });
+        Act::Reply(Reply::json(OK, &reply))
     }
 
     fn leave(&self, call: &Call) -> Act {
-        let leave: Leave = match read_json(&call.body) {
+        let leave: LeaveRequest = match read_json(&call.body) {
             Ok(leave) => leave,
             Err(act) => return act,
         };
@@ -288,19 +294,19 @@
         if let Some(group) = groups.get_mut(&leave.group) {
             group.leave(Instant::now(), &leave.member);
         }
-        done()
+        empty_reply()
     }
 
-    fn owners(&self, call: &Call) -> Act {
+    fn read_owners(&self, call: &Call) -> Act {
         let name = call.query("group").unwrap_or_default();
         let mut groups = self.inner.groups.borrow_mut();
         let owners = groups
             .get_mut(&name)
-            .map(|group| group.owners(Instant::now()));
+            .map(|group| group.partition_holders(Instant::now()));
         let rows: Vec<_> = owners
             .unwrap_or_default()
             .into_iter()
-            .map(|(part, member)| json!([name, part, member, 0]))
+            .map(|(partition, member)| json!([name, partition, member, 0]))
             .collect();
         Act::Reply(Reply::json(OK, &json!({ "parts": rows })))
     }
@@ -322,14 +328,15 @@
     offset: u64,
 }
 
-fn done() -> Act {
+fn empty_reply() -> Act {
     Act::Reply(Reply::json(OK, &json!({})))
 }
 
 fn write_record(body: &mut Vec<u8>, key: &str, value: &[u8]) {
-    let length = u32::try_from(1 + key.len() + value.len()).expect("records are small");
+    let length =
+        u32::try_from(1 + key.len() + value.len()).expect("a record is shorter than 4 GiB");
     body.extend_from_slice(&length.to_be_bytes());
-    body.push(u8::try_from(key.len()).expect("keys are short"));
+    body.push(u8::try_from(key.len()).expect("a key is at most 255 bytes long"));
     body.extend_from_slice(key.as_bytes());
     body.extend_from_slice(value);
 }
--- a/crates/onyxshed-standins/src/history.rs
+++ b/crates/onyxshed-standins/src/history.rs
@@ -1,9 +1,9 @@
-//! A value as it was some time ago.
+//! A value that readers see with a fixed delay; the host list of the platform's stand-in is one.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Remembers a value's changes for as long as a lagging view needs them.
+/// The changes of a value, kept for as long as a view that lags may still show them.
 #[derive(Debug)]
 pub struct History<T> {
     lag: Duration,
@@ -11,7 +11,7 @@
 }
 
 impl<T> History<T> {
-    /// Starts with a value that a view at any lag shows until the first change is old enough.
+    /// Creates a history whose views lag by `lag` and show `value` until the first change is that old.
     pub fn new(lag: Duration, value: T) -> Self {
         History {
             lag,
@@ -19,26 +19,27 @@
         }
     }
 
-    /// Sets the value from now on.
+    /// Sets the value as of now.
     pub fn set(&mut self, value: T) {
         self.changes.push_back((Instant::now(), value));
-        self.forget(Instant::now());
+        self.drop_unneeded(Instant::now());
     }
 
-    /// Gets the newest value.
+    /// Returns the newest value, without lag.
     pub fn newest(&self) -> &T {
         &self.changes[self.changes.len() - 1].1
     }
 
-    /// Gets the value as it was the lag before `now`.
+    /// Returns the value that was in force one lag before `now`.
     pub fn view_at(&self, now: Instant) -> &T {
-        let seen = self.changes.iter().rev();
-        seen.clone()
+        let newest_first = self.changes.iter().rev();
+        newest_first
+            .clone()
             .find(|(at, _)| *at + self.lag <= now)
             .map_or(&self.changes[0].1, |(_, value)| value)
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn drop_unneeded(&mut self, now: Instant) {
         while self.changes.len() > 1 && self.changes[1].0 + self.lag <= now {
             self.changes.pop_front();
         }
--- a/crates/onyxshed-standins/src/platform.rs
+++ b/crates/onyxshed-standins/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: an append-only log with streams, and a lagging host list.
+//! The stand-in of the platform: an append-only log with streams, and a host list that lags.
 
 pub mod log;
 pub mod service;
--- a/crates/onyxshed-standins/src/platform/log.rs
+++ b/crates/onyxshed-standins/src/platform/log.rs
@@ -1,11 +1,11 @@
-//! One stream of the log, in memory.
+//! One stream of the log, kept in memory.
 
 use std::collections::VecDeque;
 
 use onyxshed_core::{Millis, Offset, UnixMs};
 use onyxshed_wire::platform::{Page, Record};
 
-/// One stream.
+/// The records of one stream, from the oldest that is kept to the newest.
 #[derive(Debug, Default)]
 pub struct Stream {
     next: Offset,
@@ -13,7 +13,7 @@
 }
 
 impl Stream {
-    /// Appends a record.
+    /// Appends a record and returns its offset.
     pub fn append(&mut self, at_ms: UnixMs, data: String) -> Offset {
         let offset = self.next;
         self.next = offset.next();
@@ -25,12 +25,12 @@
         offset
     }
 
-    /// Gets the offset that the next append will get.
+    /// Returns the offset of the next append.
     pub fn next(&self) -> Offset {
         self.next
     }
 
-    /// Reads records from an offset on, none at or after `end`.
+    /// Returns a page of at most `max` records, from the offset `from` up to but not including `end`.
     pub fn read(&self, from: Offset, end: Offset, max: usize) -> Page {
         let next = self.next.min(end);
         let wanted = self
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Drops records before an offset.
+    /// Drops all records before an offset.
     pub fn truncate(&mut self, to: Offset) {
         while self
             .records
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Drops records past the retention.
+    /// Drops all records that are older than the retention.
     pub fn expire(&mut self, now: UnixMs, retention: Millis) {
         let is_old = |record: &Record| now.since(record.at_ms) > retention;
         while self.records.front().is_some_and(is_old) {
