--- a/crates/onyxshed-standins/src/platform/service.rs
+++ b/crates/onyxshed-standins/src/platform/service.rs
@@ -1,4 +1,5 @@
-//! Answers the platform's calls.
+//! The HTTP interface of the platform: appends to and reads of streams, the host list, and a test's commands
+//! under `/control/`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,16 +16,16 @@
 
 use crate::serve::{Act, Handler, no_such_path, read_json};
 
-use super::state::{Faults, Hosts, Outage, PlatformOptions, State, take_one};
+use super::state::{Faults, Hosts, Outage, PlatformOptions, State, consume_one};
 
-/// Records in one page unless the reader asks for fewer.
+/// The greatest number of records in one page; a reader may request fewer.
 const PAGE_MAX: usize = 1_000;
 
 const OK: u16 = 200;
 const BAD_REQUEST: u16 = 400;
 const TOO_LARGE: u16 = 413;
 
-/// The stand-in.
+/// The stand-in of the platform; clones share its state.
 #[derive(Clone)]
 pub struct Platform {
     state: Rc<RefCell<State>>,
@@ -32,7 +33,7 @@
 }
 
 impl Platform {
-    /// Makes an empty log and host list.
+    /// Creates a platform with an empty log and host list.
     pub fn new(options: PlatformOptions) -> Self {
         Platform {
             state: Rc::new(RefCell::new(State::new(options))),
@@ -40,23 +41,23 @@
         }
     }
 
-    /// Gets what answers requests.
+    /// Returns the handler of all requests.
     pub fn handler(&self) -> Handler {
         let platform = self.clone();
         Rc::new(move |call| {
             let platform = platform.clone();
-            Box::pin(async move { platform.answer(call).await })
+            Box::pin(async move { platform.handle(call).await })
         })
     }
 
-    async fn answer(&self, call: Call) -> Act {
+    async fn handle(&self, call: Call) -> Act {
         if call.path().starts_with("/control/") || call.method() == Method::Put {
             return self.control(&call);
         }
-        if let Some(act) = self.misbehave().await {
+        if let Some(act) = self.apply_faults().await {
             return act;
         }
-        match (call.method(), stream_of(call.path())) {
+        match (call.method(), parse_stream_path(call.path())) {
             (Method::Post, Some(stream)) => self.append(stream, call.body).await,
             (Method::Get, Some(stream)) => self.read(stream, &call).await,
             (Method::Get, None) if call.path() == HOSTS_PATH => self.host_list(),
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Fails the call if that is in force.
-    async fn misbehave(&self) -> Option<Act> {
+    /// Applies the faults in force to a call; returns `None` if the call is to be served.
+    async fn apply_faults(&self) -> Option<Act> {
         let faults = self.state.borrow().faults.clone();
         match faults.down {
             Some(Outage::Refuse) => return Some(Act::Close),
@@ -114,30 +115,30 @@
         let synced_at = {
             let mut state = self.state.borrow_mut();
             state.counts.appends += 1;
-            if take_one(&mut state.faults.drop_append) {
+            if consume_one(&mut state.faults.drop_append) {
                 return Act::Close;
             }
             state.reserve_append()
         };
         Timer::at(synced_at).await;
-        let (offset, is_lost) = self.take_effect(stream, data);
-        // An outage that began meanwhile takes the answer, not the effect.
+        let (offset, is_reply_lost) = self.apply_append(stream, data);
+        // An outage that began during the sync suppresses the reply, not the append.
         let down = self.state.borrow().faults.down;
         match down {
             Some(Outage::Hang) => future::pending().await,
             Some(Outage::Refuse) => Act::Close,
-            None if is_lost => Act::Close,
+            None if is_reply_lost => Act::Close,
             None => Act::Reply(Reply::json(OK, &AppendReply { offset })),
         }
     }
 
-    fn take_effect(&self, stream: SmolStr, data: String) -> (Offset, bool) {
+    fn apply_append(&self, stream: SmolStr, data: String) -> (Offset, bool) {
         let mut state = self.state.borrow_mut();
         *state.counts.appended.entry(stream.clone()).or_default() += 1;
         let log = state.streams.entry(stream).or_default();
         let offset = log.append(now_ms(), data);
         self.changed.notify();
-        (offset, take_one(&mut state.faults.lose_append_answer))
+        (offset, consume_one(&mut state.faults.lose_append_answer))
     }
 
     async fn read(&self, stream: SmolStr, call: &Call) -> Act {
@@ -148,20 +149,20 @@
             usize::try_from(max).unwrap_or(PAGE_MAX).min(PAGE_MAX)
         });
         self.state.borrow_mut().counts.reads += 1;
-        let give_up_at = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         loop {
-            let waiting = self.changed.subscribe();
+            let subscription = self.changed.subscribe();
             let page = self.page(&stream, from, max);
-            if !page.records.is_empty() || Instant::now() >= give_up_at {
+            if !page.records.is_empty() || Instant::now() >= deadline {
                 return Act::Reply(Reply::json(OK, &page));
             }
-            let give_up = async {
-                Timer::at(give_up_at).await;
+            let timeout = async {
+                Timer::at(deadline).await;
             };
-            waiting.wait().or(give_up).await;
+            subscription.wait().or(timeout).await;
             let down = self.state.borrow().faults.down;
             if down.is_some() {
-                return self.misbehave().await.unwrap_or(Act::Close);
+                return self.apply_faults().await.unwrap_or(Act::Close);
             }
         }
     }
@@ -182,9 +183,9 @@
         let mut state = self.state.borrow_mut();
         state.counts.host_lists += 1;
         let now = Instant::now();
-        let seen_at = state.frozen.as_ref().map_or(now, |frozen| frozen.at);
-        let hosts = state.hosts.view_at(seen_at).clone();
-        let age = now - seen_at + Duration::from(state.options.host_list_lag_ms);
+        let as_of = state.frozen.as_ref().map_or(now, |frozen| frozen.at);
+        let hosts = state.hosts.view_at(as_of).clone();
+        let age = now - as_of + Duration::from(state.options.host_list_lag_ms);
         let list = HostList {
             age_ms: Millis(u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             executors: hosts.executors,
@@ -194,15 +195,15 @@
     }
 }
 
-/// Finds the stream's name in a records path.
-fn stream_of(path: &str) -> Option<SmolStr> {
+/// Parses the stream name of a records path; `None` if the path is of another form.
+fn parse_stream_path(path: &str) -> Option<SmolStr> {
     path.strip_prefix("/v1/streams/")?
         .strip_suffix("/records")
         .filter(|name| !name.is_empty() && !name.contains('/'))
         .map(SmolStr::from)
 }
 
-/// Reads the wall clock.
+/// Returns the time by the wall clock.
 pub fn now_ms() -> UnixMs {
     let since_epoch = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/onyxshed-standins/src/platform/state.rs
+++ b/crates/onyxshed-standins/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What the platform's stand-in holds, and how it may be told to fail.
+//! The state of the platform's stand-in, and the faults that a test may set.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,16 +12,16 @@
 
 use super::log::Stream;
 
-/// Options of the platform's stand-in.
+/// The options of the platform's stand-in.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformOptions {
-    /// How long an append takes until it is synced. Default 3 ms.
+    /// The time until an append is synced and answered. Default 3 ms.
     pub sync_ms: Millis,
-    /// Appends a second that the log takes; more wait their turn. Default 500.
+    /// The number of appends per second that the log accepts; further ones are delayed. Default 500.
     pub appends_per_s: u32,
-    /// How long records are kept. Default one hour.
+    /// The age at which records are dropped. Default one hour.
     pub retention_ms: Millis,
-    /// How far the host list lags. Default 0.
+    /// The time by which the host list lags behind what was set. Default 0.
     pub host_list_lag_ms: Millis,
 }
 
@@ -36,84 +36,84 @@
     }
 }
 
-/// How an outage looks.
+/// The way in which an outage shows to callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
-    /// Connections are closed without an answer.
+    /// Connections are closed without a reply.
     Refuse,
-    /// Requests are never answered.
+    /// Connections stay open and requests are never answered.
     Hang,
 }
 
-/// Drops a stream's records before an offset, at once.
+/// A command to drop the records of a stream before an offset.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Truncation {
-    /// The stream.
+    /// The name of the stream.
     pub stream: SmolStr,
-    /// The oldest offset kept.
+    /// The oldest offset that is kept.
     pub to: Offset,
 }
 
-/// Faults in force; a `POST /control/faults` replaces them all.
+/// The faults in force; a `POST /control/faults` replaces all of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Outage of log and host list.
+    /// An outage of the log and the host list.
     pub down: Option<Outage>,
-    /// Added to every call, in milliseconds.
+    /// The delay of every call, in milliseconds.
     pub slow_ms: u64,
-    /// Appends from now on that take effect and close the connection without an answer.
+    /// The number of next appends that take effect but whose connection is closed without a reply.
     pub lose_append_answer: u32,
-    /// Appends from now on that have no effect and close the connection without an answer.
+    /// The number of next appends that have no effect and whose connection is closed without a reply.
     pub drop_append: u32,
-    /// Status that every call is answered with, without effect.
+    /// The HTTP status that every call is answered with, without taking effect.
     pub error_status: Option<u16>,
-    /// Whether reads and the host list show the state of the moment this was set.
+    /// Whether reads and the host list show the state as of the moment when this was set.
     pub stale_reads: bool,
-    /// Records to drop now.
+    /// Records to drop when this is set.
     pub truncate: Option<Truncation>,
 }
 
-/// Calls served since the start.
+/// The numbers of calls since the start of the process.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Appends asked for.
+    /// The number of appends requested.
     pub appends: u64,
-    /// Appends that took effect, by stream.
+    /// The number of appends that took effect, by stream.
     pub appended: BTreeMap<SmolStr, u64>,
-    /// Reads of a stream.
+    /// The number of reads of a stream.
     pub reads: u64,
-    /// Reads of the host list.
+    /// The number of reads of the host list.
     pub host_lists: u64,
 }
 
-/// Hosts as `PUT /v1/hosts` sets them.
+/// The host list as `PUT /v1/hosts` sets it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Hosts {
-    /// Every executor.
+    /// All executors.
     pub executors: Vec<ExecutorHost>,
-    /// Every entry host.
+    /// All entry hosts.
     pub entries: Vec<EntryHost>,
 }
 
-/// The moment at which stale reads stopped seeing anything new.
+/// The state that stale reads show: the time of the freeze, and the next offset of each stream at that time.
 #[derive(Debug)]
-pub(super) struct Frozen {
+pub(super) struct FrozenView {
     pub(super) at: Instant,
     pub(super) ends: BTreeMap<SmolStr, Offset>,
 }
 
-/// All that the stand-in holds.
+/// The state of the stand-in.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) options: PlatformOptions,
     pub(super) streams: BTreeMap<SmolStr, Stream>,
     pub(super) hosts: History<Hosts>,
     pub(super) faults: Faults,
-    pub(super) frozen: Option<Frozen>,
+    pub(super) frozen: Option<FrozenView>,
     pub(super) counts: Counts,
     next_append_slot: Instant,
 }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Takes the next place in the log's pace and gets when the append will be synced.
+    /// Reserves the next append slot within the rate limit; returns the time at which the append is synced.
     pub(super) fn reserve_append(&mut self) -> Instant {
         let slot = self.next_append_slot.max(Instant::now());
         self.next_append_slot = slot + Duration::from_secs(1) / self.options.appends_per_s.max(1);
@@ -149,23 +149,23 @@
         self.frozen = match (faults.stale_reads, self.frozen.take()) {
             (false, _) => None,
             (true, Some(frozen)) => Some(frozen),
-            (true, None) => Some(self.freeze()),
+            (true, None) => Some(self.freeze_view()),
         };
         self.faults = faults;
     }
 
-    fn freeze(&self) -> Frozen {
+    fn freeze_view(&self) -> FrozenView {
         let ends = self.streams.iter();
-        Frozen {
+        FrozenView {
             at: Instant::now(),
             ends: ends.map(|(name, log)| (name.clone(), log.next())).collect(),
         }
     }
 }
 
-/// Takes one off a count of calls to spoil; tells whether this one is to be spoilt.
-pub(super) fn take_one(left: &mut u32) -> bool {
-    let is_spoilt = *left > 0;
-    *left = left.saturating_sub(1);
-    is_spoilt
+/// Decrements the number of calls that are still to fail; returns whether this call is one of them.
+pub(super) fn consume_one(remaining: &mut u32) -> bool {
+    let must_fail = *remaining > 0;
+    *remaining = remaining.saturating_sub(1);
+    must_fail
 }
--- a/crates/onyxshed-standins/src/ready.rs
+++ b/crates/onyxshed-standins/src/ready.rs
@@ -1,4 +1,5 @@
-//! The one line that a process prints when it serves.
+//! The line that a stand-in prints once it accepts connections, which the process that started it waits
+//! for.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -10,17 +11,17 @@
 
 use crate::error::{ReadySnafu, Result};
 
-/// Says that a process serves, and where.
+/// A JSON line that names a process that is ready and its addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadyLine {
-    /// The binary's name.
+    /// The name of the binary.
     pub ready: SmolStr,
-    /// Its addresses by purpose.
+    /// The addresses that the process listens on, by purpose, such as `http` or `store`.
     pub addresses: BTreeMap<SmolStr, SocketAddr>,
 }
 
 impl ReadyLine {
-    /// Makes a line for a process with one address.
+    /// Creates the line of a process with one address.
     pub fn single(ready: &str, purpose: &str, address: SocketAddr) -> Self {
         ReadyLine {
             ready: ready.into(),
@@ -28,9 +29,9 @@
         }
     }
 
-    /// Tries to print the line on standard output.
+    /// Prints the line on standard output and flushes it.
     pub fn print(&self) -> Result<()> {
-        let line = serde_json::to_string(self).expect("a ready line is plain JSON");
+        let line = serde_json::to_string(self).expect("a ready line serializes to JSON");
         let mut out = io::stdout().lock();
         writeln!(out, "{line}")
             .and_then(|()| out.flush())
--- a/crates/onyxshed-standins/src/serve.rs
+++ b/crates/onyxshed-standins/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves a stand-in's HTTP: an ordinary server that can also misbehave on purpose.
+//! The HTTP server of the stand-ins, which can also break connections on purpose.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -17,31 +17,31 @@
 
 use crate::error::{ListenSnafu, Result};
 
-/// What a stand-in does with a request.
+/// The way in which a stand-in handles a request.
 #[derive(Debug)]
 pub enum Act {
-    /// Answers it.
+    /// Sends the reply.
     Reply(Reply),
-    /// Closes the connection without an answer.
+    /// Closes the connection without a reply.
     Close,
-    /// Announces the whole body, sends half of it and closes the connection.
+    /// Announces the length of the whole body, sends half of it and closes the connection.
     CutShort(Reply),
 }
 
-/// A decision in the making.
-pub type PendingAct = Pin<Box<dyn Future<Output = Act>>>;
+/// A future that resolves to the [`Act`] for one request.
+pub type ActFuture = Pin<Box<dyn Future<Output = Act>>>;
 
-/// What decides about requests.
-pub type Handler = Rc<dyn Fn(Call) -> PendingAct>;
+/// A function that handles the requests of all connections.
+pub type Handler = Rc<dyn Fn(Call) -> ActFuture>;
 
-/// Tries to listen on an address; port 0 takes a free one.
+/// Binds a listener to an address; port 0 takes a free port.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address)
         .await
         .context(ListenSnafu { address })
 }
 
-/// Serves until dropped.
+/// Accepts and serves connections until dropped.
 pub async fn serve(listener: TcpListener, executor: Rc<LocalExecutor<'static>>, handler: Handler) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
@@ -56,11 +56,11 @@
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let mut server = Server::new(stream, |request| answer(request, handler.clone()));
+    let mut server = Server::new(stream, |request| handle_request(request, handler.clone()));
     while let Ok(ConnectionStatus::KeepAlive) = server.accept_one().await {}
 }
 
-async fn answer(mut request: Request, handler: Handler) -> http_types::Result<Response> {
+async fn handle_request(mut request: Request, handler: Handler) -> http_types::Result<Response> {
     let body = request.body_bytes().await?;
     let act = handler(Call {
         head: request,
@@ -68,34 +68,34 @@
     })
     .await;
     match act {
-        Act::Reply(reply) => Ok(whole(reply)),
+        Act::Reply(reply) => Ok(complete_response(reply)),
         Act::Close => Err(http_types::Error::from_str(
             StatusCode::InternalServerError,
             "closed on purpose",
         )),
-        Act::CutShort(reply) => Ok(cut_short(reply)),
+        Act::CutShort(reply) => Ok(truncated_response(reply)),
     }
 }
 
-fn whole(mut reply: Reply) -> Response {
+fn complete_response(mut reply: Reply) -> Response {
     let body = std::mem::take(&mut reply.body);
-    let mut response = head(&reply);
+    let mut response = response_head(&reply);
     response.set_body(body);
     response
 }
 
-fn cut_short(mut reply: Reply) -> Response {
+fn truncated_response(mut reply: Reply) -> Response {
     let mut body = std::mem::take(&mut reply.body);
     body.extend_from_slice(b"..");
     let whole_bytes = body.len();
     body.truncate(whole_bytes / 2);
-    let mut response = head(&reply);
+    let mut response = response_head(&reply);
     response.set_body(Body::from_reader(Cursor::new(body), Some(whole_bytes)));
     response.insert_header("connection", "close");
     response
 }
 
-fn head(reply: &Reply) -> Response {
+fn response_head(reply: &Reply) -> Response {
     let status = StatusCode::try_from(reply.status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
     for (name, value) in &reply.headers {
@@ -104,27 +104,27 @@
     response
 }
 
-/// Reads a control call's JSON body, or makes the answer that says what is wrong with it.
+/// Parses the JSON body of a call, or returns a 400 reply with the parse error.
 pub fn read_json<T: DeserializeOwned>(body: &[u8]) -> std::result::Result<T, Act> {
     const BAD_REQUEST: u16 = 400;
     serde_json::from_slice(body)
         .map_err(|error| Act::Reply(Reply::bytes(BAD_REQUEST, error.to_string())))
 }
 
-/// Makes the answer to a call on a path that does not exist.
+/// Returns the 404 reply to a call whose path or method is unknown.
 pub fn no_such_path() -> Act {
     const NOT_FOUND: u16 = 404;
     Act::Reply(Reply::bytes(NOT_FOUND, "no such path or method"))
 }
 
-/// Gets the address that a listener got.
+/// Returns the address that a listener is bound to.
 pub fn local_address(listener: &TcpListener) -> SocketAddr {
     listener
         .local_addr()
-        .expect("a socket that listens has an address")
+        .expect("a bound listener has a local address")
 }
 
-/// Runs a stand-in on one thread and says on standard error why it could not start.
+/// Runs a stand-in on the current thread; prints on standard error why it could not start.
 pub fn main<F>(name: &str, run: impl FnOnce(Rc<LocalExecutor<'static>>) -> F) -> ExitCode
 where
     F: Future<Output = Result<()>>,
--- a/crates/onyxshed-standins/src/upstream.rs
+++ b/crates/onyxshed-standins/src/upstream.rs
@@ -1,5 +1,5 @@
-//! An upstream's stand-in: one executor with slots, a bounded queue, leases and a record of every
-//! start.
+//! The stand-in of an upstream: one executor with slots, a bounded queue, leases and a record of every
+//! start of a task.
 
 pub mod options;
 pub mod service;
--- a/crates/onyxshed-standins/src/upstream/options.rs
+++ b/crates/onyxshed-standins/src/upstream/options.rs
@@ -1,64 +1,65 @@
-//! How an executor behaves: by its options, by a task's payload, and by faults on command.
+//! The settings of an executor's behavior: options at its start, a task's payload, and faults that a test
+//! sets while it runs.
 
 use onyxshed_core::{ExecutorName, Millis, UpstreamName};
 use serde::{Deserialize, Serialize};
 
-/// Options of one executor.
+/// The options of one executor.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpstreamOptions {
-    /// Its name.
+    /// The name of the executor.
     pub name: ExecutorName,
-    /// The upstream it serves.
+    /// The upstream that the executor belongs to.
     pub upstream: UpstreamName,
-    /// Tasks that run at the same time. Default 8.
+    /// The number of tasks that may run at the same time. Default 8.
     pub slots: u32,
-    /// Tasks that may wait for a slot; more are refused. Default 16.
+    /// The number of tasks that may wait for a slot; further ones are refused. Default 16.
     pub queue_max: u32,
-    /// How many times faster than a task's service time it runs. Default 1.
+    /// The factor by which service times are divided. Default 1.
     pub speed: f64,
-    /// Service time of a task whose payload names none. Default 0 ms.
+    /// The service time of a task whose payload sets none. Default 0 ms.
     pub service_ms: Millis,
-    /// How far the usage report lags. Default 1 s.
+    /// The interval at which the usage report is renewed, and so its greatest age. Default 1 s.
     pub usage_lag_ms: Millis,
-    /// Whether every start is written to standard error as it happens, so that the record outlives
-    /// the process. Default false.
+    /// Whether every start is also written to standard error as it happens, so that the records are still
+    /// available after the process has ended. Default false.
     pub logs_starts: bool,
 }
 
-/// What a payload may ask of the executor; any other payload is echoed.
+/// The behavior that a task's payload may request, as JSON; any other payload is echoed.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Payload {
-    /// Service time in milliseconds.
+    /// The service time in milliseconds; the executor's default if not set.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub service_ms: Option<u64>,
-    /// Whether the task fails.
+    /// Whether the task fails at the end of its service time.
     pub fail: bool,
-    /// Result in place of the payload.
+    /// The result; the payload itself if not set.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub echo: Option<String>,
-    /// Length that the result is filled up to with dots, in bytes.
+    /// The length in bytes to which the result is cut, or filled up with dots.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub result_bytes: Option<usize>,
 }
 
-/// Faults in force; a `POST /control/faults` replaces them all.
+/// The faults in force; a `POST /control/faults` replaces all of them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct UpstreamFaults {
-    /// Times slower than usual.
+    /// The factor by which service times are multiplied.
     pub slow_factor: f64,
-    /// Whether every task fails at once.
+    /// Whether every task fails immediately, without its service time.
     pub fail_all: bool,
-    /// Whether tasks run but nothing is ever answered.
+    /// Whether tasks run but no request is ever answered.
     pub silent: bool,
     /// Whether every task is refused.
     pub refuse_all: bool,
-    /// Whether answers to tasks are cut off in the body.
+    /// Whether the connection is closed within the body of each reply to a start.
     pub close_mid_body: bool,
-    /// Whether answers to tasks carry another task's id and result.
+    /// Whether each reply to a start carries the id and result of another task.
     pub wrong_task_id: bool,
-    /// Added to every answer after the task has ended, in milliseconds.
+    /// The delay of each reply after the task has ended, in milliseconds.
     pub late_ms: u64,
 }
 
@@ -77,12 +78,12 @@
 }
 
 impl Payload {
-    /// Reads a payload; one that is no such JSON asks for nothing.
-    pub fn read(payload: &[u8]) -> Payload {
+    /// Parses a payload; returns the defaults if it is not JSON of this form.
+    pub fn parse(payload: &[u8]) -> Payload {
         serde_json::from_slice(payload).unwrap_or_default()
     }
 
-    /// Gets the result for a payload that asked for this.
+    /// Returns the result of a task with the payload `payload`, from which `self` was parsed.
     pub fn result(&self, payload: Vec<u8>) -> Vec<u8> {
         let mut result = match &self.echo {
             Some(echo) => echo.clone().into_bytes(),
--- a/crates/onyxshed-standins/src/upstream/service.rs
+++ b/crates/onyxshed-standins/src/upstream/service.rs
@@ -1,4 +1,5 @@
-//! Answers an executor's calls.
+//! The HTTP interface of the executor: starts, stops and queries tasks, and takes a test's commands under
+//! `/control/`.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -20,15 +21,15 @@
 use crate::serve::{Act, Handler, no_such_path, read_json};
 
 use super::options::{Payload, UpstreamFaults, UpstreamOptions};
-use super::tasks::{Arrival, Attempt, StartRecord, TaskBook, Wake};
+use super::tasks::{Admission, Attempt, StartRecord, TaskTable, WakeReason};
 
-/// Characters of a payload that a start's record keeps.
+/// The number of characters of a payload that the record of a start keeps.
 const CONTENT_CHARS: usize = 64;
 
 const OK: u16 = 200;
 const BAD_REQUEST: u16 = 400;
 
-/// The stand-in.
+/// The stand-in of an upstream's executor; clones share its state.
 #[derive(Clone)]
 pub struct Executor {
     inner: Rc<Inner>,
@@ -36,33 +37,34 @@
 
 struct Inner {
     options: UpstreamOptions,
-    tasks: RefCell<TaskBook>,
+    tasks: RefCell<TaskTable>,
     faults: RefCell<UpstreamFaults>,
     is_draining: Cell<bool>,
     usage: RefCell<(Instant, Usage)>,
 }
 
-/// How a task ended and what it brought.
-struct End {
+/// The end of a start or stop request: the state to report, the body of the reply and the time that the task
+/// was in service.
+struct TaskEnd {
     state: TaskState,
     body: Vec<u8>,
     service: Duration,
 }
 
-impl End {
-    fn unstarted(why: &str) -> Self {
-        End {
+impl TaskEnd {
+    fn refused(reason: &str) -> Self {
+        TaskEnd {
             state: TaskState::Refused,
-            body: why.into(),
+            body: reason.into(),
             service: Duration::ZERO,
         }
     }
 }
 
 impl Executor {
-    /// Makes an idle executor.
+    /// Creates an idle executor.
     pub fn new(options: UpstreamOptions) -> Self {
-        let tasks = TaskBook::new(options.slots, options.queue_max);
+        let tasks = TaskTable::new(options.slots, options.queue_max);
         let usage = Usage {
             age_ms: Millis(0),
             load: tasks.load(false),
@@ -80,16 +82,16 @@
         }
     }
 
-    /// Gets what answers requests.
+    /// Returns the handler of all requests.
     pub fn handler(&self) -> Handler {
         let executor = self.clone();
         Rc::new(move |call| {
             let executor = executor.clone();
-            Box::pin(async move { executor.answer(call).await })
+            Box::pin(async move { executor.handle(call).await })
         })
     }
 
-    /// Takes the usage report anew each time its lag has passed, until dropped.
+    /// Renews the usage report at its interval until dropped.
     pub async fn report_usage(self) {
         let lag = self.inner.options.usage_lag_ms.into();
         loop {
@@ -105,15 +107,15 @@
         }
     }
 
-    async fn answer(&self, call: Call) -> Act {
+    async fn handle(&self, call: Call) -> Act {
         if call.path().starts_with("/control/") {
             return self.control(&call);
         }
-        let act = match (call.method(), task_of(call.path())) {
+        let act = match (call.method(), parse_task_path(call.path())) {
             (Method::Get, None) if call.path() == USAGE_PATH => self.usage(),
             (Method::Post, Some(task)) => self.post(task, call).await,
             (Method::Delete, Some(task)) => self.delete(task, &call),
-            (Method::Get, Some(task)) => self.sight(task),
+            (Method::Get, Some(task)) => self.task_status(task),
             _ => no_such_path(),
         };
         let is_silent = self.inner.faults.borrow().silent;
@@ -148,35 +150,35 @@
     }
 
     fn usage(&self) -> Act {
-        let (taken_at, mut usage) = self.inner.usage.borrow().clone();
-        let age_ms = u64::try_from(taken_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let (renewed_at, mut usage) = self.inner.usage.borrow().clone();
+        let age_ms = u64::try_from(renewed_at.elapsed().as_millis()).unwrap_or(u64::MAX);
         usage.age_ms = Millis(age_ms);
         Act::Reply(Reply::json(OK, &usage))
     }
 
     fn delete(&self, task: TaskId, call: &Call) -> Act {
-        let Some(by) = read_attempt(call) else {
+        let Some(attempt) = parse_attempt(call) else {
             return Act::Reply(Reply::bytes(BAD_REQUEST, "a header is missing or wrong"));
         };
-        let (state, body) = self.inner.tasks.borrow_mut().stop(task, by);
-        let end = End {
+        let (state, body) = self.inner.tasks.borrow_mut().stop(task, attempt);
+        let end = TaskEnd {
             state,
             body,
             service: Duration::ZERO,
         };
-        Act::Reply(self.report(task, OK, end))
+        Act::Reply(self.task_reply(task, OK, end))
     }
 
-    fn sight(&self, task: TaskId) -> Act {
-        let sighting = self.inner.tasks.borrow().sight(task);
+    fn task_status(&self, task: TaskId) -> Act {
+        let status = self.inner.tasks.borrow().status(task);
         let reply = Reply::bytes(OK, "")
             .header(TASK_HEADER, format_smolstr!("{task}"))
-            .header(STATE_HEADER, sighting.as_str());
+            .header(STATE_HEADER, status.as_str());
         Act::Reply(reply)
     }
 
     async fn post(&self, task: TaskId, call: Call) -> Act {
-        let Some(start) = read_start(task, &call) else {
+        let Some(start) = parse_start(task, &call) else {
             return Act::Reply(Reply::bytes(BAD_REQUEST, "a header is missing or wrong"));
         };
         let mut end = self.run(&start, call.body).await;
@@ -184,54 +186,63 @@
         if faults.late_ms > 0 {
             Timer::after(Duration::from_millis(faults.late_ms)).await;
         }
-        let mut named = task;
+        let mut reported_task = task;
         if faults.wrong_task_id {
-            named.index ^= 1;
+            reported_task.index ^= 1;
             end.body = b"another task's result".to_vec();
         }
         let status = status_of(end.state);
-        let reply = self.report(named, status, end);
+        let reply = self.task_reply(reported_task, status, end);
         match faults.close_mid_body {
             true => Act::CutShort(reply),
             false => Act::Reply(reply),
         }
     }
 
-    async fn run(&self, start: &StartRequest, payload: Vec<u8>) -> End {
-        let lapses_at = Instant::now() + start.lease_ms.into();
+    async fn run(&self, start: &StartRequest, payload: Vec<u8>) -> TaskEnd {
+        let lease_expires_at = Instant::now() + start.lease_ms.into();
         if self.inner.faults.borrow().refuse_all {
-            return End::unstarted("refuses everything");
+            return TaskEnd::refused("refuses everything");
         }
-        let arrival = self.inner.tasks.borrow_mut().arrive(
+        let admission = self.inner.tasks.borrow_mut().admit(
             start.task,
             Attempt {
                 starter: start.starter,
                 number: start.attempt,
             },
         );
-        match arrival {
-            Arrival::Refused => End::unstarted("stopped before, or the queue is full"),
-            Arrival::Run => self.work(start, payload, lapses_at).await,
-            Arrival::Wait(woken) => {
-                let lapse = async {
-                    Timer::at(lapses_at).await;
+        match admission {
+            Admission::Refused => TaskEnd::refused("stopped before, or the queue is full"),
+            Admission::SlotGranted => self.execute(start, payload, lease_expires_at).await,
+            Admission::Wait(wake_reason) => {
+                let lease_expiry = async {
+                    Timer::at(lease_expires_at).await;
                     None
                 };
-                let woken = async { woken.recv().await.ok() }.or(lapse).await;
-                match woken {
-                    Some(Wake::Run) => self.work(start, payload, lapses_at).await,
-                    Some(Wake::Removed) => End::unstarted("stopped in the queue"),
+                let wake_reason = async { wake_reason.recv().await.ok() }
+                    .or(lease_expiry)
+                    .await;
+                match wake_reason {
+                    Some(WakeReason::SlotGranted) => {
+                        self.execute(start, payload, lease_expires_at).await
+                    }
+                    Some(WakeReason::Removed) => TaskEnd::refused("stopped in the queue"),
                     None => {
-                        self.inner.tasks.borrow_mut().leave_queue(start.task);
-                        End::unstarted("its lease lapsed in the queue")
+                        self.inner.tasks.borrow_mut().remove_from_queue(start.task);
+                        TaskEnd::refused("its lease lapsed in the queue")
                     }
                 }
             }
         }
     }
 
-    /// Runs a task that has a slot.
-    async fn work(&self, start: &StartRequest, payload: Vec<u8>, lapses_at: Instant) -> End {
+    /// Runs a task that holds a slot until it finishes, is stopped or its lease expires.
+    async fn execute(
+        &self,
+        start: &StartRequest,
+        payload: Vec<u8>,
+        lease_expires_at: Instant,
+    ) -> TaskEnd {
         let text = String::from_utf8_lossy(&payload);
         let record = StartRecord {
             task: start.task,
@@ -242,54 +253,54 @@
         if self.inner.options.logs_starts {
             eprintln!(
                 "{}",
-                serde_json::to_string(&record).expect("a record is plain JSON")
+                serde_json::to_string(&record).expect("a start record serializes to JSON")
             );
         }
         let stop = self.inner.tasks.borrow_mut().start(record);
-        let asked = Payload::read(&payload);
-        let began = Instant::now();
+        let requested = Payload::parse(&payload);
+        let started_at = Instant::now();
         let finish = async {
-            self.serve_for(&asked).await;
+            self.wait_for_service(&requested).await;
             None
         };
-        let lapse = async {
-            Timer::at(lapses_at).await;
+        let lease_expiry = async {
+            Timer::at(lease_expires_at).await;
             Some(TaskState::Lapsed)
         };
         let stop = async {
             let _ = stop.recv().await;
             Some(TaskState::Stopped)
         };
-        let broken_off = stop.or(finish).or(lapse).await;
-        let fails = asked.fail || self.inner.faults.borrow().fail_all;
-        let (state, body) = match broken_off {
+        let early_end = stop.or(finish).or(lease_expiry).await;
+        let fails = requested.fail || self.inner.faults.borrow().fail_all;
+        let (state, body) = match early_end {
             Some(state) => (state, Vec::new()),
             None if fails => (TaskState::Failed, b"failed on purpose".to_vec()),
-            None => (TaskState::Finished, asked.result(payload)),
+            None => (TaskState::Finished, requested.result(payload)),
         };
         let mut tasks = self.inner.tasks.borrow_mut();
         tasks.end(start.task, state, body.clone());
-        End {
+        TaskEnd {
             state,
             body,
-            service: began.elapsed(),
+            service: started_at.elapsed(),
         }
     }
 
-    /// Waits for as long as the task's service takes here and now.
-    async fn serve_for(&self, asked: &Payload) {
+    /// Waits for the task's service time, scaled by the executor's speed and the slow-down in force.
+    async fn wait_for_service(&self, requested: &Payload) {
         let options = &self.inner.options;
         let (factor, fails_at_once) = {
             let faults = self.inner.faults.borrow();
             (faults.slow_factor / options.speed, faults.fail_all)
         };
-        let service_ms = asked.service_ms.unwrap_or(options.service_ms.0);
+        let service_ms = requested.service_ms.unwrap_or(options.service_ms.0);
         if service_ms > 0 && !fails_at_once {
             Timer::after(Duration::from_millis(service_ms).mul_f64(factor)).await;
         }
     }
 
-    fn report(&self, task: TaskId, status: u16, end: End) -> Reply {
+    fn task_reply(&self, task: TaskId, status: u16, end: TaskEnd) -> Reply {
         let is_draining = self.inner.is_draining.get();
         let load = self.inner.tasks.borrow().load(is_draining);
         let reply = Reply::bytes(status, end.body)
@@ -308,33 +319,33 @@
     }
 }
 
-/// Reads the task's id from a path.
-fn task_of(path: &str) -> Option<TaskId> {
+/// Parses the task id of a request path; `None` if the path names no task.
+fn parse_task_path(path: &str) -> Option<TaskId> {
     path.strip_prefix(TASKS_PATH)?
         .strip_prefix('/')?
         .parse()
         .ok()
 }
 
-fn read_attempt(call: &Call) -> Option<Attempt> {
+fn parse_attempt(call: &Call) -> Option<Attempt> {
     Some(Attempt {
         starter: call.header(STARTER_HEADER)?.parse().ok()?,
         number: call.header(ATTEMPT_HEADER)?.parse().ok()?,
     })
 }
 
-fn read_start(task: TaskId, call: &Call) -> Option<StartRequest> {
-    let by = read_attempt(call)?;
+fn parse_start(task: TaskId, call: &Call) -> Option<StartRequest> {
+    let attempt = parse_attempt(call)?;
     Some(StartRequest {
         task,
         lease_ms: Millis(call.header(LEASE_HEADER)?.parse().ok()?),
         class: call.header(CLASS_HEADER)?.into(),
-        starter: by.starter,
-        attempt: by.number,
+        starter: attempt.starter,
+        attempt: attempt.number,
     })
 }
 
-/// Gets the HTTP status that goes with a task's end; the state header is what counts.
+/// Returns the HTTP status for the end of a task. Callers go by the state header, not by this status.
 fn status_of(state: TaskState) -> u16 {
     match state {
         TaskState::Finished => OK,
--- a/crates/onyxshed-standins/src/upstream/tasks.rs
+++ b/crates/onyxshed-standins/src/upstream/tasks.rs
@@ -1,4 +1,4 @@
-//! Slots, queue and fate of every task of one executor.
+//! The slots, the queue and the state of every task of one executor.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,85 +8,85 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Ended tasks and tombstones that are remembered.
+/// The number of ended tasks whose state and result are kept; the oldest are dropped first.
 const ENDED_MAX: usize = 100_000;
 
-/// Starts that are listed; later ones are counted only.
+/// The number of starts that are listed; later ones are only counted.
 const STARTS_MAX: usize = 1_000_000;
 
-/// One start, recorded where it happens.
+/// The record of one start of a task, made by the executor that runs it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartRecord {
-    /// The task.
+    /// The task that was started.
     pub task: TaskId,
-    /// Who started it.
+    /// The incarnation of the host that requested the start.
     pub starter: Incarnation,
-    /// When, on this host's wall clock.
+    /// The time of the start by the wall clock of this machine.
     pub at_ms: UnixMs,
-    /// The payload's first characters.
+    /// The first characters of the payload.
     pub content: SmolStr,
 }
 
-/// Where a task stands.
+/// The phase that a known task is in.
 #[derive(Debug)]
-enum Fate {
-    Queued(Sender<Wake>),
+enum Phase {
+    Queued(Sender<WakeReason>),
     Running(Sender<()>),
     Ended(TaskState, Vec<u8>),
 }
 
-/// Why a queued task stops waiting.
+/// The reason why a queued task stops waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wake {
-    /// A slot is its own.
-    Run,
-    /// It was stopped and will never run.
+pub enum WakeReason {
+    /// A slot was assigned to the task.
+    SlotGranted,
+    /// The task was stopped and will never run.
     Removed,
 }
 
-/// What becomes of a task that arrives.
+/// The decision on a start request.
 #[derive(Debug)]
-pub enum Arrival {
-    /// A slot is its own.
-    Run,
-    /// It waits.
-    Wait(Receiver<Wake>),
-    /// It will never run.
+pub enum Admission {
+    /// A slot was assigned to the task.
+    SlotGranted,
+    /// The task waits in the queue; the receiver yields the reason when it stops waiting.
+    Wait(Receiver<WakeReason>),
+    /// The task will not run: the start is fenced or the queue is full.
     Refused,
 }
 
-/// One of a starter's starts.
+/// The identity of one start or stop request, among those of the same starter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Attempt {
-    /// Who starts.
+    /// The incarnation of the host that sent the request.
     pub starter: Incarnation,
-    /// Counts the starter's starts.
+    /// The number of the start among those of the starter; a stop fences the starts up to its number.
     pub number: u64,
 }
 
-/// All tasks of one executor.
+/// The slots, the queue and the known tasks of one executor.
 #[derive(Debug)]
-pub struct TaskBook {
+pub struct TaskTable {
     slots: u32,
     queue_max: u32,
     running: u32,
     queue: VecDeque<TaskId>,
-    fates: BTreeMap<TaskId, Fate>,
+    phases: BTreeMap<TaskId, Phase>,
     fences: BTreeMap<(TaskId, Incarnation), u64>,
     ended: VecDeque<TaskId>,
     starts: Vec<StartRecord>,
     started: u64,
 }
 
-impl TaskBook {
-    /// Makes an empty book.
+impl TaskTable {
+    /// Creates an empty table.
     pub fn new(slots: u32, queue_max: u32) -> Self {
-        TaskBook {
+        TaskTable {
             slots,
             queue_max,
             running: 0,
             queue: VecDeque::new(),
-            fates: BTreeMap::new(),
+            phases: BTreeMap::new(),
             fences: BTreeMap::new(),
             ended: VecDeque::new(),
             starts: Vec::new(),
@@ -94,29 +94,29 @@
         }
     }
 
-    /// Takes in a task.
-    pub fn arrive(&mut self, task: TaskId, by: Attempt) -> Arrival {
-        let fence = self.fences.get(&(task, by.starter));
-        if fence.is_some_and(|fence| by.number <= *fence) {
-            return Arrival::Refused;
+    /// Decides on a start request: assigns a slot, enqueues the task or refuses it.
+    pub fn admit(&mut self, task: TaskId, attempt: Attempt) -> Admission {
+        let fence = self.fences.get(&(task, attempt.starter));
+        if fence.is_some_and(|fence| attempt.number <= *fence) {
+            return Admission::Refused;
         }
         if self.running < self.slots {
             self.running += 1;
-            return Arrival::Run;
+            return Admission::SlotGranted;
         }
         if self.queued() >= self.queue_max {
-            return Arrival::Refused;
+            return Admission::Refused;
         }
-        let (wake, woken) = async_channel::bounded(1);
+        let (wake_sender, wake_receiver) = async_channel::bounded(1);
         self.queue.push_back(task);
-        self.fates.insert(task, Fate::Queued(wake));
-        Arrival::Wait(woken)
+        self.phases.insert(task, Phase::Queued(wake_sender));
+        Admission::Wait(wake_receiver)
     }
 
-    /// Records the start of a task that has a slot; the receiver tells when it is to stop.
+    /// Records the start of a task that holds a slot; the receiver is closed when the task is to stop.
     pub fn start(&mut self, record: StartRecord) -> Receiver<()> {
         let (stop, stopped) = async_channel::bounded(1);
-        self.fates.insert(record.task, Fate::Running(stop));
+        self.phases.insert(record.task, Phase::Running(stop));
         self.started += 1;
         if self.starts.len() < STARTS_MAX {
             self.starts.push(record);
@@ -124,47 +124,48 @@
         stopped
     }
 
-    /// Ends a running task and passes its slot on.
+    /// Records the end of a running task and assigns its slot to the next queued task.
     pub fn end(&mut self, task: TaskId, state: TaskState, result: Vec<u8>) {
-        self.keep_end(task, state, result);
-        self.pass_slot_on();
+        self.record_end(task, state, result);
+        self.release_slot();
     }
 
-    /// Takes a task that never got a slot out of the queue.
-    pub fn leave_queue(&mut self, task: TaskId) {
+    /// Removes a task without a slot from the queue and records it as refused.
+    pub fn remove_from_queue(&mut self, task: TaskId) {
         self.queue.retain(|queued| *queued != task);
-        self.keep_end(task, TaskState::Refused, Vec::new());
+        self.record_end(task, TaskState::Refused, Vec::new());
     }
 
-    /// Stops a task; no start up to this one, if it is still on its way, will run.
-    pub fn stop(&mut self, task: TaskId, by: Attempt) -> (TaskState, Vec<u8>) {
-        let fence = self.fences.entry((task, by.starter)).or_default();
-        *fence = by.number.max(*fence);
-        match self.fates.get(&task) {
-            Some(Fate::Ended(state, result)) => (*state, result.clone()),
-            Some(Fate::Running(stop)) => {
+    /// Stops a task and fences its starts: a start of the same starter with this or a lower attempt number
+    /// that arrives later is refused.
+    pub fn stop(&mut self, task: TaskId, attempt: Attempt) -> (TaskState, Vec<u8>) {
+        let fence = self.fences.entry((task, attempt.starter)).or_default();
+        *fence = attempt.number.max(*fence);
+        match self.phases.get(&task) {
+            Some(Phase::Ended(state, result)) => (*state, result.clone()),
+            Some(Phase::Running(stop)) => {
                 stop.close();
                 (TaskState::Stopped, Vec::new())
             }
-            Some(Fate::Queued(wake)) => {
-                let _ = wake.try_send(Wake::Removed);
-                self.leave_queue(task);
+            Some(Phase::Queued(wake)) => {
+                let _ = wake.try_send(WakeReason::Removed);
+                self.remove_from_queue(task);
                 (TaskState::Refused, Vec::new())
             }
             None => (TaskState::Refused, Vec::new()),
         }
     }
 
-    /// Tells what has become of a task.
-    pub fn sight(&self, task: TaskId) -> TaskStatus {
-        match self.fates.get(&task) {
+    /// Returns the status of a task.
+    pub fn status(&self, task: TaskId) -> TaskStatus {
+        match self.phases.get(&task) {
             None => TaskStatus::NotSeen,
-            Some(Fate::Queued(_) | Fate::Running(_)) => TaskStatus::Running,
-            Some(Fate::Ended(state, _)) => TaskStatus::Ended(*state),
+            Some(Phase::Queued(_) | Phase::Running(_)) => TaskStatus::Running,
+            Some(Phase::Ended(state, _)) => TaskStatus::Ended(*state),
         }
     }
 
-    /// Gets the load.
+    /// Returns the numbers of running and queued tasks.
     pub fn load(&self, is_draining: bool) -> LoadReport {
         LoadReport {
             running: self.running,
@@ -173,12 +174,12 @@
         }
     }
 
-    /// Gets every listed start, in order.
+    /// Returns the listed starts, oldest first.
     pub fn starts(&self) -> &[StartRecord] {
         &self.starts
     }
 
-    /// Gets how many tasks were started.
+    /// Returns the number of starts so far, including those that are not listed.
     pub fn started(&self) -> u64 {
         self.started
     }
@@ -187,10 +188,10 @@
         u32::try_from(self.queue.len()).unwrap_or(u32::MAX)
     }
 
-    fn pass_slot_on(&mut self) {
+    fn release_slot(&mut self) {
         while let Some(next) = self.queue.pop_front() {
-            if let Some(Fate::Queued(wake)) = self.fates.get(&next)
-                && wake.try_send(Wake::Run).is_ok()
+            if let Some(Phase::Queued(wake)) = self.phases.get(&next)
+                && wake.try_send(WakeReason::SlotGranted).is_ok()
             {
                 return;
             }
@@ -198,12 +199,12 @@
         self.running -= 1;
     }
 
-    fn keep_end(&mut self, task: TaskId, state: TaskState, result: Vec<u8>) {
-        self.fates.insert(task, Fate::Ended(state, result));
+    fn record_end(&mut self, task: TaskId, state: TaskState, result: Vec<u8>) {
+        self.phases.insert(task, Phase::Ended(state, result));
         self.ended.push_back(task);
         while self.ended.len() > ENDED_MAX {
             if let Some(oldest) = self.ended.pop_front() {
-                self.fates.remove(&oldest);
+                self.phases.remove(&oldest);
             }
         }
     }
--- a/crates/onyxshed-standins/tests/standins.rs
+++ b/crates/onyxshed-standins/tests/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins misbehave just as told, and otherwise keep to the interfaces.
+//! The stand-ins inject exactly the faults that a test sets, and otherwise keep to their interfaces.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,36 +19,42 @@
 };
 use rstest::rstest;
 
-const CEILING: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const TASK: &str = "/v1/tasks/01ARZ3NDEKTSV4RRFFQ69G5FAV";
 
-/// A task that runs until something stops it.
+/// The payload of a task that runs until it is stopped or its lease expires.
 const ENDLESS: &str = r#"{"service_ms":3600000}"#;
 
-type Rig = Rc<LocalExecutor<'static>>;
+type TestExecutor = Rc<LocalExecutor<'static>>;
 
-fn run<F: Future<Output = ()>>(test: impl FnOnce(Rig) -> F) {
+fn run<F: Future<Output = ()>>(test: impl FnOnce(TestExecutor) -> F) {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(test(executor.clone())));
 }
 
-async fn open(rig: &Rig, handler: Handler) -> SocketAddr {
+async fn serve_on_free_port(executor: &TestExecutor, handler: Handler) -> SocketAddr {
     let listener = listen(([127, 0, 0, 1], 0).into())
         .await
-        .expect("a free port");
+        .expect("a free port can be bound");
     let address = local_address(&listener);
-    rig.spawn(serve(listener, rig.clone(), handler)).detach();
+    executor
+        .spawn(serve(listener, executor.clone(), handler))
+        .detach();
     address
 }
 
-async fn platform(rig: &Rig) -> SocketAddr {
-    open(rig, Platform::new(PlatformOptions::default()).handler()).await
+async fn start_platform(executor: &TestExecutor) -> SocketAddr {
+    serve_on_free_port(
+        executor,
+        Platform::new(PlatformOptions::default()).handler(),
+    )
+    .await
 }
 
-async fn executor(rig: &Rig) -> SocketAddr {
+async fn start_executor(executor: &TestExecutor) -> SocketAddr {
     let options = UpstreamOptions {
-        name: "x1".parse().expect("a name"),
-        upstream: "desk".parse().expect("a name"),
+        name: "x1".parse().expect("the name is valid"),
+        upstream: "desk".parse().expect("the name is valid"),
         slots: 1,
         queue_max: 1,
         speed: 1.0,
@@ -56,33 +62,50 @@
         usage_lag_ms: Millis(1_000),
         logs_starts: false,
     };
-    open(rig, Executor::new(options).handler()).await
+    serve_on_free_port(executor, Executor::new(options).handler()).await
 }
 
-async fn call(at: SocketAddr, method: Method, path: &str, body: &str) -> Result<Reply, CallError> {
-    call_once(at, method, path, body.as_bytes().to_vec(), CEILING).await
+async fn call(
+    address: SocketAddr,
+    method: Method,
+    path: &str,
+    body: &str,
+) -> Result<Reply, CallError> {
+    call_once(address, method, path, body.as_bytes().to_vec(), TIMEOUT).await
 }
 
-async fn text(at: SocketAddr, method: Method, path: &str, body: &str) -> String {
-    let reply = call(at, method, path, body).await.expect("an answer");
+async fn text(address: SocketAddr, method: Method, path: &str, body: &str) -> String {
+    let reply = call(address, method, path, body)
+        .await
+        .expect("the call is answered");
     String::from_utf8_lossy(&reply.body).into_owned()
 }
 
-/// Waits until a document holds a text.
-async fn until(at: SocketAddr, path: &str, wanted: &str) {
-    let give_up_at = Instant::now() + CEILING;
-    while !text(at, Get, path, "").await.contains(wanted) {
-        assert!(Instant::now() < give_up_at, "waited in vain for {wanted}");
+/// Waits until the reply to a GET contains a text.
+async fn wait_until_contains(address: SocketAddr, path: &str, expected: &str) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !text(address, Get, path, "").await.contains(expected) {
+        assert!(
+            Instant::now() < deadline,
+            "the reply did not contain {expected} in time"
+        );
         Timer::after(Duration::from_millis(5)).await;
     }
 }
 
-/// Makes a start or stop of a task, the `attempt`th of its starter, and gets the state.
-async fn ask(at: SocketAddr, method: Method, task: &str, lease_ms: u64, payload: &str) -> String {
+/// Sends a start, stop or query of a task and returns the state in the reply; `task` may end in `#N`, the
+/// number of the starter's attempt.
+async fn request_state(
+    address: SocketAddr,
+    method: Method,
+    task: &str,
+    lease_ms: u64,
+    payload: &str,
+) -> String {
     let (task, attempt) = task.split_once('#').unwrap_or((task, "1"));
-    let mut connection = Connection::open(at, ClientOptions::default())
+    let mut connection = Connection::open(address, ClientOptions::default())
         .await
-        .expect("a connection");
+        .expect("the connection opens");
     let headers = [
         (LEASE_HEADER, smol_str::format_smolstr!("{lease_ms}")),
         (CLASS_HEADER, "fee".into()),
@@ -91,32 +114,33 @@
     ];
     let (path, body) = (format!("{TASK}.{task}"), payload.as_bytes().to_vec());
     let reply = connection
-        .call(method, &path, &headers, body, CEILING)
+        .call(method, &path, &headers, body, TIMEOUT)
         .await;
     reply
-        .expect("an answer")
+        .expect("the call is answered")
         .header_value(STATE_HEADER)
         .unwrap_or_default()
         .to_owned()
 }
 
-async fn start(at: SocketAddr, task: &str) -> String {
-    ask(at, Post, task, 60_000, "x").await
+async fn start_task(address: SocketAddr, task: &str) -> String {
+    request_state(address, Post, task, 60_000, "x").await
 }
 
-async fn stop(at: SocketAddr, task: &str) -> String {
-    ask(at, Delete, task, 0, "").await
+async fn stop_task(address: SocketAddr, task: &str) -> String {
+    request_state(address, Delete, task, 0, "").await
 }
 
 #[test]
-fn the_log_keeps_order_and_wakes_readers() {
-    run(|rig| async move {
-        let at = platform(&rig).await;
+fn log_keeps_order_and_wakes_waiting_reader() {
+    run(|executor| async move {
+        let address = start_platform(&executor).await;
         let path = "/v1/streams/config/records";
-        assert_eq!(text(at, Post, path, "one").await, r#"{"offset":0}"#);
-        let read = async move { text(at, Get, &format!("{path}?from=1&wait_ms=20000"), "").await };
-        let reader = rig.spawn(read);
-        assert_eq!(text(at, Post, path, "two").await, r#"{"offset":1}"#);
+        assert_eq!(text(address, Post, path, "one").await, r#"{"offset":0}"#);
+        let read =
+            async move { text(address, Get, &format!("{path}?from=1&wait_ms=20000"), "").await };
+        let reader = executor.spawn(read);
+        assert_eq!(text(address, Post, path, "two").await, r#"{"offset":1}"#);
         let page = reader.await;
         assert!(
             page.starts_with(r#"{"oldest":0,"next":2,"records":[{"offset":1"#),
@@ -125,92 +149,103 @@
     });
 }
 
-// A caller of the log sees its connection closed; what happened before decides whether the record
-// stands there.
+// In each case the connection of an append is closed without a reply; the fault decides whether the record
+// was appended.
 #[rstest]
 #[case(r#"{"lose_append_answer":1}"#, r#""next":1"#)]
 #[case(r#"{"drop_append":1}"#, r#""next":0"#)]
 #[case(r#"{"down":"refuse"}"#, r#""next":0"#)]
-fn an_append_is_lost_as_told(#[case] faults: &'static str, #[case] left: &'static str) {
-    run(|rig| async move {
-        let at = platform(&rig).await;
+fn fault_decides_whether_unanswered_append_takes_effect(
+    #[case] faults: &'static str,
+    #[case] expected_page: &'static str,
+) {
+    run(|executor| async move {
+        let address = start_platform(&executor).await;
         let path = "/v1/streams/claims/records";
-        call(at, Post, "/control/faults", faults).await.unwrap();
-        call(at, Post, path, "claim").await.unwrap_err();
-        call(at, Post, "/control/faults", "{}").await.unwrap();
-        let page = text(at, Get, path, "").await;
-        assert!(page.contains(left), "{page}");
+        call(address, Post, "/control/faults", faults)
+            .await
+            .unwrap();
+        call(address, Post, path, "claim").await.unwrap_err();
+        call(address, Post, "/control/faults", "{}").await.unwrap();
+        let page = text(address, Get, path, "").await;
+        assert!(page.contains(expected_page), "{page}");
     });
 }
 
 #[test]
-fn stale_reads_and_truncation() {
-    run(|rig| async move {
-        let at = platform(&rig).await;
+fn stale_read_hides_append_and_truncation_drops_records() {
+    run(|executor| async move {
+        let address = start_platform(&executor).await;
         let path = "/v1/streams/config/records";
-        text(at, Post, path, "one").await;
-        text(at, Post, "/control/faults", r#"{"stale_reads":true}"#).await;
-        text(at, Post, path, "two").await;
-        assert!(text(at, Get, path, "").await.contains(r#""next":1"#));
-        let forget = r#"{"truncate":{"stream":"config","to":1}}"#;
-        text(at, Post, "/control/faults", forget).await;
-        let page = text(at, Get, path, "").await;
+        text(address, Post, path, "one").await;
+        text(address, Post, "/control/faults", r#"{"stale_reads":true}"#).await;
+        text(address, Post, path, "two").await;
+        assert!(text(address, Get, path, "").await.contains(r#""next":1"#));
+        let truncation = r#"{"truncate":{"stream":"config","to":1}}"#;
+        text(address, Post, "/control/faults", truncation).await;
+        let page = text(address, Get, path, "").await;
         assert!(page.starts_with(r#"{"oldest":1,"next":2"#), "{page}");
     });
 }
 
-// One slot and one place in the queue. The third task is refused, a waiting task that is stopped
-// never starts, and a running task that is stopped says so.
+// The executor has one slot and room for one queued task. The third task is refused, a queued task that is
+// stopped never starts, and a running task that is stopped is reported as stopped.
 #[test]
-fn slots_queue_and_stops() {
-    run(|rig| async move {
-        let at = executor(&rig).await;
-        let running = rig.spawn(async move { ask(at, Post, "0", 60_000, ENDLESS).await });
-        until(at, "/control/load", r#""running":1"#).await;
-        let waiting = rig.spawn(async move { start(at, "1").await });
-        until(at, "/control/load", r#""queued":1"#).await;
-        assert_eq!(start(at, "2").await, "refused");
-        assert_eq!(stop(at, "1").await, "refused");
+fn full_executor_refuses_and_stop_ends_queued_and_running_tasks() {
+    run(|executor| async move {
+        let address = start_executor(&executor).await;
+        let running =
+            executor.spawn(async move { request_state(address, Post, "0", 60_000, ENDLESS).await });
+        wait_until_contains(address, "/control/load", r#""running":1"#).await;
+        let waiting = executor.spawn(async move { start_task(address, "1").await });
+        wait_until_contains(address, "/control/load", r#""queued":1"#).await;
+        assert_eq!(start_task(address, "2").await, "refused");
+        assert_eq!(stop_task(address, "1").await, "refused");
         assert_eq!(waiting.await, "refused");
-        assert_eq!(ask(at, Get, "0", 0, "").await, "running");
-        assert_eq!(stop(at, "0").await, "stopped");
+        assert_eq!(request_state(address, Get, "0", 0, "").await, "running");
+        assert_eq!(stop_task(address, "0").await, "stopped");
         assert_eq!(running.await, "stopped");
-        assert_eq!(start(at, "3").await, "finished");
-        assert_eq!(ask(at, Get, "3", 0, "").await, "finished");
-        assert_eq!(ask(at, Post, "4", 50, ENDLESS).await, "lapsed");
+        assert_eq!(start_task(address, "3").await, "finished");
+        assert_eq!(request_state(address, Get, "3", 0, "").await, "finished");
+        assert_eq!(
+            request_state(address, Post, "4", 50, ENDLESS).await,
+            "lapsed"
+        );
     });
 }
 
-// A stop overtakes its start. The executor has promised that no start up to that one runs and
-// refuses it, and an older stop that comes late does not take the promise back; a later start, made
-// after the stop was answered, runs.
+// A stop arrives before the start that it is meant for. The executor refuses starts up to the number of the
+// stop, also after an older stop has arrived late; a later start, made after the stop was answered, runs.
 #[test]
-fn a_stop_ahead_of_its_start_is_a_fence() {
-    run(|rig| async move {
-        let at = executor(&rig).await;
-        assert_eq!(ask(at, Get, "0", 0, "").await, "unseen");
-        assert_eq!(stop(at, "0#2").await, "refused");
-        assert_eq!(stop(at, "0#1").await, "refused");
-        assert_eq!(start(at, "0#1").await, "refused");
-        assert_eq!(start(at, "0#2").await, "refused");
-        assert_eq!(text(at, Get, "/control/starts", "").await, "[]");
-        assert_eq!(start(at, "0#3").await, "finished");
+fn stop_before_its_start_fences_that_start() {
+    run(|executor| async move {
+        let address = start_executor(&executor).await;
+        assert_eq!(request_state(address, Get, "0", 0, "").await, "unseen");
+        assert_eq!(stop_task(address, "0#2").await, "refused");
+        assert_eq!(stop_task(address, "0#1").await, "refused");
+        assert_eq!(start_task(address, "0#1").await, "refused");
+        assert_eq!(start_task(address, "0#2").await, "refused");
+        assert_eq!(text(address, Get, "/control/starts", "").await, "[]");
+        assert_eq!(start_task(address, "0#3").await, "finished");
     });
 }
 
-/// Opens a route to a platform; gets where it listens and where it is commanded.
-async fn route(rig: &Rig) -> (SocketAddr, SocketAddr) {
-    let to = platform(rig).await;
-    let proxy = Proxy::new(rig.clone());
-    let new = NewRoute {
+/// Opens a route to a platform; returns the address of the route and the control address of the proxy.
+async fn route(executor: &TestExecutor) -> (SocketAddr, SocketAddr) {
+    let to = start_platform(executor).await;
+    let proxy = Proxy::new(executor.clone());
+    let new_route = NewRoute {
         name: "r".into(),
         to,
     };
-    let through = proxy
-        .open(([127, 0, 0, 1], 0).into(), new)
+    let route_address = proxy
+        .open_route(([127, 0, 0, 1], 0).into(), new_route)
         .await
-        .expect("a free port");
-    (through, open(rig, proxy.handler()).await)
+        .expect("a free port can be bound");
+    (
+        route_address,
+        serve_on_free_port(executor, proxy.handler()).await,
+    )
 }
 
 #[rstest]
@@ -219,9 +254,9 @@
 #[case(Mode::CloseAfterBytes { bytes: 10 }, false)]
 #[case(Mode::Delay { delay_ms: 20 }, true)]
 #[case(Mode::Pass, true)]
-fn a_route_breaks_as_told(#[case] mode: Mode, #[case] is_answered: bool) {
-    run(|rig| async move {
-        let (through, control) = route(&rig).await;
+fn route_mode_decides_whether_call_is_answered(#[case] mode: Mode, #[case] is_answered: bool) {
+    run(|executor| async move {
+        let (route_address, control) = route(&executor).await;
         let command = SetMode {
             routes: vec!["r*".into()],
             mode,
@@ -230,29 +265,29 @@
         call(control, Post, "/control/mode", &command)
             .await
             .unwrap();
-        let answer = call(through, Get, "/control/counts", "").await;
+        let answer = call(route_address, Get, "/control/counts", "").await;
         assert_eq!(answer.is_ok(), is_answered, "{answer:?}");
     });
 }
 
-// Something on the way forgets the open connections: they fall silent for good, new ones work.
+// A network device drops its state of the open connections: nothing more passes on them, and new ones work.
 #[test]
-fn a_stalled_connection_stays_silent() {
-    run(|rig| async move {
-        let (through, control) = route(&rig).await;
-        let mut old = Connection::open(through, ClientOptions::default())
+fn stalled_connection_forwards_nothing_and_new_one_works() {
+    run(|executor| async move {
+        let (route_address, control) = route(&executor).await;
+        let mut old = Connection::open(route_address, ClientOptions::default())
             .await
             .unwrap();
         let path = "/control/counts";
-        old.call(Get, path, &[], Vec::new(), CEILING).await.unwrap();
+        old.call(Get, path, &[], Vec::new(), TIMEOUT).await.unwrap();
         let stall = r#"{"routes":["r"],"mode":"stall_existing"}"#;
         call(control, Post, "/control/mode", stall).await.unwrap();
         let short = Duration::from_millis(200);
-        let silence = old
+        let error = old
             .call(Get, path, &[], Vec::new(), short)
             .await
             .unwrap_err();
-        assert!(silence.is_timeout);
-        call(through, Get, path, "").await.unwrap();
+        assert!(error.is_timeout);
+        call(route_address, Get, path, "").await.unwrap();
     });
 }
