--- a/crates/onyxshed-proof/src/caller.rs
+++ b/crates/onyxshed-proof/src/caller.rs
@@ -11,61 +11,61 @@
 use onyxshed_http::{CallError, Reply};
 use onyxshed_wire::caller::{Answer, CopyMark, JOBS_PATH, Submission};
 
-use crate::remote::WAIT_CEILING;
+use crate::remote::WAIT_TIMEOUT;
 
 /// How long a caller stays with one request: past every deadline, so that only a missing answer
 /// ends it.
-const PATIENCE: Duration = Duration::from_secs(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Pause before a running job's answer is fetched again.
-const FETCH_PAUSE: Duration = Duration::from_millis(20);
+const FETCH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What a caller heard.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Heard {
+pub enum CallResult {
     /// An answer, with its HTTP status.
     Answer(u16, Answer),
     /// An answer that can't be read.
-    Garbage(u16, String),
+    Unreadable(u16, String),
     /// No answer: the connection broke or nothing came.
     Lost(CallError),
 }
 
 /// What a caller heard, and when.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeardAt {
+pub struct TimedCallResult {
     /// What.
-    pub heard: Heard,
+    pub result: CallResult,
     /// When, on the wall clock that executors stamp starts with.
-    pub at_ms: UnixMs,
+    pub received_at_ms: UnixMs,
 }
 
-impl fmt::Display for Heard {
+impl fmt::Display for CallResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Heard::Answer(status, answer) => {
+            CallResult::Answer(status, answer) => {
                 let code = answer.code.map(ResultCode::number);
                 write!(f, "{status} {:?} {code:?} {}", answer.outcome, answer.text)
             }
-            Heard::Garbage(status, text) => write!(f, "{status} garbage {text:?}"),
-            Heard::Lost(error) => write!(f, "lost: {error}"),
+            CallResult::Unreadable(status, text) => write!(f, "{status} garbage {text:?}"),
+            CallResult::Lost(error) => write!(f, "lost: {error}"),
         }
     }
 }
 
-impl Heard {
+impl CallResult {
     /// Gets the outcome, none if there was no final answer.
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
-            Heard::Answer(_, answer) => answer.outcome,
-            Heard::Garbage(..) | Heard::Lost(_) => None,
+            CallResult::Answer(_, answer) => answer.outcome,
+            CallResult::Unreadable(..) | CallResult::Lost(_) => None,
         }
     }
 }
 
 /// How often a caller submits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Patience {
+pub enum ResubmitPolicy {
     /// Once.
     Once,
     /// Again whenever the answer invites it, until the job is run.
@@ -73,66 +73,74 @@
 }
 
 /// Submits and stays until the end.
-pub async fn submit(address: SocketAddr, submission: Submission, patience: Patience) -> HeardAt {
+pub async fn submit(
+    address: SocketAddr,
+    submission: Submission,
+    policy: ResubmitPolicy,
+) -> TimedCallResult {
     let mut submission = submission;
-    let give_up_at = Instant::now() + WAIT_CEILING;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         let body = serde_json::to_vec(&submission).unwrap_or_default();
         submission.copy = CopyMark::Again;
-        let first = call(address, Method::Post, JOBS_PATH, body).await;
-        let heard_at = stay(address, submission.submission, first).await;
-        match (patience, repeat_after(&heard_at.heard)) {
-            (Patience::UntilRun, Some(wait)) if Instant::now() < give_up_at => {
+        let first_result = call(address, Method::Post, JOBS_PATH, body).await;
+        let timed_result = poll_until_final(address, submission.submission, first_result).await;
+        match (policy, resubmit_delay(&timed_result.result)) {
+            (ResubmitPolicy::UntilRun, Some(wait)) if Instant::now() < deadline => {
                 Timer::after(wait).await;
             }
-            _ => return heard_at,
+            _ => return timed_result,
         }
     }
 }
 
 /// Gets how long to wait before a repeat: after "not run", and after "unknown", because the same id
 /// is safe to send again.
-fn repeat_after(heard: &Heard) -> Option<Duration> {
-    let Heard::Answer(_, answer) = heard else {
+fn resubmit_delay(result: &CallResult) -> Option<Duration> {
+    let CallResult::Answer(_, answer) = result else {
         return None;
     };
-    let may_repeat = matches!(answer.outcome, Some(Outcome::NotRun | Outcome::Unknown));
-    may_repeat.then(|| answer.retry_after_ms.map_or(FETCH_PAUSE, Duration::from))
+    let can_resubmit = matches!(answer.outcome, Some(Outcome::NotRun | Outcome::Unknown));
+    can_resubmit.then(|| answer.retry_after_ms.map_or(FETCH_INTERVAL, Duration::from))
 }
 
 /// Fetches the answer and stays until the end.
-pub async fn fetch(address: SocketAddr, id: SubmissionId) -> HeardAt {
-    let first = call(address, Method::Get, &path_of(id), Vec::new()).await;
-    stay(address, id, first).await
+pub async fn fetch(address: SocketAddr, id: SubmissionId) -> TimedCallResult {
+    let first_result = call(address, Method::Get, &job_path(id), Vec::new()).await;
+    poll_until_final(address, id, first_result).await
 }
 
 /// Cancels a job.
-pub async fn cancel(address: SocketAddr, id: SubmissionId) -> HeardAt {
-    let heard = call(address, Method::Delete, &path_of(id), Vec::new()).await;
-    HeardAt {
-        heard,
-        at_ms: now_ms(),
+pub async fn cancel(address: SocketAddr, id: SubmissionId) -> TimedCallResult {
+    let result = call(address, Method::Delete, &job_path(id), Vec::new()).await;
+    TimedCallResult {
+        result,
+        received_at_ms: now_ms(),
     }
 }
 
-async fn stay(address: SocketAddr, id: SubmissionId, first: Heard) -> HeardAt {
-    let mut heard = first;
-    while let Heard::Answer(_, answer) = &heard
+async fn poll_until_final(
+    address: SocketAddr,
+    id: SubmissionId,
+    first_result: CallResult,
+) -> TimedCallResult {
+    let mut result = first_result;
+    while let CallResult::Answer(_, answer) = &result
         && answer.outcome.is_none()
     {
-        Timer::after(FETCH_PAUSE).await;
-        heard = call(address, Method::Get, &path_of(id), Vec::new()).await;
+        Timer::after(FETCH_INTERVAL).await;
+        result = call(address, Method::Get, &job_path(id), Vec::new()).await;
     }
-    HeardAt {
-        heard,
-        at_ms: now_ms(),
+    TimedCallResult {
+        result,
+        received_at_ms: now_ms(),
     }
 }
 
-async fn call(address: SocketAddr, method: Method, path: &str, body: Vec<u8>) -> Heard {
+async fn call(address: SocketAddr, method: Method, path: &str, body: Vec<u8>) -> CallResult {
     match try_call(address, method, path, body).await {
-        Ok(reply) => read(&reply),
-        Err(error) => Heard::Lost(error),
+        Ok(reply) => decode_reply(&reply),
+        Err(error) => CallResult::Lost(error),
     }
 }
 
@@ -147,20 +155,22 @@
         ..ClientOptions::default()
     };
     let mut connection = Connection::open(address, options).await?;
-    connection.call(method, path, &[], body, PATIENCE).await
+    connection
+        .call(method, path, &[], body, REQUEST_TIMEOUT)
+        .await
 }
 
-fn read(reply: &Reply) -> Heard {
+fn decode_reply(reply: &Reply) -> CallResult {
     match Answer::decode(&reply.body) {
-        Ok(answer) => Heard::Answer(reply.status, answer),
+        Ok(answer) => CallResult::Answer(reply.status, answer),
         Err(_) => {
             let text = String::from_utf8_lossy(&reply.body).into_owned();
-            Heard::Garbage(reply.status, text)
+            CallResult::Unreadable(reply.status, text)
         }
     }
 }
 
-fn path_of(id: SubmissionId) -> String {
+fn job_path(id: SubmissionId) -> String {
     format!("{JOBS_PATH}/{id}")
 }
 
--- a/crates/onyxshed-proof/src/cluster.rs
+++ b/crates/onyxshed-proof/src/cluster.rs
@@ -23,13 +23,13 @@
 
 pub use executors::ExecutorUnit;
 pub use faults::Edge;
-pub use hosts::{EntryHostUnit, Part};
-pub use topology::{Given, Topology};
+pub use hosts::{EntryHostUnit, ProcessKind};
+pub use topology::{ClusterOptions, Topology};
 
 /// Everything that one test runs.
 #[derive(Debug)]
 pub struct Cluster {
-    pub(crate) given: Given,
+    pub(crate) options: ClusterOptions,
     pub(crate) platform: Process,
     pub(crate) proxy: Process,
     pub(crate) executors: BTreeMap<SmolStr, ExecutorUnit>,
@@ -39,17 +39,18 @@
 
 impl Cluster {
     /// Tries to start all processes and waits until each serves.
-    pub async fn start(topology: &Topology, given: Given) -> Result<Self> {
+    pub async fn start(topology: &Topology, options: ClusterOptions) -> Result<Self> {
         let folder = tempfile::tempdir().context(SystemSnafu {
             what: "make a folder",
         })?;
         let path = folder.path();
-        let mut platform = Process::start("standin-platform", "platform", &given.platform(), path)?;
+        let mut platform =
+            Process::start("standin-platform", "platform", &options.platform(), path)?;
         let mut proxy = Process::start("standin-faults", "faults", &[], path)?;
         platform.wait_ready()?;
         proxy.wait_ready()?;
         let mut cluster = Cluster {
-            given,
+            options,
             platform,
             proxy,
             executors: BTreeMap::new(),
@@ -68,12 +69,12 @@
             executors: self
                 .executors
                 .values()
-                .filter_map(ExecutorUnit::listed)
+                .filter_map(ExecutorUnit::host_list_entry)
                 .collect(),
             entries: self
                 .hosts
                 .values()
-                .filter_map(EntryHostUnit::listed)
+                .filter_map(EntryHostUnit::host_list_entry)
                 .collect(),
         };
         send(self.platform_address()?, Method::Put, HOSTS_PATH, &hosts).await?;
@@ -97,7 +98,7 @@
         let allowed = names(&self.executors);
         self.executors
             .get_mut(name)
-            .ok_or_else(|| no_such("executor", name, allowed))
+            .ok_or_else(|| unknown_name("executor", name, allowed))
     }
 
     /// Gets an entry host.
@@ -105,7 +106,7 @@
         let allowed = names(&self.hosts);
         self.hosts
             .get_mut(name)
-            .ok_or_else(|| no_such("entry host", name, allowed))
+            .ok_or_else(|| unknown_name("entry host", name, allowed))
     }
 
     /// Gets the names of all entry hosts.
@@ -121,9 +122,12 @@
     /// Gets the end of every process's log, for a test that failed.
     pub fn logs(&self) -> String {
         let mut text = String::new();
-        let parts = self.hosts.values().flat_map(EntryHostUnit::processes);
-        let others = self.executors.values().map(|unit| &unit.process);
-        for process in parts.chain(others).chain([&self.platform, &self.proxy]) {
+        let host_processes = self.hosts.values().flat_map(EntryHostUnit::processes);
+        let executor_processes = self.executors.values().map(|unit| &unit.process);
+        for process in host_processes
+            .chain(executor_processes)
+            .chain([&self.platform, &self.proxy])
+        {
             let tail = process.log_tail();
             if !tail.is_empty() {
                 text += &format!("--- {}\n{tail}\n", process.name());
@@ -133,12 +137,12 @@
     }
 }
 
-fn names<T>(things: &BTreeMap<SmolStr, T>) -> SmolStr {
-    let names: Vec<&str> = things.keys().map(SmolStr::as_str).collect();
+fn names<T>(items: &BTreeMap<SmolStr, T>) -> SmolStr {
+    let names: Vec<&str> = items.keys().map(SmolStr::as_str).collect();
     names.join(", ").into()
 }
 
-pub(crate) fn no_such(kind: &'static str, found: &str, allowed: SmolStr) -> Error {
+pub(crate) fn unknown_name(kind: &'static str, found: &str, allowed: SmolStr) -> Error {
     Error::NoSuch {
         kind,
         found: found.into(),
--- a/crates/onyxshed-proof/src/cluster/executors.rs
+++ b/crates/onyxshed-proof/src/cluster/executors.rs
@@ -25,12 +25,12 @@
     /// Whether the host list names it.
     pub is_listed: bool,
     /// Starts counted when a scenario took note.
-    pub noted_starts: usize,
+    pub noted_start_count: usize,
 }
 
 impl ExecutorUnit {
     /// Gets what the host list says of it, none if it is left out.
-    pub(super) fn listed(&self) -> Option<ExecutorHost> {
+    pub(super) fn host_list_entry(&self) -> Option<ExecutorHost> {
         self.is_listed.then(|| self.host.clone())
     }
 
@@ -62,7 +62,7 @@
         for zone in &topology.zones {
             for number in 1..=topology.executors {
                 let name = format_smolstr!("x{zone}{number}");
-                let arguments = self.given.executor(&name);
+                let arguments = self.options.executor(&name);
                 let folder = self.folder();
                 let process = Process::start("standin-upstream", &name, &arguments, folder)?;
                 started.push((zone.clone(), name, process));
@@ -74,24 +74,29 @@
             let address = self.open_route(route, process.address("http")?).await?;
             let unit = ExecutorUnit {
                 process,
-                host: self.describe(&zone, &name, address)?,
+                host: self.new_host_list_entry(&zone, &name, address)?,
                 is_listed: true,
-                noted_starts: 0,
+                noted_start_count: 0,
             };
             self.executors.insert(name, unit);
         }
         Ok(())
     }
 
-    fn describe(&self, zone: &str, name: &str, address: SocketAddr) -> Result<ExecutorHost> {
-        let bad = |error: onyxshed_core::Error| Error::unmet(format_smolstr!("{error}"));
+    fn new_host_list_entry(
+        &self,
+        zone: &str,
+        name: &str,
+        address: SocketAddr,
+    ) -> Result<ExecutorHost> {
+        let to_unmet = |error: onyxshed_core::Error| Error::unmet(format_smolstr!("{error}"));
         Ok(ExecutorHost {
-            name: name.parse::<ExecutorName>().map_err(bad)?,
-            upstream: UPSTREAM.parse::<UpstreamName>().map_err(bad)?,
-            zone: zone.parse::<ZoneName>().map_err(bad)?,
+            name: name.parse::<ExecutorName>().map_err(to_unmet)?,
+            upstream: UPSTREAM.parse::<UpstreamName>().map_err(to_unmet)?,
+            zone: zone.parse::<ZoneName>().map_err(to_unmet)?,
             rack: SmolStr::default(),
             address,
-            slots: self.given.slots,
+            slots: self.options.slots,
             state: HostState::Live,
         })
     }
--- a/crates/onyxshed-proof/src/cluster/faults.rs
+++ b/crates/onyxshed-proof/src/cluster/faults.rs
@@ -10,13 +10,13 @@
 use crate::remote::send;
 
 use super::Cluster;
-use super::hosts::Part;
+use super::hosts::ProcessKind;
 
 /// Connections that can be broken together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Edge {
     /// From one process of an entry host to the platform.
-    PartToPlatform(Part, SmolStr),
+    PartToPlatform(ProcessKind, SmolStr),
     /// From both processes of an entry host to the platform.
     HostToPlatform(SmolStr),
     /// From all entry hosts of a zone to the platform.
@@ -44,8 +44,8 @@
             in_zone.flat_map(|(name, _)| route(name)).collect()
         };
         match self {
-            Edge::PartToPlatform(part, host) => {
-                vec![format_smolstr!("platform.{}.{host}", part.as_str())]
+            Edge::PartToPlatform(process_kind, host) => {
+                vec![format_smolstr!("platform.{}.{host}", process_kind.as_str())]
             }
             Edge::HostToPlatform(host) => to_platform(host),
             Edge::ZoneToPlatform(zone) => of_zone(zone, to_platform),
--- a/crates/onyxshed-proof/src/cluster/hosts.rs
+++ b/crates/onyxshed-proof/src/cluster/hosts.rs
@@ -16,19 +16,19 @@
 
 /// One of an entry host's processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum ProcessKind {
     /// `onyxshed-entry`.
     Entry,
     /// `onyxshed-control`.
     Control,
 }
 
-impl Part {
+impl ProcessKind {
     /// Gets the part's word.
     pub fn as_str(self) -> &'static str {
         match self {
-            Part::Entry => "entry",
-            Part::Control => "control",
+            ProcessKind::Entry => "entry",
+            ProcessKind::Control => "control",
         }
     }
 }
@@ -52,11 +52,11 @@
 
 impl EntryHostUnit {
     /// Gets one of its processes.
-    pub fn part(&mut self, part: Part) -> Result<&mut Process> {
-        let name = format_smolstr!("{} {}", part.as_str(), self.name);
-        let slot = match part {
-            Part::Entry => &mut self.entry,
-            Part::Control => &mut self.control,
+    pub fn process(&mut self, process_kind: ProcessKind) -> Result<&mut Process> {
+        let name = format_smolstr!("{} {}", process_kind.as_str(), self.name);
+        let slot = match process_kind {
+            ProcessKind::Entry => &mut self.entry,
+            ProcessKind::Control => &mut self.control,
         };
         slot.as_mut().ok_or(Error::NotReady {
             process: name,
@@ -70,10 +70,10 @@
     }
 
     /// Gets where one of its processes serves operators.
-    pub fn admin_address(&self, part: Part) -> Result<SocketAddr> {
-        match part {
-            Part::Entry => self.address(&self.entry, "admin"),
-            Part::Control => self.address(&self.control, "admin"),
+    pub fn admin_address(&self, process_kind: ProcessKind) -> Result<SocketAddr> {
+        match process_kind {
+            ProcessKind::Entry => self.address(&self.entry, "admin"),
+            ProcessKind::Control => self.address(&self.control, "admin"),
         }
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Gets what the host list says of it, none if it is left out.
-    pub(super) fn listed(&self) -> Option<EntryHost> {
+    pub(super) fn host_list_entry(&self) -> Option<EntryHost> {
         self.is_listed.then_some(())?;
         Some(EntryHost {
             name: self.name.parse::<HostName>().ok()?,
@@ -119,36 +119,38 @@
             }
         }
         let names = self.host_names();
-        self.restart(Part::Entry, &names).await?;
-        self.restart(Part::Control, &names).await
+        self.restart(ProcessKind::Entry, &names).await?;
+        self.restart(ProcessKind::Control, &names).await
     }
 
     /// Starts a part of each host, killing the one before, and waits until all serve.
-    pub async fn restart(&mut self, part: Part, hosts: &[SmolStr]) -> Result<()> {
+    pub async fn restart(&mut self, process_kind: ProcessKind, hosts: &[SmolStr]) -> Result<()> {
         for host in hosts {
-            let process = self.start_part(part, host).await?;
+            let process = self.start_process(process_kind, host).await?;
             let unit = self.host(host)?;
-            match part {
-                Part::Entry => unit.entry = Some(process),
-                Part::Control => unit.control = Some(process),
+            match process_kind {
+                ProcessKind::Entry => unit.entry = Some(process),
+                ProcessKind::Control => unit.control = Some(process),
             }
         }
         for host in hosts {
-            self.host(host)?.part(part)?.wait_ready()?;
-            self.lead_routes(part, host).await?;
+            self.host(host)?.process(process_kind)?.wait_ready()?;
+            self.update_routes(process_kind, host).await?;
         }
         Ok(())
     }
 
     /// Leads the routes of others to a part that has new addresses.
-    async fn lead_routes(&mut self, part: Part, host: &SmolStr) -> Result<()> {
-        let process = self.host(host)?.part(part)?;
+    async fn update_routes(&mut self, process_kind: ProcessKind, host: &SmolStr) -> Result<()> {
+        let process = self.host(host)?.process(process_kind)?;
         let peer = process.address("peer")?;
-        let control = match part {
-            Part::Entry => Some(process.address("control")?),
-            Part::Control => None,
+        let control = match process_kind {
+            ProcessKind::Entry => Some(process.address("control")?),
+            ProcessKind::Control => None,
         };
-        let peer_route = self.open_route(peer_route(part, host), peer).await?;
+        let peer_route = self
+            .open_route(peer_route(process_kind, host), peer)
+            .await?;
         if let Some(control) = control {
             let route = format_smolstr!("control.{host}");
             self.open_route(route, control).await?;
@@ -158,82 +160,88 @@
         Ok(())
     }
 
-    async fn start_part(&mut self, part: Part, host: &SmolStr) -> Result<Process> {
-        let settings = self.settings(part, host).await?;
-        let label = format!("{}-{host}", part.as_str());
+    async fn start_process(
+        &mut self,
+        process_kind: ProcessKind,
+        host: &SmolStr,
+    ) -> Result<Process> {
+        let settings = self.settings(process_kind, host).await?;
+        let label = format!("{}-{host}", process_kind.as_str());
         let file = self.folder().join(format!("{label}.jsonc"));
         std::fs::write(&file, format!("{settings:#}")).context(SystemSnafu {
             what: "write settings",
         })?;
-        let binary = format!("onyxshed-{}", part.as_str());
+        let binary = format!("onyxshed-{}", process_kind.as_str());
         let arguments = ["--settings".to_owned(), file.display().to_string()];
         Process::start(&binary, &label, &arguments, self.folder())
     }
 
-    async fn settings(&mut self, part: Part, host: &SmolStr) -> Result<Value> {
+    async fn settings(&mut self, process_kind: ProcessKind, host: &SmolStr) -> Result<Value> {
         let platform = self.platform_address()?;
-        let route = format_smolstr!("platform.{}.{host}", part.as_str());
+        let route = format_smolstr!("platform.{}.{host}", process_kind.as_str());
         let platform = self.open_route(route, platform).await?;
-        let advertised = self.open_route(peer_route(part, host), NOWHERE).await?;
+        let advertised = self
+            .open_route(peer_route(process_kind, host), UNASSIGNED_ADDRESS)
+            .await?;
         let unit = self.host(host)?;
-        let free = "127.0.0.1:0";
+        let any_port = "127.0.0.1:0";
         let mut settings = json!({
             "host": unit.name,
             "zone": unit.zone,
-            "peer_address": free,
+            "peer_address": any_port,
             "peer_advertised_address": advertised,
-            "admin_address": free,
+            "admin_address": any_port,
             "platform_address": platform,
             "log": {"level": "debug"},
         });
-        let own = match part {
-            Part::Entry => json!({"caller_address": free, "control_address": free}),
-            Part::Control => {
-                let entry = unit.part(Part::Entry)?.address("control")?;
+        let own = match process_kind {
+            ProcessKind::Entry => json!({"caller_address": any_port, "control_address": any_port}),
+            ProcessKind::Control => {
+                let entry = unit.process(ProcessKind::Entry)?.address("control")?;
                 let route = format_smolstr!("control.{host}");
                 json!({
                     "entry_control_address": self.open_route(route, entry).await?,
-                    "peers": self.seeds(host),
+                    "peers": self.peer_addresses(host),
                 })
             }
         };
-        let given = match part {
-            Part::Entry => &self.given.entry_settings,
-            Part::Control => &self.given.control_settings,
+        let options = match process_kind {
+            ProcessKind::Entry => &self.options.entry_settings,
+            ProcessKind::Control => &self.options.control_settings,
         };
         merge(&mut settings, own.as_object().unwrap_or(&Map::new()));
-        merge(&mut settings, given);
+        merge(&mut settings, options);
         Ok(settings)
     }
 
     /// Gets the peers that a control process is told of: all that run, past the proxy's faults or
     /// not, as an operator would list them.
-    fn seeds(&self, host: &SmolStr) -> Vec<SocketAddr> {
+    fn peer_addresses(&self, host: &SmolStr) -> Vec<SocketAddr> {
         let others = self.hosts.iter().filter(|(name, _)| *name != host);
         others.filter_map(|(_, unit)| unit.peer_route).collect()
     }
 
     /// Kills a part of a host.
-    pub fn kill_part(&mut self, part: Part, host: &str) -> Result<()> {
+    pub fn kill_process(&mut self, process_kind: ProcessKind, host: &str) -> Result<()> {
         let unit = self.host(host)?;
-        unit.part(part)?.kill()?;
-        match part {
-            Part::Entry => unit.entry = None,
-            Part::Control => unit.control = None,
+        unit.process(process_kind)?.kill()?;
+        match process_kind {
+            ProcessKind::Entry => unit.entry = None,
+            ProcessKind::Control => unit.control = None,
         }
         Ok(())
     }
 }
 
 /// Where a route leads until its process has an address.
-const NOWHERE: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1));
+const UNASSIGNED_ADDRESS: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1));
 
-fn peer_route(part: Part, host: &str) -> SmolStr {
-    format_smolstr!("peer.{}.{host}", part.as_str())
+fn peer_route(process_kind: ProcessKind, host: &str) -> SmolStr {
+    format_smolstr!("peer.{}.{host}", process_kind.as_str())
 }
 
-fn merge(settings: &mut Value, more: &Map<String, Value>) {
+fn merge(settings: &mut Value, overrides: &Map<String, Value>) {
     if let Some(fields) = settings.as_object_mut() {
-        fields.extend(more.clone());
+        fields.extend(overrides.clone());
     }
 }
--- a/crates/onyxshed-proof/src/cluster/operator.rs
+++ b/crates/onyxshed-proof/src/cluster/operator.rs
@@ -13,14 +13,14 @@
 use ulid::Ulid;
 
 use crate::error::{Error, Result, SystemSnafu};
-use crate::process::beside_test;
-use crate::remote::{WAIT_CEILING, call, get, pause};
+use crate::process::find_binary;
+use crate::remote::{WAIT_TIMEOUT, call, get, pause};
 
 use super::Cluster;
 
 /// How a command of `onyxshed` ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CommandEnd {
+pub struct CommandOutput {
     /// Its exit code, none if a signal ended it.
     pub code: Option<i32>,
     /// What it wrote.
@@ -33,7 +33,7 @@
         &self,
         target: &ClassTarget,
         based_on: Option<Revision>,
-    ) -> Result<CommandEnd> {
+    ) -> Result<CommandOutput> {
         let platform = self.platform_address()?;
         let route = SmolStr::new_static("platform.operator");
         let platform = self.open_route(route, platform).await?;
@@ -51,7 +51,7 @@
         if let Some(revision) = based_on {
             arguments.push(format!("--based-on={revision}"));
         }
-        run_to_end(&arguments).await
+        run_command(&arguments).await
     }
 
     /// Appends a change past the command, which would have refused one that has lost already: as
@@ -69,7 +69,7 @@
     }
 
     /// Folds the log as an operator with the whole of it would.
-    pub async fn log_config(&self) -> Result<ConfigFold> {
+    pub async fn read_config(&self) -> Result<ConfigFold> {
         let path = records_path(CONFIG_STREAM);
         let page: Page = get(self.platform_address()?, &path).await?;
         let mut fold = ConfigFold::default();
@@ -81,8 +81,8 @@
 }
 
 /// Runs `onyxshed` without keeping callers from being served meanwhile.
-async fn run_to_end(arguments: &[String]) -> Result<CommandEnd> {
-    let mut child = Command::new(beside_test("onyxshed")?)
+async fn run_command(arguments: &[String]) -> Result<CommandOutput> {
+    let mut child = Command::new(find_binary("onyxshed")?)
         .args(arguments)
         .stdin(Stdio::null())
         .stdout(Stdio::piped())
@@ -91,9 +91,9 @@
         .context(SystemSnafu {
             what: "start onyxshed, which `cargo build --bins` builds",
         })?;
-    let give_up_at = Instant::now() + WAIT_CEILING;
-    while has_not_ended(&mut child)? {
-        if Instant::now() > give_up_at {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while is_running(&mut child)? {
+        if Instant::now() > deadline {
             let _ = child.kill();
             let _ = child.wait();
             return Err(Error::call("onyxshed", "it did not end"));
@@ -108,13 +108,13 @@
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr)
     );
-    Ok(CommandEnd {
+    Ok(CommandOutput {
         code: output.status.code(),
         text,
     })
 }
 
-fn has_not_ended(child: &mut Child) -> Result<bool> {
+fn is_running(child: &mut Child) -> Result<bool> {
     let ended = child.try_wait().context(SystemSnafu { what: "wait" })?;
     Ok(ended.is_none())
 }
--- a/crates/onyxshed-proof/src/cluster/topology.rs
+++ b/crates/onyxshed-proof/src/cluster/topology.rs
@@ -22,7 +22,7 @@
 
 /// How the parts are set up where the defaults don't suit a scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Given {
+pub struct ClusterOptions {
     /// Slots of each executor. Default 8.
     pub slots: u32,
     /// Tasks that may wait on each executor. Default 16.
@@ -40,10 +40,10 @@
 /// Heartbeats faster than the default, so that peers know each other soon after a start.
 const HEARTBEAT_MS: u64 = 100;
 
-impl Default for Given {
+impl Default for ClusterOptions {
     fn default() -> Self {
         let heartbeat = ("heartbeat_ms".to_owned(), HEARTBEAT_MS.into());
-        Given {
+        ClusterOptions {
             slots: 8,
             queue_max: 16,
             retention_ms: Millis(3_600_000),
@@ -54,7 +54,7 @@
     }
 }
 
-impl Given {
+impl ClusterOptions {
     /// Sets how long the log keeps records, and tells the processes.
     pub fn set_retention(&mut self, retention: Millis) {
         self.retention_ms = retention;
--- a/crates/onyxshed-proof/src/process.rs
+++ b/crates/onyxshed-proof/src/process.rs
@@ -17,7 +17,7 @@
 use crate::error::{Error, Result, SystemSnafu};
 
 /// How long a process may take to print its ready line.
-const READY_CEILING: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Lines of a process's log that a failed test shows.
 const LOG_TAIL_LINES: usize = 120;
@@ -41,7 +41,7 @@
             .append(true)
             .open(&log)
             .context(SystemSnafu { what: "open a log" })?;
-        let mut child = Command::new(beside_test(binary)?)
+        let mut child = Command::new(find_binary(binary)?)
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
@@ -50,7 +50,7 @@
             .with_context(|_| SystemSnafu {
                 what: format_smolstr!("start {binary}, which `cargo build --bins` builds"),
             })?;
-        let ready = first_line(child.stdout.take());
+        let ready = read_first_line(child.stdout.take());
         Ok(Process {
             name: name.into(),
             child,
@@ -73,7 +73,7 @@
             let file = options.create(true).append(true).open(&log);
             file.context(SystemSnafu { what: "open a log" })
         };
-        let child = Command::new(beside_test(binary)?)
+        let child = Command::new(find_binary(binary)?)
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(open()?)
@@ -100,10 +100,10 @@
     pub fn wait_ready(&mut self) -> Result<()> {
         let line = self
             .ready
-            .recv_timeout(READY_CEILING)
-            .map_err(|_| self.not_ready("no ready line"))?;
+            .recv_timeout(READY_TIMEOUT)
+            .map_err(|_| self.not_ready_error("no ready line"))?;
         let ready = serde_json::from_str(&line).map_err(|error| {
-            self.not_ready(&format!("{error} in {line:?}, log: {}", self.log_tail()))
+            self.not_ready_error(&format!("{error} in {line:?}, log: {}", self.log_tail()))
         })?;
         self.addresses = Some(ready);
         Ok(())
@@ -114,7 +114,9 @@
         let ready = self.addresses.as_ref();
         ready
             .and_then(|ready| ready.addresses.get(purpose).copied())
-            .ok_or_else(|| self.not_ready(&format!("no address {purpose:?} in its ready line")))
+            .ok_or_else(|| {
+                self.not_ready_error(&format!("no address {purpose:?} in its ready line"))
+            })
     }
 
     /// Gets the name that the test gave it.
@@ -160,7 +162,7 @@
     }
 
     /// Tells whether the process has taken notice that it is to stop, or has ended.
-    pub fn has_heard_stop(&mut self) -> Result<bool> {
+    pub fn is_stopping_or_ended(&mut self) -> Result<bool> {
         Ok(self.ended()?.is_some() || self.log().contains(EventKind::ProcessDraining.name()))
     }
 
@@ -182,7 +184,7 @@
             .context(SystemSnafu { what: "signal" })
     }
 
-    fn not_ready(&self, reason: &str) -> Error {
+    fn not_ready_error(&self, reason: &str) -> Error {
         Error::NotReady {
             process: self.name.clone(),
             reason: format_smolstr!("{reason}\n{}", self.log_tail()),
@@ -198,7 +200,7 @@
 }
 
 /// Reads the first line on a thread of its own, so that a silent process can't block the test.
-fn first_line(stdout: Option<ChildStdout>) -> Receiver<String> {
+fn read_first_line(stdout: Option<ChildStdout>) -> Receiver<String> {
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
         let mut line = String::new();
@@ -213,7 +215,7 @@
 }
 
 /// Finds a binary in the folder of this executable, or above it, where tests lie.
-pub fn beside_test(binary: &str) -> Result<PathBuf> {
+pub fn find_binary(binary: &str) -> Result<PathBuf> {
     let test = std::env::current_exe().context(SystemSnafu {
         what: "find the test executable",
     })?;
--- a/crates/onyxshed-proof/src/remote.rs
+++ b/crates/onyxshed-proof/src/remote.rs
@@ -13,13 +13,13 @@
 use crate::error::{Error, Result};
 
 /// How long a test's own call may take.
-const CALL_CEILING: Duration = Duration::from_secs(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How long anything awaited may take; far more than it takes on a busy machine.
-pub const WAIT_CEILING: Duration = Duration::from_secs(40);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Pause between looks at something awaited.
-const LOOK_PAUSE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Calls and takes any answer of success.
 pub async fn call(
@@ -28,14 +28,14 @@
     path: &str,
     body: Vec<u8>,
 ) -> Result<Vec<u8>> {
-    let what = || format_smolstr!("{method} {path}");
-    let reply = call_once(address, method, path, body, CALL_CEILING)
+    let request = || format_smolstr!("{method} {path}");
+    let reply = call_once(address, method, path, body, CALL_TIMEOUT)
         .await
-        .map_err(|error| Error::call(what(), error))?;
+        .map_err(|error| Error::call(request(), error))?;
     match reply.status {
         200..300 => Ok(reply.body),
         status => Err(Error::call(
-            what(),
+            request(),
             format!("{status}: {}", String::from_utf8_lossy(&reply.body)),
         )),
     }
@@ -60,24 +60,24 @@
 
 /// Lets a moment pass before the next look at something awaited.
 pub async fn pause() {
-    Timer::after(LOOK_PAUSE).await;
+    Timer::after(POLL_INTERVAL).await;
 }
 
 /// What a look at something awaited brought.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Look {
+pub enum WaitState {
     /// It is so.
     Holds,
     /// Not yet; this was seen instead.
     NotYet(SmolStr),
 }
 
-impl Look {
+impl WaitState {
     /// Makes a look from a condition.
-    pub fn when(holds: bool, seen: impl FnOnce() -> SmolStr) -> Self {
+    pub fn from_condition(holds: bool, observed: impl FnOnce() -> SmolStr) -> Self {
         match holds {
-            true => Look::Holds,
-            false => Look::NotYet(seen()),
+            true => WaitState::Holds,
+            false => WaitState::NotYet(observed()),
         }
     }
 }
--- a/crates/onyxshed-proof/src/scenario/ask.rs
+++ b/crates/onyxshed-proof/src/scenario/ask.rs
@@ -4,9 +4,9 @@
 use smol_str::SmolStr;
 use winnow::prelude::*;
 
-use super::grammar::{jobs, jobs_behind, publication_of_class};
-use super::language::{Condition, Expectation, Hearing, Jobs, Times, Where};
-use super::words::{may_say, name, number, one_of, say};
+use super::grammar::{jobs, jobs_after_keyword, publication_after_class};
+use super::language::{AnswerKind, Condition, Expectation, HostScope, Jobs, StartCount};
+use super::words::{accept_word, expect_words, name, number, one_of};
 
 /// Takes what `wait until` waits for.
 pub(super) fn condition(input: &mut &str) -> ModalResult<Condition> {
@@ -27,33 +27,33 @@
             "peers",
         ],
     )? {
-        place @ 0..=2 => {
-            let jobs = jobs_behind(input, place)?;
+        keyword @ 0..=2 => {
+            let jobs = jobs_after_keyword(input, keyword)?;
             one_of(input, &["is", "are"])?;
-            say(input, "answered")?;
+            expect_words(input, "answered")?;
             Ok(Condition::Answered(jobs, from_entry(input)?))
         }
         3 => {
             let revision = number(input)?;
-            say(input, "is in force")?;
-            Ok(Condition::InForce(revision, place(input)?))
+            expect_words(input, "is in force")?;
+            Ok(Condition::InForce(revision, scope(input)?))
         }
         4 => {
             let host = name(input)?;
-            say(input, "has ended")?;
+            expect_words(input, "has ended")?;
             Ok(Condition::Ended(host))
         }
         6 => {
-            say(input, "are known")?;
-            place(input).map(Condition::KnowsExecutors)
+            expect_words(input, "are known")?;
+            scope(input).map(Condition::KnowsExecutors)
         }
         7 => {
-            say(input, "are known")?;
-            place(input).map(Condition::KnowsPeers)
+            expect_words(input, "are known")?;
+            scope(input).map(Condition::KnowsPeers)
         }
         _ => {
-            say(input, "are read")?;
-            place(input).map(Condition::ReadsLog)
+            expect_words(input, "are read")?;
+            scope(input).map(Condition::ReadsLog)
         }
     }
 }
@@ -62,27 +62,27 @@
     let count: usize = number(input)?;
     match one_of(input, &["task", "tasks", "append", "appends"])? {
         0 | 1 => {
-            say(input, "of")?;
+            expect_words(input, "of")?;
             let jobs = jobs(input)?;
-            say(input, "started")?;
+            expect_words(input, "started")?;
             Ok(Condition::Started(count, jobs))
         }
         _ => {
-            say(input, "to")?;
+            expect_words(input, "to")?;
             let stream = name(input)?;
-            say(input, "taken")?;
+            expect_words(input, "taken")?;
             Ok(Condition::Appended(count as u64, stream))
         }
     }
 }
 
 /// Takes `everywhere` or `at entry a1`.
-fn place(input: &mut &str) -> ModalResult<Where> {
+fn scope(input: &mut &str) -> ModalResult<HostScope> {
     match one_of(input, &["everywhere", "at"])? {
-        0 => Ok(Where::Everywhere),
+        0 => Ok(HostScope::Everywhere),
         _ => {
-            say(input, "entry")?;
-            name(input).map(Where::At)
+            expect_words(input, "entry")?;
+            name(input).map(HostScope::At)
         }
     }
 }
@@ -101,81 +101,83 @@
         "some" => match one_of(input, &["task", "answer"])? {
             0 => task_of(input).map(Expectation::SomeTask),
             _ => {
-                say(input, "of")?;
+                expect_words(input, "of")?;
                 let jobs = jobs(input)?;
-                say(input, "is")?;
-                Ok(Expectation::SomeAnswer(jobs, hearings(input)?))
+                expect_words(input, "is")?;
+                Ok(Expectation::SomeAnswer(jobs, answer_kinds(input)?))
             }
         },
-        "a" => say(input, "new").and_then(|()| new_start(input).map(Expectation::NewStart)),
+        "a" => {
+            expect_words(input, "new").and_then(|()| new_start(input).map(Expectation::NewStart))
+        }
         "answer" => {
-            say(input, "of")?;
+            expect_words(input, "of")?;
             let (jobs, from) = (jobs(input)?, from_entry(input)?);
-            say(input, "is")?;
-            Ok(Expectation::Answers(jobs, from, hearings(input)?))
+            expect_words(input, "is")?;
+            Ok(Expectation::Answers(jobs, from, answer_kinds(input)?))
         }
         "code" => {
-            say(input, "of")?;
+            expect_words(input, "of")?;
             let (jobs, from) = (jobs(input)?, from_entry(input)?);
-            say(input, "is")?;
+            expect_words(input, "is")?;
             Ok(Expectation::Codes(jobs, from, codes(input)?))
         }
         "class" => {
-            let target = publication_of_class(input)?;
+            let target = publication_after_class(input)?;
             Ok(Expectation::Target(target, in_force(input)?))
         }
         "revision" => Ok(Expectation::Revision(number(input)?, in_force(input)?)),
         "entry" => {
             let host = name(input)?;
-            say(input, "ended with code")?;
+            expect_words(input, "ended with code")?;
             Ok(Expectation::ExitCode(host, number(input)?))
         }
         _ => {
-            say(input, "most")?;
+            expect_words(input, "most")?;
             let most = number(input)?;
             one_of(input, &["append", "appends"])?;
-            say(input, "to")?;
+            expect_words(input, "to")?;
             Ok(Expectation::AppendsAtMost(most, name(input)?))
         }
     }
 }
 
 fn every_task(input: &mut &str) -> ModalResult<Expectation> {
-    say(input, "task of")?;
+    expect_words(input, "task of")?;
     let jobs = jobs(input)?;
-    say(input, "started")?;
+    expect_words(input, "started")?;
     let times = match one_of(input, &["at", "exactly"])? {
-        0 => say(input, "most once").map(|()| Times::AtMostOnce)?,
-        _ => say(input, "once").map(|()| Times::ExactlyOnce)?,
+        0 => expect_words(input, "most once").map(|()| StartCount::AtMostOnce)?,
+        _ => expect_words(input, "once").map(|()| StartCount::ExactlyOnce)?,
     };
     Ok(Expectation::EveryTask(jobs, times))
 }
 
 fn task_of(input: &mut &str) -> ModalResult<Jobs> {
-    say(input, "of")?;
+    expect_words(input, "of")?;
     let jobs = jobs(input)?;
-    say(input, "started")?;
+    expect_words(input, "started")?;
     Ok(jobs)
 }
 
 fn new_start(input: &mut &str) -> ModalResult<SmolStr> {
-    say(input, "start on executor")?;
+    expect_words(input, "start on executor")?;
     name(input)
 }
 
-fn in_force(input: &mut &str) -> ModalResult<Where> {
-    say(input, "in force")?;
-    place(input)
+fn in_force(input: &mut &str) -> ModalResult<HostScope> {
+    expect_words(input, "in force")?;
+    scope(input)
 }
 
 fn from_entry(input: &mut &str) -> ModalResult<Option<SmolStr>> {
-    match may_say(input, "from") {
-        true => say(input, "entry").and_then(|()| name(input).map(Some)),
+    match accept_word(input, "from") {
+        true => expect_words(input, "entry").and_then(|()| name(input).map(Some)),
         false => Ok(None),
     }
 }
 
-fn hearings(input: &mut &str) -> ModalResult<Vec<Hearing>> {
+fn answer_kinds(input: &mut &str) -> ModalResult<Vec<AnswerKind>> {
     const WORDS: &[&str] = &[
         "complete",
         "failed",
@@ -184,24 +186,24 @@
         "lost",
         "unreached",
     ];
-    const HEARINGS: &[Hearing] = &[
-        Hearing::Outcome(Outcome::Complete),
-        Hearing::Outcome(Outcome::Failed),
-        Hearing::Outcome(Outcome::NotRun),
-        Hearing::Outcome(Outcome::Unknown),
-        Hearing::Lost,
-        Hearing::Unreached,
+    const KINDS: &[AnswerKind] = &[
+        AnswerKind::Outcome(Outcome::Complete),
+        AnswerKind::Outcome(Outcome::Failed),
+        AnswerKind::Outcome(Outcome::NotRun),
+        AnswerKind::Outcome(Outcome::Unknown),
+        AnswerKind::Lost,
+        AnswerKind::Unreached,
     ];
-    let mut hearings = vec![HEARINGS[one_of(input, WORDS)?]];
-    while may_say(input, "or") {
-        hearings.push(HEARINGS[one_of(input, WORDS)?]);
+    let mut answer_kinds = vec![KINDS[one_of(input, WORDS)?]];
+    while accept_word(input, "or") {
+        answer_kinds.push(KINDS[one_of(input, WORDS)?]);
     }
-    Ok(hearings)
+    Ok(answer_kinds)
 }
 
 fn codes(input: &mut &str) -> ModalResult<Vec<u16>> {
     let mut codes = vec![number(input)?];
-    while may_say(input, "or") {
+    while accept_word(input, "or") {
         codes.push(number(input)?);
     }
     Ok(codes)
--- a/crates/onyxshed-proof/src/scenario/grammar.rs
+++ b/crates/onyxshed-proof/src/scenario/grammar.rs
@@ -6,16 +6,16 @@
 use winnow::prelude::*;
 use winnow::stream::Stream;
 
-use crate::cluster::{Edge, Part, Topology};
+use crate::cluster::{Edge, ProcessKind, Topology};
 
 use super::ask::{condition, expectation};
 use super::language::{
-    Action, Content, ExecutorFault, Jobs, PlatformFault, Publication, Receivers, Setting, Step,
-    Submit, Target, Told,
+    Action, Content, ExecutorFault, Jobs, PlatformFault, Publication, PublishResult, Receivers,
+    Setting, Step, Submit, Target,
 };
 use super::words::{
-    described, expected, may_say, name, names_to_end, names_until, number, one_of, parsed, say,
-    span,
+    accept_word, duration, expect_words, fail_described, fail_expected, name, names_to_end,
+    names_until, number, one_of, parse_word,
 };
 
 /// First words of all statements.
@@ -63,8 +63,8 @@
         "resubmit" => resubmit(input),
         "cancel" => Ok(Step::Cancel(jobs(input)?, at_entry(input)?)),
         "fetch" => Ok(Step::Fetch(jobs(input)?, at_entry(input)?)),
-        "wait" => say(input, "until").and_then(|()| condition(input).map(Step::Wait)),
-        "let" => pass(input),
+        "wait" => expect_words(input, "until").and_then(|()| condition(input).map(Step::Wait)),
+        "let" => pass_time(input),
         "kill" => Ok(Step::Signal(Action::Kill, target(input)?)),
         "restart" => Ok(Step::Signal(Action::Restart, target(input)?)),
         "freeze" => Ok(Step::Signal(Action::Freeze, target(input)?)),
@@ -76,7 +76,7 @@
         "heal" => Ok(Step::Network(Mode::Pass, edge(input)?)),
         "blackhole" => Ok(Step::Network(blackhole(input)?, edge(input)?)),
         "drop" => {
-            say(input, "answers on")?;
+            expect_words(input, "answers on")?;
             Ok(Step::Network(Mode::DropAnswer, edge(input)?))
         }
         "delay" => delay(input),
@@ -85,7 +85,7 @@
         "executor" => Ok(Step::Executor(name(input)?, executor(input)?)),
         "host" => list_host(input),
         "note" => {
-            say(input, "the starts of executor")?;
+            expect_words(input, "the starts of executor")?;
             name(input).map(Step::Note)
         }
         _ => expectation(input).map(Step::Expect),
@@ -105,24 +105,32 @@
     ];
     match SUBJECTS[one_of(input, SUBJECTS)?] {
         "executors" => {
-            say(input, "with")?;
-            if may_say(input, "a") {
-                say(input, "queue of")?;
+            expect_words(input, "with")?;
+            if accept_word(input, "a") {
+                expect_words(input, "queue of")?;
                 return number(input).map(Setting::Queue);
             }
             let slots = number(input)?;
             one_of(input, &["slot", "slots"])?;
             Ok(Setting::Slots(slots))
         }
-        "log" => say(input, "kept for").and_then(|()| span(input).map(Setting::Retention)),
-        "host" => say(input, "list late by").and_then(|()| span(input).map(Setting::HostListLag)),
-        "ids" => say(input, "valid for").and_then(|()| span(input).map(Setting::Horizon)),
-        "clocks" => say(input, "within").and_then(|()| span(input).map(Setting::Skew)),
-        "claims" => {
-            say(input, "awaited for").and_then(|()| span(input).map(Setting::ClaimPatience))
+        "log" => {
+            expect_words(input, "kept for").and_then(|()| duration(input).map(Setting::Retention))
+        }
+        "host" => expect_words(input, "list late by")
+            .and_then(|()| duration(input).map(Setting::HostListLag)),
+        "ids" => {
+            expect_words(input, "valid for").and_then(|()| duration(input).map(Setting::Horizon))
+        }
+        "clocks" => expect_words(input, "within").and_then(|()| duration(input).map(Setting::Skew)),
+        "claims" => expect_words(input, "awaited for")
+            .and_then(|()| duration(input).map(Setting::ClaimPatience)),
+        "drains" => {
+            expect_words(input, "up to").and_then(|()| duration(input).map(Setting::DrainTimeout))
+        }
+        _ => {
+            expect_words(input, "gone after").and_then(|()| duration(input).map(Setting::GoneAfter))
         }
-        "drains" => say(input, "up to").and_then(|()| span(input).map(Setting::DrainTimeout)),
-        _ => say(input, "gone after").and_then(|()| span(input).map(Setting::GoneAfter)),
     }
 }
 
@@ -130,12 +138,12 @@
     one_of(input, &["zone", "zones"])?;
     let zones = names_until(input, "with")?;
     let entry_hosts = number(input)?;
-    say(input, "entry")?;
+    expect_words(input, "entry")?;
     one_of(input, &["host", "hosts"])?;
-    say(input, "and")?;
+    expect_words(input, "and")?;
     let executors = number(input)?;
     one_of(input, &["executor", "executors"])?;
-    say(input, "each")?;
+    expect_words(input, "each")?;
     Ok(Topology {
         zones,
         entry_hosts,
@@ -145,29 +153,29 @@
 
 /// Takes `class fee within 5 s [may run twice] [from revision 2] [and lose the race]`.
 fn publication(input: &mut &str) -> ModalResult<Publication> {
-    say(input, "class")?;
-    publication_of_class(input)
+    expect_words(input, "class")?;
+    publication_after_class(input)
 }
 
 /// Takes what comes behind `class`.
-pub(super) fn publication_of_class(input: &mut &str) -> ModalResult<Publication> {
-    let class = parsed(input, "a class name")?;
-    say(input, "within")?;
-    let within = span(input)?;
-    let may_run_twice = may_say(input, "may");
+pub(super) fn publication_after_class(input: &mut &str) -> ModalResult<Publication> {
+    let class = parse_word(input, "a class name")?;
+    expect_words(input, "within")?;
+    let within = duration(input)?;
+    let may_run_twice = accept_word(input, "may");
     if may_run_twice {
-        say(input, "run twice")?;
+        expect_words(input, "run twice")?;
     }
-    let from = match may_say(input, "from") {
+    let from = match accept_word(input, "from") {
         true => {
-            say(input, "revision")?;
+            expect_words(input, "revision")?;
             Some(number(input)?)
         }
         false => None,
     };
-    let told = match may_say(input, "and") {
-        true => told(input)?,
-        false => Told::default(),
+    let told = match accept_word(input, "and") {
+        true => publish_result(input)?,
+        false => PublishResult::default(),
     };
     Ok(Publication {
         class,
@@ -179,40 +187,40 @@
 }
 
 /// Takes what an operator is told, where it is not that the change is accepted.
-fn told(input: &mut &str) -> ModalResult<Told> {
+fn publish_result(input: &mut &str) -> ModalResult<PublishResult> {
     match one_of(input, &["lose", "reach", "learn"])? {
-        0 => say(input, "the race").map(|()| Told::Raced),
-        1 => say(input, "nobody").map(|()| Told::Unreachable),
-        _ => say(input, "nothing").map(|()| Told::Undecided),
+        0 => expect_words(input, "the race").map(|()| PublishResult::Raced),
+        1 => expect_words(input, "nobody").map(|()| PublishResult::Unreachable),
+        _ => expect_words(input, "nothing").map(|()| PublishResult::Undecided),
     }
 }
 
 /// Takes `job J1`, `jobs J1 to J9` or `every job`.
 pub(super) fn jobs(input: &mut &str) -> ModalResult<Jobs> {
-    let place = one_of(input, JOBS_WORDS)?;
-    jobs_behind(input, place)
+    let keyword = one_of(input, JOBS_WORDS)?;
+    jobs_after_keyword(input, keyword)
 }
 
 /// First words of what names jobs.
 const JOBS_WORDS: &[&str] = &["job", "jobs", "every"];
 
 /// Takes what comes behind one of [`JOBS_WORDS`].
-pub(super) fn jobs_behind(input: &mut &str, place: usize) -> ModalResult<Jobs> {
-    match place {
+pub(super) fn jobs_after_keyword(input: &mut &str, keyword: usize) -> ModalResult<Jobs> {
+    match keyword {
         0 => Ok(Jobs::Named(vec![job(input)?.0])),
         1 => job_range(input).map(Jobs::Named),
-        _ => say(input, "job").map(|()| Jobs::Every),
+        _ => expect_words(input, "job").map(|()| Jobs::Every),
     }
 }
 
 fn job_range(input: &mut &str) -> ModalResult<Vec<SmolStr>> {
-    let here = input.checkpoint();
+    let checkpoint = input.checkpoint();
     let (_, letters, first) = job(input)?;
-    say(input, "to")?;
+    expect_words(input, "to")?;
     let (_, other_letters, last) = job(input)?;
     if letters != other_letters || last < first {
-        input.reset(&here);
-        return described(input, "a range such as J1 to J9");
+        input.reset(&checkpoint);
+        return fail_described(input, "a range such as J1 to J9");
     }
     let range = first..=last;
     Ok(range
@@ -223,8 +231,8 @@
 /// Takes a job's name: letters, the first a capital, and a number.
 fn job(input: &mut &str) -> ModalResult<(SmolStr, SmolStr, u32)> {
     const ALLOWED: &str = "a job's name such as J1";
-    let here = input.checkpoint();
-    let found: SmolStr = parsed(input, ALLOWED)?;
+    let checkpoint = input.checkpoint();
+    let found: SmolStr = parse_word(input, ALLOWED)?;
     let digits = found.trim_start_matches(|c: char| c.is_ascii_alphabetic());
     let letters = &found[..found.len() - digits.len()];
     match (
@@ -233,36 +241,36 @@
     ) {
         (true, Ok(number)) => Ok((found.clone(), letters.into(), number)),
         _ => {
-            input.reset(&here);
-            described(input, ALLOWED)
+            input.reset(&checkpoint);
+            fail_described(input, ALLOWED)
         }
     }
 }
 
 /// Takes `to entry a1`.
 fn to_entry(input: &mut &str) -> ModalResult<SmolStr> {
-    say(input, "to entry")?;
+    expect_words(input, "to entry")?;
     name(input)
 }
 
 /// Takes `at entry a1`.
 fn at_entry(input: &mut &str) -> ModalResult<SmolStr> {
-    say(input, "at entry")?;
+    expect_words(input, "at entry")?;
     name(input)
 }
 
 /// Takes `to entry a1`, `to each of a1 b1` or `to a1 b1 in turn`.
 fn receivers(input: &mut &str) -> ModalResult<Receivers> {
-    say(input, "to")?;
+    expect_words(input, "to")?;
     match one_of(input, &["entry", "each", "entries"])? {
         0 => Ok(Receivers::Each(vec![name(input)?])),
         1 => {
-            say(input, "of")?;
+            expect_words(input, "of")?;
             names_to_end(input).map(Receivers::Each)
         }
         _ => {
             let names = names_until(input, "in")?;
-            say(input, "turn")?;
+            expect_words(input, "turn")?;
             Ok(Receivers::InTurn(names))
         }
     }
@@ -270,18 +278,18 @@
 
 fn submit(input: &mut &str) -> ModalResult<Step> {
     let jobs = jobs(input)?;
-    say(input, "class")?;
-    let class = parsed(input, "a class name")?;
-    say(input, "tasks")?;
+    expect_words(input, "class")?;
+    let class = parse_word(input, "a class name")?;
+    expect_words(input, "tasks")?;
     let tasks = number(input)?;
-    say(input, "of")?;
-    let service = span(input)?;
-    let failing = match may_say(input, "failing") {
+    expect_words(input, "of")?;
+    let service = duration(input)?;
+    let failing = match accept_word(input, "failing") {
         true => Some(number(input)?),
         false => None,
     };
-    let deadline = match may_say(input, "deadline") {
-        true => Some(span(input)?),
+    let deadline = match accept_word(input, "deadline") {
+        true => Some(duration(input)?),
         false => None,
     };
     let content = Content::New {
@@ -291,23 +299,23 @@
         failing,
         deadline,
     };
-    send(input, jobs, content)
+    submit_step(input, jobs, content)
 }
 
 fn resubmit(input: &mut &str) -> ModalResult<Step> {
     let jobs = jobs(input)?;
-    let content = match may_say(input, "with") {
-        true => say(input, "other content").map(|()| Content::Other)?,
+    let content = match accept_word(input, "with") {
+        true => expect_words(input, "other content").map(|()| Content::Other)?,
         false => Content::Same,
     };
-    send(input, jobs, content)
+    submit_step(input, jobs, content)
 }
 
-fn send(input: &mut &str, jobs: Jobs, content: Content) -> ModalResult<Step> {
+fn submit_step(input: &mut &str, jobs: Jobs, content: Content) -> ModalResult<Step> {
     let to = receivers(input)?;
-    let is_persistent = may_say(input, "until");
+    let is_persistent = accept_word(input, "until");
     if is_persistent {
-        say(input, "run")?;
+        expect_words(input, "run")?;
     }
     Ok(Step::Submit(Submit {
         jobs,
@@ -317,44 +325,44 @@
     }))
 }
 
-fn pass(input: &mut &str) -> ModalResult<Step> {
-    let time: Millis = span(input)?;
-    say(input, "pass")?;
+fn pass_time(input: &mut &str) -> ModalResult<Step> {
+    let time: Millis = duration(input)?;
+    expect_words(input, "pass")?;
     Ok(Step::Pass(time))
 }
 
 fn target(input: &mut &str) -> ModalResult<Target> {
     match one_of(input, &["entry", "control", "host", "every", "executor"])? {
-        0 => name(input).map(|host| Target::Part(Part::Entry, host)),
-        1 => name(input).map(|host| Target::Part(Part::Control, host)),
+        0 => name(input).map(|host| Target::Part(ProcessKind::Entry, host)),
+        1 => name(input).map(|host| Target::Part(ProcessKind::Control, host)),
         2 => name(input).map(Target::Host),
-        3 => say(input, "host").map(|()| Target::EveryHost),
+        3 => expect_words(input, "host").map(|()| Target::EveryHost),
         _ => name(input).map(Target::Executor),
     }
 }
 
 fn blackhole(input: &mut &str) -> ModalResult<Mode> {
-    if may_say(input, "requests") {
-        return say(input, "on").map(|()| Mode::BlackholeUp);
+    if accept_word(input, "requests") {
+        return expect_words(input, "on").map(|()| Mode::BlackholeUp);
     }
-    if may_say(input, "answers") {
-        return say(input, "on").map(|()| Mode::BlackholeDown);
+    if accept_word(input, "answers") {
+        return expect_words(input, "on").map(|()| Mode::BlackholeDown);
     }
     Ok(Mode::BlackholeBoth)
 }
 
 fn delay(input: &mut &str) -> ModalResult<Step> {
     let edge = edge(input)?;
-    say(input, "by")?;
-    let delay_ms = span(input)?.0;
+    expect_words(input, "by")?;
+    let delay_ms = duration(input)?.0;
     Ok(Step::Network(Mode::Delay { delay_ms }, edge))
 }
 
 /// Takes `off answers after 10 bytes on …`.
 fn break_off(input: &mut &str) -> ModalResult<Step> {
-    say(input, "off answers after")?;
+    expect_words(input, "off answers after")?;
     let bytes = number(input)?;
-    say(input, "bytes on")?;
+    expect_words(input, "bytes on")?;
     Ok(Step::Network(Mode::CloseAfterBytes { bytes }, edge(input)?))
 }
 
@@ -371,28 +379,28 @@
     match STARTS[one_of(input, STARTS)?] {
         "entry" => {
             let host = name(input)?;
-            say(input, "from platform")?;
-            Ok(Edge::PartToPlatform(Part::Entry, host))
+            expect_words(input, "from platform")?;
+            Ok(Edge::PartToPlatform(ProcessKind::Entry, host))
         }
         "control" => {
             let host = name(input)?;
-            say(input, "from")?;
+            expect_words(input, "from")?;
             match one_of(input, &["platform", "its"])? {
-                0 => Ok(Edge::PartToPlatform(Part::Control, host)),
-                _ => say(input, "entry").map(|()| Edge::ControlToEntry(host)),
+                0 => Ok(Edge::PartToPlatform(ProcessKind::Control, host)),
+                _ => expect_words(input, "entry").map(|()| Edge::ControlToEntry(host)),
             }
         }
         "host" => {
             let host = name(input)?;
-            say(input, "from")?;
+            expect_words(input, "from")?;
             match one_of(input, &["platform", "its"])? {
                 0 => Ok(Edge::HostToPlatform(host)),
-                _ => say(input, "peers").map(|()| Edge::PeersToHost(host)),
+                _ => expect_words(input, "peers").map(|()| Edge::PeersToHost(host)),
             }
         }
         "zone" => {
             let zone = name(input)?;
-            say(input, "from")?;
+            expect_words(input, "from")?;
             match one_of(input, &["platform", "peers"])? {
                 0 => Ok(Edge::ZoneToPlatform(zone)),
                 _ => Ok(Edge::PeersToZone(zone)),
@@ -400,10 +408,10 @@
         }
         "executor" => name(input).map(Edge::Executor),
         "executors" => {
-            say(input, "of zone")?;
+            expect_words(input, "of zone")?;
             name(input).map(Edge::ExecutorsOfZone)
         }
-        _ => say(input, "hosts from each other").map(|()| Edge::AllPeers),
+        _ => expect_words(input, "hosts from each other").map(|()| Edge::AllPeers),
     }
 }
 
@@ -413,40 +421,40 @@
         &["goes", "comes", "loses", "drops", "answers", "forgets"],
     )? {
         0 => {
-            say(input, "down")?;
+            expect_words(input, "down")?;
             Ok(match one_of(input, &["refusing", "hanging"])? {
                 0 => PlatformFault::DownRefusing,
                 _ => PlatformFault::DownHanging,
             })
         }
-        1 => say(input, "back").map(|()| PlatformFault::Back),
+        1 => expect_words(input, "back").map(|()| PlatformFault::Back),
         2 => {
-            say(input, "the answers of")?;
+            expect_words(input, "the answers of")?;
             appends(input).map(PlatformFault::LosesAnswers)
         }
         3 => appends(input).map(PlatformFault::DropsAppends),
         4 => platform_answers(input),
         _ => {
-            let stream = parsed(input, "a stream such as config")?;
-            say(input, "up to")?;
+            let stream = parse_word(input, "a stream such as config")?;
+            expect_words(input, "up to")?;
             Ok(PlatformFault::Forgets(stream, number(input)?))
         }
     }
 }
 
 fn platform_answers(input: &mut &str) -> ModalResult<PlatformFault> {
-    if may_say(input, "with") {
-        say(input, "status")?;
+    if accept_word(input, "with") {
+        expect_words(input, "status")?;
         return number(input).map(PlatformFault::Status);
     }
-    if may_say(input, "out") {
-        return say(input, "of date").map(|()| PlatformFault::OutOfDate);
+    if accept_word(input, "out") {
+        return expect_words(input, "of date").map(|()| PlatformFault::OutOfDate);
     }
     if !input.starts_with(|c: char| c.is_ascii_digit()) {
-        return expected(input, &["with status", "out of date", "300 ms late"]);
+        return fail_expected(input, &["with status", "out of date", "300 ms late"]);
     }
-    let time = span(input)?;
-    say(input, "late")?;
+    let time = duration(input)?;
+    expect_words(input, "late")?;
     Ok(PlatformFault::Slow(time))
 }
 
@@ -459,10 +467,10 @@
 /// Takes `a1 is listed` or `a1 is no longer listed`.
 fn list_host(input: &mut &str) -> ModalResult<Step> {
     let host = name(input)?;
-    say(input, "is")?;
+    expect_words(input, "is")?;
     match one_of(input, &["listed", "no"])? {
         0 => Ok(Step::ListHost(host, true)),
-        _ => say(input, "longer listed").map(|()| Step::ListHost(host, false)),
+        _ => expect_words(input, "longer listed").map(|()| Step::ListHost(host, false)),
     }
 }
 
@@ -471,25 +479,25 @@
         "goes", "fails", "refuses", "slows", "answers", "breaks", "recovers", "drains", "is",
     ];
     match VERBS[one_of(input, VERBS)?] {
-        "goes" => say(input, "silent").map(|()| ExecutorFault::Silent),
-        "fails" => say(input, "everything").map(|()| ExecutorFault::FailsAll),
-        "refuses" => say(input, "everything").map(|()| ExecutorFault::RefusesAll),
+        "goes" => expect_words(input, "silent").map(|()| ExecutorFault::Silent),
+        "fails" => expect_words(input, "everything").map(|()| ExecutorFault::FailsAll),
+        "refuses" => expect_words(input, "everything").map(|()| ExecutorFault::RefusesAll),
         "slows" => {
-            say(input, "down")?;
+            expect_words(input, "down")?;
             let times = number(input)?;
-            say(input, "times")?;
+            expect_words(input, "times")?;
             Ok(ExecutorFault::Slows(times))
         }
         "answers" => match one_of(input, &["late", "for"])? {
-            0 => say(input, "by").and_then(|()| span(input).map(ExecutorFault::Late)),
-            _ => say(input, "another task").map(|()| ExecutorFault::Foreign),
+            0 => expect_words(input, "by").and_then(|()| duration(input).map(ExecutorFault::Late)),
+            _ => expect_words(input, "another task").map(|()| ExecutorFault::Foreign),
         },
-        "breaks" => say(input, "off its answers").map(|()| ExecutorFault::BreaksOff),
+        "breaks" => expect_words(input, "off its answers").map(|()| ExecutorFault::BreaksOff),
         "recovers" => Ok(ExecutorFault::Recovers),
         "drains" => Ok(ExecutorFault::Drains),
         _ => match one_of(input, &["listed", "no"])? {
-            0 => say(input, "as leaving").map(|()| ExecutorFault::ListedLeaving),
-            _ => say(input, "longer listed").map(|()| ExecutorFault::Unlisted),
+            0 => expect_words(input, "as leaving").map(|()| ExecutorFault::ListedLeaving),
+            _ => expect_words(input, "longer listed").map(|()| ExecutorFault::Unlisted),
         },
     }
 }
--- a/crates/onyxshed-proof/src/scenario/language.rs
+++ b/crates/onyxshed-proof/src/scenario/language.rs
@@ -4,7 +4,7 @@
 use onyxshed_standins::faults::Mode;
 use smol_str::SmolStr;
 
-use crate::cluster::{Edge, Part, Topology};
+use crate::cluster::{Edge, ProcessKind, Topology};
 
 /// A scenario as read.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -98,12 +98,12 @@
     /// The revision that the operator saw; the one in force by the log if not said.
     pub from: Option<Revision>,
     /// What the operator is told.
-    pub told: Told,
+    pub told: PublishResult,
 }
 
 /// What an operator is told of a change.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Told {
+pub enum PublishResult {
     /// It is accepted.
     #[default]
     Accepted,
@@ -115,14 +115,14 @@
     Undecided,
 }
 
-impl Told {
+impl PublishResult {
     /// Gets the exit code that tells it.
     pub fn exit_code(self) -> i32 {
         match self {
-            Told::Accepted => 0,
-            Told::Unreachable => 1,
-            Told::Raced => 3,
-            Told::Undecided => 4,
+            PublishResult::Accepted => 0,
+            PublishResult::Unreachable => 1,
+            PublishResult::Raced => 3,
+            PublishResult::Undecided => 4,
         }
     }
 }
@@ -188,22 +188,22 @@
     /// All copies of the jobs, of that entry host if named, are answered or lost.
     Answered(Jobs, Option<SmolStr>),
     /// The revision, or a later one, is in force.
-    InForce(Revision, Where),
+    InForce(Revision, HostScope),
     /// The entry process has ended.
     Ended(SmolStr),
     /// The entry process can read the claims in the log.
-    ReadsLog(Where),
+    ReadsLog(HostScope),
     /// The executors of its zone are known to the entry process.
-    KnowsExecutors(Where),
+    KnowsExecutors(HostScope),
     /// The entry process holds all other hosts whose entry runs to be live.
-    KnowsPeers(Where),
+    KnowsPeers(HostScope),
     /// The platform has taken that many appends to a stream, at least.
     Appended(u64, SmolStr),
 }
 
 /// Entry hosts where something holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Where {
+pub enum HostScope {
     /// On all whose entry process runs.
     Everywhere,
     /// On that one.
@@ -229,7 +229,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
     /// One process of an entry host.
-    Part(Part, SmolStr),
+    Part(ProcessKind, SmolStr),
     /// Both processes of an entry host.
     Host(SmolStr),
     /// Both processes of all entry hosts.
@@ -290,7 +290,7 @@
 
 /// An answer as a caller hears it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hearing {
+pub enum AnswerKind {
     /// An answer with this outcome.
     Outcome(Outcome),
     /// The connection broke without an answer.
@@ -301,7 +301,7 @@
 
 /// How often a task may have started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Times {
+pub enum StartCount {
     /// Never or once.
     AtMostOnce,
     /// Once.
@@ -312,21 +312,21 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Expectation {
     /// Every task of the jobs started so often.
-    EveryTask(Jobs, Times),
+    EveryTask(Jobs, StartCount),
     /// No task of the jobs started.
     NoTask(Jobs),
     /// Some task of the jobs started.
     SomeTask(Jobs),
     /// Every answer to the jobs, of that entry host if named, is one of these.
-    Answers(Jobs, Option<SmolStr>, Vec<Hearing>),
+    Answers(Jobs, Option<SmolStr>, Vec<AnswerKind>),
     /// Every answer to the jobs, of that entry host if named, has one of these codes.
     Codes(Jobs, Option<SmolStr>, Vec<u16>),
     /// Some answer to the jobs is one of these.
-    SomeAnswer(Jobs, Vec<Hearing>),
+    SomeAnswer(Jobs, Vec<AnswerKind>),
     /// The class's target is in force.
-    Target(Publication, Where),
+    Target(Publication, HostScope),
     /// Just that revision is in force.
-    Revision(Revision, Where),
+    Revision(Revision, HostScope),
     /// The entry process ended with that exit code.
     ExitCode(SmolStr, i32),
     /// The executor started nothing since its starts were noted.
--- a/crates/onyxshed-proof/src/scenario/play.rs
+++ b/crates/onyxshed-proof/src/scenario/play.rs
@@ -6,7 +6,7 @@
 use async_executor::LocalExecutor;
 
 use super::language::{Line, Script};
-use super::world::World;
+use super::world::ScenarioRun;
 
 /// Where and why a scenario does not hold, with what was seen.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -31,21 +31,21 @@
 /// Plays a script to its end and checks what always must hold.
 pub fn play(script: &Script) -> Result<(), Failure> {
     let executor = Rc::new(LocalExecutor::new());
-    let mut world = World::new(executor.clone());
-    let played = async_io::block_on(executor.run(play_lines(&mut world, script)));
+    let mut scenario = ScenarioRun::new(executor.clone());
+    let played = async_io::block_on(executor.run(play_lines(&mut scenario, script)));
     played.map_err(|(at, reason)| Failure {
         at,
         reason,
-        seen: format!("{}\n{}", world.describe_jobs(), world.logs()),
+        seen: format!("{}\n{}", scenario.describe_jobs(), scenario.logs()),
     })
 }
 
-async fn play_lines(world: &mut World, script: &Script) -> Result<(), (String, String)> {
+async fn play_lines(scenario: &mut ScenarioRun, script: &Script) -> Result<(), (String, String)> {
     for line in &script.lines {
         let at = |line: &Line| format!("line {}: {}", line.number, line.text);
-        let played = world.play(&line.step).await;
+        let played = scenario.play(&line.step).await;
         played.map_err(|error| (at(line), error.to_string()))?;
     }
-    let checked = world.check_truth();
+    let checked = scenario.check_invariants();
     checked.map_err(|error| ("at the end".to_owned(), error.to_string()))
 }
--- a/crates/onyxshed-proof/src/scenario/steps.rs
+++ b/crates/onyxshed-proof/src/scenario/steps.rs
@@ -11,45 +11,45 @@
 use onyxshed_wire::platform::HostState;
 use smol_str::{SmolStr, format_smolstr};
 
-use crate::caller::{self, Patience};
+use crate::caller::{self, ResubmitPolicy};
 use crate::cluster::topology::UPSTREAM;
-use crate::cluster::{Cluster, Part};
+use crate::cluster::{Cluster, ProcessKind};
 use crate::error::{Error, Result};
-use crate::remote::WAIT_CEILING;
+use crate::remote::WAIT_TIMEOUT;
 
 use super::language::{
     Action, Content, ExecutorFault, PlatformFault, Publication, Receivers, Setting, Step, Submit,
     Target,
 };
-use super::world::World;
+use super::world::ScenarioRun;
 
 /// Time between two looks whether a process has taken notice of a signal.
-const HEARD_PAUSE: Duration = Duration::from_millis(5);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-impl World {
+impl ScenarioRun {
     /// Carries out one statement.
     pub async fn play(&mut self, step: &Step) -> Result<()> {
         match step {
             Step::Given(setting) => {
-                self.set(*setting);
+                self.apply_setting(*setting);
                 Ok(())
             }
             Step::Start(topology) => self.start(topology).await,
             Step::Publish(publication) => self.publish(publication).await,
             Step::Append(publication) => {
-                let target = target_of(publication)?;
+                let target = class_target(publication)?;
                 let based_on = publication.from.unwrap_or_default();
                 self.cluster()?.append_change(target, based_on).await
             }
             Step::Bind(jobs, host) => {
-                for name in self.names(jobs) {
+                for name in self.job_names(jobs) {
                     self.bind(name, host).await?;
                 }
                 Ok(())
             }
             Step::Submit(submit) => self.submit(submit),
-            Step::Cancel(jobs, host) => self.ask_each(jobs, host, caller::cancel),
-            Step::Fetch(jobs, host) => self.ask_each(jobs, host, caller::fetch),
+            Step::Cancel(jobs, host) => self.send_each(jobs, host, caller::cancel),
+            Step::Fetch(jobs, host) => self.send_each(jobs, host, caller::fetch),
             Step::Wait(condition) => self.wait(condition).await,
             Step::Pass(time) => {
                 Timer::after(Duration::from(*time)).await;
@@ -69,39 +69,39 @@
             }
             Step::Note(name) => {
                 let unit = self.cluster()?.executor(name)?;
-                unit.noted_starts = unit.starts().len();
+                unit.noted_start_count = unit.starts().len();
                 Ok(())
             }
             Step::Expect(expectation) => self.expect(expectation).await,
         }
     }
 
-    fn set(&mut self, setting: Setting) {
-        let given = &mut self.given;
-        let mut tell_entry = |field: &str, value: u64| {
-            given.entry_settings.insert(field.into(), value.into());
+    fn apply_setting(&mut self, setting: Setting) {
+        let options = &mut self.options;
+        let mut set_entry_setting = |field: &str, value: u64| {
+            options.entry_settings.insert(field.into(), value.into());
         };
         match setting {
-            Setting::Horizon(time) => tell_entry("horizon_ms", time.0),
-            Setting::Skew(time) => tell_entry("skew_ms", time.0),
-            Setting::ClaimPatience(time) => tell_entry("claim_patience_ms", time.0),
-            Setting::DrainTimeout(time) => tell_entry("drain_timeout_ms", time.0),
-            Setting::Slots(slots) => given.slots = slots,
-            Setting::Queue(tasks) => given.queue_max = tasks,
-            Setting::Retention(time) => given.set_retention(time),
-            Setting::HostListLag(time) => given.host_list_lag_ms = time,
-            Setting::GoneAfter(time) => given.set_gone_after(time),
+            Setting::Horizon(time) => set_entry_setting("horizon_ms", time.0),
+            Setting::Skew(time) => set_entry_setting("skew_ms", time.0),
+            Setting::ClaimPatience(time) => set_entry_setting("claim_patience_ms", time.0),
+            Setting::DrainTimeout(time) => set_entry_setting("drain_timeout_ms", time.0),
+            Setting::Slots(slots) => options.slots = slots,
+            Setting::Queue(tasks) => options.queue_max = tasks,
+            Setting::Retention(time) => options.set_retention(time),
+            Setting::HostListLag(time) => options.host_list_lag_ms = time,
+            Setting::GoneAfter(time) => options.set_gone_after(time),
         }
     }
 
     async fn publish(&mut self, publication: &Publication) -> Result<()> {
-        let target = target_of(publication)?;
+        let target = class_target(publication)?;
         let class = target.class.clone();
         let cluster = self.cluster()?;
-        let end = cluster.put_target(&target, publication.from).await?;
-        let wanted = publication.told.exit_code();
-        if end.code != Some(wanted) {
-            let what = format_smolstr!("expected exit code {wanted}, found {end:?}");
+        let output = cluster.put_target(&target, publication.from).await?;
+        let expected = publication.told.exit_code();
+        if output.code != Some(expected) {
+            let what = format_smolstr!("expected exit code {expected}, found {output:?}");
             return Err(Error::unmet(what));
         }
         let may_run_twice = publication.may_run_twice;
@@ -111,40 +111,40 @@
 
     fn submit(&mut self, submit: &Submit) -> Result<()> {
         let is_own = submit.content != Content::Other;
-        for (place, name) in self.names(&submit.jobs).into_iter().enumerate() {
+        for (index, name) in self.job_names(&submit.jobs).into_iter().enumerate() {
             let submission = self.submission(&name, &submit.content)?;
             let hosts: &[SmolStr] = match &submit.to {
                 Receivers::Each(hosts) => hosts,
-                Receivers::InTurn(hosts) => &hosts[place % hosts.len()..][..1],
+                Receivers::InTurn(hosts) => &hosts[index % hosts.len()..][..1],
             };
             for host in hosts {
                 let address = self.cluster()?.host(host)?.caller_address()?;
                 let mut submission = submission.clone();
-                submission.copy = self.job(&name)?.next_mark();
-                let patience = match submit.is_persistent {
-                    true => Patience::UntilRun,
-                    false => Patience::Once,
+                submission.copy = self.job(&name)?.next_copy_mark();
+                let resubmit_policy = match submit.is_persistent {
+                    true => ResubmitPolicy::UntilRun,
+                    false => ResubmitPolicy::Once,
                 };
-                let request = caller::submit(address, submission, patience);
-                self.ask(&name, host.clone(), is_own, request)?;
+                let request = caller::submit(address, submission, resubmit_policy);
+                self.send_request(&name, host.clone(), is_own, request)?;
             }
         }
         Ok(())
     }
 
-    fn ask_each<F>(
+    fn send_each<F>(
         &mut self,
         jobs: &super::language::Jobs,
         host: &SmolStr,
         request: fn(std::net::SocketAddr, onyxshed_core::SubmissionId) -> F,
     ) -> Result<()>
     where
-        F: Future<Output = caller::HeardAt> + 'static,
+        F: Future<Output = caller::TimedCallResult> + 'static,
     {
         let address = self.cluster()?.host(host)?.caller_address()?;
-        for name in self.names(jobs) {
+        for name in self.job_names(jobs) {
             let id = self.job(&name)?.submission.submission;
-            self.ask(&name, host.clone(), true, request(address, id))?;
+            self.send_request(&name, host.clone(), true, request(address, id))?;
         }
         Ok(())
     }
@@ -153,15 +153,21 @@
         let cluster = self.cluster()?;
         match target {
             Target::Executor(name) => signal_executor(cluster, action, name),
-            Target::Part(part, host) => {
-                signal_parts(cluster, action, &[*part], std::slice::from_ref(host)).await
+            Target::Part(process_kind, host) => {
+                signal_processes(
+                    cluster,
+                    action,
+                    &[*process_kind],
+                    std::slice::from_ref(host),
+                )
+                .await
             }
             Target::Host(host) => {
-                signal_parts(cluster, action, BOTH, std::slice::from_ref(host)).await
+                signal_processes(cluster, action, BOTH_PROCESSES, std::slice::from_ref(host)).await
             }
             Target::EveryHost => {
                 let hosts = cluster.host_names();
-                signal_parts(cluster, action, BOTH, &hosts).await
+                signal_processes(cluster, action, BOTH_PROCESSES, &hosts).await
             }
         }
     }
@@ -180,48 +186,56 @@
 }
 
 /// Entry first: its control process dials it.
-const BOTH: &[Part] = &[Part::Entry, Part::Control];
+const BOTH_PROCESSES: &[ProcessKind] = &[ProcessKind::Entry, ProcessKind::Control];
 
-async fn signal_parts(
+async fn signal_processes(
     cluster: &mut Cluster,
     action: Action,
-    parts: &[Part],
+    process_kinds: &[ProcessKind],
     hosts: &[SmolStr],
 ) -> Result<()> {
     if action == Action::Restart {
-        for part in parts {
-            cluster.restart(*part, hosts).await?;
+        for process_kind in process_kinds {
+            cluster.restart(*process_kind, hosts).await?;
         }
         return cluster.publish_hosts().await;
     }
     for host in hosts {
-        for part in parts {
-            let process = cluster.host(host)?.part(*part)?;
+        for process_kind in process_kinds {
+            let process = cluster.host(host)?.process(*process_kind)?;
             match action {
                 Action::Freeze => process.freeze()?,
                 Action::Thaw => process.thaw()?,
                 Action::Stop => process.ask_to_stop()?,
-                Action::Kill | Action::Restart => cluster.kill_part(*part, host)?,
+                Action::Kill | Action::Restart => cluster.kill_process(*process_kind, host)?,
             }
         }
     }
     if action == Action::Stop {
-        wait_until_heard(cluster, parts, hosts).await?;
+        wait_until_stopping(cluster, process_kinds, hosts).await?;
     }
     Ok(())
 }
 
 /// Waits until processes have taken notice that they are to stop: a signal is on its way for a while
 /// on a busy machine, and what comes before it is taken is served as if there were none.
-async fn wait_until_heard(cluster: &mut Cluster, parts: &[Part], hosts: &[SmolStr]) -> Result<()> {
-    let give_up_at = Instant::now() + WAIT_CEILING;
+async fn wait_until_stopping(
+    cluster: &mut Cluster,
+    process_kinds: &[ProcessKind],
+    hosts: &[SmolStr],
+) -> Result<()> {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     for host in hosts {
-        for part in parts {
-            while !cluster.host(host)?.part(*part)?.has_heard_stop()? {
-                if Instant::now() >= give_up_at {
+        for process_kind in process_kinds {
+            while !cluster
+                .host(host)?
+                .process(*process_kind)?
+                .is_stopping_or_ended()?
+            {
+                if Instant::now() >= deadline {
                     return Err(Error::unmet("a process that was told to stop goes on"));
                 }
-                Timer::after(HEARD_PAUSE).await;
+                Timer::after(STOP_POLL_INTERVAL).await;
             }
         }
     }
@@ -240,7 +254,7 @@
 }
 
 /// Makes the target that a publication stands for.
-pub(super) fn target_of(publication: &Publication) -> Result<ClassTarget> {
+pub(super) fn class_target(publication: &Publication) -> Result<ClassTarget> {
     let upstream = UPSTREAM.parse();
     Ok(ClassTarget {
         class: publication.class.clone(),
--- a/crates/onyxshed-proof/src/scenario/words.rs
+++ b/crates/onyxshed-proof/src/scenario/words.rs
@@ -17,39 +17,39 @@
 }
 
 /// Makes the error that says what was allowed where the input stands.
-pub(super) fn expected<T>(input: &mut &str, allowed: &[&'static str]) -> ModalResult<T> {
-    let here = input.checkpoint();
+pub(super) fn fail_expected<T>(input: &mut &str, allowed: &[&'static str]) -> ModalResult<T> {
+    let checkpoint = input.checkpoint();
     let mut error = ContextError::from_input(input);
     for text in allowed {
         let context = StrContext::Expected(StrContextValue::StringLiteral(text));
-        error = error.add_context(input, &here, context);
+        error = error.add_context(input, &checkpoint, context);
     }
     Err(ErrMode::Cut(error))
 }
 
 /// Makes the error that describes what was allowed where the input stands.
-pub(super) fn described<T>(input: &mut &str, allowed: &'static str) -> ModalResult<T> {
-    let here = input.checkpoint();
+pub(super) fn fail_described<T>(input: &mut &str, allowed: &'static str) -> ModalResult<T> {
+    let checkpoint = input.checkpoint();
     let context = StrContext::Expected(StrContextValue::Description(allowed));
     let error = ContextError::from_input(input);
-    Err(ErrMode::Cut(error.add_context(input, &here, context)))
+    Err(ErrMode::Cut(error.add_context(input, &checkpoint, context)))
 }
 
 /// Takes one of several words and gets its place among them.
 pub(super) fn one_of(input: &mut &str, allowed: &[&'static str]) -> ModalResult<usize> {
-    let here = input.checkpoint();
+    let checkpoint = input.checkpoint();
     let found = word(input).unwrap_or_default();
     match allowed.iter().position(|text| *text == found) {
-        Some(place) => Ok(place),
+        Some(index) => Ok(index),
         None => {
-            input.reset(&here);
-            expected(input, allowed)
+            input.reset(&checkpoint);
+            fail_expected(input, allowed)
         }
     }
 }
 
 /// Takes words that must come now.
-pub(super) fn say(input: &mut &str, words: &'static str) -> ModalResult<()> {
+pub(super) fn expect_words(input: &mut &str, words: &'static str) -> ModalResult<()> {
     for word in words.split(' ') {
         one_of(input, &[word])?;
     }
@@ -57,35 +57,35 @@
 }
 
 /// Takes a word if it comes now.
-pub(super) fn may_say(input: &mut &str, allowed: &'static str) -> bool {
-    let here = input.checkpoint();
+pub(super) fn accept_word(input: &mut &str, allowed: &'static str) -> bool {
+    let checkpoint = input.checkpoint();
     if word(input) == Ok(allowed) {
         return true;
     }
-    input.reset(&here);
+    input.reset(&checkpoint);
     false
 }
 
 /// Takes a word that can be read as a type.
-pub(super) fn parsed<T: FromStr>(input: &mut &str, allowed: &'static str) -> ModalResult<T> {
-    let here = input.checkpoint();
+pub(super) fn parse_word<T: FromStr>(input: &mut &str, allowed: &'static str) -> ModalResult<T> {
+    let checkpoint = input.checkpoint();
     let found = word(input).unwrap_or_default();
     match found.parse() {
         Ok(value) => Ok(value),
         Err(_) => {
-            input.reset(&here);
-            described(input, allowed)
+            input.reset(&checkpoint);
+            fail_described(input, allowed)
         }
     }
 }
 
 /// Takes a whole number.
 pub(super) fn number<T: FromStr>(input: &mut &str) -> ModalResult<T> {
-    parsed(input, "a whole number")
+    parse_word(input, "a whole number")
 }
 
 /// Takes a span such as `300 ms` or `2 s`.
-pub(super) fn span(input: &mut &str) -> ModalResult<Millis> {
+pub(super) fn duration(input: &mut &str) -> ModalResult<Millis> {
     let count: u64 = number(input)?;
     let unit = one_of(input, &["ms", "s"])?;
     Ok(Millis([1, 1_000][unit] * count))
@@ -93,7 +93,7 @@
 
 /// Takes the name of a machine or zone.
 pub(super) fn name(input: &mut &str) -> ModalResult<SmolStr> {
-    let here = input.checkpoint();
+    let checkpoint = input.checkpoint();
     let found = word(input).unwrap_or_default();
     let is_name = found.starts_with(|c: char| c.is_ascii_lowercase())
         && found
@@ -102,14 +102,14 @@
     if is_name {
         return Ok(found.into());
     }
-    input.reset(&here);
-    described(input, "a name such as a1 or xa1")
+    input.reset(&checkpoint);
+    fail_described(input, "a name such as a1 or xa1")
 }
 
 /// Takes names up to a word that ends them.
 pub(super) fn names_until(input: &mut &str, end: &'static str) -> ModalResult<Vec<SmolStr>> {
     let mut names = vec![name(input)?];
-    while !may_say(input, end) {
+    while !accept_word(input, end) {
         names.push(name(input)?);
     }
     Ok(names)
--- a/crates/onyxshed-proof/src/scenario/world.rs
+++ b/crates/onyxshed-proof/src/scenario/world.rs
@@ -12,8 +12,8 @@
 use smol_str::{SmolStr, format_smolstr};
 use ulid::Ulid;
 
-use crate::caller::{self, HeardAt};
-use crate::cluster::{Cluster, Given, Topology};
+use crate::caller::{self, TimedCallResult};
+use crate::cluster::{Cluster, ClusterOptions, Topology};
 use crate::error::{Error, Result};
 use crate::truth::{Exchange, JobFacts, Starts, check};
 
@@ -21,7 +21,7 @@
 
 /// What is sent for a job, from where it was answered.
 #[derive(Debug)]
-pub struct Copy {
+pub struct Request {
     /// The entry host asked.
     pub host: SmolStr,
     /// Whether it carried the job's own content; answers to other content prove nothing of the job.
@@ -38,25 +38,25 @@
     /// The expected results.
     pub results: Vec<Vec<u8>>,
     /// Every request about it.
-    pub copies: Vec<Copy>,
+    pub requests: Vec<Request>,
 }
 
 impl Job {
     /// Gets its copies, or those that were sent to one entry host.
-    pub fn copies_from(&self, host: Option<&SmolStr>) -> impl Iterator<Item = &Copy> {
-        let is_meant = move |copy: &&Copy| host.is_none_or(|host| *host == copy.host);
-        self.copies.iter().filter(is_meant)
+    pub fn requests_to(&self, host: Option<&SmolStr>) -> impl Iterator<Item = &Request> {
+        let is_meant = move |request: &&Request| host.is_none_or(|host| *host == request.host);
+        self.requests.iter().filter(is_meant)
     }
 
-    /// Gets what a truthful caller says of the copy it sends next.
-    pub fn next_mark(&self) -> CopyMark {
-        let is_settled = |copy: &Copy| {
-            let exchange = copy.exchange.borrow();
-            let heard = exchange.heard.as_ref();
-            heard.and_then(|heard_at| heard_at.heard.outcome()) == Some(Outcome::NotRun)
+    /// Gets what a truthful caller says of the request it sends next.
+    pub fn next_copy_mark(&self) -> CopyMark {
+        let is_settled = |request: &Request| {
+            let exchange = request.exchange.borrow();
+            let result = exchange.result.as_ref();
+            result.and_then(|timed_result| timed_result.result.outcome()) == Some(Outcome::NotRun)
         };
-        match self.copies.iter().all(is_settled) {
-            true if self.copies.is_empty() => CopyMark::First,
+        match self.requests.iter().all(is_settled) {
+            true if self.requests.is_empty() => CopyMark::First,
             true => CopyMark::Unmarked,
             false => CopyMark::Again,
         }
@@ -64,31 +64,31 @@
 }
 
 /// The state of a running scenario.
-pub struct World {
+pub struct ScenarioRun {
     pub(super) executor: Rc<LocalExecutor<'static>>,
-    pub(super) given: Given,
+    pub(super) options: ClusterOptions,
     pub(super) jobs: BTreeMap<SmolStr, Job>,
     pub(super) may_run_twice: BTreeMap<ClassName, bool>,
-    bound: BTreeMap<SmolStr, Incarnation>,
+    bound_incarnations: BTreeMap<SmolStr, Incarnation>,
     cluster: Option<Cluster>,
 }
 
-impl World {
+impl ScenarioRun {
     /// Makes a world in which nothing runs yet.
     pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
-        World {
+        ScenarioRun {
             executor,
-            given: Given::default(),
+            options: ClusterOptions::default(),
             jobs: BTreeMap::new(),
             may_run_twice: BTreeMap::new(),
-            bound: BTreeMap::new(),
+            bound_incarnations: BTreeMap::new(),
             cluster: None,
         }
     }
 
     /// Starts everything.
     pub async fn start(&mut self, topology: &Topology) -> Result<()> {
-        self.cluster = Some(Cluster::start(topology, self.given.clone()).await?);
+        self.cluster = Some(Cluster::start(topology, self.options.clone()).await?);
         Ok(())
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Gets the names of jobs.
-    pub fn names(&self, jobs: &Jobs) -> Vec<SmolStr> {
+    pub fn job_names(&self, jobs: &Jobs) -> Vec<SmolStr> {
         match jobs {
             Jobs::Named(names) => names.clone(),
             Jobs::Every => self.jobs.keys().cloned().collect(),
@@ -119,7 +119,7 @@
 
     /// Gets the jobs that were submitted.
     pub fn jobs(&self, jobs: &Jobs) -> Result<Vec<(SmolStr, &Job)>> {
-        let names = self.names(jobs).into_iter();
+        let names = self.job_names(jobs).into_iter();
         names
             .map(|name| self.job(&name).map(|job| (name.clone(), job)))
             .collect()
@@ -134,14 +134,14 @@
             Method::Get,
             &path,
             Vec::new(),
-            crate::remote::WAIT_CEILING,
+            crate::remote::WAIT_TIMEOUT,
         )
         .await
         .map_err(|error| Error::call("learn an incarnation", error))?;
         let answer = Answer::decode(&reply.body).map_err(|error| Error::call("bind", error))?;
         let bind_to = answer.bind_to;
         let incarnation = bind_to.ok_or_else(|| Error::call("bind", "the answer names none"))?;
-        self.bound.insert(name, incarnation);
+        self.bound_incarnations.insert(name, incarnation);
         Ok(())
     }
 
@@ -163,7 +163,7 @@
             } => {
                 let id = SubmissionId {
                     ulid: Ulid::generate(),
-                    bound_to: self.bound.get(name).copied(),
+                    bound_to: self.bound_incarnations.get(name).copied(),
                 };
                 let job = make_job(id, class, *tasks, *service, *failing, *deadline);
                 let submission = job.submission.clone();
@@ -174,24 +174,30 @@
     }
 
     /// Begins a request; what is heard is noted when it comes.
-    pub fn ask<F>(&mut self, name: &SmolStr, host: SmolStr, is_own: bool, request: F) -> Result<()>
+    pub fn send_request<F>(
+        &mut self,
+        name: &SmolStr,
+        host: SmolStr,
+        is_own: bool,
+        request: F,
+    ) -> Result<()>
     where
-        F: Future<Output = HeardAt> + 'static,
+        F: Future<Output = TimedCallResult> + 'static,
     {
         let exchange = Rc::new(RefCell::new(Exchange {
             sent_at_ms: caller::now_ms(),
-            heard: None,
+            result: None,
         }));
         let missing = || Error::unmet(format_smolstr!("{name} was not submitted"));
         let job = self.jobs.get_mut(name).ok_or_else(missing)?;
-        job.copies.push(Copy {
+        job.requests.push(Request {
             host,
             is_own,
             exchange: exchange.clone(),
         });
         let note = async move {
-            let heard = request.await;
-            exchange.borrow_mut().heard = Some(heard);
+            let result = request.await;
+            exchange.borrow_mut().result = Some(result);
         };
         self.executor.spawn(note).detach();
         Ok(())
@@ -203,7 +209,7 @@
     }
 
     /// Checks what must hold of every job.
-    pub fn check_truth(&mut self) -> Result<()> {
+    pub fn check_invariants(&mut self) -> Result<()> {
         if self.cluster.is_none() {
             return Ok(());
         }
@@ -218,13 +224,15 @@
         let mut text = String::new();
         for (name, job) in &self.jobs {
             text += &format!("{name} {}\n", job.submission.submission);
-            for copy in &job.copies {
-                let exchange = copy.exchange.borrow();
-                let heard = match &exchange.heard {
-                    Some(heard_at) => format!("{} {}", heard_at.at_ms, heard_at.heard),
+            for request in &job.requests {
+                let exchange = request.exchange.borrow();
+                let result = match &exchange.result {
+                    Some(timed_result) => {
+                        format!("{} {}", timed_result.received_at_ms, timed_result.result)
+                    }
                     None => "no answer yet".to_owned(),
                 };
-                text += &format!("  {} {} -> {heard}\n", copy.host, exchange.sent_at_ms);
+                text += &format!("  {} {} -> {result}\n", request.host, exchange.sent_at_ms);
             }
         }
         text
@@ -232,12 +240,14 @@
 
     fn facts(&self, job: &Job) -> JobFacts {
         let class = &job.submission.class;
-        let own = job.copies.iter().filter(|copy| copy.is_own);
+        let own = job.requests.iter().filter(|request| request.is_own);
         JobFacts {
             id: job.submission.submission,
             may_run_twice: self.may_run_twice.get(class).copied().unwrap_or(false),
             results: job.results.clone(),
-            exchanges: own.map(|copy| copy.exchange.borrow().clone()).collect(),
+            exchanges: own
+                .map(|request| request.exchange.borrow().clone())
+                .collect(),
         }
     }
 }
@@ -273,6 +283,6 @@
     Job {
         submission,
         results,
-        copies: Vec::new(),
+        requests: Vec::new(),
     }
 }
--- a/crates/onyxshed-proof/src/truth.rs
+++ b/crates/onyxshed-proof/src/truth.rs
@@ -10,7 +10,7 @@
 use onyxshed_wire::caller::Answer;
 use smol_str::format_smolstr;
 
-use crate::caller::{Heard, HeardAt};
+use crate::caller::{CallResult, TimedCallResult};
 use crate::error::{Error, Result};
 
 /// One request for a job and what was heard.
@@ -19,7 +19,7 @@
     /// When it was sent, on the wall clock that executors stamp starts with.
     pub sent_at_ms: UnixMs,
     /// What was heard, none while it is awaited.
-    pub heard: Option<HeardAt>,
+    pub result: Option<TimedCallResult>,
 }
 
 /// One job as its caller knows it.
@@ -59,21 +59,21 @@
     }
 
     /// Gets all starts of a job's tasks.
-    pub fn of(&self, submission: SubmissionId) -> impl Iterator<Item = &StartRecord> {
-        let ours = move |record: &&StartRecord| record.task.submission == submission;
-        self.by_task.values().flatten().filter(ours)
+    pub fn of_submission(&self, submission: SubmissionId) -> impl Iterator<Item = &StartRecord> {
+        let is_match = move |record: &&StartRecord| record.task.submission == submission;
+        self.by_task.values().flatten().filter(is_match)
     }
 }
 
 /// Checks everything that must hold of one job.
 pub fn check(job: &JobFacts, starts: &Starts) -> Result<()> {
-    started_once(job, starts)?;
+    check_start_counts(job, starts)?;
     for exchange in &job.exchanges {
-        if let Some(HeardAt { heard, .. }) = &exchange.heard {
-            check_heard(job, exchange, heard, starts)?;
+        if let Some(TimedCallResult { result, .. }) = &exchange.result {
+            check_result(job, exchange, result, starts)?;
         }
     }
-    if is_all_not_run(job) && starts.of(job.id).next().is_some() {
+    if is_all_not_run(job) && starts.of_submission(job.id).next().is_some() {
         let what = format_smolstr!("every answer to {} was not_run, but a task started", job.id);
         return Err(Error::unmet(what));
     }
@@ -81,11 +81,11 @@
 }
 
 /// No task of a submission starts twice.
-fn started_once(job: &JobFacts, starts: &Starts) -> Result<()> {
+fn check_start_counts(job: &JobFacts, starts: &Starts) -> Result<()> {
     for index in 0..job.results.len() {
         let count = starts.count(job.id, index);
         if count > 1 && !job.may_run_twice {
-            let records: Vec<&StartRecord> = starts.of(job.id).collect();
+            let records: Vec<&StartRecord> = starts.of_submission(job.id).collect();
             return Err(Error::unmet(format_smolstr!(
                 "task {index} of {} started {count} times: {records:?}",
                 job.id
@@ -95,15 +95,24 @@
     Ok(())
 }
 
-fn check_heard(job: &JobFacts, exchange: &Exchange, heard: &Heard, starts: &Starts) -> Result<()> {
-    let Heard::Answer(status, answer) = heard else {
+fn check_result(
+    job: &JobFacts,
+    exchange: &Exchange,
+    result: &CallResult,
+    starts: &Starts,
+) -> Result<()> {
+    let CallResult::Answer(status, answer) = result else {
         return Ok(());
     };
     if answer.submission.is_some_and(|id| id != job.id) {
-        return Err(lie(job, answer, "it is another submission's answer"));
+        return Err(false_answer_error(
+            job,
+            answer,
+            "it is another submission's answer",
+        ));
     }
     if *status != answer.http_status() {
-        return Err(lie(
+        return Err(false_answer_error(
             job,
             answer,
             "its HTTP status does not go with its code",
@@ -112,8 +121,8 @@
     match answer.outcome {
         Some(Outcome::Complete) => check_complete(job, answer, starts),
         Some(Outcome::NotRun) => check_not_run(job, exchange, answer, starts),
-        Some(Outcome::Failed) if starts.of(job.id).next().is_none() => {
-            Err(lie(job, answer, "no task started"))
+        Some(Outcome::Failed) if starts.of_submission(job.id).next().is_none() => {
+            Err(false_answer_error(job, answer, "no task started"))
         }
         _ => Ok(()),
     }
@@ -122,12 +131,16 @@
 /// A complete answer holds every task's own result, and every task ran.
 fn check_complete(job: &JobFacts, answer: &Answer, starts: &Starts) -> Result<()> {
     if answer.results.as_ref() != Some(&job.results) {
-        return Err(lie(job, answer, "its results are not the job's own"));
+        return Err(false_answer_error(
+            job,
+            answer,
+            "its results are not the job's own",
+        ));
     }
     let has_run = |index| starts.count(job.id, index) > 0;
     match (0..job.results.len()).all(has_run) {
         true => Ok(()),
-        false => Err(lie(job, answer, "not every task started")),
+        false => Err(false_answer_error(job, answer, "not every task started")),
     }
 }
 
@@ -139,24 +152,28 @@
     starts: &Starts,
 ) -> Result<()> {
     let ran_before = |record: &StartRecord| record.at_ms < exchange.sent_at_ms;
-    if starts.of(job.id).any(ran_before) {
-        return Err(lie(job, answer, "a task had started before it was asked"));
+    if starts.of_submission(job.id).any(ran_before) {
+        return Err(false_answer_error(
+            job,
+            answer,
+            "a task had started before it was asked",
+        ));
     }
     match answer.results {
         None => Ok(()),
-        Some(_) => Err(lie(job, answer, "it carries results")),
+        Some(_) => Err(false_answer_error(job, answer, "it carries results")),
     }
 }
 
 fn is_all_not_run(job: &JobFacts) -> bool {
     let is_not_run = |exchange: &Exchange| {
-        let heard = exchange.heard.as_ref();
-        heard.and_then(|heard| heard.heard.outcome()) == Some(Outcome::NotRun)
+        let result = exchange.result.as_ref();
+        result.and_then(|timed_result| timed_result.result.outcome()) == Some(Outcome::NotRun)
     };
     !job.exchanges.is_empty() && job.exchanges.iter().all(is_not_run)
 }
 
-fn lie(job: &JobFacts, answer: &Answer, why: &str) -> Error {
+fn false_answer_error(job: &JobFacts, answer: &Answer, why: &str) -> Error {
     let (outcome, code) = (answer.outcome, answer.code);
     Error::unmet(format_smolstr!(
         "the answer to {} can't be true: {why}: {outcome:?} {code:?} {}",
--- a/crates/onyxshed-proof/src/zone.rs
+++ b/crates/onyxshed-proof/src/zone.rs
@@ -9,29 +9,29 @@
 use onyxshed_wire::caller::{CopyMark, Submission};
 use ulid::Ulid;
 
-use crate::caller::{Heard, Patience, submit};
+use crate::caller::{CallResult, ResubmitPolicy, submit};
 use crate::cluster::topology::UPSTREAM;
-use crate::cluster::{Cluster, Given, Part, Topology};
-use crate::remote::{WAIT_CEILING, get, pause};
+use crate::cluster::{Cluster, ClusterOptions, ProcessKind, Topology};
+use crate::remote::{WAIT_TIMEOUT, get, pause};
 
 /// Class whose tasks run at most once.
-pub const ONCE: &str = "fee";
+pub const AT_MOST_ONCE: &str = "fee";
 
 /// Class whose tasks may run twice.
-pub const TWICE: &str = "draw";
+pub const MAY_RUN_TWICE: &str = "draw";
 
 /// Starts a zone `a` and publishes both classes.
-pub async fn start(entry_hosts: u32, given: Given) -> Cluster {
+pub async fn start(entry_hosts: u32, options: ClusterOptions) -> Cluster {
     let topology = Topology {
         zones: vec!["a".into()],
         entry_hosts,
         executors: 1,
     };
-    let cluster = Cluster::start(&topology, given)
+    let cluster = Cluster::start(&topology, options)
         .await
         .expect("the test's own steps work");
-    publish(&cluster, ONCE, false).await;
-    publish(&cluster, TWICE, true).await;
+    publish(&cluster, AT_MOST_ONCE, false).await;
+    publish(&cluster, MAY_RUN_TWICE, true).await;
     cluster
 }
 
@@ -48,15 +48,15 @@
         finish_within_ms: within,
         may_run_twice,
     };
-    let end = cluster
+    let output = cluster
         .put_target(&target, None)
         .await
         .expect("the test's own steps work");
-    assert_eq!(end.code, Some(0), "{}", end.text);
+    assert_eq!(output.code, Some(0), "{}", output.text);
 }
 
 /// Gets where callers reach an entry host.
-pub fn callers(cluster: &mut Cluster, host: &str) -> SocketAddr {
+pub fn caller_address(cluster: &mut Cluster, host: &str) -> SocketAddr {
     cluster
         .host(host)
         .expect("the test's own steps work")
@@ -76,11 +76,11 @@
 }
 
 /// Submits a good job and checks that it gets its whole answer.
-pub async fn serve_one(address: SocketAddr, class: &str) {
+pub async fn run_one_job(address: SocketAddr, class: &str) {
     let payload = Ulid::generate().to_string().into_bytes();
-    let heard = submit(address, job(class, &payload), Patience::UntilRun).await;
-    match heard.heard {
-        Heard::Answer(200, answer) => {
+    let timed_result = submit(address, job(class, &payload), ResubmitPolicy::UntilRun).await;
+    match timed_result.result {
+        CallResult::Answer(200, answer) => {
             assert_eq!(answer.outcome, Some(Outcome::Complete));
             assert_eq!(answer.results, Some(vec![payload]));
         }
@@ -89,20 +89,24 @@
 }
 
 /// Waits until something holds.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let give_up_at = Instant::now() + WAIT_CEILING;
+pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
-        assert!(Instant::now() < give_up_at, "waited in vain until {what}");
+        assert!(Instant::now() < deadline, "waited in vain until {what}");
         pause().await;
     }
 }
 
 /// Gets the time line of one of an entry host's processes.
-pub async fn timeline(cluster: &mut Cluster, host: &str, part: Part) -> TimelinePage {
+pub async fn timeline(
+    cluster: &mut Cluster,
+    host: &str,
+    process_kind: ProcessKind,
+) -> TimelinePage {
     let address = cluster
         .host(host)
         .expect("the test's own steps work")
-        .admin_address(part)
+        .admin_address(process_kind)
         .expect("the test's own steps work");
     get(address, TIMELINE_PATH)
         .await
--- a/crates/onyxshed-proof/tests/callers_page.rs
+++ b/crates/onyxshed-proof/tests/callers_page.rs
@@ -9,17 +9,17 @@
 use onyxshed_core::{Event, EventKind};
 use onyxshed_http::Reply;
 use onyxshed_http::client::call_once;
-use onyxshed_proof::cluster::{Cluster, Given, Part};
-use onyxshed_proof::remote::WAIT_CEILING;
+use onyxshed_proof::cluster::{Cluster, ClusterOptions, ProcessKind};
+use onyxshed_proof::remote::WAIT_TIMEOUT;
 use onyxshed_proof::zone;
 use serde_json::Value;
 use ulid::Ulid;
 
 /// What the page's ids of the day begin with; each is replaced by a fresh one.
-const TODAY: &str = "01JZ";
+const ULID_PREFIX: &str = "01JZ";
 
 /// The page's incarnation, replaced by the entry host's own.
-const INCARNATION: &str = "3f1c0a52d9e4b768";
+const PAGE_INCARNATION: &str = "3f1c0a52d9e4b768";
 
 /// One block of the page.
 #[derive(Debug, PartialEq, Eq)]
@@ -47,30 +47,30 @@
 }
 
 /// What the page says and what stands for it in this run.
-struct Stand {
-    of_page: BTreeMap<String, String>,
+struct Substitutions {
+    by_page_text: BTreeMap<String, String>,
 }
 
-impl Stand {
+impl Substitutions {
     fn new(page: &str, incarnation: String) -> Self {
-        let mut of_page = BTreeMap::from([(INCARNATION.to_owned(), incarnation)]);
-        for (at, _) in page.match_indices(TODAY) {
+        let mut by_page_text = BTreeMap::from([(PAGE_INCARNATION.to_owned(), incarnation)]);
+        for (at, _) in page.match_indices(ULID_PREFIX) {
             let id = page[at..][..Ulid::nil().to_string().len()].to_owned();
-            of_page
+            by_page_text
                 .entry(id)
                 .or_insert_with(|| Ulid::generate().to_string());
         }
-        Stand { of_page }
+        Substitutions { by_page_text }
     }
 
     fn to_run(&self, text: &str) -> String {
-        let swap = |text: String, (page, run): (&String, &String)| text.replace(page, run);
-        self.of_page.iter().fold(text.to_owned(), swap)
+        let replace = |text: String, (page, run): (&String, &String)| text.replace(page, run);
+        self.by_page_text.iter().fold(text.to_owned(), replace)
     }
 
     fn to_page(&self, text: &str) -> String {
-        let swap = |text: String, (page, run): (&String, &String)| text.replace(run, page);
-        self.of_page.iter().fold(text.to_owned(), swap)
+        let replace = |text: String, (page, run): (&String, &String)| text.replace(run, page);
+        self.by_page_text.iter().fold(text.to_owned(), replace)
     }
 }
 
@@ -80,19 +80,19 @@
         let (method, path) = line.split_once(' ').expect("a method and a path");
         let method: Method = method.parse().expect("a method");
         let body = body.as_bytes().to_vec();
-        block_on(call_once(address, method, path, body, WAIT_CEILING)).expect("an answer")
+        block_on(call_once(address, method, path, body, WAIT_TIMEOUT)).expect("an answer")
     })
 }
 
 /// Leaves out how long to wait, which follows from the load; that there is a wait stays.
-fn without_wait(mut answer: Value) -> Value {
+fn mask_retry_after(mut answer: Value) -> Value {
     if let Some(wait) = answer.get_mut("retry_after_ms") {
         *wait = "some".into();
     }
     answer
 }
 
-fn check(expected: &str, reply: &Reply, stand: &Stand) {
+fn check(expected: &str, reply: &Reply, substitutions: &Substitutions) {
     let (head, body) = expected.split_once("\n\n").expect("a head and a body");
     assert!(
         head.starts_with(&reply.status.to_string()),
@@ -100,23 +100,23 @@
     );
     let has_wait = reply.header_value("retry-after").is_some();
     assert_eq!(head.contains("Retry-After"), has_wait, "{expected}");
-    let found = stand.to_page(&String::from_utf8_lossy(&reply.body));
+    let found = substitutions.to_page(&String::from_utf8_lossy(&reply.body));
     let found: Value = serde_json::from_str(&found).expect("JSON");
     let expected: Value = serde_json::from_str(body).expect("JSON on the page");
-    assert_eq!(without_wait(found), without_wait(expected));
+    assert_eq!(mask_retry_after(found), mask_retry_after(expected));
 }
 
 /// Waits until the entry host has heard of a task of a request that stays open.
-fn wait_first_result(cluster: &mut Cluster, request: &str) {
-    let is_ours = |event: &Event| {
+fn wait_for_first_result(cluster: &mut Cluster, request: &str) {
+    let is_task_finished = |event: &Event| {
         let id = event.submission.map(|id| id.ulid.to_string());
         event.kind == EventKind::TaskFinished && id.is_some_and(|id| request.contains(&id))
     };
     let has_result = async || {
-        let page = zone::timeline(cluster, "a1", Part::Entry).await;
-        page.events.iter().any(is_ours)
+        let page = zone::timeline(cluster, "a1", ProcessKind::Entry).await;
+        page.events.iter().any(is_task_finished)
     };
-    block_on(zone::until("a task has run", has_result));
+    block_on(zone::wait_until("a task has run", has_result));
 }
 
 fn incarnation(address: SocketAddr) -> String {
@@ -134,31 +134,31 @@
 #[test]
 fn every_example_of_the_page_is_true() {
     let page = include_str!("../../../docs/CALLERS.md");
-    let mut cluster = block_on(zone::start(1, Given::default()));
-    let address = zone::callers(&mut cluster, "a1");
-    block_on(zone::serve_one(address, zone::ONCE));
-    let stand = Stand::new(page, incarnation(address));
-    let mut open: BTreeMap<String, JoinHandle<Reply>> = BTreeMap::new();
+    let mut cluster = block_on(zone::start(1, ClusterOptions::default()));
+    let address = zone::caller_address(&mut cluster, "a1");
+    block_on(zone::run_one_job(address, zone::AT_MOST_ONCE));
+    let substitutions = Substitutions::new(page, incarnation(address));
+    let mut pending: BTreeMap<String, JoinHandle<Reply>> = BTreeMap::new();
     let mut answered = 0;
     for block in blocks(page) {
         if block.is_request {
-            let request = stand.to_run(&block.text);
+            let request = substitutions.to_run(&block.text);
             let sent = send(address, request.clone());
             if !block.tag.is_empty() {
-                wait_first_result(&mut cluster, &request);
+                wait_for_first_result(&mut cluster, &request);
             }
             assert!(
-                open.insert(block.tag, sent).is_none(),
+                pending.insert(block.tag, sent).is_none(),
                 "a request without answer"
             );
         } else {
-            let sent = open
+            let sent = pending
                 .remove(&block.tag)
                 .expect("a request before the answer");
-            check(&block.text, &sent.join().expect("no panic"), &stand);
+            check(&block.text, &sent.join().expect("no panic"), &substitutions);
             answered += 1;
         }
     }
-    assert!(open.is_empty());
+    assert!(pending.is_empty());
     assert!(answered > 10, "{answered} examples");
 }
--- a/crates/onyxshed-proof/tests/doors_outward.rs
+++ b/crates/onyxshed-proof/tests/doors_outward.rs
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 
 use async_io::block_on;
-use fake::{Canned, Fake};
+use fake::{CannedReply, FakeServer};
 use http_types::Method;
 use onyxshed_core::{EventKind, Millis};
-use onyxshed_proof::caller::{Heard, Patience, submit};
-use onyxshed_proof::cluster::{Cluster, Given, Part};
+use onyxshed_proof::caller::{CallResult, ResubmitPolicy, submit};
+use onyxshed_proof::cluster::{Cluster, ClusterOptions, ProcessKind};
 use onyxshed_proof::remote::{call, get};
 use onyxshed_proof::zone;
 use onyxshed_wire::admin::{STATUS_PATH, Status};
@@ -20,7 +20,7 @@
 use ulid::Ulid;
 
 /// Replies that are no HTTP, or break their word.
-fn broken_replies(headers: &str) -> Vec<(&'static str, Canned)> {
+fn broken_replies(headers: &str) -> Vec<(&'static str, CannedReply)> {
     let reply = |more: &str, body: &str| format!("HTTP/1.1 200 OK\r\n{headers}{more}\r\n{body}");
     let chunked = "Transfer-Encoding: chunked\r\n";
     let line = "x".repeat(1 << 20);
@@ -74,8 +74,8 @@
 }
 
 /// Replies of an executor, good HTTP all of them.
-fn executor_replies() -> Vec<(&'static str, Canned)> {
-    let reply = |headers: &str| -> Canned {
+fn executor_replies() -> Vec<(&'static str, CannedReply)> {
+    let reply = |headers: &str| -> CannedReply {
         format!("HTTP/1.1 200 OK\r\n{headers}Content-Length: 2\r\n\r\nok").into()
     };
     let task = "onyxshed-task: {task}\r\n";
@@ -106,16 +106,16 @@
 /// Submits a good job once; tells whether it got its whole answer.
 async fn is_served(address: SocketAddr, class: &str) -> bool {
     let payload = Ulid::generate().to_string().into_bytes();
-    let heard = submit(address, zone::job(class, &payload), Patience::Once).await;
-    match heard.heard {
-        Heard::Answer(200, answer) => answer.results == Some(vec![payload]),
+    let timed_result = submit(address, zone::job(class, &payload), ResubmitPolicy::Once).await;
+    match timed_result.result {
+        CallResult::Answer(200, answer) => answer.results == Some(vec![payload]),
         _ => false,
     }
 }
 
 /// Puts a server in the executor's place and gets how a job ends with it.
-async fn end_with(cluster: &mut Cluster, name: &str, reply: Canned) -> String {
-    let fake = Fake::start(vec![reply]);
+async fn outcome_with_reply(cluster: &mut Cluster, name: &str, reply: CannedReply) -> String {
+    let fake = FakeServer::start(vec![reply]);
     let unit = cluster.executor("xa1").expect("the test's own steps work");
     unit.host.name = name.parse().expect("the test's own steps work");
     unit.host.address = fake.address;
@@ -123,17 +123,17 @@
         .publish_hosts()
         .await
         .expect("the test's own steps work");
-    let address = zone::callers(cluster, "a1");
+    let address = zone::caller_address(cluster, "a1");
     let mut found = None;
-    zone::until("the executor is asked", async || {
-        let mut job = zone::job(zone::ONCE, b"x");
+    zone::wait_until("the executor is asked", async || {
+        let mut job = zone::job(zone::AT_MOST_ONCE, b"x");
         job.deadline_ms = Some(Millis(500));
-        found = Some(submit(address, job, Patience::Once).await.heard);
-        fake.asked() > 0
+        found = Some(submit(address, job, ResubmitPolicy::Once).await.result);
+        fake.connection_count() > 0
     })
     .await;
     match found {
-        Some(Heard::Answer(_, answer)) => answer
+        Some(CallResult::Answer(_, answer)) => answer
             .outcome
             .expect("the test's own steps work")
             .to_string(),
@@ -145,10 +145,10 @@
 fn a_bad_reply_of_an_executor_is_no_result() {
     // An executor's reply is no HTTP, is cut short, or belongs to another task. The task was sent, so
     // its job is never called complete, and never "not run"; the next executor's jobs are complete.
-    let mut cluster = block_on(zone::start(1, Given::default()));
-    let good = zone::callers(&mut cluster, "a1");
-    block_on(zone::serve_one(good, zone::ONCE));
-    let real = cluster
+    let mut cluster = block_on(zone::start(1, ClusterOptions::default()));
+    let caller_address = zone::caller_address(&mut cluster, "a1");
+    block_on(zone::run_one_job(caller_address, zone::AT_MOST_ONCE));
+    let original = cluster
         .executor("xa1")
         .expect("the test's own steps work")
         .host
@@ -158,28 +158,32 @@
     let cases = broken_replies(headers)
         .into_iter()
         .chain(executor_replies());
-    for (number, (what, reply)) in cases.enumerate() {
-        let outcome = block_on(end_with(&mut cluster, &format!("bad-{number}"), reply));
-        writeln!(text, "{what}: {outcome}").expect("the test's own steps work");
+    for (number, (case, reply)) in cases.enumerate() {
+        let outcome = block_on(outcome_with_reply(
+            &mut cluster,
+            &format!("bad-{number}"),
+            reply,
+        ));
+        writeln!(text, "{case}: {outcome}").expect("the test's own steps work");
     }
     insta::assert_snapshot!("executor", text);
     cluster
         .executor("xa1")
         .expect("the test's own steps work")
-        .host = real;
+        .host = original;
     block_on(cluster.publish_hosts()).expect("the test's own steps work");
-    let served = async || is_served(good, zone::ONCE).await;
-    block_on(zone::until("the real executor serves", served));
+    let served = async || is_served(caller_address, zone::AT_MOST_ONCE).await;
+    block_on(zone::wait_until("the real executor serves", served));
 }
 
 /// Replies of the platform with bodies that can't be read.
-fn platform_replies() -> Vec<Canned> {
+fn platform_replies() -> Vec<CannedReply> {
     let deep = "[".repeat(100_000);
     let gap = r#"{"oldest":0,"next":9,"records":[{"offset":1,"at_ms":0,"data":""},{"offset":3,"at_ms":0,"data":""}]}"#;
     let odd = r#"{"oldest":-1,"next":1e99,"records":{}}"#;
     let hosts = r#"{"age_ms":0,"executors":[{"name":"x","upstream":"desk","zone":"a","rack":"","address":"nowhere","slots":8,"state":"live"}]}"#;
     let bodies = ["", "null", "{", &deep, gap, odd, hosts, "\u{0}"];
-    let whole = bodies.map(|body| {
+    let complete = bodies.map(|body| {
         format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -187,11 +191,11 @@
         .into_bytes()
     });
     let refused = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_vec();
-    let latin = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n\xff\xfe".to_vec();
+    let not_utf8 = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n\xff\xfe".to_vec();
     let broken = broken_replies("").into_iter().map(|(_, reply)| reply);
-    whole
+    complete
         .into_iter()
-        .chain([refused, latin])
+        .chain([refused, not_utf8])
         .chain(broken)
         .collect()
 }
@@ -208,39 +212,50 @@
     // as it should, they take up the configuration and serve.
     let replies = platform_replies();
     let rounds = 2 * replies.len();
-    let fakes = [Fake::start(replies.clone()), Fake::start(replies)];
-    let mut given = Given::default();
-    let address = |fake: &Fake| json!(fake.address.to_string());
-    given
+    let fakes = [
+        FakeServer::start(replies.clone()),
+        FakeServer::start(replies),
+    ];
+    let mut options = ClusterOptions::default();
+    let address = |fake: &FakeServer| json!(fake.address.to_string());
+    options
         .entry_settings
         .insert("platform_address".into(), address(&fakes[0]));
-    given
+    options
         .control_settings
         .insert("platform_address".into(), address(&fakes[1]));
-    let mut cluster = block_on(zone::start(1, given));
+    let mut cluster = block_on(zone::start(1, options));
     block_on(async {
-        let is_through = async || fakes.iter().all(|fake| fake.asked() >= rounds);
-        zone::until("all replies were tried twice", is_through).await;
-        let heard = submit(
-            zone::callers(&mut cluster, "a1"),
-            zone::job(zone::ONCE, b"x"),
-            Patience::Once,
+        let has_sent_all = async || fakes.iter().all(|fake| fake.connection_count() >= rounds);
+        zone::wait_until("all replies were tried twice", has_sent_all).await;
+        let result = submit(
+            zone::caller_address(&mut cluster, "a1"),
+            zone::job(zone::AT_MOST_ONCE, b"x"),
+            ResubmitPolicy::Once,
+        );
+        let result = result.await.result;
+        assert!(
+            matches!(result, CallResult::Answer(503 | 404, _)),
+            "{result}"
         );
-        let heard = heard.await.heard;
-        assert!(matches!(heard, Heard::Answer(503 | 404, _)), "{heard}");
-        for part in [Part::Entry, Part::Control] {
-            let events = zone::timeline(&mut cluster, "a1", part).await.events;
+        for process_kind in [ProcessKind::Entry, ProcessKind::Control] {
+            let events = zone::timeline(&mut cluster, "a1", process_kind)
+                .await
+                .events;
             let is_lost = events
                 .iter()
                 .any(|event| event.kind == EventKind::PlatformLost);
-            assert!(is_lost, "{part:?} does not tell that the platform is lost");
+            assert!(
+                is_lost,
+                "{process_kind:?} does not tell that the platform is lost"
+            );
         }
-        let real = cluster
+        let original = cluster
             .platform_address()
             .expect("the test's own steps work");
-        fakes.iter().for_each(|fake| fake.lead_to(real));
-        let good = zone::callers(&mut cluster, "a1");
-        zone::serve_one(good, zone::ONCE).await;
+        fakes.iter().for_each(|fake| fake.redirect_to(original));
+        let caller_address = zone::caller_address(&mut cluster, "a1");
+        zone::run_one_job(caller_address, zone::AT_MOST_ONCE).await;
     });
 }
 
@@ -262,10 +277,10 @@
         r#"{"claims_v2":{}}"#,
         r#"{"claims_v1":{"by":"zz","batch":1,"claims":[]}}"#,
     ];
-    let mut cluster = block_on(zone::start(1, Given::default()));
-    let good = zone::callers(&mut cluster, "a1");
+    let mut cluster = block_on(zone::start(1, ClusterOptions::default()));
+    let caller_address = zone::caller_address(&mut cluster, "a1");
     block_on(async {
-        zone::serve_one(good, zone::ONCE).await;
+        zone::run_one_job(caller_address, zone::AT_MOST_ONCE).await;
         let platform = cluster
             .platform_address()
             .expect("the test's own steps work");
@@ -278,8 +293,8 @@
             }
         }
         zone::publish(&cluster, "late", false).await;
-        zone::serve_one(good, "late").await;
-        let events = zone::timeline(&mut cluster, "a1", Part::Control)
+        zone::run_one_job(caller_address, "late").await;
+        let events = zone::timeline(&mut cluster, "a1", ProcessKind::Control)
             .await
             .events;
         let ignored = events
@@ -289,7 +304,7 @@
         let admin = cluster
             .host("a1")
             .expect("the test's own steps work")
-            .admin_address(Part::Entry)
+            .admin_address(ProcessKind::Entry)
             .expect("the test's own steps work");
         let details = status(admin).await.details;
         assert_eq!(details["unreadable_records"], records.len());
--- a/crates/onyxshed-proof/tests/language.rs
+++ b/crates/onyxshed-proof/tests/language.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn told(text: &str) -> String {
+fn parse_result(text: &str) -> String {
     match parse(text) {
         Ok(script) => format!("{:?}", script.lines[0].step),
         Err(error) => error.to_string(),
@@ -32,7 +32,7 @@
     let name = case.rsplit("::").next().unwrap_or_default();
     insta::assert_snapshot!(
         name.split_once("_").map_or(name, |(_, rest)| rest),
-        told(text)
+        parse_result(text)
     );
 }
 
@@ -46,7 +46,7 @@
 fn a_good_script_is_read(#[case] text: &str) {
     let case = std::thread::current().name().unwrap_or_default().to_owned();
     let name = case.rsplit("::").next().unwrap_or_default();
-    insta::assert_snapshot!(name, told(text));
+    insta::assert_snapshot!(name, parse_result(text));
 }
 
 /// Words of the language, so that random lines get past their beginnings.
--- a/crates/onyxshed-proof/tests/local.rs
+++ b/crates/onyxshed-proof/tests/local.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use onyxshed_proof::process::beside_test;
+use onyxshed_proof::process::find_binary;
 
 /// Gets the ids of the processes that the command said it started.
 fn process_ids(text: &str) -> Vec<&str> {
@@ -17,7 +17,7 @@
 fn the_whole_path_is_shown_and_everything_ends() {
     // A newcomer types one command: a class is published, a job runs once though it is submitted to
     // two entry hosts, its time line and a sample load are shown, and no process is left behind.
-    let output = Command::new(beside_test("onyxshed-load").unwrap())
+    let output = Command::new(find_binary("onyxshed-load").unwrap())
         .args([
             "local",
             "--entries",
--- a/crates/onyxshed-proof/tests/metrics.rs
+++ b/crates/onyxshed-proof/tests/metrics.rs
@@ -5,7 +5,7 @@
 use async_io::block_on;
 use http_types::Method;
 use onyxshed_http::client::call_once;
-use onyxshed_proof::cluster::{Given, Part};
+use onyxshed_proof::cluster::{ClusterOptions, ProcessKind};
 use onyxshed_proof::zone;
 use onyxshed_wire::admin::METRICS_PATH;
 use onyxshed_wire::caller::JOBS_PATH;
@@ -14,22 +14,22 @@
 
 #[test]
 fn answers_are_counted_by_class_and_code() {
-    let mut cluster = block_on(zone::start(1, Given::default()));
-    let callers = zone::callers(&mut cluster, "a1");
-    block_on(zone::serve_one(callers, zone::ONCE));
-    let stranger = serde_json::to_vec(&zone::job("nobody-configured-this", b"x")).unwrap();
+    let mut cluster = block_on(zone::start(1, ClusterOptions::default()));
+    let caller_address = zone::caller_address(&mut cluster, "a1");
+    block_on(zone::run_one_job(caller_address, zone::AT_MOST_ONCE));
+    let unknown_class = serde_json::to_vec(&zone::job("nobody-configured-this", b"x")).unwrap();
     block_on(call_once(
-        callers,
+        caller_address,
         Method::Post,
         JOBS_PATH,
-        stranger,
+        unknown_class,
         TIMEOUT,
     ))
     .unwrap();
     let admin = cluster
         .host("a1")
         .unwrap()
-        .admin_address(Part::Entry)
+        .admin_address(ProcessKind::Entry)
         .unwrap();
     let reply = block_on(call_once(
         admin,
@@ -42,30 +42,36 @@
     let text = String::from_utf8(reply.body).unwrap();
     let complete = format!(
         "onyxshed_job_answers_total{{class=\"{}\",code=\"1000\"}} 1",
-        zone::ONCE
+        zone::AT_MOST_ONCE
     );
     assert!(text.contains(&complete), "{complete} is not in\n{text}");
-    let stranger = "onyxshed_job_answers_total{class=\"none\",code=\"3102\"} 1";
-    assert!(text.contains(stranger), "{stranger} is not in\n{text}");
+    let unknown_class = "onyxshed_job_answers_total{class=\"none\",code=\"3102\"} 1";
+    assert!(
+        text.contains(unknown_class),
+        "{unknown_class} is not in\n{text}"
+    );
     // The good caller may have been told to come back before, so its answers are summed.
-    let answers = sum(
+    let answer_count = sum_samples(
         &text,
-        &format!("onyxshed_job_answers_total{{class=\"{}\"", zone::ONCE),
+        &format!(
+            "onyxshed_job_answers_total{{class=\"{}\"",
+            zone::AT_MOST_ONCE
+        ),
     );
-    let times = sum(
+    let response_count = sum_samples(
         &text,
         &format!(
             "onyxshed_job_response_seconds_count{{class=\"{}\"",
-            zone::ONCE
+            zone::AT_MOST_ONCE
         ),
     );
-    assert!(answers >= 1);
-    assert_eq!(answers, times);
+    assert!(answer_count >= 1);
+    assert_eq!(answer_count, response_count);
     assert!(!text.contains("nobody-configured-this"));
 }
 
 /// Sums the values of every line that begins so.
-fn sum(text: &str, beginning: &str) -> u64 {
+fn sum_samples(text: &str, beginning: &str) -> u64 {
     let lines = text.lines().filter(|line| line.starts_with(beginning));
     let values = lines.filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok());
     values.sum()
--- a/crates/onyxshed-proof/tests/pages.rs
+++ b/crates/onyxshed-proof/tests/pages.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use onyxshed_proof::process::beside_test;
+use onyxshed_proof::process::find_binary;
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -85,7 +85,7 @@
     for (block, kind) in blocks.zip(["entry", "control", "operator"]) {
         let file = folder.path().join(kind);
         fs::write(&file, block.split("```").next().unwrap()).unwrap();
-        let mut check = Command::new(beside_test("onyxshed").unwrap());
+        let mut check = Command::new(find_binary("onyxshed").unwrap());
         let output = check
             .arg("check")
             .arg(&file)
--- a/crates/onyxshed-proof/tests/scenarios.rs
+++ b/crates/onyxshed-proof/tests/scenarios.rs
@@ -7,26 +7,26 @@
 use rstest::rstest;
 
 /// Scenarios that run at the same time, so that the machine stays responsive.
-const AT_ONCE: usize = 4;
+const MAX_CONCURRENT: usize = 4;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static ENDED: Condvar = Condvar::new();
 
 /// A place among the scenarios that run.
-struct Place;
+struct Slot;
 
-impl Place {
-    fn take() -> Self {
+impl Slot {
+    fn acquire() -> Self {
         let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
         let mut running = ENDED
-            .wait_while(running, |running| *running >= AT_ONCE)
+            .wait_while(running, |running| *running >= MAX_CONCURRENT)
             .unwrap_or_else(PoisonError::into_inner);
         *running += 1;
-        Place
+        Slot
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
         ENDED.notify_one();
@@ -34,10 +34,10 @@
 }
 
 #[rstest]
-fn holds(#[files("scenarios/*.scenario")] file: PathBuf) {
+fn scenario_passes(#[files("scenarios/*.scenario")] file: PathBuf) {
     let text = std::fs::read_to_string(&file).unwrap();
     let script = parse(&text).unwrap_or_else(|error| panic!("{}: {error}", file.display()));
-    let _place = Place::take();
+    let _slot = Slot::acquire();
     if let Err(failure) = play(&script) {
         panic!("{}: {failure}", file.display());
     }
--- a/crates/onyxshed-proof/tests/support/cases.rs
+++ b/crates/onyxshed-proof/tests/support/cases.rs
@@ -20,7 +20,7 @@
 }
 
 fn good_body() -> Vec<u8> {
-    serde_json::to_vec(&zone::job(zone::TWICE, b"x")).expect("the test's own steps work")
+    serde_json::to_vec(&zone::job(zone::MAY_RUN_TWICE, b"x")).expect("the test's own steps work")
 }
 
 /// Makes a good body but for one field.
--- a/crates/onyxshed-proof/tests/support/fake.rs
+++ b/crates/onyxshed-proof/tests/support/fake.rs
@@ -7,54 +7,62 @@
 use std::thread;
 
 /// One reply; `{task}` stands for the task that was asked about.
-pub type Canned = Vec<u8>;
+pub type CannedReply = Vec<u8>;
 
 /// A server that answers each connection with the next of its replies, until it is led elsewhere.
-pub struct Fake {
+pub struct FakeServer {
     /// Where it listens.
     pub address: SocketAddr,
-    asked: Arc<AtomicUsize>,
-    real: Arc<Mutex<Option<SocketAddr>>>,
+    connection_count: Arc<AtomicUsize>,
+    redirect_address: Arc<Mutex<Option<SocketAddr>>>,
 }
 
-impl Fake {
+impl FakeServer {
     /// Starts it; it lives as long as the test's process.
-    pub fn start(replies: Vec<Canned>) -> Self {
+    pub fn start(replies: Vec<CannedReply>) -> Self {
         let listener =
             TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("the test's own steps work");
-        let fake = Fake {
+        let server = FakeServer {
             address: listener.local_addr().expect("the test's own steps work"),
-            asked: Arc::default(),
-            real: Arc::default(),
+            connection_count: Arc::default(),
+            redirect_address: Arc::default(),
         };
-        let (asked, real) = (fake.asked.clone(), fake.real.clone());
+        let (connection_count, redirect_address) = (
+            server.connection_count.clone(),
+            server.redirect_address.clone(),
+        );
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let to = *real.lock().unwrap_or_else(PoisonError::into_inner);
-                let number = asked.fetch_add(1, Ordering::SeqCst);
+                let to = *redirect_address
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner);
+                let number = connection_count.fetch_add(1, Ordering::SeqCst);
                 let reply = replies[number % replies.len()].clone();
                 thread::spawn(move || match to {
-                    Some(to) => pump(&stream, to),
+                    Some(to) => relay(&stream, to),
                     None => answer(stream, reply),
                 });
             }
         });
-        fake
+        server
     }
 
     /// Gets how many connections it took.
-    pub fn asked(&self) -> usize {
-        self.asked.load(Ordering::SeqCst)
+    pub fn connection_count(&self) -> usize {
+        self.connection_count.load(Ordering::SeqCst)
     }
 
     /// Leads new connections to the real one.
-    pub fn lead_to(&self, real: SocketAddr) {
-        *self.real.lock().unwrap_or_else(PoisonError::into_inner) = Some(real);
+    pub fn redirect_to(&self, redirect_address: SocketAddr) {
+        *self
+            .redirect_address
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = Some(redirect_address);
     }
 }
 
 /// Reads a request's head, writes the reply, and stays until the other end has had enough.
-fn answer(mut stream: TcpStream, reply: Canned) {
+fn answer(mut stream: TcpStream, reply: CannedReply) {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") && matches!(stream.read(&mut byte), Ok(1)) {
@@ -70,20 +78,23 @@
 }
 
 fn replace(reply: &[u8], task: &[u8]) -> Vec<u8> {
-    const PLACE: &[u8] = b"{task}";
-    match reply.windows(PLACE.len()).position(|found| found == PLACE) {
+    const PLACEHOLDER: &[u8] = b"{task}";
+    match reply
+        .windows(PLACEHOLDER.len())
+        .position(|found| found == PLACEHOLDER)
+    {
         None => reply.to_vec(),
-        Some(at) => [&reply[..at], task, &reply[at + PLACE.len()..]].concat(),
+        Some(at) => [&reply[..at], task, &reply[at + PLACEHOLDER.len()..]].concat(),
     }
 }
 
-fn pump(stream: &TcpStream, to: SocketAddr) {
-    let Ok(real) = TcpStream::connect(to) else {
+fn relay(stream: &TcpStream, to: SocketAddr) {
+    let Ok(target) = TcpStream::connect(to) else {
         return;
     };
     thread::scope(|scope| {
-        scope.spawn(|| copy(stream, &real));
-        scope.spawn(|| copy(&real, stream));
+        scope.spawn(|| copy(stream, &target));
+        scope.spawn(|| copy(&target, stream));
     });
 }
 
--- a/crates/onyxshed-proof/tests/support/raw.rs
+++ b/crates/onyxshed-proof/tests/support/raw.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// How long the other end may take to close; far beyond every limit that a test sets.
-const CEILING: Duration = Duration::from_secs(60);
+const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What the sender does behind its bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 pub fn exchange(address: SocketAddr, bytes: &[u8], after: After) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).expect("the test's own steps work");
     stream
-        .set_read_timeout(Some(CEILING))
+        .set_read_timeout(Some(READ_TIMEOUT))
         .expect("the test's own steps work");
     // The other end may have had enough before it has read all.
     let _ = stream.write_all(bytes);
@@ -43,14 +43,14 @@
 }
 
 /// Gets the replies in short: status and, if the body names one, result code.
-pub fn replies(bytes: &[u8]) -> String {
+pub fn summarize_replies(bytes: &[u8]) -> String {
     let mut text = String::new();
-    let mut left = bytes;
-    while let Some(end) = find(left, b"\r\n\r\n") {
-        let head = String::from_utf8_lossy(&left[..end]).to_ascii_lowercase();
+    let mut rest = bytes;
+    while let Some(end) = find(rest, b"\r\n\r\n") {
+        let head = String::from_utf8_lossy(&rest[..end]).to_ascii_lowercase();
         let status = head.split(' ').nth(1).unwrap_or("?").to_owned();
         let length = header(&head, "content-length: ").and_then(|value| value.parse().ok());
-        let body = &left[end + 4..][..length.unwrap_or(0)];
+        let body = &rest[end + 4..][..length.unwrap_or(0)];
         let answer: serde_json::Value = serde_json::from_slice(body).unwrap_or_default();
         let _ = match &answer["code"] {
             serde_json::Value::Null => write!(text, "{status} "),
@@ -59,10 +59,10 @@
         if let Some(wait) = header(&head, "retry-after: ") {
             let _ = write!(text, "retry-after {wait} ");
         }
-        left = &left[end + 4 + body.len()..];
+        rest = &rest[end + 4 + body.len()..];
     }
-    if !left.is_empty() {
-        let _ = write!(text, "and {} bytes ", left.len());
+    if !rest.is_empty() {
+        let _ = write!(text, "and {} bytes ", rest.len());
     }
     match text.is_empty() {
         true => "closed".to_owned(),
--- a/crates/onyxshed-proof/tests/timeline.rs
+++ b/crates/onyxshed-proof/tests/timeline.rs
@@ -7,9 +7,9 @@
 
 use async_io::block_on;
 use onyxshed_core::SubmissionId;
-use onyxshed_proof::caller::{HeardAt, Patience, submit};
-use onyxshed_proof::cluster::{Cluster, Given, Part};
-use onyxshed_proof::process::beside_test;
+use onyxshed_proof::caller::{ResubmitPolicy, TimedCallResult, submit};
+use onyxshed_proof::cluster::{Cluster, ClusterOptions, ProcessKind};
+use onyxshed_proof::process::find_binary;
 use onyxshed_proof::remote::get;
 use onyxshed_proof::zone;
 use onyxshed_wire::admin::{STATUS_PATH, Status};
@@ -17,24 +17,25 @@
 use serde_json::json;
 use tempfile::TempDir;
 
-const PROCESSES: [(&str, Part); 4] = [
-    ("a1", Part::Entry),
-    ("a1", Part::Control),
-    ("a2", Part::Entry),
-    ("a2", Part::Control),
+const PROCESSES: [(&str, ProcessKind); 4] = [
+    ("a1", ProcessKind::Entry),
+    ("a1", ProcessKind::Control),
+    ("a2", ProcessKind::Entry),
+    ("a2", ProcessKind::Control),
 ];
 
-fn admin(cluster: &mut Cluster, host: &str, part: Part) -> SocketAddr {
+fn admin(cluster: &mut Cluster, host: &str, process_kind: ProcessKind) -> SocketAddr {
     let unit = cluster.host(host).expect("the host runs");
-    unit.admin_address(part).expect("it serves operators")
+    unit.admin_address(process_kind)
+        .expect("it serves operators")
 }
 
 /// Writes the operator's settings.
 fn settings(cluster: &mut Cluster, folder: &TempDir) -> PathBuf {
-    let processes = PROCESSES.map(|(host, part)| {
+    let processes = PROCESSES.map(|(host, process_kind)| {
         json!({
-            "name": format!("{host}-{}", part.as_str()),
-            "admin_address": admin(cluster, host, part),
+            "name": format!("{host}-{}", process_kind.as_str()),
+            "admin_address": admin(cluster, host, process_kind),
         })
     });
     let platform = cluster.platform_address().expect("the platform runs");
@@ -45,7 +46,7 @@
 }
 
 fn timeline(settings: &PathBuf, words: &[&str]) -> String {
-    let output = Command::new(beside_test("onyxshed").expect("the binaries are built"))
+    let output = Command::new(find_binary("onyxshed").expect("the binaries are built"))
         .arg("timeline")
         .args(words)
         .arg("--settings")
@@ -75,8 +76,14 @@
 }
 
 /// Submits a job to one host and, once its tasks run, again to another.
-async fn submit_twice(cluster: &mut Cluster, job: &Submission) -> (HeardAt, HeardAt) {
-    let (first, second) = (zone::callers(cluster, "a1"), zone::callers(cluster, "a2"));
+async fn submit_twice(
+    cluster: &mut Cluster,
+    job: &Submission,
+) -> (TimedCallResult, TimedCallResult) {
+    let (first, second) = (
+        zone::caller_address(cluster, "a1"),
+        zone::caller_address(cluster, "a2"),
+    );
     let again = Submission {
         copy: CopyMark::Again,
         ..job.clone()
@@ -89,10 +96,14 @@
         ours.count() == job.tasks.len()
     };
     let resubmitted = async {
-        zone::until("all tasks run", has_started).await;
-        submit(second, again, Patience::Once).await
+        zone::wait_until("all tasks run", has_started).await;
+        submit(second, again, ResubmitPolicy::Once).await
     };
-    futures_lite::future::zip(submit(first, job.clone(), Patience::Once), resubmitted).await
+    futures_lite::future::zip(
+        submit(first, job.clone(), ResubmitPolicy::Once),
+        resubmitted,
+    )
+    .await
 }
 
 #[test]
@@ -100,28 +111,32 @@
     // A caller submits three tasks to one entry host, thinks them lost, and submits again to another.
     // The time line shows both copies, who holds the submission, each task's way to the executor and
     // back, and one answer; the class alone finds the same events.
-    let mut cluster = block_on(zone::start(2, Given::default()));
+    let mut cluster = block_on(zone::start(2, ClusterOptions::default()));
     let folder = tempfile::tempdir().expect("a folder");
     let file = settings(&mut cluster, &folder);
-    let mut job = zone::job(zone::ONCE, br#"{"service_ms":1500,"echo":"a"}"#);
+    let mut job = zone::job(zone::AT_MOST_ONCE, br#"{"service_ms":1500,"echo":"a"}"#);
     job.tasks = vec![job.tasks[0].clone(); 3];
     block_on(async {
         for host in ["a1", "a2"] {
-            zone::serve_one(zone::callers(&mut cluster, host), zone::TWICE).await;
+            zone::run_one_job(
+                zone::caller_address(&mut cluster, host),
+                zone::MAY_RUN_TWICE,
+            )
+            .await;
             let knows_peer = async || {
-                let address = admin(&mut cluster, host, Part::Entry);
+                let address = admin(&mut cluster, host, ProcessKind::Entry);
                 let status: Status = get(address, STATUS_PATH).await.expect("it answers");
                 status.details["live_peers"] == 1
             };
-            zone::until("peers know each other", knows_peer).await;
+            zone::wait_until("peers know each other", knows_peer).await;
         }
         let (first, second) = submit_twice(&mut cluster, &job).await;
-        assert_eq!(first.heard, second.heard);
+        assert_eq!(first.result, second.result);
     });
     let id: SubmissionId = job.submission;
     let of_submission = timeline(&file, &["--submission", &id.to_string()]);
     insta::assert_snapshot!(by_process(&of_submission));
-    let of_class = timeline(&file, &["--class", zone::ONCE]);
+    let of_class = timeline(&file, &["--class", zone::AT_MOST_ONCE]);
     let ours = of_class
         .lines()
         .filter(|line| line.contains(&id.ulid.to_string()));
--- a/crates/onyxshed-proof/tests/truth.rs
+++ b/crates/onyxshed-proof/tests/truth.rs
@@ -1,7 +1,7 @@
 //! The checks that every scenario ends with: each kind of lie is found.
 
 use onyxshed_core::{Incarnation, ResultCode, SubmissionId, TaskId, UnixMs};
-use onyxshed_proof::caller::{Heard, HeardAt};
+use onyxshed_proof::caller::{CallResult, TimedCallResult};
 use onyxshed_proof::truth::{Exchange, JobFacts, Starts, check};
 use onyxshed_standins::upstream::StartRecord;
 use onyxshed_wire::caller::Answer;
@@ -29,17 +29,17 @@
     Starts::new(records.iter().map(record).collect())
 }
 
-fn told(answer: Answer, may_run_twice: bool, records: &[(u16, u64)]) -> String {
-    let heard = Heard::Answer(answer.http_status(), answer);
+fn check_answer(answer: Answer, may_run_twice: bool, records: &[(u16, u64)]) -> String {
+    let result = CallResult::Answer(answer.http_status(), answer);
     let job = JobFacts {
         id: id(),
         may_run_twice,
         results: vec![b"one".to_vec(), b"two".to_vec()],
         exchanges: vec![Exchange {
             sent_at_ms: SENT,
-            heard: Some(HeardAt {
-                heard,
-                at_ms: UnixMs(2_000),
+            result: Some(TimedCallResult {
+                result,
+                received_at_ms: UnixMs(2_000),
             }),
         }],
     };
@@ -75,16 +75,16 @@
 #[case::failed_unstarted(ended(ResultCode::TaskFailed), &[], "no task started")]
 #[case::twice(ended(ResultCode::HolderGone), &[(1, 1_500), (1, 1_600)], "task 1 of 01ARZ3NDEKTSV4RRFFQ69G5FAV started 2 times")]
 #[case::foreign(Answer::ended(Some(OTHER.parse().unwrap()), ResultCode::HolderGone, ""), &[], "another submission's answer")]
-fn lies_are_found(#[case] answer: Answer, #[case] records: &[(u16, u64)], #[case] wanted: &str) {
-    let found = told(answer, false, records);
-    assert!(found.contains(wanted), "found {found}");
+fn lies_are_found(#[case] answer: Answer, #[case] records: &[(u16, u64)], #[case] expected: &str) {
+    let found = check_answer(answer, false, records);
+    assert!(found.contains(expected), "found {found}");
 }
 
 #[test]
 fn a_second_start_is_allowed_where_the_class_says_so() {
     let answer = complete(&["one", "two"]);
     assert_eq!(
-        told(answer, true, &[(0, 1_500), (0, 1_600), (1, 1_500)]),
+        check_answer(answer, true, &[(0, 1_500), (0, 1_600), (1, 1_500)]),
         "holds"
     );
 }
