--- a/crates/onyxshed-proof/build.rs
+++ b/crates/onyxshed-proof/build.rs
@@ -1,4 +1,5 @@
-//! Builds the tests anew when a scenario comes or goes: their list is made when they are compiled.
+//! Rebuilds the tests when a scenario file is added or removed, because the list of scenarios is read at
+//! compile time.
 
 fn main() {
     println!("cargo::rerun-if-changed=scenarios");
--- a/crates/onyxshed-proof/src/caller.rs
+++ b/crates/onyxshed-proof/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: submits a job and stays with it until its one answer has come or the connection broke.
+//! A client that submits a job and polls for its answer until the answer is final or a request fails.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,30 +13,30 @@
 
 use crate::remote::WAIT_TIMEOUT;
 
-/// How long a caller stays with one request: past every deadline, so that only a missing answer
-/// ends it.
+/// Timeout of one request. It exceeds every job deadline of the tests, so a request only times out
+/// when the host does not answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Pause before a running job's answer is fetched again.
+/// Time between two requests for the answer of a job that is still running.
 const FETCH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a caller heard.
+/// The result of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallResult {
-    /// An answer, with its HTTP status.
+    /// The HTTP status and the decoded answer.
     Answer(u16, Answer),
-    /// An answer that can't be read.
+    /// The HTTP status and the body of a reply that can't be decoded as an answer.
     Unreadable(u16, String),
-    /// No answer: the connection broke or nothing came.
+    /// No reply: the connection failed or the request timed out.
     Lost(CallError),
 }
 
-/// What a caller heard, and when.
+/// The result of a caller's request and the time when it was received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimedCallResult {
-    /// What.
+    /// The result of the last request that was sent for the job.
     pub result: CallResult,
-    /// When, on the wall clock that executors stamp starts with.
+    /// Time of receipt on the wall clock, comparable with the start times that executors record.
     pub received_at_ms: UnixMs,
 }
 
@@ -47,14 +47,14 @@
                 let code = answer.code.map(ResultCode::number);
                 write!(f, "{status} {:?} {code:?} {}", answer.outcome, answer.text)
             }
-            CallResult::Unreadable(status, text) => write!(f, "{status} garbage {text:?}"),
-            CallResult::Lost(error) => write!(f, "lost: {error}"),
+            CallResult::Unreadable(status, text) => write!(f, "{status} unreadable {text:?}"),
+            CallResult::Lost(error) => write!(f, "no reply: {error}"),
         }
     }
 }
 
 impl CallResult {
-    /// Gets the outcome, none if there was no final answer.
+    /// Returns the job's outcome, `None` if no final answer was received.
     pub fn outcome(&self) -> Option<Outcome> {
         match self {
             CallResult::Answer(_, answer) => answer.outcome,
@@ -63,16 +63,17 @@
     }
 }
 
-/// How often a caller submits.
+/// Whether a caller submits a job again after a "not run" or "unknown" answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResubmitPolicy {
-    /// Once.
+    /// Submits the job once.
     Once,
-    /// Again whenever the answer invites it, until the job is run.
+    /// Submits the job again as long as the answer is "not run" or "unknown", for up to
+    /// [`WAIT_TIMEOUT`].
     UntilRun,
 }
 
-/// Submits and stays until the end.
+/// Submits a job and returns the result of its final answer.
 pub async fn submit(
     address: SocketAddr,
     submission: Submission,
@@ -94,8 +95,9 @@
     }
 }
 
-/// Gets how long to wait before a repeat: after "not run", and after "unknown", because the same id
-/// is safe to send again.
+/// Returns how long to wait before the same job is submitted again, `None` if it must not be. A job
+/// may be submitted again after "not run", and after "unknown" because submissions are deduplicated
+/// by their id.
 fn resubmit_delay(result: &CallResult) -> Option<Duration> {
     let CallResult::Answer(_, answer) = result else {
         return None;
@@ -104,13 +106,13 @@
     can_resubmit.then(|| answer.retry_after_ms.map_or(FETCH_INTERVAL, Duration::from))
 }
 
-/// Fetches the answer and stays until the end.
+/// Fetches the answer of a submitted job, and polls until it is final.
 pub async fn fetch(address: SocketAddr, id: SubmissionId) -> TimedCallResult {
     let first_result = call(address, Method::Get, &job_path(id), Vec::new()).await;
     poll_until_final(address, id, first_result).await
 }
 
-/// Cancels a job.
+/// Cancels a job and returns the answer to the cancellation.
 pub async fn cancel(address: SocketAddr, id: SubmissionId) -> TimedCallResult {
     let result = call(address, Method::Delete, &job_path(id), Vec::new()).await;
     TimedCallResult {
@@ -119,6 +121,7 @@
     }
 }
 
+/// Fetches the answer of a job until it has an outcome or a request fails.
 async fn poll_until_final(
     address: SocketAddr,
     id: SubmissionId,
@@ -174,7 +177,7 @@
     format!("{JOBS_PATH}/{id}")
 }
 
-/// Reads the wall clock.
+/// Returns the current time of the wall clock.
 pub fn now_ms() -> UnixMs {
     let since_epoch = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/onyxshed-proof/src/cluster.rs
+++ b/crates/onyxshed-proof/src/cluster.rs
@@ -1,4 +1,5 @@
-//! Entry hosts, executors and the platform's stand-in, with the fault-injecting proxy between them.
+//! A set of entry hosts, executors and a stand-in for the platform, connected through the
+//! fault-injecting proxy.
 
 pub mod executors;
 pub mod faults;
@@ -26,7 +27,7 @@
 pub use hosts::{EntryHostUnit, ProcessKind};
 pub use topology::{ClusterOptions, Topology};
 
-/// Everything that one test runs.
+/// The processes of one test.
 #[derive(Debug)]
 pub struct Cluster {
     pub(crate) options: ClusterOptions,
@@ -38,10 +39,10 @@
 }
 
 impl Cluster {
-    /// Tries to start all processes and waits until each serves.
+    /// Starts all processes, waits until each is ready, and publishes the host list.
     pub async fn start(topology: &Topology, options: ClusterOptions) -> Result<Self> {
         let folder = tempfile::tempdir().context(SystemSnafu {
-            what: "make a folder",
+            what: "create a temporary folder",
         })?;
         let path = folder.path();
         let mut platform =
@@ -63,7 +64,7 @@
         Ok(cluster)
     }
 
-    /// Sets the platform's host list to what runs here.
+    /// Replaces the platform's host list with the hosts and executors of the cluster that are listed.
     pub async fn publish_hosts(&self) -> Result<()> {
         let hosts = Hosts {
             executors: self
@@ -81,19 +82,19 @@
         Ok(())
     }
 
-    /// Sets the platform's faults.
+    /// Replaces the faults that the platform's stand-in injects.
     pub async fn set_platform_faults(&self, faults: &Faults) -> Result<()> {
         let address = self.platform_address()?;
         send(address, Method::Post, "/control/faults", faults).await?;
         Ok(())
     }
 
-    /// Gets the platform's own address, past the proxy.
+    /// Returns the address of the platform itself, without the proxy.
     pub fn platform_address(&self) -> Result<SocketAddr> {
         self.platform.address("http")
     }
 
-    /// Gets an executor.
+    /// Returns the executor with this name.
     pub fn executor(&mut self, name: &str) -> Result<&mut ExecutorUnit> {
         let allowed = names(&self.executors);
         self.executors
@@ -101,7 +102,7 @@
             .ok_or_else(|| unknown_name("executor", name, allowed))
     }
 
-    /// Gets an entry host.
+    /// Returns the entry host with this name.
     pub fn host(&mut self, name: &str) -> Result<&mut EntryHostUnit> {
         let allowed = names(&self.hosts);
         self.hosts
@@ -109,17 +110,17 @@
             .ok_or_else(|| unknown_name("entry host", name, allowed))
     }
 
-    /// Gets the names of all entry hosts.
+    /// Returns the names of all entry hosts.
     pub fn host_names(&self) -> Vec<SmolStr> {
         self.hosts.keys().cloned().collect()
     }
 
-    /// Gets the folder of settings and logs.
+    /// Returns the folder that holds settings and logs.
     pub(crate) fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Gets the end of every process's log, for a test that failed.
+    /// Returns the last lines of every process's log, to be shown when a test fails.
     pub fn logs(&self) -> String {
         let mut text = String::new();
         let host_processes = self.hosts.values().flat_map(EntryHostUnit::processes);
--- a/crates/onyxshed-proof/src/cluster/executors.rs
+++ b/crates/onyxshed-proof/src/cluster/executors.rs
@@ -18,37 +18,38 @@
 /// One executor.
 #[derive(Debug)]
 pub struct ExecutorUnit {
-    /// Its process.
+    /// The process of the stand-in.
     pub process: Process,
-    /// What the host list says of it.
+    /// The entry of the host list that describes the executor.
     pub host: ExecutorHost,
-    /// Whether the host list names it.
+    /// Whether the host list contains the executor.
     pub is_listed: bool,
-    /// Starts counted when a scenario took note.
+    /// Number of task starts when the scenario last executed `note the starts`.
     pub noted_start_count: usize,
 }
 
 impl ExecutorUnit {
-    /// Gets what the host list says of it, none if it is left out.
+    /// Returns the executor's entry of the host list, `None` if it is not listed.
     pub(super) fn host_list_entry(&self) -> Option<ExecutorHost> {
         self.is_listed.then(|| self.host.clone())
     }
 
-    /// Gets every start, in order, from what it wrote as they happened: that outlives a kill.
+    /// Returns all task starts in order. They are read from the executor's log, which is available
+    /// after the process was killed.
     pub fn starts(&self) -> Vec<StartRecord> {
         let log = self.process.log();
         let records = log.lines().map(serde_json::from_str);
         records.filter_map(std::result::Result::ok).collect()
     }
 
-    /// Sets its faults.
+    /// Replaces the faults that the executor injects.
     pub async fn set_faults(&self, faults: &UpstreamFaults) -> Result<()> {
         let address = self.process.address("http")?;
         send(address, Method::Post, "/control/faults", faults).await?;
         Ok(())
     }
 
-    /// Makes it say that it is leaving.
+    /// Makes the executor report in its replies that it is leaving.
     pub async fn drain(&self) -> Result<()> {
         let address = self.process.address("http")?;
         call(address, Method::Post, "/control/drain", Vec::new()).await?;
@@ -101,7 +102,7 @@
         })
     }
 
-    /// Gets every start on every executor.
+    /// Returns the task starts of all executors.
     pub fn starts(&self) -> Vec<StartRecord> {
         let units = self.executors.values();
         units.flat_map(ExecutorUnit::starts).collect()
--- a/crates/onyxshed-proof/src/cluster/faults.rs
+++ b/crates/onyxshed-proof/src/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! The edges of a cluster, and what the proxy does to them.
+//! Edges: groups of connections of a cluster whose traffic the proxy can disturb.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 use super::Cluster;
 use super::hosts::ProcessKind;
 
-/// Connections that can be broken together.
+/// A group of connections to which the proxy applies the same fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Edge {
     /// From one process of an entry host to the platform.
@@ -36,7 +36,7 @@
 }
 
 impl Edge {
-    /// Gets the names of the proxy's routes.
+    /// Returns the names or patterns of the proxy's routes that belong to the edge.
     fn routes(&self, cluster: &Cluster) -> Vec<SmolStr> {
         let of_zone = |zone: &SmolStr, route: fn(&SmolStr) -> Vec<SmolStr>| {
             let hosts = cluster.hosts.iter();
@@ -80,7 +80,8 @@
 }
 
 impl Cluster {
-    /// Opens a route through the proxy, or leads an open one elsewhere; gets where it listens.
+    /// Opens a route through the proxy to `to`, or redirects an open route of the same name. Returns
+    /// the address where the proxy listens for it.
     pub(super) async fn open_route(&self, name: SmolStr, to: SocketAddr) -> Result<SocketAddr> {
         let control = self.proxy.address("http")?;
         let route = NewRoute { name, to };
@@ -88,7 +89,11 @@
         serde_json::from_slice(&body).map_err(|error| Error::call("open a route", error))
     }
 
-    /// Breaks or mends an edge.
+    /// Sets what the proxy does with the connections of an edge.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the edge has no connection in this cluster.
     pub async fn set_edge(&self, edge: &Edge, mode: Mode) -> Result<()> {
         let control = self.proxy.address("http")?;
         let command = SetMode {
@@ -96,7 +101,9 @@
             mode,
         };
         if command.routes.is_empty() {
-            return Err(Error::unmet(format_smolstr!("no connection is {edge:?}")));
+            return Err(Error::unmet(format_smolstr!(
+                "the cluster has no connection of the edge {edge:?}"
+            )));
         }
         send(control, Method::Post, "/control/mode", &command).await?;
         Ok(())
--- a/crates/onyxshed-proof/src/cluster/hosts.rs
+++ b/crates/onyxshed-proof/src/cluster/hosts.rs
@@ -1,4 +1,4 @@
-//! Entry hosts of a cluster: an entry process and a control process each.
+//! Entry hosts of a cluster. Each consists of an entry process and a control process.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -14,7 +14,7 @@
 use super::Cluster;
 use super::topology::Topology;
 
-/// One of an entry host's processes.
+/// The kinds of processes of an entry host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessKind {
     /// `onyxshed-entry`.
@@ -24,7 +24,7 @@
 }
 
 impl ProcessKind {
-    /// Gets the part's word.
+    /// Returns the kind as it appears in the names of routes, logs and binaries.
     pub fn as_str(self) -> &'static str {
         match self {
             ProcessKind::Entry => "entry",
@@ -36,22 +36,27 @@
 /// One entry host.
 #[derive(Debug)]
 pub struct EntryHostUnit {
-    /// Its name.
+    /// Name of the host, such as `a1`.
     pub name: SmolStr,
-    /// Its zone.
+    /// Name of the host's zone.
     pub zone: SmolStr,
-    /// Its entry process, none after a kill.
+    /// The entry process, `None` after it was killed.
     pub entry: Option<Process>,
-    /// Its control process, none after a kill.
+    /// The control process, `None` after it was killed.
     pub control: Option<Process>,
-    /// Whether the host list names it.
+    /// Whether the host list contains the host.
     pub is_listed: bool,
-    /// Where its control process is reached by peers, through the proxy.
+    /// Address of the proxy through which peers reach the control process, `None` until the control
+    /// process is ready for the first time.
     peer_route: Option<SocketAddr>,
 }
 
 impl EntryHostUnit {
-    /// Gets one of its processes.
+    /// Returns one of the host's processes.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the process was killed and not restarted.
     pub fn process(&mut self, process_kind: ProcessKind) -> Result<&mut Process> {
         let name = format_smolstr!("{} {}", process_kind.as_str(), self.name);
         let slot = match process_kind {
@@ -64,12 +69,12 @@
         })
     }
 
-    /// Gets where callers reach it.
+    /// Returns the address where the entry process serves callers.
     pub fn caller_address(&self) -> Result<SocketAddr> {
         self.address(&self.entry, "caller")
     }
 
-    /// Gets where one of its processes serves operators.
+    /// Returns the address where a process serves operators.
     pub fn admin_address(&self, process_kind: ProcessKind) -> Result<SocketAddr> {
         match process_kind {
             ProcessKind::Entry => self.address(&self.entry, "admin"),
@@ -77,12 +82,13 @@
         }
     }
 
-    /// Gets its processes that have not been killed.
+    /// Returns the processes that have not been killed.
     pub fn processes(&self) -> impl Iterator<Item = &Process> {
         self.entry.iter().chain(&self.control)
     }
 
-    /// Gets what the host list says of it, none if it is left out.
+    /// Returns the host's entry of the host list, `None` if the host is not listed or its control
+    /// process has not been ready yet.
     pub(super) fn host_list_entry(&self) -> Option<EntryHost> {
         self.is_listed.then_some(())?;
         Some(EntryHost {
@@ -123,7 +129,8 @@
         self.restart(ProcessKind::Control, &names).await
     }
 
-    /// Starts a part of each host, killing the one before, and waits until all serve.
+    /// Starts a process of this kind on each host and waits until all are ready. A process that it
+    /// replaces is killed.
     pub async fn restart(&mut self, process_kind: ProcessKind, hosts: &[SmolStr]) -> Result<()> {
         for host in hosts {
             let process = self.start_process(process_kind, host).await?;
@@ -140,7 +147,7 @@
         Ok(())
     }
 
-    /// Leads the routes of others to a part that has new addresses.
+    /// Redirects the proxy's routes to the new addresses of a process that was started.
     async fn update_routes(&mut self, process_kind: ProcessKind, host: &SmolStr) -> Result<()> {
         let process = self.host(host)?.process(process_kind)?;
         let peer = process.address("peer")?;
@@ -214,14 +221,14 @@
         Ok(settings)
     }
 
-    /// Gets the peers that a control process is told of: all that run, past the proxy's faults or
-    /// not, as an operator would list them.
+    /// Returns the peers for a control process's settings: the addresses at the proxy of all other
+    /// hosts whose control process has been ready, whatever faults are set on these routes.
     fn peer_addresses(&self, host: &SmolStr) -> Vec<SocketAddr> {
         let others = self.hosts.iter().filter(|(name, _)| *name != host);
         others.filter_map(|(_, unit)| unit.peer_route).collect()
     }
 
-    /// Kills a part of a host.
+    /// Kills a process of a host.
     pub fn kill_process(&mut self, process_kind: ProcessKind, host: &str) -> Result<()> {
         let unit = self.host(host)?;
         unit.process(process_kind)?.kill()?;
@@ -233,7 +240,7 @@
     }
 }
 
-/// Where a route leads until its process has an address.
+/// Target of a route until its process has an address. Port 1 is expected to have no listener.
 const UNASSIGNED_ADDRESS: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1));
 
 fn peer_route(process_kind: ProcessKind, host: &str) -> SmolStr {
--- a/crates/onyxshed-proof/src/cluster/operator.rs
+++ b/crates/onyxshed-proof/src/cluster/operator.rs
@@ -1,4 +1,4 @@
-//! What operators do: publish targets with the command line.
+//! Actions of operators: publishing class targets with the command line, and reading the log.
 
 use std::process::{Child, Command, Stdio};
 use std::time::Instant;
@@ -18,17 +18,17 @@
 
 use super::Cluster;
 
-/// How a command of `onyxshed` ended.
+/// The exit code and output of an `onyxshed` command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CommandOutput {
-    /// Its exit code, none if a signal ended it.
+    /// The exit code, `None` if a signal ended the command.
     pub code: Option<i32>,
-    /// What it wrote.
+    /// The standard output, followed by the standard error.
     pub text: SmolStr,
 }
 
 impl Cluster {
-    /// Runs `onyxshed target put` and waits for its end.
+    /// Runs `onyxshed target put` and waits until it exits.
     pub async fn put_target(
         &self,
         target: &ClassTarget,
@@ -54,8 +54,9 @@
         run_command(&arguments).await
     }
 
-    /// Appends a change past the command, which would have refused one that has lost already: as
-    /// when two operators read the same revision and send at the same moment.
+    /// Appends a change directly to the log. The command would reject a change that is based on an
+    /// outdated revision; two operators that read the same revision and append at the same time
+    /// produce such a change.
     pub async fn append_change(&self, target: ClassTarget, based_on: Revision) -> Result<()> {
         let change = ConfigRecord::ChangeV1(ConfigChange {
             change_id: ChangeId(Ulid::generate()),
@@ -68,7 +69,7 @@
         Ok(())
     }
 
-    /// Folds the log as an operator with the whole of it would.
+    /// Reads the configuration stream and returns the configuration that results from its records.
     pub async fn read_config(&self) -> Result<ConfigFold> {
         let path = records_path(CONFIG_STREAM);
         let page: Page = get(self.platform_address()?, &path).await?;
@@ -80,7 +81,7 @@
     }
 }
 
-/// Runs `onyxshed` without keeping callers from being served meanwhile.
+/// Runs `onyxshed` to its end without blocking the executor, so that requests of callers proceed.
 async fn run_command(arguments: &[String]) -> Result<CommandOutput> {
     let mut child = Command::new(find_binary("onyxshed")?)
         .args(arguments)
@@ -96,12 +97,12 @@
         if Instant::now() > deadline {
             let _ = child.kill();
             let _ = child.wait();
-            return Err(Error::call("onyxshed", "it did not end"));
+            return Err(Error::call("onyxshed", "the command did not exit in time"));
         }
         pause().await;
     }
     let output = child.wait_with_output().context(SystemSnafu {
-        what: "read what onyxshed wrote",
+        what: "read the output of onyxshed",
     })?;
     let text = format_smolstr!(
         "{}{}",
@@ -115,6 +116,8 @@
 }
 
 fn is_running(child: &mut Child) -> Result<bool> {
-    let ended = child.try_wait().context(SystemSnafu { what: "wait" })?;
+    let ended = child.try_wait().context(SystemSnafu {
+        what: "wait for onyxshed",
+    })?;
     Ok(ended.is_none())
 }
--- a/crates/onyxshed-proof/src/cluster/topology.rs
+++ b/crates/onyxshed-proof/src/cluster/topology.rs
@@ -1,4 +1,4 @@
-//! What a cluster consists of.
+//! The size of a cluster and the options of its processes.
 
 use onyxshed_core::Millis;
 use serde_json::{Map, Value};
@@ -17,27 +17,28 @@
     pub executors: u32,
 }
 
-/// The upstream that all executors serve.
+/// Name of the upstream that all executors serve.
 pub const UPSTREAM: &str = "desk";
 
-/// How the parts are set up where the defaults don't suit a scenario.
+/// Options of a cluster's processes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClusterOptions {
     /// Slots of each executor. Default 8.
     pub slots: u32,
-    /// Tasks that may wait on each executor. Default 16.
+    /// Length limit of each executor's queue, in tasks. Default 16.
     pub queue_max: u32,
-    /// How long the log keeps records. Default one hour.
+    /// How long the platform's log retains records. Default one hour.
     pub retention_ms: Millis,
-    /// How far the host list lags. Default 0.
+    /// Delay until readers see a change of the host list. Default 0.
     pub host_list_lag_ms: Millis,
-    /// Settings of every entry process besides names and addresses.
+    /// Settings of every entry process; they are added to the names and addresses.
     pub entry_settings: Map<String, Value>,
-    /// Settings of every control process besides names and addresses.
+    /// Settings of every control process; they are added to the names and addresses.
     pub control_settings: Map<String, Value>,
 }
 
-/// Heartbeats faster than the default, so that peers know each other soon after a start.
+/// Interval of heartbeats. It is shorter than the default, so that peers discover each other soon
+/// after they start.
 const HEARTBEAT_MS: u64 = 100;
 
 impl Default for ClusterOptions {
@@ -55,7 +56,7 @@
 }
 
 impl ClusterOptions {
-    /// Sets how long the log keeps records, and tells the processes.
+    /// Sets how long the log retains records, for the platform and in the settings of the hosts.
     pub fn set_retention(&mut self, retention: Millis) {
         self.retention_ms = retention;
         let settings = [&mut self.entry_settings, &mut self.control_settings];
@@ -64,19 +65,20 @@
         }
     }
 
-    /// Sets the silence after which a peer is held to be gone, and what goes with it.
-    pub fn set_gone_after(&mut self, silence: Millis) {
+    /// Sets the time without heartbeats after which a peer counts as gone. The time until it is
+    /// suspected and the heartbeat interval are derived from it.
+    pub fn set_gone_after(&mut self, timeout: Millis) {
         const HEARTBEATS: u64 = 10;
         let settings = &mut self.control_settings;
-        settings.insert("gone_after_ms".into(), silence.0.into());
-        settings.insert("suspect_after_ms".into(), (silence.0 / 2).into());
+        settings.insert("gone_after_ms".into(), timeout.0.into());
+        settings.insert("suspect_after_ms".into(), (timeout.0 / 2).into());
         settings.insert(
             "heartbeat_ms".into(),
-            (silence.0 / HEARTBEATS).max(10).into(),
+            (timeout.0 / HEARTBEATS).max(10).into(),
         );
     }
 
-    /// Gets the platform's command line.
+    /// Returns the command-line arguments of the platform's stand-in.
     pub(super) fn platform(&self) -> Vec<String> {
         vec![
             format!("--retention-ms={}", self.retention_ms.0),
@@ -84,7 +86,7 @@
         ]
     }
 
-    /// Gets an executor's command line.
+    /// Returns the command-line arguments of an executor.
     pub(super) fn executor(&self, name: &str) -> Vec<String> {
         vec![
             format!("--name={name}"),
--- a/crates/onyxshed-proof/src/error.rs
+++ b/crates/onyxshed-proof/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of playing a scenario.
+//! Errors of test processes and scenarios.
 
 use std::io;
 
@@ -6,65 +6,65 @@
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// Why a scenario could not be played, or did not hold.
+/// Reason why a scenario or a test with real processes failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// A file or process of the test can't be used.
+    /// An operation on a file or process of the test failed.
     #[snafu(display("{what}: {source}"))]
     System {
-        /// What was tried.
+        /// The operation that was attempted.
         what: SmolStr,
-        /// The system's words.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A process did not come up.
-    #[snafu(display("{process} did not come up: {reason}"))]
+    /// A process is not ready: it printed no valid ready line, or it was killed.
+    #[snafu(display("process {process} is not ready: {reason}"))]
     NotReady {
-        /// The process.
+        /// Name of the process.
         process: SmolStr,
-        /// What was seen instead.
+        /// What was observed instead of the ready line.
         reason: SmolStr,
     },
-    /// A test's own call to a process brought no good answer.
+    /// A request of the test itself to one of its processes failed.
     #[snafu(display("{what}: {reason}"))]
     Call {
-        /// What was asked.
+        /// The request.
         what: SmolStr,
-        /// What came back.
+        /// The error, or the reply that was not accepted.
         reason: SmolStr,
     },
-    /// The script names something that does not exist.
-    #[snafu(display("{found:?} is no {kind} here; there are {allowed}"))]
+    /// A scenario refers to a host or an executor that does not exist.
+    #[snafu(display("no {kind} is named {found:?}; known names: {allowed}"))]
     NoSuch {
-        /// Kind of thing.
+        /// What the name was looked up as, such as `executor`.
         kind: &'static str,
-        /// The name as given.
+        /// The name that was not found.
         found: SmolStr,
-        /// The names that there are.
+        /// The existing names, separated by commas.
         allowed: SmolStr,
     },
-    /// Something awaited did not happen.
-    #[snafu(display("waited in vain until {what}"))]
+    /// A condition was not met in time.
+    #[snafu(display("timed out waiting for {what}"))]
     InVain {
-        /// What was awaited, with what was seen last.
+        /// The condition, and the state that was observed last.
         what: SmolStr,
     },
-    /// An expectation does not hold.
+    /// An expectation is not met.
     #[snafu(display("{what}"))]
     Unmet {
-        /// What was expected and what was found.
+        /// The expectation, and what was found instead.
         what: SmolStr,
     },
 }
 
 impl Error {
-    /// Makes an error for an expectation that does not hold.
+    /// Creates an error for an expectation that is not met.
     pub fn unmet(what: impl Into<SmolStr>) -> Self {
         Error::Unmet { what: what.into() }
     }
 
-    /// Makes an error for a test's own call.
+    /// Creates an error for a request of the test itself.
     pub fn call(what: impl Into<SmolStr>, reason: impl ToString) -> Self {
         Error::Call {
             what: what.into(),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Gets the numbered code.
+    /// Returns the result code that corresponds to the error.
     pub fn code(&self) -> ResultCode {
         match self {
             Error::System { .. } | Error::NotReady { .. } => ResultCode::ServiceFailed,
@@ -83,5 +83,5 @@
     }
 }
 
-/// Result of playing a scenario.
+/// Result of an operation of a test with real processes.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-proof/src/lib.rs
+++ b/crates/onyxshed-proof/src/lib.rs
@@ -1,10 +1,11 @@
-//! Proof by real processes and scripted scenarios.
+//! Whole-system tests with real processes and scripted scenarios.
 //!
-//! [`process`] starts binaries and sends them signals, [`cluster`] arranges entry hosts, executors
-//! and the platform's stand-in around the fault-injecting proxy, [`caller`] is a client, and
-//! [`scenario`] reads and plays the files in `scenarios/`. [`truth`] checks what must hold after
-//! every scenario against the starts that the executors recorded. [`zone`] serves tests that are no scenario. docs/SCENARIOS.md describes the
-//! language.
+//! [`process`] starts binaries and sends them signals, [`cluster`] connects entry hosts, executors
+//! and a stand-in for the platform through the fault-injecting proxy, [`caller`] is a client that
+//! submits jobs, and [`scenario`] parses and runs the files in `scenarios/`. After every scenario,
+//! [`truth`] checks the answers that callers received against the task starts that the executors
+//! recorded. [`zone`] contains helpers for tests that are not written as scenarios.
+//! docs/SCENARIOS.md describes the language.
 
 pub mod caller;
 pub mod cluster;
--- a/crates/onyxshed-proof/src/process.rs
+++ b/crates/onyxshed-proof/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a test: started, signalled, and ended by its id when dropped.
+//! One process of a test: starts it, sends it signals, and kills it when it is dropped.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -16,10 +16,10 @@
 
 use crate::error::{Error, Result, SystemSnafu};
 
-/// How long a process may take to print its ready line.
+/// Longest wait for a process's ready line.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Lines of a process's log that a failed test shows.
+/// Number of lines from the end of a process's log that are shown when a test fails.
 const LOG_TAIL_LINES: usize = 120;
 
 /// A running process.
@@ -33,14 +33,17 @@
 }
 
 impl Process {
-    /// Tries to start a binary that was built beside this test; its log goes into `folder`.
+    /// Starts a binary from the build folder of this test. Its standard error is appended to a log in
+    /// `folder`, and its ready line is read from its standard output.
     pub fn start(binary: &str, name: &str, arguments: &[String], folder: &Path) -> Result<Self> {
         let log = folder.join(format!("{name}.log"));
         let file = File::options()
             .create(true)
             .append(true)
             .open(&log)
-            .context(SystemSnafu { what: "open a log" })?;
+            .context(SystemSnafu {
+                what: "open the log file",
+            })?;
         let mut child = Command::new(find_binary(binary)?)
             .args(arguments)
             .stdin(Stdio::null())
@@ -60,7 +63,8 @@
         })
     }
 
-    /// Tries to start a binary that writes its log to standard output; it prints no ready line.
+    /// Starts a binary that logs to standard output and prints no ready line. Both of its outputs are
+    /// appended to a log in `folder`.
     pub fn start_logging(
         binary: &str,
         name: &str,
@@ -71,7 +75,9 @@
         let open = || {
             let mut options = File::options();
             let file = options.create(true).append(true).open(&log);
-            file.context(SystemSnafu { what: "open a log" })
+            file.context(SystemSnafu {
+                what: "open the log file",
+            })
         };
         let child = Command::new(find_binary(binary)?)
             .args(arguments)
@@ -91,87 +97,98 @@
         })
     }
 
-    /// Tells the process that its settings changed.
+    /// Sends SIGHUP, on which the process reloads its settings.
     pub fn hang_up(&self) -> Result<()> {
         self.signal(Signal::HUP)
     }
 
-    /// Waits for the ready line.
+    /// Waits for the ready line and stores the addresses that it contains.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no valid ready line is printed in time.
     pub fn wait_ready(&mut self) -> Result<()> {
         let line = self
             .ready
             .recv_timeout(READY_TIMEOUT)
-            .map_err(|_| self.not_ready_error("no ready line"))?;
+            .map_err(|_| self.not_ready_error("it printed no ready line in time"))?;
         let ready = serde_json::from_str(&line).map_err(|error| {
-            self.not_ready_error(&format!("{error} in {line:?}, log: {}", self.log_tail()))
+            self.not_ready_error(&format!(
+                "invalid ready line {line:?}: {error}, log: {}",
+                self.log_tail()
+            ))
         })?;
         self.addresses = Some(ready);
         Ok(())
     }
 
-    /// Gets one of the addresses that the ready line named.
+    /// Returns the address for a purpose, such as `http`, from the ready line.
     pub fn address(&self, purpose: &str) -> Result<SocketAddr> {
         let ready = self.addresses.as_ref();
         ready
             .and_then(|ready| ready.addresses.get(purpose).copied())
             .ok_or_else(|| {
-                self.not_ready_error(&format!("no address {purpose:?} in its ready line"))
+                self.not_ready_error(&format!("its ready line contains no address {purpose:?}"))
             })
     }
 
-    /// Gets the name that the test gave it.
+    /// Returns the name that the test gave to the process.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Gets the system's number for the process, which tells its runs apart.
+    /// Returns the process id. It differs between two starts of the same binary.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Kills the process at once and waits until it is gone.
+    /// Sends SIGKILL and waits until the process has exited.
     pub fn kill(&mut self) -> Result<()> {
         self.signal(Signal::KILL)?;
         let waited = self.child.wait();
-        waited.map(drop).context(SystemSnafu { what: "wait" })
+        waited.map(drop).context(SystemSnafu {
+            what: "wait for a process",
+        })
     }
 
-    /// Stops the process's clockwork without its knowing.
+    /// Suspends the process with SIGSTOP, which it can't notice or prevent.
     pub fn freeze(&self) -> Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process with SIGCONT.
     pub fn thaw(&self) -> Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Asks the process to stop gracefully.
+    /// Sends SIGTERM, on which the process drains and exits.
     pub fn ask_to_stop(&self) -> Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Asks the process to stop at once, whatever is in flight.
+    /// Sends SIGQUIT, on which the process exits without waiting for work in flight.
     pub fn ask_to_quit(&self) -> Result<()> {
         self.signal(Signal::QUIT)
     }
 
-    /// Gets how the process ended, none while it runs.
+    /// Returns the exit status, `None` while the process runs.
     pub fn ended(&mut self) -> Result<Option<ExitStatus>> {
-        self.child.try_wait().context(SystemSnafu { what: "wait" })
+        self.child.try_wait().context(SystemSnafu {
+            what: "wait for a process",
+        })
     }
 
-    /// Tells whether the process has taken notice that it is to stop, or has ended.
+    /// Returns whether the process has logged that it is draining, or has exited.
     pub fn is_stopping_or_ended(&mut self) -> Result<bool> {
         Ok(self.ended()?.is_some() || self.log().contains(EventKind::ProcessDraining.name()))
     }
 
-    /// Gets the process's log.
+    /// Returns the process's log, empty if it can't be read.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Gets the end of the process's log.
+    /// Returns the last lines of the process's log.
     pub fn log_tail(&self) -> String {
         let text = self.log();
         let lines: Vec<&str> = text.lines().collect();
@@ -181,7 +198,9 @@
     fn signal(&self, signal: Signal) -> Result<()> {
         kill_process(Pid::from_child(&self.child), signal)
             .map_err(std::io::Error::from)
-            .context(SystemSnafu { what: "signal" })
+            .context(SystemSnafu {
+                what: "signal a process",
+            })
     }
 
     fn not_ready_error(&self, reason: &str) -> Error {
@@ -199,7 +218,8 @@
     }
 }
 
-/// Reads the first line on a thread of its own, so that a silent process can't block the test.
+/// Reads the first line on a separate thread, so that a process that prints nothing can't block the
+/// test.
 fn read_first_line(stdout: Option<ChildStdout>) -> Receiver<String> {
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
@@ -207,14 +227,15 @@
         if let Some(stdout) = stdout
             && BufReader::new(stdout).read_line(&mut line).is_ok()
         {
-            // Nobody listens any more if the test has ended.
+            // The receiver is gone if the test has ended.
             let _ = sender.send(line);
         }
     });
     receiver
 }
 
-/// Finds a binary in the folder of this executable, or above it, where tests lie.
+/// Returns the path of a binary in the folder of the test executable or in its parent folder. If it
+/// is in neither, returns the bare name, which is then looked up in `PATH`.
 pub fn find_binary(binary: &str) -> Result<PathBuf> {
     let test = std::env::current_exe().context(SystemSnafu {
         what: "find the test executable",
--- a/crates/onyxshed-proof/src/remote.rs
+++ b/crates/onyxshed-proof/src/remote.rs
@@ -1,4 +1,4 @@
-//! The test's own calls: to stand-ins, to admin addresses.
+//! Requests of the test itself to stand-ins and admin addresses, and helpers for polling.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,16 +12,20 @@
 
 use crate::error::{Error, Result};
 
-/// How long a test's own call may take.
+/// Timeout of one request of the test itself.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long anything awaited may take; far more than it takes on a busy machine.
+/// Longest wait for any condition. It far exceeds the time that is needed on a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// Pause between looks at something awaited.
+/// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Calls and takes any answer of success.
+/// Sends a request and returns the reply's body.
+///
+/// # Errors
+///
+/// Fails if no reply is received or its status is not 2xx.
 pub async fn call(
     address: SocketAddr,
     method: Method,
@@ -41,13 +45,13 @@
     }
 }
 
-/// Gets a JSON document.
+/// Fetches and decodes a JSON document.
 pub async fn get<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Result<T> {
     let body = call(address, Method::Get, path, Vec::new()).await?;
     serde_json::from_slice(&body).map_err(|error| Error::call(path, error))
 }
 
-/// Sends a JSON document.
+/// Sends a JSON document and returns the reply's body.
 pub async fn send(
     address: SocketAddr,
     method: Method,
@@ -58,22 +62,22 @@
     call(address, method, path, body).await
 }
 
-/// Lets a moment pass before the next look at something awaited.
+/// Waits a moment before a condition is checked again.
 pub async fn pause() {
     Timer::after(POLL_INTERVAL).await;
 }
 
-/// What a look at something awaited brought.
+/// The result of checking a condition once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WaitState {
-    /// It is so.
+    /// The condition is met.
     Holds,
-    /// Not yet; this was seen instead.
+    /// The condition is not met; contains the state that was observed.
     NotYet(SmolStr),
 }
 
 impl WaitState {
-    /// Makes a look from a condition.
+    /// Returns `Holds` if `holds`, otherwise `NotYet` with the observed state.
     pub fn from_condition(holds: bool, observed: impl FnOnce() -> SmolStr) -> Self {
         match holds {
             true => WaitState::Holds,
--- a/crates/onyxshed-proof/src/scenario.rs
+++ b/crates/onyxshed-proof/src/scenario.rs
@@ -1,7 +1,7 @@
-//! The scenario language: one readable file a scenario.
+//! The scenario language, with one file for each scenario.
 //!
-//! [`parse`] reads a file into a [`Script`], and says with line and column what is wrong with a bad
-//! one; [`play`] runs it with real processes.
+//! [`parse`] parses a file into a [`Script`] and reports errors with line and column; [`play`] runs
+//! the script with real processes.
 
 pub mod ask;
 pub mod grammar;
--- a/crates/onyxshed-proof/src/scenario/ask.rs
+++ b/crates/onyxshed-proof/src/scenario/ask.rs
@@ -1,4 +1,4 @@
-//! The grammar of what is awaited and expected.
+//! The grammar of the conditions of `wait until` and the expectations of `expect`.
 
 use onyxshed_core::Outcome;
 use smol_str::SmolStr;
@@ -8,12 +8,12 @@
 use super::language::{AnswerKind, Condition, Expectation, HostScope, Jobs, StartCount};
 use super::words::{accept_word, expect_words, name, number, one_of};
 
-/// Takes what `wait until` waits for.
+/// Parses the condition after `wait until`.
 pub(super) fn condition(input: &mut &str) -> ModalResult<Condition> {
     if input.starts_with(|c: char| c.is_ascii_digit()) {
         return count_condition(input);
     }
-    // The first three are JOBS_WORDS.
+    // The first three words are those of `JOBS_WORDS`, in the same order.
     match one_of(
         input,
         &[
@@ -76,7 +76,7 @@
     }
 }
 
-/// Takes `everywhere` or `at entry a1`.
+/// Parses `everywhere` or `at entry a1`.
 fn scope(input: &mut &str) -> ModalResult<HostScope> {
     match one_of(input, &["everywhere", "at"])? {
         0 => Ok(HostScope::Everywhere),
@@ -87,7 +87,7 @@
     }
 }
 
-/// Takes what must hold.
+/// Parses the expectation after `expect`.
 pub(super) fn expectation(input: &mut &str) -> ModalResult<Expectation> {
     const SUBJECTS: &[&str] = &[
         "every", "no", "some", "a", "answer", "code", "class", "revision", "entry", "at",
--- a/crates/onyxshed-proof/src/scenario/grammar.rs
+++ b/crates/onyxshed-proof/src/scenario/grammar.rs
@@ -1,4 +1,4 @@
-//! The grammar of the statements that do something.
+//! The grammar of all statements, without the conditions and expectations.
 
 use onyxshed_core::Millis;
 use onyxshed_standins::faults::Mode;
@@ -18,7 +18,7 @@
     names_until, number, one_of, parse_word,
 };
 
-/// First words of all statements.
+/// The first words of all statements.
 const FIRST_WORDS: &[&str] = &[
     "given",
     "start",
@@ -51,7 +51,7 @@
     "expect",
 ];
 
-/// Takes one statement.
+/// Parses one statement.
 pub(super) fn statement(input: &mut &str) -> ModalResult<Step> {
     match FIRST_WORDS[one_of(input, FIRST_WORDS)?] {
         "given" => given(input).map(Step::Given),
@@ -151,13 +151,13 @@
     })
 }
 
-/// Takes `class fee within 5 s [may run twice] [from revision 2] [and lose the race]`.
+/// Parses `class fee within 5 s [may run twice] [from revision 2] [and lose the race]`.
 fn publication(input: &mut &str) -> ModalResult<Publication> {
     expect_words(input, "class")?;
     publication_after_class(input)
 }
 
-/// Takes what comes behind `class`.
+/// Parses a publication without its first word `class`.
 pub(super) fn publication_after_class(input: &mut &str) -> ModalResult<Publication> {
     let class = parse_word(input, "a class name")?;
     expect_words(input, "within")?;
@@ -186,7 +186,7 @@
     })
 }
 
-/// Takes what an operator is told, where it is not that the change is accepted.
+/// Parses the result of a publication after `and`, if the change is not accepted.
 fn publish_result(input: &mut &str) -> ModalResult<PublishResult> {
     match one_of(input, &["lose", "reach", "learn"])? {
         0 => expect_words(input, "the race").map(|()| PublishResult::Raced),
@@ -195,16 +195,17 @@
     }
 }
 
-/// Takes `job J1`, `jobs J1 to J9` or `every job`.
+/// Parses `job J1`, `jobs J1 to J9` or `every job`.
 pub(super) fn jobs(input: &mut &str) -> ModalResult<Jobs> {
     let keyword = one_of(input, JOBS_WORDS)?;
     jobs_after_keyword(input, keyword)
 }
 
-/// First words of what names jobs.
+/// The first words of the phrases that select jobs.
 const JOBS_WORDS: &[&str] = &["job", "jobs", "every"];
 
-/// Takes what comes behind one of [`JOBS_WORDS`].
+/// Parses the rest of a phrase that selects jobs. `keyword` is the index of its first word in
+/// `JOBS_WORDS`.
 pub(super) fn jobs_after_keyword(input: &mut &str, keyword: usize) -> ModalResult<Jobs> {
     match keyword {
         0 => Ok(Jobs::Named(vec![job(input)?.0])),
@@ -228,7 +229,8 @@
         .collect())
 }
 
-/// Takes a job's name: letters, the first a capital, and a number.
+/// Parses a job's name, which consists of letters, the first of them a capital, and a number. Returns
+/// the name, its letters and its number.
 fn job(input: &mut &str) -> ModalResult<(SmolStr, SmolStr, u32)> {
     const ALLOWED: &str = "a job's name such as J1";
     let checkpoint = input.checkpoint();
@@ -247,19 +249,19 @@
     }
 }
 
-/// Takes `to entry a1`.
+/// Parses `to entry a1`.
 fn to_entry(input: &mut &str) -> ModalResult<SmolStr> {
     expect_words(input, "to entry")?;
     name(input)
 }
 
-/// Takes `at entry a1`.
+/// Parses `at entry a1`.
 fn at_entry(input: &mut &str) -> ModalResult<SmolStr> {
     expect_words(input, "at entry")?;
     name(input)
 }
 
-/// Takes `to entry a1`, `to each of a1 b1` or `to a1 b1 in turn`.
+/// Parses `to entry a1`, `to each of a1 b1` or `to entries a1 b1 in turn`.
 fn receivers(input: &mut &str) -> ModalResult<Receivers> {
     expect_words(input, "to")?;
     match one_of(input, &["entry", "each", "entries"])? {
@@ -358,7 +360,7 @@
     Ok(Step::Network(Mode::Delay { delay_ms }, edge))
 }
 
-/// Takes `off answers after 10 bytes on …`.
+/// Parses `off answers after 10 bytes on …`.
 fn break_off(input: &mut &str) -> ModalResult<Step> {
     expect_words(input, "off answers after")?;
     let bytes = number(input)?;
@@ -464,7 +466,7 @@
     Ok(count)
 }
 
-/// Takes `a1 is listed` or `a1 is no longer listed`.
+/// Parses `a1 is listed` or `a1 is no longer listed`.
 fn list_host(input: &mut &str) -> ModalResult<Step> {
     let host = name(input)?;
     expect_words(input, "is")?;
--- a/crates/onyxshed-proof/src/scenario/language.rs
+++ b/crates/onyxshed-proof/src/scenario/language.rs
@@ -1,4 +1,4 @@
-//! The statements of the language.
+//! The statements of the scenario language as parsed values.
 
 use onyxshed_core::{ClassName, Millis, Offset, Outcome, Revision};
 use onyxshed_standins::faults::Mode;
@@ -6,117 +6,121 @@
 
 use crate::cluster::{Edge, ProcessKind, Topology};
 
-/// A scenario as read.
+/// A parsed scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Script {
-    /// Its statements in order.
+    /// The statements in the order of the file.
     pub lines: Vec<Line>,
 }
 
-/// One statement and where it stands.
+/// A statement and its line in the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line {
-    /// Number of the line, from 1.
+    /// Line number, counted from 1.
     pub number: usize,
     /// The line as written.
     pub text: SmolStr,
-    /// What it says.
+    /// The parsed statement.
     pub step: Step,
 }
 
 /// One statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// `given …`: sets up what the defaults don't suit.
+    /// `given …`: replaces a default of the cluster's options.
     Given(Setting),
-    /// `start …`: starts everything.
+    /// `start …`: starts the cluster.
     Start(Topology),
-    /// `publish …`: an operator's change.
+    /// `publish …`: publishes a class target with the operator's command.
     Publish(Publication),
-    /// `append …`: a change that an operator's command would not have sent.
+    /// `append …`: appends a change to the log that the operator's command would reject.
     Append(Publication),
-    /// `bind …`: makes a job's id one that only that entry host may start.
+    /// `bind …`: binds a job's id to an entry host, so that only this host may start the job.
     Bind(Jobs, SmolStr),
-    /// `submit …` and `resubmit …`.
+    /// `submit …` and `resubmit …`: submits jobs.
     Submit(Submit),
-    /// `cancel …`.
+    /// `cancel …`: cancels jobs at an entry host.
     Cancel(Jobs, SmolStr),
-    /// `fetch …`.
+    /// `fetch …`: fetches the answers of jobs from an entry host.
     Fetch(Jobs, SmolStr),
-    /// `wait until …`.
+    /// `wait until …`: waits until a condition is met.
     Wait(Condition),
-    /// `let … pass`: only where a fault's duration is the point.
+    /// `let … pass`: waits for a fixed time. Only meant for scenarios that depend on the duration of
+    /// a fault.
     Pass(Millis),
-    /// `kill`, `restart`, `freeze`, `thaw` and `stop`.
+    /// `kill`, `restart`, `freeze`, `thaw` and `stop`: controls processes.
     Signal(Action, Target),
-    /// `cut`, `hold`, `blackhole`, `stall`, `delay`, `drop answers on`, `break off`, `heal`.
+    /// `cut`, `hold`, `blackhole`, `stall`, `delay`, `drop answers on`, `break off` and `heal`: sets
+    /// what the proxy does with the connections of an edge.
     Network(Mode, Edge),
-    /// `platform …`.
+    /// `platform …`: sets the faults of the platform.
     Platform(PlatformFault),
-    /// `executor …`.
+    /// `executor …`: sets the faults or the state of an executor.
     Executor(SmolStr, ExecutorFault),
-    /// `host … is no longer listed` and `host … is listed`.
+    /// `host … is no longer listed` and `host … is listed`: removes a host from the host list or adds
+    /// it.
     ListHost(SmolStr, bool),
-    /// `note the starts of executor …`.
+    /// `note the starts of executor …`: stores the number of an executor's task starts for a later
+    /// expectation.
     Note(SmolStr),
-    /// `expect …`.
+    /// `expect …`: checks an expectation.
     Expect(Expectation),
 }
 
-/// What `given` sets.
+/// An option that `given` sets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Setting {
-    /// Slots of each executor.
+    /// Number of slots of each executor.
     Slots(u32),
-    /// Tasks that may wait on each executor.
+    /// Length limit of each executor's queue, in tasks.
     Queue(u32),
-    /// How long the log keeps records.
+    /// How long the platform's log retains records.
     Retention(Millis),
-    /// How far the host list lags.
+    /// Delay until readers see a change of the host list.
     HostListLag(Millis),
-    /// Oldest submission id taken.
+    /// Age limit of submission ids that entry hosts accept.
     Horizon(Millis),
-    /// Most that clocks differ.
+    /// Largest difference between clocks that entry hosts allow for.
     Skew(Millis),
-    /// How long a submission waits for its claim.
+    /// How long a submission waits for its claim to be decided.
     ClaimPatience(Millis),
-    /// Longest drain.
+    /// Longest duration of a drain.
     DrainTimeout(Millis),
-    /// Silence after which a peer is held to be gone.
+    /// Time without heartbeats after which a peer counts as gone.
     GoneAfter(Millis),
 }
 
-/// An operator's change.
+/// A class target that an operator publishes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Publication {
-    /// The class.
+    /// Name of the class.
     pub class: ClassName,
-    /// How soon its jobs must be finished.
+    /// Time within which jobs of the class must finish.
     pub within: Millis,
-    /// Whether its tasks may run twice.
+    /// Whether tasks of the class may run twice.
     pub may_run_twice: bool,
-    /// The revision that the operator saw; the one in force by the log if not said.
+    /// The revision on which the change is based, `None` for the current revision of the log.
     pub from: Option<Revision>,
-    /// What the operator is told.
+    /// The result that the command must report.
     pub told: PublishResult,
 }
 
-/// What an operator is told of a change.
+/// The result of a publication that the operator's command reports.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum PublishResult {
-    /// It is accepted.
+    /// The change was accepted.
     #[default]
     Accepted,
-    /// It lost a race.
+    /// Another change that is based on the same revision came first in the log.
     Raced,
-    /// The platform can't be reached; nothing was sent.
+    /// The platform can't be reached and nothing was sent.
     Unreachable,
-    /// Its fate is not known.
+    /// It is not known whether the change was accepted.
     Undecided,
 }
 
 impl PublishResult {
-    /// Gets the exit code that tells it.
+    /// Returns the exit code with which the command reports the result.
     pub fn exit_code(self) -> i32 {
         match self {
             PublishResult::Accepted => 0,
@@ -127,105 +131,105 @@
     }
 }
 
-/// Jobs that a statement is about.
+/// The jobs that a statement applies to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Jobs {
-    /// These.
+    /// The jobs with these names.
     Named(Vec<SmolStr>),
-    /// All that were submitted.
+    /// All jobs that were submitted so far.
     Every,
 }
 
-/// What `submit` sends, and `resubmit` sends again.
+/// The arguments of `submit` and `resubmit`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Submit {
-    /// The jobs.
+    /// The jobs to submit.
     pub jobs: Jobs,
-    /// What is sent.
+    /// The content to submit.
     pub content: Content,
-    /// Where to.
+    /// The entry hosts to submit to.
     pub to: Receivers,
-    /// Whether the caller submits again, when invited, until it is run.
+    /// Whether the caller submits again after "not run" and "unknown" answers, until the job is run.
     pub is_persistent: bool,
 }
 
 /// The content of a submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Content {
-    /// New.
+    /// A new job.
     New {
-        /// The class.
+        /// Name of the job's class.
         class: ClassName,
         /// Number of tasks.
         tasks: usize,
-        /// Service time of each.
+        /// Service time of each task.
         service: Millis,
-        /// A task that fails, counted from 1.
+        /// Number of the task that fails, counted from 1; `None` if all succeed.
         failing: Option<usize>,
-        /// A deadline sooner than the class's target.
+        /// A deadline that is shorter than the class's target, `None` to use the target.
         deadline: Option<Millis>,
     },
-    /// The same as before.
+    /// The content that was submitted before.
     Same,
-    /// Other content under the same id.
+    /// Different content under the id that was submitted before.
     Other,
 }
 
-/// Entry hosts that get a submission.
+/// The entry hosts to which jobs are submitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Receivers {
-    /// Each of them gets each job, at the same time.
+    /// Each job is submitted to all of these hosts at the same time.
     Each(Vec<SmolStr>),
-    /// They take turns.
+    /// Each job is submitted to one of these hosts, in rotation.
     InTurn(Vec<SmolStr>),
 }
 
-/// What `wait until` waits for.
+/// A condition of `wait until`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
-    /// That many tasks of the jobs have started, at least.
+    /// At least this many task starts of the jobs were recorded.
     Started(usize, Jobs),
-    /// All copies of the jobs, of that entry host if named, are answered or lost.
+    /// All requests for the jobs have a result; if a host is given, all requests to that host.
     Answered(Jobs, Option<SmolStr>),
-    /// The revision, or a later one, is in force.
+    /// This revision of the configuration, or a later one, is in force.
     InForce(Revision, HostScope),
-    /// The entry process has ended.
+    /// The entry process of the host has exited.
     Ended(SmolStr),
-    /// The entry process can read the claims in the log.
+    /// The entry process has read the claims in the log.
     ReadsLog(HostScope),
-    /// The executors of its zone are known to the entry process.
+    /// The entry process knows at least one executor.
     KnowsExecutors(HostScope),
-    /// The entry process holds all other hosts whose entry runs to be live.
+    /// The entry process counts every other host whose entry process was not killed as live.
     KnowsPeers(HostScope),
-    /// The platform has taken that many appends to a stream, at least.
+    /// The platform has accepted at least this many appends to a stream.
     Appended(u64, SmolStr),
 }
 
-/// Entry hosts where something holds.
+/// The entry hosts at which a condition or an expectation is checked.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HostScope {
-    /// On all whose entry process runs.
+    /// All hosts whose entry process was not killed.
     Everywhere,
-    /// On that one.
+    /// One host.
     At(SmolStr),
 }
 
-/// What is done to a process.
+/// An action on a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// SIGKILL.
+    /// Sends SIGKILL and waits until the process has exited.
     Kill,
-    /// Starts it anew; as its old self if it still runs it is killed first.
+    /// Starts the process again with the same name; the old process is killed if it still runs.
     Restart,
-    /// SIGSTOP.
+    /// Suspends the process with SIGSTOP.
     Freeze,
-    /// SIGCONT.
+    /// Resumes the process with SIGCONT.
     Thaw,
-    /// SIGTERM.
+    /// Sends SIGTERM and, for processes of entry hosts, waits until they drain or have exited.
     Stop,
 }
 
-/// Processes that something is done to.
+/// The processes that an action applies to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
     /// One process of an entry host.
@@ -234,105 +238,107 @@
     Host(SmolStr),
     /// Both processes of all entry hosts.
     EveryHost,
-    /// An executor.
+    /// The process of an executor.
     Executor(SmolStr),
 }
 
-/// What the platform does.
+/// A fault of the platform, or its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformFault {
     /// Closes every connection without an answer.
     DownRefusing,
-    /// Never answers.
+    /// Accepts connections but never answers.
     DownHanging,
-    /// Works again.
+    /// Ends all faults.
     Back,
-    /// Loses the answers of the next appends after they took effect.
+    /// Executes this many of the next appends but loses their answers.
     LosesAnswers(u32),
-    /// Drops the next appends without effect and without an answer.
+    /// Drops this many of the next appends without effect and without an answer.
     DropsAppends(u32),
-    /// Answers every call that much later.
+    /// Delays every answer by this time.
     Slow(Millis),
-    /// Answers every call with an error.
+    /// Answers every call with this HTTP status.
     Status(u16),
-    /// Shows the state of this moment to readers.
+    /// Shows readers the state as it is now and hides all later appends.
     OutOfDate,
-    /// Forgets a stream's records before an offset.
+    /// Deletes a stream's records before this offset.
     Forgets(SmolStr, Offset),
 }
 
-/// What an executor does.
+/// A fault of an executor, or a change of its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutorFault {
-    /// Runs tasks but answers nothing.
+    /// Runs tasks but sends no answers.
     Silent,
-    /// Fails every task at once.
+    /// Fails every task immediately.
     FailsAll,
-    /// Refuses every task.
+    /// Rejects every task before it starts.
     RefusesAll,
-    /// Is that many times slower.
+    /// Multiplies service times by this factor.
     Slows(u32),
-    /// Answers that much later.
+    /// Delays every answer by this time.
     Late(Millis),
-    /// Answers with another task's id.
+    /// Answers with the id of another task.
     Foreign,
-    /// Breaks its answers off in the body.
+    /// Closes the connection in the middle of an answer's body.
     BreaksOff,
-    /// Works well again.
+    /// Ends all faults.
     Recovers,
-    /// Says in its answers that it is leaving.
+    /// Reports in its answers that it is leaving.
     Drains,
-    /// Is shown as leaving in the host list.
+    /// Is marked as leaving in the host list.
     ListedLeaving,
-    /// Is left out of the host list.
+    /// Is removed from the host list.
     Unlisted,
 }
 
-/// An answer as a caller hears it.
+/// A kind of result that a caller's request can have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
     /// An answer with this outcome.
     Outcome(Outcome),
-    /// The connection broke without an answer.
+    /// The request failed without an answer.
     Lost,
-    /// No connection came about, and nothing was sent.
+    /// The request failed before any of it was sent, for example because the connection was refused.
     Unreached,
 }
 
-/// How often a task may have started.
+/// The number of starts of a task that an expectation allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartCount {
-    /// Never or once.
+    /// No start or one start.
     AtMostOnce,
-    /// Once.
+    /// One start.
     ExactlyOnce,
 }
 
-/// What must hold.
+/// An expectation of `expect`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Expectation {
-    /// Every task of the jobs started so often.
+    /// The number of starts of every task of the jobs is allowed.
     EveryTask(Jobs, StartCount),
     /// No task of the jobs started.
     NoTask(Jobs),
-    /// Some task of the jobs started.
+    /// At least one task of the jobs started.
     SomeTask(Jobs),
-    /// Every answer to the jobs, of that entry host if named, is one of these.
+    /// Every result of the requests for the jobs is of one of these kinds; if a host is given, every
+    /// result from that host.
     Answers(Jobs, Option<SmolStr>, Vec<AnswerKind>),
-    /// Every answer to the jobs, of that entry host if named, has one of these codes.
+    /// Every answer to the requests for the jobs has one of these result codes; if a host is given,
+    /// every answer from that host.
     Codes(Jobs, Option<SmolStr>, Vec<u16>),
-    /// Some answer to the jobs is one of these.
+    /// At least one result of the requests for the jobs is of one of these kinds.
     SomeAnswer(Jobs, Vec<AnswerKind>),
-    /// The class's target is in force.
+    /// The log's configuration contains the class target, and its revision is in force.
     Target(Publication, HostScope),
-    /// Just that revision is in force.
+    /// Exactly this revision of the configuration is in force.
     Revision(Revision, HostScope),
-    /// The entry process ended with that exit code.
+    /// The entry process of the host exited with this code.
     ExitCode(SmolStr, i32),
-    /// The executor started nothing since its starts were noted.
+    /// The executor started no task since `note the starts`.
     NoNewStart(SmolStr),
-    /// The executor started something since its starts were noted.
+    /// The executor started at least one task since `note the starts`.
     NewStart(SmolStr),
-    /// The platform has taken at most that many appends to a stream.
+    /// The platform has accepted at most this many appends to a stream.
     AppendsAtMost(u64, SmolStr),
 }
--- a/crates/onyxshed-proof/src/scenario/parse.rs
+++ b/crates/onyxshed-proof/src/scenario/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a scenario, line by line.
+//! Parses a scenario line by line.
 
 use std::fmt;
 
@@ -10,16 +10,16 @@
 use super::grammar::statement;
 use super::language::{Line, Script};
 
-/// What is wrong with a scenario.
+/// A syntax error in a scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScriptError {
-    /// The line, from 1.
+    /// Line number, counted from 1.
     pub line: usize,
-    /// The column, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
-    /// What stands there.
+    /// The word at this position in quotes, or `the end of the line`.
     pub found: String,
-    /// What is allowed there.
+    /// The words or phrases that are allowed at this position, separated by commas.
     pub allowed: String,
 }
 
@@ -40,7 +40,11 @@
 
 impl std::error::Error for ScriptError {}
 
-/// Tries to read a scenario; empty lines and those that begin with `#` are left out.
+/// Parses a scenario. Empty lines and lines that begin with `#` are ignored.
+///
+/// # Errors
+///
+/// Fails at the first line that is not a valid statement.
 pub fn parse(text: &str) -> Result<Script, ScriptError> {
     let mut lines = Vec::new();
     for (number, text) in (1..).zip(text.lines()) {
--- a/crates/onyxshed-proof/src/scenario/play.rs
+++ b/crates/onyxshed-proof/src/scenario/play.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario with real processes.
+//! Runs a scenario with real processes.
 
 use std::fmt;
 use std::rc::Rc;
@@ -8,14 +8,14 @@
 use super::language::{Line, Script};
 use super::world::ScenarioRun;
 
-/// Where and why a scenario does not hold, with what was seen.
+/// The failure of a scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Failure {
-    /// The statement, or `at the end` for what always must hold.
+    /// The statement that failed, or `at the end` if one of the checks of [`crate::truth`] failed.
     pub at: String,
-    /// Why.
+    /// The reason of the failure.
     pub reason: String,
-    /// The jobs with what was heard, and the ends of the logs.
+    /// The jobs with the results of their requests, and the last lines of the logs.
     pub seen: String,
 }
 
@@ -28,7 +28,12 @@
 
 impl std::error::Error for Failure {}
 
-/// Plays a script to its end and checks what always must hold.
+/// Executes all statements of a script, and then checks the answers of all jobs against the recorded
+/// starts.
+///
+/// # Errors
+///
+/// Fails at the first statement or check that fails.
 pub fn play(script: &Script) -> Result<(), Failure> {
     let executor = Rc::new(LocalExecutor::new());
     let mut scenario = ScenarioRun::new(executor.clone());
--- a/crates/onyxshed-proof/src/scenario/steps.rs
+++ b/crates/onyxshed-proof/src/scenario/steps.rs
@@ -1,4 +1,4 @@
-//! Carries statements out.
+//! Execution of statements.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -23,11 +23,11 @@
 };
 use super::world::ScenarioRun;
 
-/// Time between two looks whether a process has taken notice of a signal.
+/// Time between two checks whether a process has reacted to SIGTERM.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl ScenarioRun {
-    /// Carries out one statement.
+    /// Executes one statement.
     pub async fn play(&mut self, step: &Step) -> Result<()> {
         match step {
             Step::Given(setting) => {
@@ -185,7 +185,8 @@
     }
 }
 
-/// Entry first: its control process dials it.
+/// Both processes of an entry host. The entry process comes first because the control process
+/// connects to it.
 const BOTH_PROCESSES: &[ProcessKind] = &[ProcessKind::Entry, ProcessKind::Control];
 
 async fn signal_processes(
@@ -217,8 +218,8 @@
     Ok(())
 }
 
-/// Waits until processes have taken notice that they are to stop: a signal is on its way for a while
-/// on a busy machine, and what comes before it is taken is served as if there were none.
+/// Waits until processes drain or have exited. On a busy machine some time passes before a process
+/// handles the signal, and requests that arrive before that are served as usual.
 async fn wait_until_stopping(
     cluster: &mut Cluster,
     process_kinds: &[ProcessKind],
@@ -233,7 +234,7 @@
                 .is_stopping_or_ended()?
             {
                 if Instant::now() >= deadline {
-                    return Err(Error::unmet("a process that was told to stop goes on"));
+                    return Err(Error::unmet("a process did not react to SIGTERM in time"));
                 }
                 Timer::after(STOP_POLL_INTERVAL).await;
             }
@@ -249,11 +250,11 @@
         Action::Thaw => process.thaw(),
         Action::Stop => process.ask_to_stop(),
         Action::Kill => process.kill(),
-        Action::Restart => Err(Error::unmet("an executor that died does not come back")),
+        Action::Restart => Err(Error::unmet("executors can't be restarted")),
     }
 }
 
-/// Makes the target that a publication stands for.
+/// Creates the class target of a publication.
 pub(super) fn class_target(publication: &Publication) -> Result<ClassTarget> {
     let upstream = UPSTREAM.parse();
     Ok(ClassTarget {
--- a/crates/onyxshed-proof/src/scenario/verdicts.rs
+++ b/crates/onyxshed-proof/src/scenario/verdicts.rs
@@ -1,4 +1,4 @@
-//! Waits for conditions and judges expectations.
+//! Waiting for conditions and checking expectations.
 
 use std::time::Instant;
 
@@ -21,7 +21,7 @@
 use super::world::ScenarioRun;
 
 impl ScenarioRun {
-    /// Waits until something is so.
+    /// Waits until a condition is met.
     pub(super) async fn wait(&mut self, condition: &Condition) -> Result<()> {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
@@ -41,7 +41,7 @@
             Condition::Started(count, jobs) => {
                 let found = self.count_starts(jobs)?;
                 Ok(WaitState::from_condition(found >= *count, || {
-                    format_smolstr!("{found} started")
+                    format_smolstr!("{found} tasks started")
                 }))
             }
             Condition::Answered(jobs, from) => self.check_answered(jobs, from.as_ref()),
@@ -50,7 +50,7 @@
                 let process = self.cluster()?.host(host)?.process(ProcessKind::Entry)?;
                 let has_ended = process.ended()?.is_some();
                 Ok(WaitState::from_condition(has_ended, || {
-                    "it still runs".into()
+                    "the process still runs".into()
                 }))
             }
             Condition::ReadsLog(scope) => self.check_log_read(scope).await,
@@ -59,7 +59,7 @@
             Condition::Appended(count, stream) => {
                 let found = self.append_count(stream).await?;
                 Ok(WaitState::from_condition(found >= *count, || {
-                    format_smolstr!("{found} taken")
+                    format_smolstr!("{found} appends accepted")
                 }))
             }
         }
@@ -71,7 +71,7 @@
             let unanswered = requests.find(|request| request.exchange.borrow().result.is_none());
             if let Some(request) = unanswered {
                 return Ok(WaitState::NotYet(format_smolstr!(
-                    "{name} awaits its answer from {}",
+                    "{name} has no answer from {}",
                     request.host
                 )));
             }
@@ -82,7 +82,9 @@
     async fn check_in_force(&mut self, minimum: Revision, scope: &HostScope) -> Result<WaitState> {
         for (host, found) in self.revisions(scope).await? {
             if found.is_none_or(|found| found < minimum) {
-                return Ok(WaitState::NotYet(format_smolstr!("{host} has {found:?}")));
+                return Ok(WaitState::NotYet(format_smolstr!(
+                    "{host} has revision {found:?}"
+                )));
             }
         }
         Ok(WaitState::Holds)
@@ -91,7 +93,9 @@
     async fn check_log_read(&mut self, scope: &HostScope) -> Result<WaitState> {
         for (host, status) in self.statuses(scope).await? {
             if status.details["is_log_read"] != true {
-                return Ok(WaitState::NotYet(format_smolstr!("{host} can't read them")));
+                return Ok(WaitState::NotYet(format_smolstr!(
+                    "{host} has not read the claims in the log"
+                )));
             }
         }
         Ok(WaitState::Holds)
@@ -100,7 +104,9 @@
     async fn check_known_executors(&mut self, scope: &HostScope) -> Result<WaitState> {
         for (host, status) in self.statuses(scope).await? {
             if status.details["executors"].as_u64().unwrap_or_default() == 0 {
-                return Ok(WaitState::NotYet(format_smolstr!("{host} knows none")));
+                return Ok(WaitState::NotYet(format_smolstr!(
+                    "{host} knows no executor"
+                )));
             }
         }
         Ok(WaitState::Holds)
@@ -112,13 +118,16 @@
         for (host, status) in self.statuses(scope).await? {
             let found = status.details["live_peers"].as_u64().unwrap_or_default();
             if found + 1 < running {
-                return Ok(WaitState::NotYet(format_smolstr!("{host} knows {found}")));
+                return Ok(WaitState::NotYet(format_smolstr!(
+                    "{host} knows {found} live peers"
+                )));
             }
         }
         Ok(WaitState::Holds)
     }
 
-    /// Judges an expectation; answers are waited for, everything else must hold now.
+    /// Checks an expectation. An expectation about answers waits until all of them were received; all
+    /// others must be met immediately.
     pub(super) async fn expect(&mut self, expectation: &Expectation) -> Result<()> {
         match expectation {
             Expectation::EveryTask(jobs, times) => self.expect_every_task(jobs, *times),
@@ -165,7 +174,9 @@
             }
             Expectation::AppendsAtMost(maximum, stream) => {
                 let found = self.append_count(stream).await?;
-                ensure(found <= *maximum, || format_smolstr!("{found} appends"))
+                ensure(found <= *maximum, || {
+                    format_smolstr!("{found} appends to {stream} accepted")
+                })
             }
         }
     }
@@ -194,16 +205,19 @@
         is_allowed: impl Fn(&CallResult) -> bool,
     ) -> Result<()> {
         let answers = self.answers(jobs, from).await?;
-        ensure(!answers.is_empty(), || "nothing was asked".into())?;
+        ensure(!answers.is_empty(), || {
+            "no request was sent for the jobs".into()
+        })?;
         for (name, result) in &answers {
             ensure(is_allowed(result), || {
-                format_smolstr!("{name} heard {result}")
+                format_smolstr!("the result of {name} is {result}")
             })?;
         }
         Ok(())
     }
 
-    /// Waits for all answers and gets them.
+    /// Waits until all requests for the jobs have a result, and returns the results with the names of
+    /// the jobs.
     async fn answers(
         &mut self,
         jobs: &Jobs,
@@ -227,7 +241,7 @@
         let fold = self.cluster()?.read_config().await?;
         let found = fold.config().classes.get(&expected.class);
         ensure(found == Some(&expected), || {
-            format_smolstr!("the log makes it {found:?}")
+            format_smolstr!("the class target in the log is {found:?}")
         })?;
         self.expect_revision(fold.config().revision, scope).await
     }
@@ -241,14 +255,14 @@
         Ok(())
     }
 
-    /// Gets the revision in force at each entry process that runs.
+    /// Returns the revision in force at each entry process that was not killed.
     async fn revisions(&mut self, scope: &HostScope) -> Result<Vec<(SmolStr, Option<Revision>)>> {
         let statuses = self.statuses(scope).await?;
         let revision_of = |(host, status): (SmolStr, Status)| (host, status.config_revision);
         Ok(statuses.into_iter().map(revision_of).collect())
     }
 
-    /// Gets the status of each entry process that runs.
+    /// Returns the status of each entry process that was not killed.
     async fn statuses(&mut self, scope: &HostScope) -> Result<Vec<(SmolStr, Status)>> {
         let cluster = self.cluster()?;
         let hosts = match scope {
@@ -271,7 +285,7 @@
         let ended = process.ended()?;
         let code = ended.and_then(|status| status.code());
         ensure(code == Some(expected), || {
-            format_smolstr!("it ended with {ended:?}")
+            format_smolstr!("the entry process of {host} ended with {ended:?}")
         })
     }
 
@@ -289,7 +303,7 @@
         Ok(started.sum())
     }
 
-    /// Gets how many appends to a stream the platform has taken.
+    /// Returns how many appends to a stream the platform has accepted.
     async fn append_count(&mut self, stream: &str) -> Result<u64> {
         let address = self.cluster()?.platform_address()?;
         let counts: Counts = get(address, "/control/counts").await?;
--- a/crates/onyxshed-proof/src/scenario/words.rs
+++ b/crates/onyxshed-proof/src/scenario/words.rs
@@ -1,4 +1,4 @@
-//! Words, numbers and names: what every statement is made of.
+//! Parsers for words, numbers and names, of which all statements consist.
 
 use std::str::FromStr;
 
@@ -11,12 +11,12 @@
 use winnow::stream::Stream;
 use winnow::token::take_while;
 
-/// Takes one word and the space behind it.
+/// Parses one word and the space after it.
 pub(super) fn word<'s>(input: &mut &'s str) -> ModalResult<&'s str> {
     terminated(take_while(1.., |c: char| !c.is_whitespace()), space0).parse_next(input)
 }
 
-/// Makes the error that says what was allowed where the input stands.
+/// Fails with an error that lists the words allowed at the current position.
 pub(super) fn fail_expected<T>(input: &mut &str, allowed: &[&'static str]) -> ModalResult<T> {
     let checkpoint = input.checkpoint();
     let mut error = ContextError::from_input(input);
@@ -27,7 +27,7 @@
     Err(ErrMode::Cut(error))
 }
 
-/// Makes the error that describes what was allowed where the input stands.
+/// Fails with an error that describes the input allowed at the current position.
 pub(super) fn fail_described<T>(input: &mut &str, allowed: &'static str) -> ModalResult<T> {
     let checkpoint = input.checkpoint();
     let context = StrContext::Expected(StrContextValue::Description(allowed));
@@ -35,7 +35,7 @@
     Err(ErrMode::Cut(error.add_context(input, &checkpoint, context)))
 }
 
-/// Takes one of several words and gets its place among them.
+/// Parses one of several words and returns its index among them.
 pub(super) fn one_of(input: &mut &str, allowed: &[&'static str]) -> ModalResult<usize> {
     let checkpoint = input.checkpoint();
     let found = word(input).unwrap_or_default();
@@ -48,7 +48,7 @@
     }
 }
 
-/// Takes words that must come now.
+/// Parses the given words, which must follow.
 pub(super) fn expect_words(input: &mut &str, words: &'static str) -> ModalResult<()> {
     for word in words.split(' ') {
         one_of(input, &[word])?;
@@ -56,7 +56,7 @@
     Ok(())
 }
 
-/// Takes a word if it comes now.
+/// Parses the given word if it follows. Returns whether it did.
 pub(super) fn accept_word(input: &mut &str, allowed: &'static str) -> bool {
     let checkpoint = input.checkpoint();
     if word(input) == Ok(allowed) {
@@ -66,7 +66,7 @@
     false
 }
 
-/// Takes a word that can be read as a type.
+/// Parses one word as a value of type `T`. `allowed` describes valid input in the error.
 pub(super) fn parse_word<T: FromStr>(input: &mut &str, allowed: &'static str) -> ModalResult<T> {
     let checkpoint = input.checkpoint();
     let found = word(input).unwrap_or_default();
@@ -79,19 +79,19 @@
     }
 }
 
-/// Takes a whole number.
+/// Parses a whole number.
 pub(super) fn number<T: FromStr>(input: &mut &str) -> ModalResult<T> {
     parse_word(input, "a whole number")
 }
 
-/// Takes a span such as `300 ms` or `2 s`.
+/// Parses a duration such as `300 ms` or `2 s`.
 pub(super) fn duration(input: &mut &str) -> ModalResult<Millis> {
     let count: u64 = number(input)?;
     let unit = one_of(input, &["ms", "s"])?;
     Ok(Millis([1, 1_000][unit] * count))
 }
 
-/// Takes the name of a machine or zone.
+/// Parses the name of a host, an executor or a zone.
 pub(super) fn name(input: &mut &str) -> ModalResult<SmolStr> {
     let checkpoint = input.checkpoint();
     let found = word(input).unwrap_or_default();
@@ -106,7 +106,7 @@
     fail_described(input, "a name such as a1 or xa1")
 }
 
-/// Takes names up to a word that ends them.
+/// Parses names up to and including the word `end`.
 pub(super) fn names_until(input: &mut &str, end: &'static str) -> ModalResult<Vec<SmolStr>> {
     let mut names = vec![name(input)?];
     while !accept_word(input, end) {
@@ -115,7 +115,7 @@
     Ok(names)
 }
 
-/// Takes names up to the line's end or the word `until`.
+/// Parses names up to the end of the line or the word `until`.
 pub(super) fn names_to_end(input: &mut &str) -> ModalResult<Vec<SmolStr>> {
     let mut names = vec![name(input)?];
     while !input.is_empty() && !input.starts_with("until") {
--- a/crates/onyxshed-proof/src/scenario/world.rs
+++ b/crates/onyxshed-proof/src/scenario/world.rs
@@ -1,4 +1,4 @@
-//! What a running scenario knows: the cluster, the jobs and what was heard.
+//! The state of a running scenario: the cluster, the jobs and the results of their requests.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,36 +19,38 @@
 
 use super::language::{Content, Jobs};
 
-/// What is sent for a job, from where it was answered.
+/// A request that was sent for a job.
 #[derive(Debug)]
 pub struct Request {
-    /// The entry host asked.
+    /// Name of the entry host that received the request.
     pub host: SmolStr,
-    /// Whether it carried the job's own content; answers to other content prove nothing of the job.
+    /// Whether the request carried the job's own content. Answers to different content say nothing
+    /// about the job.
     pub is_own: bool,
-    /// When it was sent, and what was heard.
+    /// The time of the request, and its result.
     pub exchange: Rc<RefCell<Exchange>>,
 }
 
-/// One job.
+/// A job of a scenario.
 #[derive(Debug)]
 pub struct Job {
-    /// What its callers send.
+    /// The submission that callers of the job send.
     pub submission: Submission,
-    /// The expected results.
+    /// The expected result of each task.
     pub results: Vec<Vec<u8>>,
-    /// Every request about it.
+    /// All requests that were sent for the job.
     pub requests: Vec<Request>,
 }
 
 impl Job {
-    /// Gets its copies, or those that were sent to one entry host.
+    /// Returns the requests that were sent for the job; if a host is given, those to that host.
     pub fn requests_to(&self, host: Option<&SmolStr>) -> impl Iterator<Item = &Request> {
         let is_meant = move |request: &&Request| host.is_none_or(|host| *host == request.host);
         self.requests.iter().filter(is_meant)
     }
 
-    /// Gets what a truthful caller says of the request it sends next.
+    /// Returns the mark that an honest caller sets on the next copy of the submission, given the
+    /// results of all earlier requests.
     pub fn next_copy_mark(&self) -> CopyMark {
         let is_settled = |request: &Request| {
             let exchange = request.exchange.borrow();
@@ -74,7 +76,7 @@
 }
 
 impl ScenarioRun {
-    /// Makes a world in which nothing runs yet.
+    /// Creates the state of a scenario whose cluster is not started.
     pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
         ScenarioRun {
             executor,
@@ -86,24 +88,28 @@
         }
     }
 
-    /// Starts everything.
+    /// Starts the cluster.
     pub async fn start(&mut self, topology: &Topology) -> Result<()> {
         self.cluster = Some(Cluster::start(topology, self.options.clone()).await?);
         Ok(())
     }
 
-    /// Gets the cluster.
+    /// Returns the cluster.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the cluster is not started.
     pub fn cluster(&mut self) -> Result<&mut Cluster> {
-        let missing = || Error::unmet("nothing runs yet: `start` comes first");
+        let missing = || Error::unmet("the cluster is not started; `start` must come first");
         self.cluster.as_mut().ok_or_else(missing)
     }
 
-    /// Gets the end of every process's log.
+    /// Returns the last lines of every process's log.
     pub fn logs(&self) -> String {
         self.cluster.as_ref().map(Cluster::logs).unwrap_or_default()
     }
 
-    /// Gets the names of jobs.
+    /// Returns the names of the selected jobs.
     pub fn job_names(&self, jobs: &Jobs) -> Vec<SmolStr> {
         match jobs {
             Jobs::Named(names) => names.clone(),
@@ -111,13 +117,17 @@
         }
     }
 
-    /// Gets a job that was submitted.
+    /// Returns the submitted job with this name.
     pub fn job(&self, name: &SmolStr) -> Result<&Job> {
         let missing = || Error::unmet(format_smolstr!("{name} was not submitted"));
         self.jobs.get(name).ok_or_else(missing)
     }
 
-    /// Gets the jobs that were submitted.
+    /// Returns the selected jobs with their names.
+    ///
+    /// # Errors
+    ///
+    /// Fails if one of them was not submitted.
     pub fn jobs(&self, jobs: &Jobs) -> Result<Vec<(SmolStr, &Job)>> {
         let names = self.job_names(jobs).into_iter();
         names
@@ -125,7 +135,7 @@
             .collect()
     }
 
-    /// Learns an entry host's incarnation and binds a job's id to it.
+    /// Asks an entry host for its incarnation, and binds the id of a job that is submitted later to it.
     pub async fn bind(&mut self, name: SmolStr, host: &str) -> Result<()> {
         let address = self.cluster()?.host(host)?.caller_address()?;
         let path = format!("{JOBS_PATH}/{}", SubmissionId::unbound(Ulid::generate()));
@@ -137,15 +147,16 @@
             crate::remote::WAIT_TIMEOUT,
         )
         .await
-        .map_err(|error| Error::call("learn an incarnation", error))?;
+        .map_err(|error| Error::call("fetch an incarnation", error))?;
         let answer = Answer::decode(&reply.body).map_err(|error| Error::call("bind", error))?;
         let bind_to = answer.bind_to;
-        let incarnation = bind_to.ok_or_else(|| Error::call("bind", "the answer names none"))?;
+        let incarnation =
+            bind_to.ok_or_else(|| Error::call("bind", "the answer contains no incarnation"))?;
         self.bound_incarnations.insert(name, incarnation);
         Ok(())
     }
 
-    /// Makes a job unless it is there, and gets what to send for it.
+    /// Returns the submission to send for a job. Creates the job if the content is new.
     pub fn submission(&mut self, name: &SmolStr, content: &Content) -> Result<Submission> {
         match content {
             Content::Same => Ok(self.job(name)?.submission.clone()),
@@ -173,7 +184,7 @@
         }
     }
 
-    /// Begins a request; what is heard is noted when it comes.
+    /// Starts a request for a job. Its result is stored in the job when it is received.
     pub fn send_request<F>(
         &mut self,
         name: &SmolStr,
@@ -203,12 +214,12 @@
         Ok(())
     }
 
-    /// Gets every start on every executor.
+    /// Returns the task starts of all executors.
     pub fn starts(&mut self) -> Result<Starts> {
         Ok(Starts::new(self.cluster()?.starts()))
     }
 
-    /// Checks what must hold of every job.
+    /// Checks the answers of every job against the recorded starts.
     pub fn check_invariants(&mut self) -> Result<()> {
         if self.cluster.is_none() {
             return Ok(());
@@ -219,7 +230,8 @@
             .try_for_each(|job| check(&self.facts(job), &starts))
     }
 
-    /// Describes every job with what was heard.
+    /// Describes every job with the times and results of its requests, to be shown when a scenario
+    /// fails.
     pub fn describe_jobs(&self) -> String {
         let mut text = String::new();
         for (name, job) in &self.jobs {
@@ -270,7 +282,7 @@
             echo: Some(echo.clone()),
             result_bytes: None,
         };
-        payloads.push(serde_json::to_vec(&payload).expect("a payload is plain JSON"));
+        payloads.push(serde_json::to_vec(&payload).expect("a payload can be serialized as JSON"));
         results.push(echo.into_bytes());
     }
     let submission = Submission {
--- a/crates/onyxshed-proof/src/truth.rs
+++ b/crates/onyxshed-proof/src/truth.rs
@@ -1,7 +1,7 @@
-//! What must hold after every scenario, whatever else it expects.
+//! Checks that are applied after every scenario, in addition to its own expectations.
 //!
-//! Starts are counted where they happen, on the executors; what callers heard is held against that
-//! record and never against the system's own books.
+//! The answers that callers received are compared with the task starts that the executors recorded,
+//! and never with records of the system under test.
 
 use std::collections::BTreeMap;
 
@@ -13,36 +13,36 @@
 use crate::caller::{CallResult, TimedCallResult};
 use crate::error::{Error, Result};
 
-/// One request for a job and what was heard.
+/// A request for a job and its result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Exchange {
-    /// When it was sent, on the wall clock that executors stamp starts with.
+    /// Time of the request on the wall clock, comparable with the start times that executors record.
     pub sent_at_ms: UnixMs,
-    /// What was heard, none while it is awaited.
+    /// The result, `None` while it is pending.
     pub result: Option<TimedCallResult>,
 }
 
-/// One job as its caller knows it.
+/// The facts about a job that its caller knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobFacts {
-    /// Its id.
+    /// The submission id of the job.
     pub id: SubmissionId,
-    /// Whether its class allows second starts.
+    /// Whether the job's class allows a task to start more than once.
     pub may_run_twice: bool,
-    /// The result of each task.
+    /// The expected result of each task.
     pub results: Vec<Vec<u8>>,
-    /// Every request with its own content.
+    /// All requests that carried the job's own content.
     pub exchanges: Vec<Exchange>,
 }
 
-/// All starts, by task.
+/// All recorded task starts, grouped by task.
 #[derive(Debug, Default)]
 pub struct Starts {
     by_task: BTreeMap<TaskId, Vec<StartRecord>>,
 }
 
 impl Starts {
-    /// Sorts starts by task.
+    /// Groups starts by task.
     pub fn new(records: Vec<StartRecord>) -> Self {
         let mut by_task: BTreeMap<TaskId, Vec<StartRecord>> = BTreeMap::new();
         for record in records {
@@ -51,21 +51,26 @@
         Starts { by_task }
     }
 
-    /// Gets how often a task started.
+    /// Returns how often a task started.
     pub fn count(&self, submission: SubmissionId, index: usize) -> usize {
         let index = u16::try_from(index).unwrap_or(u16::MAX);
         let task = TaskId { submission, index };
         self.by_task.get(&task).map_or(0, Vec::len)
     }
 
-    /// Gets all starts of a job's tasks.
+    /// Returns all starts of a job's tasks.
     pub fn of_submission(&self, submission: SubmissionId) -> impl Iterator<Item = &StartRecord> {
         let is_match = move |record: &&StartRecord| record.task.submission == submission;
         self.by_task.values().flatten().filter(is_match)
     }
 }
 
-/// Checks everything that must hold of one job.
+/// Checks the starts and answers of one job.
+///
+/// # Errors
+///
+/// Fails if a task started more often than its class allows, or if an answer contradicts the
+/// recorded starts, the job's results or another answer field.
 pub fn check(job: &JobFacts, starts: &Starts) -> Result<()> {
     check_start_counts(job, starts)?;
     for exchange in &job.exchanges {
@@ -80,7 +85,7 @@
     Ok(())
 }
 
-/// No task of a submission starts twice.
+/// Checks that no task of a job started twice unless its class allows it.
 fn check_start_counts(job: &JobFacts, starts: &Starts) -> Result<()> {
     for index in 0..job.results.len() {
         let count = starts.count(job.id, index);
@@ -115,7 +120,7 @@
         return Err(false_answer_error(
             job,
             answer,
-            "its HTTP status does not go with its code",
+            "its HTTP status does not match its code",
         ));
     }
     match answer.outcome {
@@ -128,7 +133,7 @@
     }
 }
 
-/// A complete answer holds every task's own result, and every task ran.
+/// Checks that a complete answer contains the result of every task, and that every task started.
 fn check_complete(job: &JobFacts, answer: &Answer, starts: &Starts) -> Result<()> {
     if answer.results.as_ref() != Some(&job.results) {
         return Err(false_answer_error(
@@ -144,7 +149,8 @@
     }
 }
 
-/// A request that was not run was not run, and carries no result.
+/// Checks a "not run" answer: no task started before the request was sent, and the answer contains no
+/// results.
 fn check_not_run(
     job: &JobFacts,
     exchange: &Exchange,
@@ -156,7 +162,7 @@
         return Err(false_answer_error(
             job,
             answer,
-            "a task had started before it was asked",
+            "a task had started before the request was sent",
         ));
     }
     match answer.results {
@@ -176,7 +182,7 @@
 fn false_answer_error(job: &JobFacts, answer: &Answer, why: &str) -> Error {
     let (outcome, code) = (answer.outcome, answer.code);
     Error::unmet(format_smolstr!(
-        "the answer to {} can't be true: {why}: {outcome:?} {code:?} {}",
+        "the answer to {} is false: {why}: {outcome:?} {code:?} {}",
         job.id,
         answer.text
     ))
--- a/crates/onyxshed-proof/src/zone.rs
+++ b/crates/onyxshed-proof/src/zone.rs
@@ -1,5 +1,5 @@
-//! One zone of real processes with two classes, for tests that are no scenario: a step that fails is
-//! a panic.
+//! Helpers for tests that are not written as scenarios. They run one zone of real processes with two
+//! classes, and panic if a step fails.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -14,13 +14,13 @@
 use crate::cluster::{Cluster, ClusterOptions, ProcessKind, Topology};
 use crate::remote::{WAIT_TIMEOUT, get, pause};
 
-/// Class whose tasks run at most once.
+/// Name of the class whose tasks run at most once.
 pub const AT_MOST_ONCE: &str = "fee";
 
-/// Class whose tasks may run twice.
+/// Name of the class whose tasks may run twice.
 pub const MAY_RUN_TWICE: &str = "draw";
 
-/// Starts a zone `a` and publishes both classes.
+/// Starts zone `a` with one executor and publishes both classes.
 pub async fn start(entry_hosts: u32, options: ClusterOptions) -> Cluster {
     let topology = Topology {
         zones: vec!["a".into()],
@@ -35,12 +35,12 @@
     cluster
 }
 
-/// Publishes a class whose jobs must be finished within 5 s.
+/// Publishes a class whose jobs must finish within 5 s.
 pub async fn publish(cluster: &Cluster, class: &str, may_run_twice: bool) {
     publish_within(cluster, class, Millis(5_000), may_run_twice).await;
 }
 
-/// Publishes a class's target.
+/// Publishes a class whose jobs must finish within `within`.
 pub async fn publish_within(cluster: &Cluster, class: &str, within: Millis, may_run_twice: bool) {
     let target = ClassTarget {
         class: class.parse().expect("the test's own steps work"),
@@ -55,7 +55,7 @@
     assert_eq!(output.code, Some(0), "{}", output.text);
 }
 
-/// Gets where callers reach an entry host.
+/// Returns the address where an entry host serves callers.
 pub fn caller_address(cluster: &mut Cluster, host: &str) -> SocketAddr {
     cluster
         .host(host)
@@ -64,7 +64,7 @@
         .expect("the test's own steps work")
 }
 
-/// Makes a job of one task that echoes `payload`.
+/// Creates a job of one task that echoes `payload`.
 pub fn job(class: &str, payload: &[u8]) -> Submission {
     Submission {
         submission: SubmissionId::unbound(Ulid::generate()),
@@ -75,7 +75,7 @@
     }
 }
 
-/// Submits a good job and checks that it gets its whole answer.
+/// Submits a valid job, again if it is not run, and checks that its answer is complete.
 pub async fn run_one_job(address: SocketAddr, class: &str) {
     let payload = Ulid::generate().to_string().into_bytes();
     let timed_result = submit(address, job(class, &payload), ResubmitPolicy::UntilRun).await;
@@ -84,20 +84,21 @@
             assert_eq!(answer.outcome, Some(Outcome::Complete));
             assert_eq!(answer.results, Some(vec![payload]));
         }
-        other => panic!("a good caller heard {other}"),
+        other => panic!("expected a complete answer, found {other}"),
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition is met. `what` names the condition in the panic after
+/// [`WAIT_TIMEOUT`].
 pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
-        assert!(Instant::now() < deadline, "waited in vain until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         pause().await;
     }
 }
 
-/// Gets the time line of one of an entry host's processes.
+/// Returns the time line of a process of an entry host.
 pub async fn timeline(
     cluster: &mut Cluster,
     host: &str,
--- a/crates/onyxshed-proof/tests/truth.rs
+++ b/crates/onyxshed-proof/tests/truth.rs
@@ -69,7 +69,7 @@
 #[case::swapped(complete(&["two", "one"]), &[(0, 1_500), (1, 1_500)], "its results are not the job's own")]
 #[case::never_ran(complete(&["one", "two"]), &[(0, 1_500)], "not every task started")]
 #[case::not_run(ended(ResultCode::Overloaded), &[], "holds")]
-#[case::had_run(ended(ResultCode::Overloaded), &[(0, 900)], "a task had started before it was asked")]
+#[case::had_run(ended(ResultCode::Overloaded), &[(0, 900)], "a task had started before the request was sent")]
 #[case::ran_later(ended(ResultCode::Overloaded), &[(0, 1_500)], "every answer to 01ARZ3NDEKTSV4RRFFQ69G5FAV was not_run")]
 #[case::failed(ended(ResultCode::TaskFailed), &[(1, 1_500)], "holds")]
 #[case::failed_unstarted(ended(ResultCode::TaskFailed), &[], "no task started")]
