--- a/crates/onyxshed-proof/src/cluster/operator.rs
+++ b/crates/onyxshed-proof/src/cluster/operator.rs
@@ -116,8 +116,6 @@
 }
 
 fn is_running(child: &mut Child) -> Result<bool> {
-    let ended = child.try_wait().context(SystemSnafu {
-        what: "wait for onyxshed",
-    })?;
+    let ended = child.try_wait().context(SystemSnafu { what: "wait" })?;
     Ok(ended.is_none())
 }
--- a/crates/onyxshed-proof/src/process.rs
+++ b/crates/onyxshed-proof/src/process.rs
@@ -41,9 +41,7 @@
             .create(true)
             .append(true)
             .open(&log)
-            .context(SystemSnafu {
-                what: "open the log file",
-            })?;
+            .context(SystemSnafu { what: "open a log" })?;
         let mut child = Command::new(find_binary(binary)?)
             .args(arguments)
             .stdin(Stdio::null())
@@ -75,9 +73,7 @@
         let open = || {
             let mut options = File::options();
             let file = options.create(true).append(true).open(&log);
-            file.context(SystemSnafu {
-                what: "open the log file",
-            })
+            file.context(SystemSnafu { what: "open a log" })
         };
         let child = Command::new(find_binary(binary)?)
             .args(arguments)
@@ -146,9 +142,7 @@
     pub fn kill(&mut self) -> Result<()> {
         self.signal(Signal::KILL)?;
         let waited = self.child.wait();
-        waited.map(drop).context(SystemSnafu {
-            what: "wait for a process",
-        })
+        waited.map(drop).context(SystemSnafu { what: "wait" })
     }
 
     /// Suspends the process with SIGSTOP, which it can't notice or prevent.
@@ -173,9 +167,7 @@
 
     /// Returns the exit status, `None` while the process runs.
     pub fn ended(&mut self) -> Result<Option<ExitStatus>> {
-        self.child.try_wait().context(SystemSnafu {
-            what: "wait for a process",
-        })
+        self.child.try_wait().context(SystemSnafu { what: "wait" })
     }
 
     /// Returns whether the process has logged that it is draining, or has exited.
@@ -198,9 +190,7 @@
     fn signal(&self, signal: Signal) -> Result<()> {
         kill_process(Pid::from_child(&self.child), signal)
             .map_err(std::io::Error::from)
-            .context(SystemSnafu {
-                what: "signal a process",
-            })
+            .context(SystemSnafu { what: "signal" })
     }
 
     fn not_ready_error(&self, reason: &str) -> Error {
--- a/crates/onyxshed-proof/src/scenario/verdicts.rs
+++ b/crates/onyxshed-proof/src/scenario/verdicts.rs
@@ -175,7 +175,7 @@
             Expectation::AppendsAtMost(maximum, stream) => {
                 let found = self.append_count(stream).await?;
                 ensure(found <= *maximum, || {
-                    format_smolstr!("{found} appends to {stream} accepted")
+                    format_smolstr!("{found} appends accepted")
                 })
             }
         }
@@ -285,7 +285,7 @@
         let ended = process.ended()?;
         let code = ended.and_then(|status| status.code());
         ensure(code == Some(expected), || {
-            format_smolstr!("the entry process of {host} ended with {ended:?}")
+            format_smolstr!("the entry process ended with {ended:?}")
         })
     }
 
--- a/crates/onyxshed-proof/src/zone.rs
+++ b/crates/onyxshed-proof/src/zone.rs
@@ -29,7 +29,7 @@
     };
     let cluster = Cluster::start(&topology, options)
         .await
-        .expect("the test's own steps work");
+        .expect("the cluster starts");
     publish(&cluster, AT_MOST_ONCE, false).await;
     publish(&cluster, MAY_RUN_TWICE, true).await;
     cluster
@@ -43,15 +43,15 @@
 /// Publishes a class whose jobs must finish within `within`.
 pub async fn publish_within(cluster: &Cluster, class: &str, within: Millis, may_run_twice: bool) {
     let target = ClassTarget {
-        class: class.parse().expect("the test's own steps work"),
-        upstream: UPSTREAM.parse().expect("the test's own steps work"),
+        class: class.parse().expect("valid class name"),
+        upstream: UPSTREAM.parse().expect("valid upstream name"),
         finish_within_ms: within,
         may_run_twice,
     };
     let output = cluster
         .put_target(&target, None)
         .await
-        .expect("the test's own steps work");
+        .expect("`onyxshed target put` can be run");
     assert_eq!(output.code, Some(0), "{}", output.text);
 }
 
@@ -59,16 +59,16 @@
 pub fn caller_address(cluster: &mut Cluster, host: &str) -> SocketAddr {
     cluster
         .host(host)
-        .expect("the test's own steps work")
+        .expect("the host is part of the cluster")
         .caller_address()
-        .expect("the test's own steps work")
+        .expect("the entry process runs")
 }
 
 /// Creates a job of one task that echoes `payload`.
 pub fn job(class: &str, payload: &[u8]) -> Submission {
     Submission {
         submission: SubmissionId::unbound(Ulid::generate()),
-        class: class.parse().expect("the test's own steps work"),
+        class: class.parse().expect("valid class name"),
         deadline_ms: None,
         copy: CopyMark::First,
         tasks: vec![payload.to_vec()],
@@ -106,10 +106,10 @@
 ) -> TimelinePage {
     let address = cluster
         .host(host)
-        .expect("the test's own steps work")
+        .expect("the host is part of the cluster")
         .admin_address(process_kind)
-        .expect("the test's own steps work");
+        .expect("the process runs");
     get(address, TIMELINE_PATH)
         .await
-        .expect("the test's own steps work")
+        .expect("the time line can be fetched")
 }
--- a/crates/onyxshed-proof/tests/callers_page.rs
+++ b/crates/onyxshed-proof/tests/callers_page.rs
@@ -1,4 +1,5 @@
-//! The examples of docs/CALLERS.md, sent to a real entry host.
+//! Sends the example requests of docs/CALLERS.md to a real entry host and compares the answers with the
+//! examples.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,17 +16,17 @@
 use serde_json::Value;
 use ulid::Ulid;
 
-/// What the page's ids of the day begin with; each is replaced by a fresh one.
+/// Prefix of the submission ids on the page that are replaced by new ids.
 const ULID_PREFIX: &str = "01JZ";
 
-/// The page's incarnation, replaced by the entry host's own.
+/// The incarnation on the page, which is replaced by the entry host's incarnation.
 const PAGE_INCARNATION: &str = "3f1c0a52d9e4b768";
 
-/// One block of the page.
+/// A fenced block of the page with an example request or answer.
 #[derive(Debug, PartialEq, Eq)]
 struct Block {
     is_request: bool,
-    /// Ties an answer that comes later to its request.
+    /// Connects an answer that does not directly follow its request to this request; otherwise empty.
     tag: String,
     text: String,
 }
@@ -46,7 +47,7 @@
         .collect()
 }
 
-/// What the page says and what stands for it in this run.
+/// Ids on the page and the ids that replace them in this run.
 struct Substitutions {
     by_page_text: BTreeMap<String, String>,
 }
@@ -77,14 +78,17 @@
 fn send(address: SocketAddr, text: String) -> JoinHandle<Reply> {
     thread::spawn(move || {
         let (line, body) = text.split_once("\n\n").unwrap_or((&text, ""));
-        let (method, path) = line.split_once(' ').expect("a method and a path");
-        let method: Method = method.parse().expect("a method");
+        let (method, path) = line
+            .split_once(' ')
+            .expect("the example has a method and a path");
+        let method: Method = method.parse().expect("the method is valid");
         let body = body.as_bytes().to_vec();
-        block_on(call_once(address, method, path, body, WAIT_TIMEOUT)).expect("an answer")
+        block_on(call_once(address, method, path, body, WAIT_TIMEOUT))
+            .expect("the request is answered")
     })
 }
 
-/// Leaves out how long to wait, which follows from the load; that there is a wait stays.
+/// Replaces the retry delay, which depends on the load, by a fixed text if the answer contains one.
 fn mask_retry_after(mut answer: Value) -> Value {
     if let Some(wait) = answer.get_mut("retry_after_ms") {
         *wait = "some".into();
@@ -93,7 +97,9 @@
 }
 
 fn check(expected: &str, reply: &Reply, substitutions: &Substitutions) {
-    let (head, body) = expected.split_once("\n\n").expect("a head and a body");
+    let (head, body) = expected
+        .split_once("\n\n")
+        .expect("the example has a head and a body");
     assert!(
         head.starts_with(&reply.status.to_string()),
         "{expected}\n{reply:?}"
@@ -102,11 +108,11 @@
     assert_eq!(head.contains("Retry-After"), has_wait, "{expected}");
     let found = substitutions.to_page(&String::from_utf8_lossy(&reply.body));
     let found: Value = serde_json::from_str(&found).expect("JSON");
-    let expected: Value = serde_json::from_str(body).expect("JSON on the page");
+    let expected: Value = serde_json::from_str(body).expect("the example body is JSON");
     assert_eq!(mask_retry_after(found), mask_retry_after(expected));
 }
 
-/// Waits until the entry host has heard of a task of a request that stays open.
+/// Waits until a task of a request that is not answered yet has finished.
 fn wait_for_first_result(cluster: &mut Cluster, request: &str) {
     let is_task_finished = |event: &Event| {
         let id = event.submission.map(|id| id.ulid.to_string());
@@ -123,16 +129,16 @@
     let path = format!("/v1/jobs/{}", Ulid::generate());
     let reply = send(address, format!("GET {path}"))
         .join()
-        .expect("no panic");
+        .expect("the sending thread does not panic");
     let answer: Value = serde_json::from_slice(&reply.body).expect("JSON");
     answer["bind_to"]
         .as_str()
-        .expect("an incarnation")
+        .expect("the answer contains an incarnation")
         .to_owned()
 }
 
 #[test]
-fn every_example_of_the_page_is_true() {
+fn examples_of_callers_page_match_real_answers() {
     let page = include_str!("../../../docs/CALLERS.md");
     let mut cluster = block_on(zone::start(1, ClusterOptions::default()));
     let address = zone::caller_address(&mut cluster, "a1");
@@ -149,16 +155,20 @@
             }
             assert!(
                 pending.insert(block.tag, sent).is_none(),
-                "a request without answer"
+                "a request on the page has no answer"
             );
         } else {
             let sent = pending
                 .remove(&block.tag)
-                .expect("a request before the answer");
-            check(&block.text, &sent.join().expect("no panic"), &substitutions);
+                .expect("the request precedes the answer on the page");
+            check(
+                &block.text,
+                &sent.join().expect("the sending thread does not panic"),
+                &substitutions,
+            );
             answered += 1;
         }
     }
     assert!(pending.is_empty());
-    assert!(answered > 10, "{answered} examples");
+    assert!(answered > 10, "only {answered} examples on the page");
 }
--- a/crates/onyxshed-proof/tests/doors.rs
+++ b/crates/onyxshed-proof/tests/doors.rs
@@ -1,6 +1,7 @@
-//! Bad input at every door that is open to others: callers, peers, admin, control.
+//! Invalid input at every listening port: for callers, peers, operators and control processes.
 //!
-//! Each gets a numbered answer or is dropped and counted; none stops another caller.
+//! Each invalid input is answered with a result code, or its connection is closed and counted. None
+//! prevents another caller from being served.
 
 #[path = "support/cases.rs"]
 mod cases;
@@ -20,7 +21,8 @@
 use raw::{exchange, read_all, summarize_replies};
 use serde_json::json;
 
-/// Limits small enough to be met soon; what is late is told by the server, not by the test.
+/// Returns options with limits that are small enough to be reached quickly. The server, not the test,
+/// decides that input is late.
 fn cluster_options() -> ClusterOptions {
     let limits = json!({
         "body_max_bytes": 65_536,
@@ -29,16 +31,13 @@
         "connections_max": 64,
     });
     let mut cluster_options = ClusterOptions::default();
-    cluster_options.entry_settings.extend(
-        limits
-            .as_object()
-            .expect("the test's own steps work")
-            .clone(),
-    );
+    cluster_options
+        .entry_settings
+        .extend(limits.as_object().expect("a JSON object").clone());
     cluster_options
 }
 
-/// Gets another address of one of an entry host's processes.
+/// Returns the address of a process of an entry host for a purpose.
 fn address(
     cluster: &mut Cluster,
     host: &str,
@@ -47,24 +46,27 @@
 ) -> SocketAddr {
     let process = cluster
         .host(host)
-        .expect("the test's own steps work")
+        .expect("the host is part of the cluster")
         .process(process_kind)
-        .expect("the test's own steps work");
-    process.address(purpose).expect("the test's own steps work")
+        .expect("the process runs");
+    process
+        .address(purpose)
+        .expect("the ready line contains the address")
 }
 
-/// Knocks with each and gets what was answered; a good caller is served behind each.
+/// Sends each case to `target_address` and returns a summary of the replies. After each case, checks
+/// that a valid job is served at `caller_address`.
 fn send_cases(target_address: SocketAddr, caller_address: SocketAddr, cases: Vec<Case>) -> String {
     let mut text = String::new();
     for (name, bytes, after) in cases {
         let reply_summary = summarize_replies(&exchange(target_address, &bytes, after));
-        writeln!(text, "{name}: {reply_summary}").expect("the test's own steps work");
+        writeln!(text, "{name}: {reply_summary}").expect("writing to a string succeeds");
         block_on(zone::run_one_job(caller_address, zone::MAY_RUN_TWICE));
     }
     text
 }
 
-/// Gets how many requests and connections a process has turned away.
+/// Returns how many requests and connections a process has rejected.
 async fn rejection_count(cluster: &mut Cluster, process_kind: ProcessKind) -> usize {
     let page = zone::timeline(cluster, "a1", process_kind).await;
     let events = page.events.iter();
@@ -74,8 +76,9 @@
 }
 
 #[test]
-fn callers_and_peers_are_told_what_is_wrong() {
-    // Whatever a caller or another entry host sends, it is told a number and the process lives on.
+fn invalid_input_of_callers_and_peers_is_answered_with_result_code() {
+    // Failure guarded against: invalid bytes from a caller or a peer get no result code, or end the
+    // process.
     let mut cluster = block_on(zone::start(1, cluster_options()));
     let caller_address = zone::caller_address(&mut cluster, "a1");
     let peer = address(&mut cluster, "a1", ProcessKind::Entry, "peer");
@@ -97,7 +100,7 @@
 }
 
 #[test]
-fn operators_are_told_what_is_wrong() {
+fn invalid_input_of_operators_is_answered_with_result_code() {
     let mut cluster = block_on(zone::start(1, cluster_options()));
     let caller_address = zone::caller_address(&mut cluster, "a1");
     let cases = || {
@@ -133,15 +136,15 @@
 }
 
 #[test]
-fn idle_connections_make_room_for_callers() {
-    // Connections that never ask anything come by the thousand. A caller that comes behind them is
-    // served: the address keeps to its limit, and the longest idle make room.
+fn idle_connections_are_closed_when_new_callers_connect() {
+    // Thousands of connections are opened and send nothing. A caller that connects after them is
+    // served, because at the connection limit the server closes the connections that were idle longest.
     const IDLE: usize = 2_000;
     let mut cluster = block_on(zone::start(1, cluster_options()));
     let caller_address = zone::caller_address(&mut cluster, "a1");
     let mut idle = Vec::new();
     for number in 0..IDLE {
-        idle.push(TcpStream::connect(caller_address).expect("the test's own steps work"));
+        idle.push(TcpStream::connect(caller_address).expect("the server accepts connections"));
         if number % 500 == 0 {
             block_on(zone::run_one_job(caller_address, zone::MAY_RUN_TWICE));
         }
@@ -151,9 +154,9 @@
 }
 
 #[test]
-fn a_caller_is_told_when_every_connection_is_busy() {
-    // Every place is taken by a request in flight. The next caller is told at once that nothing was
-    // run, and when to come back; the ones before it get their answers.
+fn caller_is_rejected_with_retry_delay_when_all_connections_are_busy() {
+    // Requests in flight use all allowed connections. The next caller is immediately told that nothing
+    // was run and when to retry; the earlier callers get their answers.
     let mut cluster = block_on(zone::start(1, cluster_options()));
     let caller_address = zone::caller_address(&mut cluster, "a1");
     block_on(zone::run_one_job(caller_address, zone::MAY_RUN_TWICE));
@@ -161,22 +164,23 @@
     let mut busy: Vec<TcpStream> = Vec::new();
     for _ in 0..64 {
         let body = serde_json::to_vec(&zone::job(zone::MAY_RUN_TWICE, hold.as_bytes()))
-            .expect("the test's own steps work");
-        let mut stream = TcpStream::connect(caller_address).expect("the test's own steps work");
+            .expect("a submission can be serialized");
+        let mut stream =
+            TcpStream::connect(caller_address).expect("the server accepts connections");
         stream
             .write_all(&sized(&body))
-            .expect("the test's own steps work");
+            .expect("the request can be written");
         busy.push(stream);
     }
     let request = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n";
     let is_rejected = async || {
         summarize_replies(&exchange(caller_address, request, Close)) == "503/3108 retry-after 1"
     };
-    block_on(zone::wait_until("a caller is turned away", is_rejected));
+    block_on(zone::wait_until("a caller is rejected", is_rejected));
     for stream in &mut busy {
         stream
             .shutdown(std::net::Shutdown::Write)
-            .expect("the test's own steps work");
+            .expect("the connection can be closed for writing");
         let reply_summary = summarize_replies(&read_all(stream));
         assert!(reply_summary.contains('/'), "{reply_summary}");
     }
@@ -184,9 +188,9 @@
 }
 
 #[test]
-fn garbage_between_processes_is_dropped_and_counted() {
-    // Bytes that are no message reach the ports of the processes' own protocol. The connection is
-    // closed, the count goes up, and snapshots and callers go on.
+fn invalid_messages_between_processes_are_dropped_and_counted() {
+    // Bytes that are no valid message arrive at the ports of the protocol between processes. Each such
+    // connection is closed and counted, while snapshots are exchanged and callers are served as before.
     let words =
         |words: &[u32]| -> Vec<u8> { words.iter().flat_map(|word| word.to_le_bytes()).collect() };
     let garbage = [
@@ -210,23 +214,26 @@
         }
         let counted =
             async || rejection_count(&mut cluster, process_kind).await == before + garbage.len();
-        block_on(zone::wait_until("all garbage is counted", counted));
+        block_on(zone::wait_until(
+            "all invalid messages are counted",
+            counted,
+        ));
     }
 }
 
 #[test]
-fn a_flood_of_silent_connections_shuts_out_no_control_process() {
-    // While the control process is gone, more connections than the entry's control port takes are opened
-    // and say nothing. The oldest make room for the new control process, so a target that is published
-    // then still comes into force.
+fn control_process_connects_despite_many_idle_connections() {
+    // While the control process is down, more connections than the control port of the entry process
+    // accepts are opened and send nothing. The oldest are closed when the new control process connects,
+    // so a target that is published afterwards comes into force.
     const FLOOD: usize = 300;
     let mut cluster = block_on(zone::start(1, cluster_options()));
     let caller_address = zone::caller_address(&mut cluster, "a1");
     let target_address = address(&mut cluster, "a1", ProcessKind::Entry, "control");
     let killed = cluster.kill_process(ProcessKind::Control, "a1");
-    killed.expect("the test's own steps work");
+    killed.expect("the control process can be killed");
     let mut flood = Vec::new();
-    // The second wave takes the place that the dead control process leaves.
+    // The second wave also uses the connection that the killed control process has left free.
     for wave in 1..=2 {
         flood.extend((0..FLOOD).filter_map(|_| TcpStream::connect(target_address).ok()));
         assert_eq!(flood.len(), wave * FLOOD);
@@ -236,7 +243,7 @@
     }
     let hosts = ["a1".into()];
     let restarted = cluster.restart(ProcessKind::Control, &hosts);
-    block_on(restarted).expect("the test's own steps work");
+    block_on(restarted).expect("the control process can be restarted");
     block_on(zone::publish(&cluster, "late", false));
     let in_force = async || {
         let page = zone::timeline(&mut cluster, "a1", ProcessKind::Entry).await;
--- a/crates/onyxshed-proof/tests/doors_outward.rs
+++ b/crates/onyxshed-proof/tests/doors_outward.rs
@@ -1,4 +1,4 @@
-//! Bad input from those whom the processes ask: executors, the platform, the log's records.
+//! Invalid replies of executors and the platform, and invalid records in the log.
 
 #[path = "support/fake.rs"]
 mod fake;
@@ -19,7 +19,7 @@
 use serde_json::json;
 use ulid::Ulid;
 
-/// Replies that are no HTTP, or break their word.
+/// Returns named replies that are no valid HTTP, or that don't match their head.
 fn broken_replies(headers: &str) -> Vec<(&'static str, CannedReply)> {
     let reply = |more: &str, body: &str| format!("HTTP/1.1 200 OK\r\n{headers}{more}\r\n{body}");
     let chunked = "Transfer-Encoding: chunked\r\n";
@@ -73,7 +73,7 @@
     ]
 }
 
-/// Replies of an executor, good HTTP all of them.
+/// Returns named replies of an executor that are valid HTTP with invalid headers.
 fn executor_replies() -> Vec<(&'static str, CannedReply)> {
     let reply = |headers: &str| -> CannedReply {
         format!("HTTP/1.1 200 OK\r\n{headers}Content-Length: 2\r\n\r\nok").into()
@@ -103,7 +103,7 @@
     ]
 }
 
-/// Submits a good job once; tells whether it got its whole answer.
+/// Submits a valid job once and returns whether its answer is complete.
 async fn is_served(address: SocketAddr, class: &str) -> bool {
     let payload = Ulid::generate().to_string().into_bytes();
     let timed_result = submit(address, zone::job(class, &payload), ResubmitPolicy::Once).await;
@@ -113,19 +113,21 @@
     }
 }
 
-/// Puts a server in the executor's place and gets how a job ends with it.
+/// Replaces the executor by a server with this reply, and returns the outcome of a job that reaches it.
 async fn outcome_with_reply(cluster: &mut Cluster, name: &str, reply: CannedReply) -> String {
     let fake = FakeServer::start(vec![reply]);
-    let unit = cluster.executor("xa1").expect("the test's own steps work");
-    unit.host.name = name.parse().expect("the test's own steps work");
+    let unit = cluster
+        .executor("xa1")
+        .expect("the executor is part of the cluster");
+    unit.host.name = name.parse().expect("valid executor name");
     unit.host.address = fake.address;
     cluster
         .publish_hosts()
         .await
-        .expect("the test's own steps work");
+        .expect("the host list can be published");
     let address = zone::caller_address(cluster, "a1");
     let mut found = None;
-    zone::wait_until("the executor is asked", async || {
+    zone::wait_until("the executor receives a request", async || {
         let mut job = zone::job(zone::AT_MOST_ONCE, b"x");
         job.deadline_ms = Some(Millis(500));
         found = Some(submit(address, job, ResubmitPolicy::Once).await.result);
@@ -133,24 +135,22 @@
     })
     .await;
     match found {
-        Some(CallResult::Answer(_, answer)) => answer
-            .outcome
-            .expect("the test's own steps work")
-            .to_string(),
-        other => panic!("a caller heard {other:?}"),
+        Some(CallResult::Answer(_, answer)) => answer.outcome.expect("a final answer").to_string(),
+        other => panic!("expected an answer, found {other:?}"),
     }
 }
 
 #[test]
-fn a_bad_reply_of_an_executor_is_no_result() {
-    // An executor's reply is no HTTP, is cut short, or belongs to another task. The task was sent, so
-    // its job is never called complete, and never "not run"; the next executor's jobs are complete.
+fn invalid_executor_reply_is_not_a_result() {
+    // An executor's reply is no HTTP, is truncated, or belongs to another task. Because the task was
+    // sent, its job must be answered neither as complete nor as "not run". Jobs on the next executor
+    // are complete.
     let mut cluster = block_on(zone::start(1, ClusterOptions::default()));
     let caller_address = zone::caller_address(&mut cluster, "a1");
     block_on(zone::run_one_job(caller_address, zone::AT_MOST_ONCE));
     let original = cluster
         .executor("xa1")
-        .expect("the test's own steps work")
+        .expect("the executor is part of the cluster")
         .host
         .clone();
     let mut text = String::new();
@@ -164,19 +164,19 @@
             &format!("bad-{number}"),
             reply,
         ));
-        writeln!(text, "{case}: {outcome}").expect("the test's own steps work");
+        writeln!(text, "{case}: {outcome}").expect("writing to a string succeeds");
     }
     insta::assert_snapshot!("executor", text);
     cluster
         .executor("xa1")
-        .expect("the test's own steps work")
+        .expect("the executor is part of the cluster")
         .host = original;
-    block_on(cluster.publish_hosts()).expect("the test's own steps work");
+    block_on(cluster.publish_hosts()).expect("the host list can be published");
     let served = async || is_served(caller_address, zone::AT_MOST_ONCE).await;
-    block_on(zone::wait_until("the real executor serves", served));
+    block_on(zone::wait_until("the real executor serves a job", served));
 }
 
-/// Replies of the platform with bodies that can't be read.
+/// Returns replies of the platform that are invalid HTTP, errors, or have invalid bodies.
 fn platform_replies() -> Vec<CannedReply> {
     let deep = "[".repeat(100_000);
     let gap = r#"{"oldest":0,"next":9,"records":[{"offset":1,"at_ms":0,"data":""},{"offset":3,"at_ms":0,"data":""}]}"#;
@@ -203,13 +203,14 @@
 async fn status(admin: SocketAddr) -> Status {
     get(admin, STATUS_PATH)
         .await
-        .expect("the test's own steps work")
+        .expect("the status can be fetched")
 }
 
 #[test]
-fn bad_replies_of_the_platform_are_an_outage() {
-    // Whatever the platform answers, both processes live on and tell that it is lost. Once it answers
-    // as it should, they take up the configuration and serve.
+fn invalid_platform_replies_count_as_outage() {
+    // The platform sends invalid replies. Both processes of the host continue to run and record the
+    // event that the platform is lost. Once the replies are valid, they apply the configuration and
+    // serve callers.
     let replies = platform_replies();
     let rounds = 2 * replies.len();
     let fakes = [
@@ -227,7 +228,7 @@
     let mut cluster = block_on(zone::start(1, options));
     block_on(async {
         let has_sent_all = async || fakes.iter().all(|fake| fake.connection_count() >= rounds);
-        zone::wait_until("all replies were tried twice", has_sent_all).await;
+        zone::wait_until("every reply was sent twice", has_sent_all).await;
         let result = submit(
             zone::caller_address(&mut cluster, "a1"),
             zone::job(zone::AT_MOST_ONCE, b"x"),
@@ -247,12 +248,10 @@
                 .any(|event| event.kind == EventKind::PlatformLost);
             assert!(
                 is_lost,
-                "{process_kind:?} does not tell that the platform is lost"
+                "{process_kind:?} has not recorded that the platform is lost"
             );
         }
-        let original = cluster
-            .platform_address()
-            .expect("the test's own steps work");
+        let original = cluster.platform_address().expect("the platform runs");
         fakes.iter().for_each(|fake| fake.redirect_to(original));
         let caller_address = zone::caller_address(&mut cluster, "a1");
         zone::run_one_job(caller_address, zone::AT_MOST_ONCE).await;
@@ -260,9 +259,9 @@
 }
 
 #[test]
-fn records_that_cannot_be_read_are_ignored_and_counted() {
-    // Somebody appends records of a kind or version that this release does not know, or no records at
-    // all. All hosts ignore them alike and count them, and what comes behind them takes force.
+fn invalid_records_are_ignored_and_counted() {
+    // The log contains records of an unknown kind or version, and data that is no record. All hosts
+    // ignore and count them, and the records after them come into force.
     let deep = "[".repeat(60_000);
     let records = [
         "",
@@ -281,15 +280,13 @@
     let caller_address = zone::caller_address(&mut cluster, "a1");
     block_on(async {
         zone::run_one_job(caller_address, zone::AT_MOST_ONCE).await;
-        let platform = cluster
-            .platform_address()
-            .expect("the test's own steps work");
+        let platform = cluster.platform_address().expect("the platform runs");
         for stream in [CONFIG_STREAM, CLAIMS_STREAM] {
             for record in &records {
                 let body = record.as_bytes().to_vec();
                 call(platform, Method::Post, &records_path(stream), body)
                     .await
-                    .expect("the test's own steps work");
+                    .expect("the platform accepts appends");
             }
         }
         zone::publish(&cluster, "late", false).await;
@@ -303,9 +300,9 @@
         assert_eq!(ignored.count(), records.len());
         let admin = cluster
             .host("a1")
-            .expect("the test's own steps work")
+            .expect("the host is part of the cluster")
             .admin_address(ProcessKind::Entry)
-            .expect("the test's own steps work");
+            .expect("the entry process runs");
         let details = status(admin).await.details;
         assert_eq!(details["unreadable_records"], records.len());
     });
--- a/crates/onyxshed-proof/tests/language.rs
+++ b/crates/onyxshed-proof/tests/language.rs
@@ -1,4 +1,5 @@
-//! The scenario language: what bad scripts are told, and that no text breaks the reader.
+//! The parser of the scenario language: its errors for invalid scripts, and that it accepts any text
+//! without a panic.
 
 use onyxshed_proof::scenario::parse;
 use proptest::prelude::*;
@@ -27,7 +28,7 @@
 #[case::cut_short("submit job J1 class fee tasks 4 of 100 ms")]
 #[case::bad_edge("cut entry a1 from a2")]
 #[case::bad_place("wait until revision 2 is in force somewhere")]
-fn a_bad_script_is_told_where_and_what(#[case] text: &str) {
+fn invalid_script_is_rejected_with_position_and_reason(#[case] text: &str) {
     let case = std::thread::current().name().unwrap_or_default().to_owned();
     let name = case.rsplit("::").next().unwrap_or_default();
     insta::assert_snapshot!(
@@ -43,13 +44,13 @@
 #[case::edge("break off answers after 60 bytes on executors of zone a")]
 #[case::expectation("expect answer of job J1 from entry b1 is complete or lost")]
 #[case::publication("publish class fee within 5 s may run twice from revision 2 and lose the race")]
-fn a_good_script_is_read(#[case] text: &str) {
+fn valid_script_is_parsed(#[case] text: &str) {
     let case = std::thread::current().name().unwrap_or_default().to_owned();
     let name = case.rsplit("::").next().unwrap_or_default();
     insta::assert_snapshot!(name, parse_result(text));
 }
 
-/// Words of the language, so that random lines get past their beginnings.
+/// Words of the language, so that random lines pass the first words of the grammar.
 const WORDS: &[&str] = &[
     "submit",
     "job",
@@ -90,7 +91,7 @@
 
 proptest! {
     #[test]
-    fn any_text_is_read_or_told_where_it_is_wrong(
+    fn any_text_is_parsed_or_rejected_with_position(
         words in prop::collection::vec(prop::sample::select(WORDS), 0..16),
         tail in ".{0,20}",
     ) {
--- a/crates/onyxshed-proof/tests/local.rs
+++ b/crates/onyxshed-proof/tests/local.rs
@@ -1,11 +1,11 @@
-//! The README's command for the whole path on one machine.
+//! The command of the README that runs the whole system on one machine.
 
 use std::path::Path;
 use std::process::Command;
 
 use onyxshed_proof::process::find_binary;
 
-/// Gets the ids of the processes that the command said it started.
+/// Returns the ids of the started processes from the output of the command.
 fn process_ids(text: &str) -> Vec<&str> {
     let after = text
         .lines()
@@ -14,9 +14,9 @@
 }
 
 #[test]
-fn the_whole_path_is_shown_and_everything_ends() {
-    // A newcomer types one command: a class is published, a job runs once though it is submitted to
-    // two entry hosts, its time line and a sample load are shown, and no process is left behind.
+fn local_run_shows_whole_path_and_leaves_no_process() {
+    // One command publishes a class, submits a job to two entry hosts, where it runs once, and shows
+    // its time line and a sample load. No process is left running afterwards.
     let output = Command::new(find_binary("onyxshed-load").unwrap())
         .args([
             "local",
@@ -39,14 +39,14 @@
         1,
         "{text}"
     );
-    // The first submission and the same again, to the other entry host.
+    // One answer to the first submission, and one to its copy at the other entry host.
     assert_eq!(text.matches(r#""outcome":"complete""#).count(), 2, "{text}");
     let ids = process_ids(&text);
     assert_eq!(ids.len(), 5, "{text}");
     for id in ids {
         assert!(
             !Path::new("/proc").join(id).exists(),
-            "process {id} is left"
+            "process {id} still runs"
         );
     }
 }
--- a/crates/onyxshed-proof/tests/metrics.rs
+++ b/crates/onyxshed-proof/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What operators' monitoring sees of an entry host.
+//! The metrics of an entry host.
 
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
         text.contains(unknown_class),
         "{unknown_class} is not in\n{text}"
     );
-    // The good caller may have been told to come back before, so its answers are summed.
+    // The caller of the valid job may have retried, so the numbers of its answers are summed.
     let answer_count = sum_samples(
         &text,
         &format!(
@@ -70,7 +70,7 @@
     assert!(!text.contains("nobody-configured-this"));
 }
 
-/// Sums the values of every line that begins so.
+/// Returns the sum of the values of all lines that start with `beginning`.
 fn sum_samples(text: &str, beginning: &str) -> u64 {
     let lines = text.lines().filter(|line| line.starts_with(beginning));
     let values = lines.filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok());
--- a/crates/onyxshed-proof/tests/pages.rs
+++ b/crates/onyxshed-proof/tests/pages.rs
@@ -1,4 +1,4 @@
-//! What pages name is there.
+//! Checks that crates, links, tests and settings that the pages mention exist and are valid.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -10,21 +10,21 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Gets the names in a folder.
+/// Returns the names of the entries of a folder.
 fn names(folder: &Path) -> Vec<String> {
-    let entries = fs::read_dir(folder).expect("the folder is there");
-    let entries = entries.map(|entry| entry.expect("it can be read").file_name());
+    let entries = fs::read_dir(folder).expect("the folder can be read");
+    let entries = entries.map(|entry| entry.expect("the folder entry can be read").file_name());
     entries
         .map(|name| name.to_string_lossy().into_owned())
         .collect()
 }
 
 fn read(path: &Path) -> String {
-    fs::read_to_string(path).expect("the page is there")
+    fs::read_to_string(path).expect("the page can be read")
 }
 
 #[test]
-fn the_map_names_every_crate() {
+fn readme_names_every_crate() {
     let readme = read(&root().join("README.md"));
     for name in names(&root().join("crates")) {
         assert!(readme.contains(&format!("`crates/{name}`")), "{name}");
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn links_of_all_pages_lead_somewhere() {
+fn links_of_all_pages_have_existing_targets() {
     let docs = root().join("docs");
     let pages = names(&docs)
         .into_iter()
@@ -60,11 +60,11 @@
     let table = readme
         .split("## What backs")
         .nth(1)
-        .expect("the table of claims");
+        .expect("README contains the table of claims");
     let table = table
         .split("## Read on")
         .next()
-        .expect("the table of claims");
+        .expect("README contains the table of claims");
     for word in table.split('`').skip(1).step_by(2) {
         let is_scenario = scenarios.iter().any(|name| match word.strip_suffix('*') {
             Some(start) => name.starts_with(start),
--- a/crates/onyxshed-proof/tests/scenarios.rs
+++ b/crates/onyxshed-proof/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Plays every scenario file with real processes.
+//! Runs every scenario file with real processes.
 
 use std::path::PathBuf;
 use std::sync::{Condvar, Mutex, PoisonError};
@@ -6,13 +6,13 @@
 use onyxshed_proof::scenario::{parse, play};
 use rstest::rstest;
 
-/// Scenarios that run at the same time, so that the machine stays responsive.
+/// Limit of scenarios that run at the same time, so that the machine stays responsive.
 const MAX_CONCURRENT: usize = 4;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static ENDED: Condvar = Condvar::new();
 
-/// A place among the scenarios that run.
+/// Permission to run a scenario, released when it is dropped.
 struct Slot;
 
 impl Slot {
--- a/crates/onyxshed-proof/tests/stop.rs
+++ b/crates/onyxshed-proof/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Stops of an entry process that are not left to run their course.
+//! An entry process that receives further signals while it drains.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 use onyxshed_wire::admin::READY_PATH;
 use serde_json::json;
 
-/// Exit code of a process that was told to stop at once.
+/// Exit code of a process that was stopped by SIGQUIT.
 const QUIT_CODE: i32 = 5;
 
 async fn readiness(cluster: &mut Cluster) -> u16 {
-    let unit = cluster.host("a1").expect("it runs");
+    let unit = cluster.host("a1").expect("the host runs");
     let admin = unit
         .admin_address(ProcessKind::Entry)
-        .expect("it serves operators");
+        .expect("the entry process runs");
     let request = call_once(
         admin,
         Method::Get,
@@ -29,17 +29,18 @@
         Vec::new(),
         Duration::from_secs(20),
     );
-    request.await.expect("it answers").status
+    request.await.expect("the entry process answers").status
 }
 
-/// Stops the host with work in flight: gracefully, again, and at last at once.
+/// Sends SIGTERM twice and then SIGQUIT to the entry process while a task is in flight. After each
+/// SIGTERM, checks that the process is not ready and rejects new jobs.
 async fn stop_three_times(cluster: &mut Cluster, id: SubmissionId) {
     let entry = |cluster: &mut Cluster, act: fn(&Process)| {
         act(cluster
             .host("a1")
-            .expect("it runs")
+            .expect("the host runs")
             .process(ProcessKind::Entry)
-            .expect("it runs"));
+            .expect("the host runs"));
     };
     let has_started = async || {
         cluster
@@ -49,9 +50,11 @@
     };
     zone::wait_until("the task runs", has_started).await;
     for _ in 0..2 {
-        entry(cluster, |process| process.ask_to_stop().expect("a signal"));
+        entry(cluster, |process| {
+            process.ask_to_stop().expect("the process can be signalled")
+        });
         let is_unready = async || readiness(cluster).await == 503;
-        zone::wait_until("it is not ready", is_unready).await;
+        zone::wait_until("the host is not ready", is_unready).await;
         let address = zone::caller_address(cluster, "a1");
         let rejected = submit(
             address,
@@ -61,17 +64,19 @@
         .await;
         match rejected.result {
             CallResult::Answer(503, answer) => assert_eq!(answer.code, Some(ResultCode::Draining)),
-            other => panic!("a late caller heard {other}"),
+            other => panic!("expected a rejection of the late job, found {other}"),
         }
     }
-    entry(cluster, |process| process.ask_to_quit().expect("a signal"));
+    entry(cluster, |process| {
+        process.ask_to_quit().expect("the process can be signalled")
+    });
 }
 
 #[test]
-fn only_sigquit_cuts_off_work_in_flight() {
-    // A task of 25 s is in flight when the operator sends SIGTERM, and again because it takes long. The
-    // host says that it is not ready, turns new jobs away as "not run" at once, and goes on waiting.
-    // Only SIGQUIT ends it: the caller's connection breaks, and the exit code says so.
+fn only_sigquit_aborts_work_in_flight() {
+    // A task of 25 s is in flight when an operator sends SIGTERM twice. The host reports that it is not
+    // ready, immediately rejects new jobs as "not run", and continues to wait for the task. Only SIGQUIT
+    // ends the process: the caller's connection is closed, and the exit code is the one of SIGQUIT.
     let mut cluster = block_on(zone::start(1, ClusterOptions::default()));
     let address = zone::caller_address(&mut cluster, "a1");
     block_on(zone::run_one_job(address, zone::AT_MOST_ONCE));
@@ -94,12 +99,15 @@
     let has_ended = async || {
         let process = cluster
             .host("a1")
-            .expect("it ran")
+            .expect("the host was started")
             .process(ProcessKind::Entry);
-        let ended = process.expect("it ran").ended().expect("it is ours");
+        let ended = process
+            .expect("the host was started")
+            .ended()
+            .expect("the exit status can be read");
         code = ended.and_then(|status| status.code());
         ended.is_some()
     };
-    block_on(zone::wait_until("it has ended", has_ended));
+    block_on(zone::wait_until("the entry process has exited", has_ended));
     assert_eq!(code, Some(QUIT_CODE));
 }
--- a/crates/onyxshed-proof/tests/support/cases.rs
+++ b/crates/onyxshed-proof/tests/support/cases.rs
@@ -1,4 +1,4 @@
-//! Bytes that no client should send, each with a name.
+//! Named requests, most of them invalid, as raw bytes.
 
 use serde_json::{Value, json};
 
@@ -6,7 +6,7 @@
 use crate::raw::After::{Close, Wait};
 use onyxshed_proof::zone;
 
-/// What is sent, and what the sender does behind it.
+/// The name of a case, the bytes to send, and what the sender does after them.
 pub type Case = (&'static str, Vec<u8>, After);
 
 fn post(headers: &str, body: &[u8]) -> Vec<u8> {
@@ -14,28 +14,29 @@
     [head.as_bytes(), body].concat()
 }
 
-/// Makes a submission of this body.
+/// Creates a submission request with this body and its length.
 pub fn sized(body: &[u8]) -> Vec<u8> {
     post(&format!("Content-Length: {}\r\n", body.len()), body)
 }
 
 fn good_body() -> Vec<u8> {
-    serde_json::to_vec(&zone::job(zone::MAY_RUN_TWICE, b"x")).expect("the test's own steps work")
+    serde_json::to_vec(&zone::job(zone::MAY_RUN_TWICE, b"x"))
+        .expect("a submission can be serialized")
 }
 
-/// Makes a good body but for one field.
+/// Returns the body of a valid submission in which one field is replaced.
 fn body_with(field: &str, value: Value) -> Vec<u8> {
-    let mut body: Value = serde_json::from_slice(&good_body()).expect("the test's own steps work");
+    let mut body: Value = serde_json::from_slice(&good_body()).expect("a submission is valid JSON");
     body[field] = value;
     body.to_string().into_bytes()
 }
 
-/// Makes a question.
+/// Creates a GET request.
 pub fn get(path: &str, headers: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: x\r\n{headers}\r\n").into_bytes()
 }
 
-/// Bodies that don't hold together with what the head says of them.
+/// Returns requests whose body does not match the length in the head.
 pub fn wrong_lengths() -> Vec<Case> {
     let good = good_body();
     let len = good.len();
@@ -64,7 +65,7 @@
     ]
 }
 
-/// Bodies in chunks and with questions asked first.
+/// Returns requests with chunked bodies, with `Expect: 100-continue`, and two requests at once.
 pub fn transfers() -> Vec<Case> {
     let chunked = |rest: &str| {
         let good = good_body();
@@ -95,7 +96,7 @@
     ]
 }
 
-/// Bodies of the right length that can't be read.
+/// Returns requests with a body of the right length that is no valid submission.
 pub fn bad_bodies() -> Vec<Case> {
     let deep = |open: &str| sized(open.repeat(12_000).as_bytes());
     let many: Vec<&str> = vec![""; 551];
@@ -125,7 +126,7 @@
         .collect()
 }
 
-/// Heads that can't be read, the same at every HTTP door.
+/// Returns requests with an invalid head, which every HTTP port answers alike.
 pub fn bad_heads() -> Vec<Case> {
     let endless_line = [b"GET / HTTP/1.1\r\nx: ".as_slice(), &[b'a'; 200_000]].concat();
     let endless_lines = format!("GET / HTTP/1.1\r\n{}", "x: y\r\n".repeat(40_000));
@@ -178,7 +179,7 @@
     ]
 }
 
-/// Ids that are none.
+/// Returns requests with an invalid submission id.
 pub fn bad_ids() -> Vec<Case> {
     vec![
         ("id of nothing", get("/v1/jobs/", ""), Close),
--- a/crates/onyxshed-proof/tests/support/fake.rs
+++ b/crates/onyxshed-proof/tests/support/fake.rs
@@ -1,4 +1,4 @@
-//! A server that answers with bytes as they are.
+//! A server that answers with prepared bytes.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -6,24 +6,25 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
 
-/// One reply; `{task}` stands for the task that was asked about.
+/// A prepared reply. `{task}` is replaced by the last segment of the requested path.
 pub type CannedReply = Vec<u8>;
 
-/// A server that answers each connection with the next of its replies, until it is led elsewhere.
+/// A server that answers each connection with the next of its replies in rotation, until it is
+/// redirected to another server.
 pub struct FakeServer {
-    /// Where it listens.
+    /// The address where the server listens.
     pub address: SocketAddr,
     connection_count: Arc<AtomicUsize>,
     redirect_address: Arc<Mutex<Option<SocketAddr>>>,
 }
 
 impl FakeServer {
-    /// Starts it; it lives as long as the test's process.
+    /// Starts the server. It runs until the test process exits.
     pub fn start(replies: Vec<CannedReply>) -> Self {
         let listener =
-            TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("the test's own steps work");
+            TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port can be bound");
         let server = FakeServer {
-            address: listener.local_addr().expect("the test's own steps work"),
+            address: listener.local_addr().expect("the listener has an address"),
             connection_count: Arc::default(),
             redirect_address: Arc::default(),
         };
@@ -47,12 +48,12 @@
         server
     }
 
-    /// Gets how many connections it took.
+    /// Returns how many connections were accepted.
     pub fn connection_count(&self) -> usize {
         self.connection_count.load(Ordering::SeqCst)
     }
 
-    /// Leads new connections to the real one.
+    /// Relays new connections to another server.
     pub fn redirect_to(&self, redirect_address: SocketAddr) {
         *self
             .redirect_address
@@ -61,7 +62,8 @@
     }
 }
 
-/// Reads a request's head, writes the reply, and stays until the other end has had enough.
+/// Reads a request's head and writes the reply. If the reply ends with `wait`, keeps the connection
+/// open until the other side closes it.
 fn answer(mut stream: TcpStream, reply: CannedReply) {
     let mut head = Vec::new();
     let mut byte = [0];
--- a/crates/onyxshed-proof/tests/support/raw.rs
+++ b/crates/onyxshed-proof/tests/support/raw.rs
@@ -1,29 +1,30 @@
-//! Bytes sent as they are, and what came back.
+//! A client that sends raw bytes and collects the replies.
 
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long the other end may take to close; far beyond every limit that a test sets.
+/// Longest wait for more bytes or the close of the connection. It far exceeds every limit that a test
+/// sets.
 const READ_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What the sender does behind its bytes.
+/// What the client does after it has sent its bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum After {
-    /// Closes its side, and reads on.
+    /// Closes the connection for writing and continues to read.
     Close,
-    /// Waits for the other end.
+    /// Leaves the connection open and waits for the server to close it.
     Wait,
 }
 
-/// Sends bytes and gets everything that came until the other end closed.
+/// Sends bytes and returns everything that was received until the server closed the connection.
 pub fn exchange(address: SocketAddr, bytes: &[u8], after: After) -> Vec<u8> {
-    let mut stream = TcpStream::connect(address).expect("the test's own steps work");
+    let mut stream = TcpStream::connect(address).expect("the server accepts connections");
     stream
         .set_read_timeout(Some(READ_TIMEOUT))
-        .expect("the test's own steps work");
-    // The other end may have had enough before it has read all.
+        .expect("the timeout can be set");
+    // The server may close the connection before it has read everything.
     let _ = stream.write_all(bytes);
     if after == After::Close {
         let _ = stream.shutdown(Shutdown::Write);
@@ -31,18 +32,19 @@
     read_all(&mut stream)
 }
 
-/// Reads until the other end closes; a reset ends what came like a close.
+/// Reads until the server closes or resets the connection.
 pub fn read_all(stream: &mut TcpStream) -> Vec<u8> {
     let mut found = Vec::new();
     match stream.read_to_end(&mut found) {
         Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
-            panic!("the other end neither answered nor closed")
+            panic!("the server neither answered nor closed the connection in time")
         }
         _ => found,
     }
 }
 
-/// Gets the replies in short: status and, if the body names one, result code.
+/// Summarizes replies: the status, the result code if the body contains one, and the retry delay if
+/// there is one. Bytes after the last complete head are counted; no bytes at all are `closed`.
 pub fn summarize_replies(bytes: &[u8]) -> String {
     let mut text = String::new();
     let mut rest = bytes;
--- a/crates/onyxshed-proof/tests/timeline.rs
+++ b/crates/onyxshed-proof/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! `onyxshed timeline` over the processes of two entry hosts.
+//! The command `onyxshed timeline` with the processes of two entry hosts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,11 +26,10 @@
 
 fn admin(cluster: &mut Cluster, host: &str, process_kind: ProcessKind) -> SocketAddr {
     let unit = cluster.host(host).expect("the host runs");
-    unit.admin_address(process_kind)
-        .expect("it serves operators")
+    unit.admin_address(process_kind).expect("the process runs")
 }
 
-/// Writes the operator's settings.
+/// Writes the operator's settings and returns the path of the file.
 fn settings(cluster: &mut Cluster, folder: &TempDir) -> PathBuf {
     let processes = PROCESSES.map(|(host, process_kind)| {
         json!({
@@ -41,7 +40,7 @@
     let platform = cluster.platform_address().expect("the platform runs");
     let settings = json!({"platform_address": platform, "processes": processes});
     let file = folder.path().join("operator.jsonc");
-    std::fs::write(&file, settings.to_string()).expect("the settings are written");
+    std::fs::write(&file, settings.to_string()).expect("the settings can be written");
     file
 }
 
@@ -52,13 +51,13 @@
         .arg("--settings")
         .arg(settings)
         .output()
-        .expect("the binary runs");
+        .expect("the binary can be run");
     assert!(output.status.success(), "{output:?}");
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Leaves out what differs from run to run, and puts each process's lines together: events of
-/// different processes within a millisecond may come in any order.
+/// Removes the parts that differ between runs and groups the lines by process, because events of
+/// different processes within the same millisecond may be listed in any order.
 fn by_process(text: &str) -> String {
     let mut lines: BTreeMap<&str, Vec<String>> = BTreeMap::new();
     for line in text.lines().skip(1) {
@@ -66,7 +65,7 @@
         let from = words
             .iter()
             .position(|word| word.starts_with('a'))
-            .expect("a process");
+            .expect("the line names a process");
         let is_plain =
             |word: &&&str| word.len() != 16 || !word.bytes().all(|b| b.is_ascii_hexdigit());
         let kept: Vec<&str> = words[from..].iter().filter(is_plain).copied().collect();
@@ -75,7 +74,7 @@
     lines.into_values().flatten().collect::<Vec<_>>().join("\n")
 }
 
-/// Submits a job to one host and, once its tasks run, again to another.
+/// Submits a job to one host and, once all its tasks have started, to another host.
 async fn submit_twice(
     cluster: &mut Cluster,
     job: &Submission,
@@ -107,12 +106,12 @@
 }
 
 #[test]
-fn one_submission_is_told_from_caller_to_upstream_and_back() {
-    // A caller submits three tasks to one entry host, thinks them lost, and submits again to another.
-    // The time line shows both copies, who holds the submission, each task's way to the executor and
-    // back, and one answer; the class alone finds the same events.
+fn time_line_shows_one_submission_from_caller_to_upstream_and_back() {
+    // A caller submits a job of three tasks to one entry host and then a copy to another. The time line
+    // shows both copies, the holder of the submission, the start and the end of each task on the
+    // executor, and one answer. A query by class finds the same events.
     let mut cluster = block_on(zone::start(2, ClusterOptions::default()));
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let file = settings(&mut cluster, &folder);
     let mut job = zone::job(zone::AT_MOST_ONCE, br#"{"service_ms":1500,"echo":"a"}"#);
     job.tasks = vec![job.tasks[0].clone(); 3];
@@ -125,7 +124,9 @@
             .await;
             let knows_peer = async || {
                 let address = admin(&mut cluster, host, ProcessKind::Entry);
-                let status: Status = get(address, STATUS_PATH).await.expect("it answers");
+                let status: Status = get(address, STATUS_PATH)
+                    .await
+                    .expect("the entry process answers");
                 status.details["live_peers"] == 1
             };
             zone::wait_until("peers know each other", knows_peer).await;
--- a/crates/onyxshed-proof/tests/truth.rs
+++ b/crates/onyxshed-proof/tests/truth.rs
@@ -1,4 +1,4 @@
-//! The checks that every scenario ends with: each kind of lie is found.
+//! The checks at the end of every scenario: each kind of false answer is detected.
 
 use onyxshed_core::{Incarnation, ResultCode, SubmissionId, TaskId, UnixMs};
 use onyxshed_proof::caller::{CallResult, TimedCallResult};
@@ -12,10 +12,10 @@
 const SENT: UnixMs = UnixMs(1_000);
 
 fn id() -> SubmissionId {
-    ID.parse().expect("a submission id")
+    ID.parse().expect("a valid submission id")
 }
 
-/// Starts of tasks of the job, by index and time.
+/// Creates start records of the job's tasks from task indexes and times.
 fn starts(records: &[(u16, u64)]) -> Starts {
     let record = |&(index, at_ms): &(u16, u64)| StartRecord {
         task: TaskId {
@@ -75,13 +75,17 @@
 #[case::failed_unstarted(ended(ResultCode::TaskFailed), &[], "no task started")]
 #[case::twice(ended(ResultCode::HolderGone), &[(1, 1_500), (1, 1_600)], "task 1 of 01ARZ3NDEKTSV4RRFFQ69G5FAV started 2 times")]
 #[case::foreign(Answer::ended(Some(OTHER.parse().unwrap()), ResultCode::HolderGone, ""), &[], "another submission's answer")]
-fn lies_are_found(#[case] answer: Answer, #[case] records: &[(u16, u64)], #[case] expected: &str) {
+fn false_answers_are_detected(
+    #[case] answer: Answer,
+    #[case] records: &[(u16, u64)],
+    #[case] expected: &str,
+) {
     let found = check_answer(answer, false, records);
     assert!(found.contains(expected), "found {found}");
 }
 
 #[test]
-fn a_second_start_is_allowed_where_the_class_says_so() {
+fn second_start_is_allowed_if_class_may_run_twice() {
     let answer = complete(&["one", "two"]);
     assert_eq!(
         check_answer(answer, true, &[(0, 1_500), (0, 1_600), (1, 1_500)]),
