--- a/crates/onyxshed-proof/src/cluster/hosts.rs
+++ b/crates/onyxshed-proof/src/cluster/hosts.rs
@@ -240,7 +240,7 @@
     }
 }
 
-/// Target of a route until its process has an address. Port 1 is expected to have no listener.
+/// Target of a route until its process has an address.
 const UNASSIGNED_ADDRESS: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1));
 
 fn peer_route(process_kind: ProcessKind, host: &str) -> SmolStr {
--- a/crates/onyxshed-proof/src/scenario/world.rs
+++ b/crates/onyxshed-proof/src/scenario/world.rs
@@ -206,11 +206,11 @@
             is_own,
             exchange: exchange.clone(),
         });
-        let note = async move {
+        let store_result = async move {
             let result = request.await;
             exchange.borrow_mut().result = Some(result);
         };
-        self.executor.spawn(note).detach();
+        self.executor.spawn(store_result).detach();
         Ok(())
     }
 
--- a/crates/onyxshed-proof/tests/doors.rs
+++ b/crates/onyxshed-proof/tests/doors.rs
@@ -13,7 +13,9 @@
 use std::net::{SocketAddr, TcpStream};
 
 use async_io::block_on;
-use cases::{Case, bad_bodies, bad_heads, bad_ids, get, sized, transfers, wrong_lengths};
+use cases::{
+    Case, bad_bodies, bad_heads, bad_ids, get, post_with_length, transfers, wrong_lengths,
+};
 use onyxshed_core::EventKind;
 use onyxshed_proof::cluster::{Cluster, ClusterOptions, ProcessKind};
 use onyxshed_proof::zone;
@@ -77,8 +79,8 @@
 
 #[test]
 fn invalid_input_of_callers_and_peers_is_answered_with_result_code() {
-    // Failure guarded against: invalid bytes from a caller or a peer get no result code, or end the
-    // process.
+    // Invalid input of a caller or a peer is answered with a result code, and the process continues to
+    // run.
     let mut cluster = block_on(zone::start(1, cluster_options()));
     let caller_address = zone::caller_address(&mut cluster, "a1");
     let peer = address(&mut cluster, "a1", ProcessKind::Entry, "peer");
@@ -121,7 +123,7 @@
                 get("/v1/timeline?class=%20", ""),
                 Close,
             ),
-            ("body too large", sized(&[b' '; 300_000]), Wait),
+            ("body too large", post_with_length(&[b' '; 300_000]), Wait),
         ]);
         cases
     };
@@ -168,7 +170,7 @@
         let mut stream =
             TcpStream::connect(caller_address).expect("the server accepts connections");
         stream
-            .write_all(&sized(&body))
+            .write_all(&post_with_length(&body))
             .expect("the request can be written");
         busy.push(stream);
     }
--- a/crates/onyxshed-proof/tests/pages.rs
+++ b/crates/onyxshed-proof/tests/pages.rs
@@ -70,8 +70,8 @@
             Some(start) => name.starts_with(start),
             None => name.strip_suffix(".scenario") == Some(word),
         });
-        let beside = root().join("crates/onyxshed-proof/tests").join(word);
-        let is_file = root().join("crates").join(word).exists() || beside.exists();
+        let test_path = root().join("crates/onyxshed-proof/tests").join(word);
+        let is_file = root().join("crates").join(word).exists() || test_path.exists();
         assert!(is_scenario || is_file, "{word}");
     }
 }
--- a/crates/onyxshed-proof/tests/support/cases.rs
+++ b/crates/onyxshed-proof/tests/support/cases.rs
@@ -15,18 +15,19 @@
 }
 
 /// Creates a submission request with this body and its length.
-pub fn sized(body: &[u8]) -> Vec<u8> {
+pub fn post_with_length(body: &[u8]) -> Vec<u8> {
     post(&format!("Content-Length: {}\r\n", body.len()), body)
 }
 
-fn good_body() -> Vec<u8> {
+fn valid_body() -> Vec<u8> {
     serde_json::to_vec(&zone::job(zone::MAY_RUN_TWICE, b"x"))
         .expect("a submission can be serialized")
 }
 
 /// Returns the body of a valid submission in which one field is replaced.
 fn body_with(field: &str, value: Value) -> Vec<u8> {
-    let mut body: Value = serde_json::from_slice(&good_body()).expect("a submission is valid JSON");
+    let mut body: Value =
+        serde_json::from_slice(&valid_body()).expect("a submission is valid JSON");
     body[field] = value;
     body.to_string().into_bytes()
 }
@@ -38,44 +39,47 @@
 
 /// Returns requests whose body does not match the length in the head.
 pub fn wrong_lengths() -> Vec<Case> {
-    let good = good_body();
-    let len = good.len();
+    let valid = valid_body();
+    let len = valid.len();
     let short = format!("Content-Length: {}\r\n", len - 5);
     let long = format!("Content-Length: {}\r\n", len + 5);
     let two = format!("Content-Length: {len}\r\nContent-Length: {}\r\n", len + 1);
     let both = format!("Content-Length: {len}\r\nTransfer-Encoding: chunked\r\n");
     vec![
-        ("body too large", sized(&[b' '; 300_000]), Wait),
+        ("body too large", post_with_length(&[b' '; 300_000]), Wait),
         (
             "body announced too large",
             post("Content-Length: 99999999999\r\n", b""),
             Wait,
         ),
-        ("body cut short", post(&long, &good), Close),
-        ("body late", post(&long, &good), Wait),
-        ("body longer than told", post(&short, &good), Wait),
+        ("body cut short", post(&long, &valid), Close),
+        ("body late", post(&long, &valid), Wait),
+        ("body longer than told", post(&short, &valid), Wait),
         (
             "length no number",
-            post("Content-Length: ten\r\n", &good),
+            post("Content-Length: ten\r\n", &valid),
             Wait,
         ),
-        ("two lengths", post(&two, &good), Close),
-        ("length and chunks", post(&both, &good), Wait),
-        ("no length", post("", &good), Wait),
+        ("two lengths", post(&two, &valid), Close),
+        ("length and chunks", post(&both, &valid), Wait),
+        ("no length", post("", &valid), Wait),
     ]
 }
 
 /// Returns requests with chunked bodies, with `Expect: 100-continue`, and two requests at once.
 pub fn transfers() -> Vec<Case> {
     let chunked = |rest: &str| {
-        let good = good_body();
-        let size = format!("{:x}\r\n", good.len());
-        let body = [size.as_bytes(), &good, b"\r\n", rest.as_bytes()].concat();
+        let valid = valid_body();
+        let size = format!("{:x}\r\n", valid.len());
+        let body = [size.as_bytes(), &valid, b"\r\n", rest.as_bytes()].concat();
         post("Transfer-Encoding: chunked\r\n", &body)
     };
-    let good = good_body();
-    let expect = format!("Expect: 100-continue\r\nContent-Length: {}\r\n", good.len());
-    let two = [sized(&good), sized(&good_body())].concat();
+    let valid = valid_body();
+    let expect = format!(
+        "Expect: 100-continue\r\nContent-Length: {}\r\n",
+        valid.len()
+    );
+    let two = [post_with_length(&valid), post_with_length(&valid_body())].concat();
     vec![
         ("chunks", chunked("0\r\n\r\n"), Wait),
         ("chunks without end", chunked(""), Wait),
@@ -91,34 +95,46 @@
             Wait,
         ),
         ("chunk trailer in pieces", chunked("0\r\nx: y"), Wait),
-        ("body only if wanted", post(&expect, &good), Close),
+        ("body only if wanted", post(&expect, &valid), Close),
         ("two requests at once", two, Wait),
     ]
 }
 
 /// Returns requests with a body of the right length that is no valid submission.
 pub fn bad_bodies() -> Vec<Case> {
-    let deep = |open: &str| sized(open.repeat(12_000).as_bytes());
+    let nested = |open: &str| post_with_length(open.repeat(12_000).as_bytes());
     let many: Vec<&str> = vec![""; 551];
     let cases: [(&'static str, Vec<u8>); 12] = [
-        ("no JSON", sized(b"submit my job, please")),
-        ("JSON cut short", sized(&good_body()[..40])),
-        ("deep list", deep("[")),
-        ("deep object", deep("{\"a\":")),
-        ("not UTF-8", sized(&[0xff, 0xfe, b'{', b'}'])),
-        ("not UTF-8 in a text", sized(b"{\"class\":\"\xc3\x28\"}")),
-        ("unknown field", sized(&body_with("weight", json!(3)))),
-        ("id no id", sized(&body_with("submission", json!("1234")))),
+        ("no JSON", post_with_length(b"submit my job, please")),
+        ("JSON cut short", post_with_length(&valid_body()[..40])),
+        ("deep list", nested("[")),
+        ("deep object", nested("{\"a\":")),
+        ("not UTF-8", post_with_length(&[0xff, 0xfe, b'{', b'}'])),
+        (
+            "not UTF-8 in a text",
+            post_with_length(b"{\"class\":\"\xc3\x28\"}"),
+        ),
+        (
+            "unknown field",
+            post_with_length(&body_with("weight", json!(3))),
+        ),
+        (
+            "id no id",
+            post_with_length(&body_with("submission", json!("1234"))),
+        ),
         (
             "payload no base64",
-            sized(&body_with("tasks", json!(["%"]))),
+            post_with_length(&body_with("tasks", json!(["%"]))),
         ),
         (
             "deadline below zero",
-            sized(&body_with("deadline_ms", json!(-1))),
+            post_with_length(&body_with("deadline_ms", json!(-1))),
+        ),
+        ("no task", post_with_length(&body_with("tasks", json!([])))),
+        (
+            "551 tasks",
+            post_with_length(&body_with("tasks", json!(many))),
         ),
-        ("no task", sized(&body_with("tasks", json!([])))),
-        ("551 tasks", sized(&body_with("tasks", json!(many)))),
     ];
     cases
         .into_iter()
--- a/crates/onyxshed-proof/tests/timeline.rs
+++ b/crates/onyxshed-proof/tests/timeline.rs
@@ -44,10 +44,10 @@
     file
 }
 
-fn timeline(settings: &PathBuf, words: &[&str]) -> String {
+fn timeline(settings: &PathBuf, arguments: &[&str]) -> String {
     let output = Command::new(find_binary("onyxshed").expect("the binaries are built"))
         .arg("timeline")
-        .args(words)
+        .args(arguments)
         .arg("--settings")
         .arg(settings)
         .output()
