--- a/crates/onyxshed-proof/src/scenario.rs
+++ b/crates/onyxshed-proof/src/scenario.rs
@@ -1,6 +1,6 @@
 //! The scenario language, with one file for each scenario.
 //!
-//! [`parse`] parses a file into a [`Script`] and reports errors with line and column; [`play`] runs
+//! [`parse()`] parses a file into a [`Script`] and reports errors with line and column; [`play()`] runs
 //! the script with real processes.
 
 pub mod ask;
