--- a/crates/onyxshed-proof/src/cluster.rs
+++ b/crates/onyxshed-proof/src/cluster.rs
@@ -1,4 +1,5 @@
-//! Entry hosts, executors and the platform's stand-in, with the fault-injecting proxy between them.
+//! A set of entry hosts, executors and a stand-in for the platform, connected through the
+//! fault-injecting proxy.
 
 pub mod executors;
 pub mod faults;
@@ -23,13 +24,13 @@
 
 pub use executors::ExecutorUnit;
 pub use faults::Edge;
-pub use hosts::{EntryHostUnit, Part};
-pub use topology::{Given, Topology};
+pub use hosts::{EntryHostUnit, ProcessKind};
+pub use topology::{ClusterOptions, Topology};
 
-/// Everything that one test runs.
+/// The processes of one test.
 #[derive(Debug)]
 pub struct Cluster {
-    pub(crate) given: Given,
+    pub(crate) options: ClusterOptions,
     pub(crate) platform: Process,
     pub(crate) proxy: Process,
     pub(crate) executors: BTreeMap<SmolStr, ExecutorUnit>,
@@ -38,18 +39,19 @@
 }
 
 impl Cluster {
-    /// Tries to start all processes and waits until each serves.
-    pub async fn start(topology: &Topology, given: Given) -> Result<Self> {
+    /// Starts all processes, waits until each is ready, and publishes the host list.
+    pub async fn start(topology: &Topology, options: ClusterOptions) -> Result<Self> {
         let folder = tempfile::tempdir().context(SystemSnafu {
-            what: "make a folder",
+            what: "create a temporary folder",
         })?;
         let path = folder.path();
-        let mut platform = Process::start("standin-platform", "platform", &given.platform(), path)?;
+        let mut platform =
+            Process::start("standin-platform", "platform", &options.platform(), path)?;
         let mut proxy = Process::start("standin-faults", "faults", &[], path)?;
         platform.wait_ready()?;
         proxy.wait_ready()?;
         let mut cluster = Cluster {
-            given,
+            options,
             platform,
             proxy,
             executors: BTreeMap::new(),
@@ -62,68 +64,71 @@
         Ok(cluster)
     }
 
-    /// Sets the platform's host list to what runs here.
+    /// Replaces the platform's host list with the hosts and executors of the cluster that are listed.
     pub async fn publish_hosts(&self) -> Result<()> {
         let hosts = Hosts {
             executors: self
                 .executors
                 .values()
-                .filter_map(ExecutorUnit::listed)
+                .filter_map(ExecutorUnit::host_list_entry)
                 .collect(),
             entries: self
                 .hosts
                 .values()
-                .filter_map(EntryHostUnit::listed)
+                .filter_map(EntryHostUnit::host_list_entry)
                 .collect(),
         };
         send(self.platform_address()?, Method::Put, HOSTS_PATH, &hosts).await?;
         Ok(())
     }
 
-    /// Sets the platform's faults.
+    /// Replaces the faults that the platform's stand-in injects.
     pub async fn set_platform_faults(&self, faults: &Faults) -> Result<()> {
         let address = self.platform_address()?;
         send(address, Method::Post, "/control/faults", faults).await?;
         Ok(())
     }
 
-    /// Gets the platform's own address, past the proxy.
+    /// Returns the address of the platform itself, without the proxy.
     pub fn platform_address(&self) -> Result<SocketAddr> {
         self.platform.address("http")
     }
 
-    /// Gets an executor.
+    /// Returns the executor with this name.
     pub fn executor(&mut self, name: &str) -> Result<&mut ExecutorUnit> {
         let allowed = names(&self.executors);
         self.executors
             .get_mut(name)
-            .ok_or_else(|| no_such("executor", name, allowed))
+            .ok_or_else(|| unknown_name("executor", name, allowed))
     }
 
-    /// Gets an entry host.
+    /// Returns the entry host with this name.
     pub fn host(&mut self, name: &str) -> Result<&mut EntryHostUnit> {
         let allowed = names(&self.hosts);
         self.hosts
             .get_mut(name)
-            .ok_or_else(|| no_such("entry host", name, allowed))
+            .ok_or_else(|| unknown_name("entry host", name, allowed))
     }
 
-    /// Gets the names of all entry hosts.
+    /// Returns the names of all entry hosts.
     pub fn host_names(&self) -> Vec<SmolStr> {
         self.hosts.keys().cloned().collect()
     }
 
-    /// Gets the folder of settings and logs.
+    /// Returns the folder that holds settings and logs.
     pub(crate) fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// Gets the end of every process's log, for a test that failed.
+    /// Returns the last lines of every process's log, to be shown when a test fails.
     pub fn logs(&self) -> String {
         let mut text = String::new();
-        let parts = self.hosts.values().flat_map(EntryHostUnit::processes);
-        let others = self.executors.values().map(|unit| &unit.process);
-        for process in parts.chain(others).chain([&self.platform, &self.proxy]) {
+        let host_processes = self.hosts.values().flat_map(EntryHostUnit::processes);
+        let executor_processes = self.executors.values().map(|unit| &unit.process);
+        for process in host_processes
+            .chain(executor_processes)
+            .chain([&self.platform, &self.proxy])
+        {
             let tail = process.log_tail();
             if !tail.is_empty() {
                 text += &format!("--- {}\n{tail}\n", process.name());
@@ -133,12 +138,12 @@
     }
 }
 
-fn names<T>(things: &BTreeMap<SmolStr, T>) -> SmolStr {
-    let names: Vec<&str> = things.keys().map(SmolStr::as_str).collect();
+fn names<T>(items: &BTreeMap<SmolStr, T>) -> SmolStr {
+    let names: Vec<&str> = items.keys().map(SmolStr::as_str).collect();
     names.join(", ").into()
 }
 
-pub(crate) fn no_such(kind: &'static str, found: &str, allowed: SmolStr) -> Error {
+pub(crate) fn unknown_name(kind: &'static str, found: &str, allowed: SmolStr) -> Error {
     Error::NoSuch {
         kind,
         found: found.into(),
--- a/crates/onyxshed-proof/src/cluster/executors.rs
+++ b/crates/onyxshed-proof/src/cluster/executors.rs
@@ -18,37 +18,38 @@
 /// One executor.
 #[derive(Debug)]
 pub struct ExecutorUnit {
-    /// Its process.
+    /// The process of the stand-in.
     pub process: Process,
-    /// What the host list says of it.
+    /// The entry of the host list that describes the executor.
     pub host: ExecutorHost,
-    /// Whether the host list names it.
+    /// Whether the host list contains the executor.
     pub is_listed: bool,
-    /// Starts counted when a scenario took note.
-    pub noted_starts: usize,
+    /// Number of task starts when the scenario last executed `note the starts`.
+    pub noted_start_count: usize,
 }
 
 impl ExecutorUnit {
-    /// Gets what the host list says of it, none if it is left out.
-    pub(super) fn listed(&self) -> Option<ExecutorHost> {
+    /// Returns the executor's entry of the host list, `None` if it is not listed.
+    pub(super) fn host_list_entry(&self) -> Option<ExecutorHost> {
         self.is_listed.then(|| self.host.clone())
     }
 
-    /// Gets every start, in order, from what it wrote as they happened: that outlives a kill.
+    /// Returns all task starts in order. They are read from the executor's log, which is available
+    /// after the process was killed.
     pub fn starts(&self) -> Vec<StartRecord> {
         let log = self.process.log();
         let records = log.lines().map(serde_json::from_str);
         records.filter_map(std::result::Result::ok).collect()
     }
 
-    /// Sets its faults.
+    /// Replaces the faults that the executor injects.
     pub async fn set_faults(&self, faults: &UpstreamFaults) -> Result<()> {
         let address = self.process.address("http")?;
         send(address, Method::Post, "/control/faults", faults).await?;
         Ok(())
     }
 
-    /// Makes it say that it is leaving.
+    /// Makes the executor report in its replies that it is leaving.
     pub async fn drain(&self) -> Result<()> {
         let address = self.process.address("http")?;
         call(address, Method::Post, "/control/drain", Vec::new()).await?;
@@ -62,7 +63,7 @@
         for zone in &topology.zones {
             for number in 1..=topology.executors {
                 let name = format_smolstr!("x{zone}{number}");
-                let arguments = self.given.executor(&name);
+                let arguments = self.options.executor(&name);
                 let folder = self.folder();
                 let process = Process::start("standin-upstream", &name, &arguments, folder)?;
                 started.push((zone.clone(), name, process));
@@ -74,29 +75,34 @@
             let address = self.open_route(route, process.address("http")?).await?;
             let unit = ExecutorUnit {
                 process,
-                host: self.describe(&zone, &name, address)?,
+                host: self.new_host_list_entry(&zone, &name, address)?,
                 is_listed: true,
-                noted_starts: 0,
+                noted_start_count: 0,
             };
             self.executors.insert(name, unit);
         }
         Ok(())
     }
 
-    fn describe(&self, zone: &str, name: &str, address: SocketAddr) -> Result<ExecutorHost> {
-        let bad = |error: onyxshed_core::Error| Error::unmet(format_smolstr!("{error}"));
+    fn new_host_list_entry(
+        &self,
+        zone: &str,
+        name: &str,
+        address: SocketAddr,
+    ) -> Result<ExecutorHost> {
+        let to_unmet = |error: onyxshed_core::Error| Error::unmet(format_smolstr!("{error}"));
         Ok(ExecutorHost {
-            name: name.parse::<ExecutorName>().map_err(bad)?,
-            upstream: UPSTREAM.parse::<UpstreamName>().map_err(bad)?,
-            zone: zone.parse::<ZoneName>().map_err(bad)?,
+            name: name.parse::<ExecutorName>().map_err(to_unmet)?,
+            upstream: UPSTREAM.parse::<UpstreamName>().map_err(to_unmet)?,
+            zone: zone.parse::<ZoneName>().map_err(to_unmet)?,
             rack: SmolStr::default(),
             address,
-            slots: self.given.slots,
+            slots: self.options.slots,
             state: HostState::Live,
         })
     }
 
-    /// Gets every start on every executor.
+    /// Returns the task starts of all executors.
     pub fn starts(&self) -> Vec<StartRecord> {
         let units = self.executors.values();
         units.flat_map(ExecutorUnit::starts).collect()
--- a/crates/onyxshed-proof/src/cluster/operator.rs
+++ b/crates/onyxshed-proof/src/cluster/operator.rs
@@ -1,4 +1,4 @@
-//! What operators do: publish targets with the command line.
+//! Actions of operators: publishing class targets with the command line, and reading the log.
 
 use std::process::{Child, Command, Stdio};
 use std::time::Instant;
@@ -13,27 +13,27 @@
 use ulid::Ulid;
 
 use crate::error::{Error, Result, SystemSnafu};
-use crate::process::beside_test;
-use crate::remote::{WAIT_CEILING, call, get, pause};
+use crate::process::find_binary;
+use crate::remote::{WAIT_TIMEOUT, call, get, pause};
 
 use super::Cluster;
 
-/// How a command of `onyxshed` ended.
+/// The exit code and output of an `onyxshed` command.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CommandEnd {
-    /// Its exit code, none if a signal ended it.
+pub struct CommandOutput {
+    /// The exit code, `None` if a signal ended the command.
     pub code: Option<i32>,
-    /// What it wrote.
+    /// The standard output, followed by the standard error.
     pub text: SmolStr,
 }
 
 impl Cluster {
-    /// Runs `onyxshed target put` and waits for its end.
+    /// Runs `onyxshed target put` and waits until it exits.
     pub async fn put_target(
         &self,
         target: &ClassTarget,
         based_on: Option<Revision>,
-    ) -> Result<CommandEnd> {
+    ) -> Result<CommandOutput> {
         let platform = self.platform_address()?;
         let route = SmolStr::new_static("platform.operator");
         let platform = self.open_route(route, platform).await?;
@@ -51,11 +51,12 @@
         if let Some(revision) = based_on {
             arguments.push(format!("--based-on={revision}"));
         }
-        run_to_end(&arguments).await
+        run_command(&arguments).await
     }
 
-    /// Appends a change past the command, which would have refused one that has lost already: as
-    /// when two operators read the same revision and send at the same moment.
+    /// Appends a change directly to the log. The command would reject a change that is based on an
+    /// outdated revision; two operators that read the same revision and append at the same time
+    /// produce such a change.
     pub async fn append_change(&self, target: ClassTarget, based_on: Revision) -> Result<()> {
         let change = ConfigRecord::ChangeV1(ConfigChange {
             change_id: ChangeId(Ulid::generate()),
@@ -68,8 +69,8 @@
         Ok(())
     }
 
-    /// Folds the log as an operator with the whole of it would.
-    pub async fn log_config(&self) -> Result<ConfigFold> {
+    /// Reads the configuration stream and returns the configuration that results from its records.
+    pub async fn read_config(&self) -> Result<ConfigFold> {
         let path = records_path(CONFIG_STREAM);
         let page: Page = get(self.platform_address()?, &path).await?;
         let mut fold = ConfigFold::default();
@@ -80,9 +81,9 @@
     }
 }
 
-/// Runs `onyxshed` without keeping callers from being served meanwhile.
-async fn run_to_end(arguments: &[String]) -> Result<CommandEnd> {
-    let mut child = Command::new(beside_test("onyxshed")?)
+/// Runs `onyxshed` to its end without blocking the executor, so that requests of callers proceed.
+async fn run_command(arguments: &[String]) -> Result<CommandOutput> {
+    let mut child = Command::new(find_binary("onyxshed")?)
         .args(arguments)
         .stdin(Stdio::null())
         .stdout(Stdio::piped())
@@ -91,30 +92,30 @@
         .context(SystemSnafu {
             what: "start onyxshed, which `cargo build --bins` builds",
         })?;
-    let give_up_at = Instant::now() + WAIT_CEILING;
-    while has_not_ended(&mut child)? {
-        if Instant::now() > give_up_at {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while is_running(&mut child)? {
+        if Instant::now() > deadline {
             let _ = child.kill();
             let _ = child.wait();
-            return Err(Error::call("onyxshed", "it did not end"));
+            return Err(Error::call("onyxshed", "the command did not exit in time"));
         }
         pause().await;
     }
     let output = child.wait_with_output().context(SystemSnafu {
-        what: "read what onyxshed wrote",
+        what: "read the output of onyxshed",
     })?;
     let text = format_smolstr!(
         "{}{}",
         String::from_utf8_lossy(&output.stdout),
         String::from_utf8_lossy(&output.stderr)
     );
-    Ok(CommandEnd {
+    Ok(CommandOutput {
         code: output.status.code(),
         text,
     })
 }
 
-fn has_not_ended(child: &mut Child) -> Result<bool> {
+fn is_running(child: &mut Child) -> Result<bool> {
     let ended = child.try_wait().context(SystemSnafu { what: "wait" })?;
     Ok(ended.is_none())
 }
--- a/crates/onyxshed-proof/src/scenario/world.rs
+++ b/crates/onyxshed-proof/src/scenario/world.rs
@@ -1,4 +1,4 @@
-//! What a running scenario knows: the cluster, the jobs and what was heard.
+//! The state of a running scenario: the cluster, the jobs and the results of their requests.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,51 +12,53 @@
 use smol_str::{SmolStr, format_smolstr};
 use ulid::Ulid;
 
-use crate::caller::{self, HeardAt};
-use crate::cluster::{Cluster, Given, Topology};
+use crate::caller::{self, TimedCallResult};
+use crate::cluster::{Cluster, ClusterOptions, Topology};
 use crate::error::{Error, Result};
 use crate::truth::{Exchange, JobFacts, Starts, check};
 
 use super::language::{Content, Jobs};
 
-/// What is sent for a job, from where it was answered.
+/// A request that was sent for a job.
 #[derive(Debug)]
-pub struct Copy {
-    /// The entry host asked.
+pub struct Request {
+    /// Name of the entry host that received the request.
     pub host: SmolStr,
-    /// Whether it carried the job's own content; answers to other content prove nothing of the job.
+    /// Whether the request carried the job's own content. Answers to different content say nothing
+    /// about the job.
     pub is_own: bool,
-    /// When it was sent, and what was heard.
+    /// The time of the request, and its result.
     pub exchange: Rc<RefCell<Exchange>>,
 }
 
-/// One job.
+/// A job of a scenario.
 #[derive(Debug)]
 pub struct Job {
-    /// What its callers send.
+    /// The submission that callers of the job send.
     pub submission: Submission,
-    /// The expected results.
+    /// The expected result of each task.
     pub results: Vec<Vec<u8>>,
-    /// Every request about it.
-    pub copies: Vec<Copy>,
+    /// All requests that were sent for the job.
+    pub requests: Vec<Request>,
 }
 
 impl Job {
-    /// Gets its copies, or those that were sent to one entry host.
-    pub fn copies_from(&self, host: Option<&SmolStr>) -> impl Iterator<Item = &Copy> {
-        let is_meant = move |copy: &&Copy| host.is_none_or(|host| *host == copy.host);
-        self.copies.iter().filter(is_meant)
+    /// Returns the requests that were sent for the job; if a host is given, those to that host.
+    pub fn requests_to(&self, host: Option<&SmolStr>) -> impl Iterator<Item = &Request> {
+        let is_meant = move |request: &&Request| host.is_none_or(|host| *host == request.host);
+        self.requests.iter().filter(is_meant)
     }
 
-    /// Gets what a truthful caller says of the copy it sends next.
-    pub fn next_mark(&self) -> CopyMark {
-        let is_settled = |copy: &Copy| {
-            let exchange = copy.exchange.borrow();
-            let heard = exchange.heard.as_ref();
-            heard.and_then(|heard_at| heard_at.heard.outcome()) == Some(Outcome::NotRun)
+    /// Returns the mark that an honest caller sets on the next copy of the submission, given the
+    /// results of all earlier requests.
+    pub fn next_copy_mark(&self) -> CopyMark {
+        let is_settled = |request: &Request| {
+            let exchange = request.exchange.borrow();
+            let result = exchange.result.as_ref();
+            result.and_then(|timed_result| timed_result.result.outcome()) == Some(Outcome::NotRun)
         };
-        match self.copies.iter().all(is_settled) {
-            true if self.copies.is_empty() => CopyMark::First,
+        match self.requests.iter().all(is_settled) {
+            true if self.requests.is_empty() => CopyMark::First,
             true => CopyMark::Unmarked,
             false => CopyMark::Again,
         }
@@ -64,68 +66,76 @@
 }
 
 /// The state of a running scenario.
-pub struct World {
+pub struct ScenarioRun {
     pub(super) executor: Rc<LocalExecutor<'static>>,
-    pub(super) given: Given,
+    pub(super) options: ClusterOptions,
     pub(super) jobs: BTreeMap<SmolStr, Job>,
     pub(super) may_run_twice: BTreeMap<ClassName, bool>,
-    bound: BTreeMap<SmolStr, Incarnation>,
+    bound_incarnations: BTreeMap<SmolStr, Incarnation>,
     cluster: Option<Cluster>,
 }
 
-impl World {
-    /// Makes a world in which nothing runs yet.
+impl ScenarioRun {
+    /// Creates the state of a scenario whose cluster is not started.
     pub fn new(executor: Rc<LocalExecutor<'static>>) -> Self {
-        World {
+        ScenarioRun {
             executor,
-            given: Given::default(),
+            options: ClusterOptions::default(),
             jobs: BTreeMap::new(),
             may_run_twice: BTreeMap::new(),
-            bound: BTreeMap::new(),
+            bound_incarnations: BTreeMap::new(),
             cluster: None,
         }
     }
 
-    /// Starts everything.
+    /// Starts the cluster.
     pub async fn start(&mut self, topology: &Topology) -> Result<()> {
-        self.cluster = Some(Cluster::start(topology, self.given.clone()).await?);
+        self.cluster = Some(Cluster::start(topology, self.options.clone()).await?);
         Ok(())
     }
 
-    /// Gets the cluster.
+    /// Returns the cluster.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the cluster is not started.
     pub fn cluster(&mut self) -> Result<&mut Cluster> {
-        let missing = || Error::unmet("nothing runs yet: `start` comes first");
+        let missing = || Error::unmet("the cluster is not started; `start` must come first");
         self.cluster.as_mut().ok_or_else(missing)
     }
 
-    /// Gets the end of every process's log.
+    /// Returns the last lines of every process's log.
     pub fn logs(&self) -> String {
         self.cluster.as_ref().map(Cluster::logs).unwrap_or_default()
     }
 
-    /// Gets the names of jobs.
-    pub fn names(&self, jobs: &Jobs) -> Vec<SmolStr> {
+    /// Returns the names of the selected jobs.
+    pub fn job_names(&self, jobs: &Jobs) -> Vec<SmolStr> {
         match jobs {
             Jobs::Named(names) => names.clone(),
             Jobs::Every => self.jobs.keys().cloned().collect(),
         }
     }
 
-    /// Gets a job that was submitted.
+    /// Returns the submitted job with this name.
     pub fn job(&self, name: &SmolStr) -> Result<&Job> {
         let missing = || Error::unmet(format_smolstr!("{name} was not submitted"));
         self.jobs.get(name).ok_or_else(missing)
     }
 
-    /// Gets the jobs that were submitted.
+    /// Returns the selected jobs with their names.
+    ///
+    /// # Errors
+    ///
+    /// Fails if one of them was not submitted.
     pub fn jobs(&self, jobs: &Jobs) -> Result<Vec<(SmolStr, &Job)>> {
-        let names = self.names(jobs).into_iter();
+        let names = self.job_names(jobs).into_iter();
         names
             .map(|name| self.job(&name).map(|job| (name.clone(), job)))
             .collect()
     }
 
-    /// Learns an entry host's incarnation and binds a job's id to it.
+    /// Asks an entry host for its incarnation, and binds the id of a job that is submitted later to it.
     pub async fn bind(&mut self, name: SmolStr, host: &str) -> Result<()> {
         let address = self.cluster()?.host(host)?.caller_address()?;
         let path = format!("{JOBS_PATH}/{}", SubmissionId::unbound(Ulid::generate()));
@@ -134,18 +144,19 @@
             Method::Get,
             &path,
             Vec::new(),
-            crate::remote::WAIT_CEILING,
+            crate::remote::WAIT_TIMEOUT,
         )
         .await
-        .map_err(|error| Error::call("learn an incarnation", error))?;
+        .map_err(|error| Error::call("fetch an incarnation", error))?;
         let answer = Answer::decode(&reply.body).map_err(|error| Error::call("bind", error))?;
         let bind_to = answer.bind_to;
-        let incarnation = bind_to.ok_or_else(|| Error::call("bind", "the answer names none"))?;
-        self.bound.insert(name, incarnation);
+        let incarnation =
+            bind_to.ok_or_else(|| Error::call("bind", "the answer contains no incarnation"))?;
+        self.bound_incarnations.insert(name, incarnation);
         Ok(())
     }
 
-    /// Makes a job unless it is there, and gets what to send for it.
+    /// Returns the submission to send for a job. Creates the job if the content is new.
     pub fn submission(&mut self, name: &SmolStr, content: &Content) -> Result<Submission> {
         match content {
             Content::Same => Ok(self.job(name)?.submission.clone()),
@@ -163,7 +174,7 @@
             } => {
                 let id = SubmissionId {
                     ulid: Ulid::generate(),
-                    bound_to: self.bound.get(name).copied(),
+                    bound_to: self.bound_incarnations.get(name).copied(),
                 };
                 let job = make_job(id, class, *tasks, *service, *failing, *deadline);
                 let submission = job.submission.clone();
@@ -173,37 +184,43 @@
         }
     }
 
-    /// Begins a request; what is heard is noted when it comes.
-    pub fn ask<F>(&mut self, name: &SmolStr, host: SmolStr, is_own: bool, request: F) -> Result<()>
+    /// Starts a request for a job. Its result is stored in the job when it is received.
+    pub fn send_request<F>(
+        &mut self,
+        name: &SmolStr,
+        host: SmolStr,
+        is_own: bool,
+        request: F,
+    ) -> Result<()>
     where
-        F: Future<Output = HeardAt> + 'static,
+        F: Future<Output = TimedCallResult> + 'static,
     {
         let exchange = Rc::new(RefCell::new(Exchange {
             sent_at_ms: caller::now_ms(),
-            heard: None,
+            result: None,
         }));
         let missing = || Error::unmet(format_smolstr!("{name} was not submitted"));
         let job = self.jobs.get_mut(name).ok_or_else(missing)?;
-        job.copies.push(Copy {
+        job.requests.push(Request {
             host,
             is_own,
             exchange: exchange.clone(),
         });
-        let note = async move {
-            let heard = request.await;
-            exchange.borrow_mut().heard = Some(heard);
+        let store_result = async move {
+            let result = request.await;
+            exchange.borrow_mut().result = Some(result);
         };
-        self.executor.spawn(note).detach();
+        self.executor.spawn(store_result).detach();
         Ok(())
     }
 
-    /// Gets every start on every executor.
+    /// Returns the task starts of all executors.
     pub fn starts(&mut self) -> Result<Starts> {
         Ok(Starts::new(self.cluster()?.starts()))
     }
 
-    /// Checks what must hold of every job.
-    pub fn check_truth(&mut self) -> Result<()> {
+    /// Checks the answers of every job against the recorded starts.
+    pub fn check_invariants(&mut self) -> Result<()> {
         if self.cluster.is_none() {
             return Ok(());
         }
@@ -213,18 +230,21 @@
             .try_for_each(|job| check(&self.facts(job), &starts))
     }
 
-    /// Describes every job with what was heard.
+    /// Describes every job with the times and results of its requests, to be shown when a scenario
+    /// fails.
     pub fn describe_jobs(&self) -> String {
         let mut text = String::new();
         for (name, job) in &self.jobs {
             text += &format!("{name} {}\n", job.submission.submission);
-            for copy in &job.copies {
-                let exchange = copy.exchange.borrow();
-                let heard = match &exchange.heard {
-                    Some(heard_at) => format!("{} {}", heard_at.at_ms, heard_at.heard),
+            for request in &job.requests {
+                let exchange = request.exchange.borrow();
+                let result = match &exchange.result {
+                    Some(timed_result) => {
+                        format!("{} {}", timed_result.received_at_ms, timed_result.result)
+                    }
                     None => "no answer yet".to_owned(),
                 };
-                text += &format!("  {} {} -> {heard}\n", copy.host, exchange.sent_at_ms);
+                text += &format!("  {} {} -> {result}\n", request.host, exchange.sent_at_ms);
             }
         }
         text
@@ -232,12 +252,14 @@
 
     fn facts(&self, job: &Job) -> JobFacts {
         let class = &job.submission.class;
-        let own = job.copies.iter().filter(|copy| copy.is_own);
+        let own = job.requests.iter().filter(|request| request.is_own);
         JobFacts {
             id: job.submission.submission,
             may_run_twice: self.may_run_twice.get(class).copied().unwrap_or(false),
             results: job.results.clone(),
-            exchanges: own.map(|copy| copy.exchange.borrow().clone()).collect(),
+            exchanges: own
+                .map(|request| request.exchange.borrow().clone())
+                .collect(),
         }
     }
 }
@@ -260,7 +282,7 @@
             echo: Some(echo.clone()),
             result_bytes: None,
         };
-        payloads.push(serde_json::to_vec(&payload).expect("a payload is plain JSON"));
+        payloads.push(serde_json::to_vec(&payload).expect("a payload can be serialized as JSON"));
         results.push(echo.into_bytes());
     }
     let submission = Submission {
@@ -273,6 +295,6 @@
     Job {
         submission,
         results,
-        copies: Vec::new(),
+        requests: Vec::new(),
     }
 }
--- a/crates/onyxshed-proof/src/truth.rs
+++ b/crates/onyxshed-proof/src/truth.rs
@@ -1,7 +1,7 @@
-//! What must hold after every scenario, whatever else it expects.
+//! Checks that are applied after every scenario, in addition to its own expectations.
 //!
-//! Starts are counted where they happen, on the executors; what callers heard is held against that
-//! record and never against the system's own books.
+//! The answers that callers received are compared with the task starts that the executors recorded,
+//! and never with records of the system under test.
 
 use std::collections::BTreeMap;
 
@@ -10,39 +10,39 @@
 use onyxshed_wire::caller::Answer;
 use smol_str::format_smolstr;
 
-use crate::caller::{Heard, HeardAt};
+use crate::caller::{CallResult, TimedCallResult};
 use crate::error::{Error, Result};
 
-/// One request for a job and what was heard.
+/// A request for a job and its result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Exchange {
-    /// When it was sent, on the wall clock that executors stamp starts with.
+    /// Time of the request on the wall clock, comparable with the start times that executors record.
     pub sent_at_ms: UnixMs,
-    /// What was heard, none while it is awaited.
-    pub heard: Option<HeardAt>,
+    /// The result, `None` while it is pending.
+    pub result: Option<TimedCallResult>,
 }
 
-/// One job as its caller knows it.
+/// The facts about a job that its caller knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobFacts {
-    /// Its id.
+    /// The submission id of the job.
     pub id: SubmissionId,
-    /// Whether its class allows second starts.
+    /// Whether the job's class allows a task to start more than once.
     pub may_run_twice: bool,
-    /// The result of each task.
+    /// The expected result of each task.
     pub results: Vec<Vec<u8>>,
-    /// Every request with its own content.
+    /// All requests that carried the job's own content.
     pub exchanges: Vec<Exchange>,
 }
 
-/// All starts, by task.
+/// All recorded task starts, grouped by task.
 #[derive(Debug, Default)]
 pub struct Starts {
     by_task: BTreeMap<TaskId, Vec<StartRecord>>,
 }
 
 impl Starts {
-    /// Sorts starts by task.
+    /// Groups starts by task.
     pub fn new(records: Vec<StartRecord>) -> Self {
         let mut by_task: BTreeMap<TaskId, Vec<StartRecord>> = BTreeMap::new();
         for record in records {
@@ -51,41 +51,46 @@
         Starts { by_task }
     }
 
-    /// Gets how often a task started.
+    /// Returns how often a task started.
     pub fn count(&self, submission: SubmissionId, index: usize) -> usize {
         let index = u16::try_from(index).unwrap_or(u16::MAX);
         let task = TaskId { submission, index };
         self.by_task.get(&task).map_or(0, Vec::len)
     }
 
-    /// Gets all starts of a job's tasks.
-    pub fn of(&self, submission: SubmissionId) -> impl Iterator<Item = &StartRecord> {
-        let ours = move |record: &&StartRecord| record.task.submission == submission;
-        self.by_task.values().flatten().filter(ours)
+    /// Returns all starts of a job's tasks.
+    pub fn of_submission(&self, submission: SubmissionId) -> impl Iterator<Item = &StartRecord> {
+        let is_match = move |record: &&StartRecord| record.task.submission == submission;
+        self.by_task.values().flatten().filter(is_match)
     }
 }
 
-/// Checks everything that must hold of one job.
+/// Checks the starts and answers of one job.
+///
+/// # Errors
+///
+/// Fails if a task started more often than its class allows, or if an answer contradicts the
+/// recorded starts, the job's results or another answer field.
 pub fn check(job: &JobFacts, starts: &Starts) -> Result<()> {
-    started_once(job, starts)?;
+    check_start_counts(job, starts)?;
     for exchange in &job.exchanges {
-        if let Some(HeardAt { heard, .. }) = &exchange.heard {
-            check_heard(job, exchange, heard, starts)?;
+        if let Some(TimedCallResult { result, .. }) = &exchange.result {
+            check_result(job, exchange, result, starts)?;
         }
     }
-    if is_all_not_run(job) && starts.of(job.id).next().is_some() {
+    if is_all_not_run(job) && starts.of_submission(job.id).next().is_some() {
         let what = format_smolstr!("every answer to {} was not_run, but a task started", job.id);
         return Err(Error::unmet(what));
     }
     Ok(())
 }
 
-/// No task of a submission starts twice.
-fn started_once(job: &JobFacts, starts: &Starts) -> Result<()> {
+/// Checks that no task of a job started twice unless its class allows it.
+fn check_start_counts(job: &JobFacts, starts: &Starts) -> Result<()> {
     for index in 0..job.results.len() {
         let count = starts.count(job.id, index);
         if count > 1 && !job.may_run_twice {
-            let records: Vec<&StartRecord> = starts.of(job.id).collect();
+            let records: Vec<&StartRecord> = starts.of_submission(job.id).collect();
             return Err(Error::unmet(format_smolstr!(
                 "task {index} of {} started {count} times: {records:?}",
                 job.id
@@ -95,43 +100,57 @@
     Ok(())
 }
 
-fn check_heard(job: &JobFacts, exchange: &Exchange, heard: &Heard, starts: &Starts) -> Result<()> {
-    let Heard::Answer(status, answer) = heard else {
+fn check_result(
+    job: &JobFacts,
+    exchange: &Exchange,
+    result: &CallResult,
+    starts: &Starts,
+) -> Result<()> {
+    let CallResult::Answer(status, answer) = result else {
         return Ok(());
     };
     if answer.submission.is_some_and(|id| id != job.id) {
-        return Err(lie(job, answer, "it is another submission's answer"));
+        return Err(false_answer_error(
+            job,
+            answer,
+            "it is another submission's answer",
+        ));
     }
     if *status != answer.http_status() {
-        return Err(lie(
+        return Err(false_answer_error(
             job,
             answer,
-            "its HTTP status does not go with its code",
+            "its HTTP status does not match its code",
         ));
     }
     match answer.outcome {
         Some(Outcome::Complete) => check_complete(job, answer, starts),
         Some(Outcome::NotRun) => check_not_run(job, exchange, answer, starts),
-        Some(Outcome::Failed) if starts.of(job.id).next().is_none() => {
-            Err(lie(job, answer, "no task started"))
+        Some(Outcome::Failed) if starts.of_submission(job.id).next().is_none() => {
+            Err(false_answer_error(job, answer, "no task started"))
         }
         _ => Ok(()),
     }
 }
 
-/// A complete answer holds every task's own result, and every task ran.
+/// Checks that a complete answer contains the result of every task, and that every task started.
 fn check_complete(job: &JobFacts, answer: &Answer, starts: &Starts) -> Result<()> {
     if answer.results.as_ref() != Some(&job.results) {
-        return Err(lie(job, answer, "its results are not the job's own"));
+        return Err(false_answer_error(
+            job,
+            answer,
+            "its results are not the job's own",
+        ));
     }
     let has_run = |index| starts.count(job.id, index) > 0;
     match (0..job.results.len()).all(has_run) {
         true => Ok(()),
-        false => Err(lie(job, answer, "not every task started")),
+        false => Err(false_answer_error(job, answer, "not every task started")),
     }
 }
 
-/// A request that was not run was not run, and carries no result.
+/// Checks a "not run" answer: no task started before the request was sent, and the answer contains no
+/// results.
 fn check_not_run(
     job: &JobFacts,
     exchange: &Exchange,
@@ -139,27 +158,31 @@
     starts: &Starts,
 ) -> Result<()> {
     let ran_before = |record: &StartRecord| record.at_ms < exchange.sent_at_ms;
-    if starts.of(job.id).any(ran_before) {
-        return Err(lie(job, answer, "a task had started before it was asked"));
+    if starts.of_submission(job.id).any(ran_before) {
+        return Err(false_answer_error(
+            job,
+            answer,
+            "a task had started before the request was sent",
+        ));
     }
     match answer.results {
         None => Ok(()),
-        Some(_) => Err(lie(job, answer, "it carries results")),
+        Some(_) => Err(false_answer_error(job, answer, "it carries results")),
     }
 }
 
 fn is_all_not_run(job: &JobFacts) -> bool {
     let is_not_run = |exchange: &Exchange| {
-        let heard = exchange.heard.as_ref();
-        heard.and_then(|heard| heard.heard.outcome()) == Some(Outcome::NotRun)
+        let result = exchange.result.as_ref();
+        result.and_then(|timed_result| timed_result.result.outcome()) == Some(Outcome::NotRun)
     };
     !job.exchanges.is_empty() && job.exchanges.iter().all(is_not_run)
 }
 
-fn lie(job: &JobFacts, answer: &Answer, why: &str) -> Error {
+fn false_answer_error(job: &JobFacts, answer: &Answer, why: &str) -> Error {
     let (outcome, code) = (answer.outcome, answer.code);
     Error::unmet(format_smolstr!(
-        "the answer to {} can't be true: {why}: {outcome:?} {code:?} {}",
+        "the answer to {} is false: {why}: {outcome:?} {code:?} {}",
         job.id,
         answer.text
     ))
--- a/crates/onyxshed-proof/src/zone.rs
+++ b/crates/onyxshed-proof/src/zone.rs
@@ -1,5 +1,5 @@
-//! One zone of real processes with two classes, for tests that are no scenario: a step that fails is
-//! a panic.
+//! Helpers for tests that are not written as scenarios. They run one zone of real processes with two
+//! classes, and panic if a step fails.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -9,102 +9,107 @@
 use onyxshed_wire::caller::{CopyMark, Submission};
 use ulid::Ulid;
 
-use crate::caller::{Heard, Patience, submit};
+use crate::caller::{CallResult, ResubmitPolicy, submit};
 use crate::cluster::topology::UPSTREAM;
-use crate::cluster::{Cluster, Given, Part, Topology};
-use crate::remote::{WAIT_CEILING, get, pause};
+use crate::cluster::{Cluster, ClusterOptions, ProcessKind, Topology};
+use crate::remote::{WAIT_TIMEOUT, get, pause};
 
-/// Class whose tasks run at most once.
-pub const ONCE: &str = "fee";
+/// Name of the class whose tasks run at most once.
+pub const AT_MOST_ONCE: &str = "fee";
 
-/// Class whose tasks may run twice.
-pub const TWICE: &str = "draw";
+/// Name of the class whose tasks may run twice.
+pub const MAY_RUN_TWICE: &str = "draw";
 
-/// Starts a zone `a` and publishes both classes.
-pub async fn start(entry_hosts: u32, given: Given) -> Cluster {
+/// Starts zone `a` with one executor and publishes both classes.
+pub async fn start(entry_hosts: u32, options: ClusterOptions) -> Cluster {
     let topology = Topology {
         zones: vec!["a".into()],
         entry_hosts,
         executors: 1,
     };
-    let cluster = Cluster::start(&topology, given)
+    let cluster = Cluster::start(&topology, options)
         .await
-        .expect("the test's own steps work");
-    publish(&cluster, ONCE, false).await;
-    publish(&cluster, TWICE, true).await;
+        .expect("the cluster starts");
+    publish(&cluster, AT_MOST_ONCE, false).await;
+    publish(&cluster, MAY_RUN_TWICE, true).await;
     cluster
 }
 
-/// Publishes a class whose jobs must be finished within 5 s.
+/// Publishes a class whose jobs must finish within 5 s.
 pub async fn publish(cluster: &Cluster, class: &str, may_run_twice: bool) {
     publish_within(cluster, class, Millis(5_000), may_run_twice).await;
 }
 
-/// Publishes a class's target.
+/// Publishes a class whose jobs must finish within `within`.
 pub async fn publish_within(cluster: &Cluster, class: &str, within: Millis, may_run_twice: bool) {
     let target = ClassTarget {
-        class: class.parse().expect("the test's own steps work"),
-        upstream: UPSTREAM.parse().expect("the test's own steps work"),
+        class: class.parse().expect("valid class name"),
+        upstream: UPSTREAM.parse().expect("valid upstream name"),
         finish_within_ms: within,
         may_run_twice,
     };
-    let end = cluster
+    let output = cluster
         .put_target(&target, None)
         .await
-        .expect("the test's own steps work");
-    assert_eq!(end.code, Some(0), "{}", end.text);
+        .expect("`onyxshed target put` can be run");
+    assert_eq!(output.code, Some(0), "{}", output.text);
 }
 
-/// Gets where callers reach an entry host.
-pub fn callers(cluster: &mut Cluster, host: &str) -> SocketAddr {
+/// Returns the address where an entry host serves callers.
+pub fn caller_address(cluster: &mut Cluster, host: &str) -> SocketAddr {
     cluster
         .host(host)
-        .expect("the test's own steps work")
+        .expect("the host is part of the cluster")
         .caller_address()
-        .expect("the test's own steps work")
+        .expect("the entry process runs")
 }
 
-/// Makes a job of one task that echoes `payload`.
+/// Creates a job of one task that echoes `payload`.
 pub fn job(class: &str, payload: &[u8]) -> Submission {
     Submission {
         submission: SubmissionId::unbound(Ulid::generate()),
-        class: class.parse().expect("the test's own steps work"),
+        class: class.parse().expect("valid class name"),
         deadline_ms: None,
         copy: CopyMark::First,
         tasks: vec![payload.to_vec()],
     }
 }
 
-/// Submits a good job and checks that it gets its whole answer.
-pub async fn serve_one(address: SocketAddr, class: &str) {
+/// Submits a valid job, again if it is not run, and checks that its answer is complete.
+pub async fn run_one_job(address: SocketAddr, class: &str) {
     let payload = Ulid::generate().to_string().into_bytes();
-    let heard = submit(address, job(class, &payload), Patience::UntilRun).await;
-    match heard.heard {
-        Heard::Answer(200, answer) => {
+    let timed_result = submit(address, job(class, &payload), ResubmitPolicy::UntilRun).await;
+    match timed_result.result {
+        CallResult::Answer(200, answer) => {
             assert_eq!(answer.outcome, Some(Outcome::Complete));
             assert_eq!(answer.results, Some(vec![payload]));
         }
-        other => panic!("a good caller heard {other}"),
+        other => panic!("expected a complete answer, found {other}"),
     }
 }
 
-/// Waits until something holds.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let give_up_at = Instant::now() + WAIT_CEILING;
+/// Waits until a condition is met. `what` names the condition in the panic after
+/// [`WAIT_TIMEOUT`].
+pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
-        assert!(Instant::now() < give_up_at, "waited in vain until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         pause().await;
     }
 }
 
-/// Gets the time line of one of an entry host's processes.
-pub async fn timeline(cluster: &mut Cluster, host: &str, part: Part) -> TimelinePage {
+/// Returns the time line of a process of an entry host.
+pub async fn timeline(
+    cluster: &mut Cluster,
+    host: &str,
+    process_kind: ProcessKind,
+) -> TimelinePage {
     let address = cluster
         .host(host)
-        .expect("the test's own steps work")
-        .admin_address(part)
-        .expect("the test's own steps work");
+        .expect("the host is part of the cluster")
+        .admin_address(process_kind)
+        .expect("the process runs");
     get(address, TIMELINE_PATH)
         .await
-        .expect("the test's own steps work")
+        .expect("the time line can be fetched")
 }
--- a/crates/onyxshed-proof/tests/callers_page.rs
+++ b/crates/onyxshed-proof/tests/callers_page.rs
@@ -1,4 +1,5 @@
-//! The examples of docs/CALLERS.md, sent to a real entry host.
+//! Sends the example requests of docs/CALLERS.md to a real entry host and compares the answers with the
+//! examples.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,23 +10,23 @@
 use onyxshed_core::{Event, EventKind};
 use onyxshed_http::Reply;
 use onyxshed_http::client::call_once;
-use onyxshed_proof::cluster::{Cluster, Given, Part};
-use onyxshed_proof::remote::WAIT_CEILING;
+use onyxshed_proof::cluster::{Cluster, ClusterOptions, ProcessKind};
+use onyxshed_proof::remote::WAIT_TIMEOUT;
 use onyxshed_proof::zone;
 use serde_json::Value;
 use ulid::Ulid;
 
-/// What the page's ids of the day begin with; each is replaced by a fresh one.
-const TODAY: &str = "01JZ";
+/// Prefix of the submission ids on the page that are replaced by new ids.
+const ULID_PREFIX: &str = "01JZ";
 
-/// The page's incarnation, replaced by the entry host's own.
-const INCARNATION: &str = "3f1c0a52d9e4b768";
+/// The incarnation on the page, which is replaced by the entry host's incarnation.
+const PAGE_INCARNATION: &str = "3f1c0a52d9e4b768";
 
-/// One block of the page.
+/// A fenced block of the page with an example request or answer.
 #[derive(Debug, PartialEq, Eq)]
 struct Block {
     is_request: bool,
-    /// Ties an answer that comes later to its request.
+    /// Connects an answer that does not directly follow its request to this request; otherwise empty.
     tag: String,
     text: String,
 }
@@ -46,119 +47,128 @@
         .collect()
 }
 
-/// What the page says and what stands for it in this run.
-struct Stand {
-    of_page: BTreeMap<String, String>,
+/// Ids on the page and the ids that replace them in this run.
+struct Substitutions {
+    by_page_text: BTreeMap<String, String>,
 }
 
-impl Stand {
+impl Substitutions {
     fn new(page: &str, incarnation: String) -> Self {
-        let mut of_page = BTreeMap::from([(INCARNATION.to_owned(), incarnation)]);
-        for (at, _) in page.match_indices(TODAY) {
+        let mut by_page_text = BTreeMap::from([(PAGE_INCARNATION.to_owned(), incarnation)]);
+        for (at, _) in page.match_indices(ULID_PREFIX) {
             let id = page[at..][..Ulid::nil().to_string().len()].to_owned();
-            of_page
+            by_page_text
                 .entry(id)
                 .or_insert_with(|| Ulid::generate().to_string());
         }
-        Stand { of_page }
+        Substitutions { by_page_text }
     }
 
     fn to_run(&self, text: &str) -> String {
-        let swap = |text: String, (page, run): (&String, &String)| text.replace(page, run);
-        self.of_page.iter().fold(text.to_owned(), swap)
+        let replace = |text: String, (page, run): (&String, &String)| text.replace(page, run);
+        self.by_page_text.iter().fold(text.to_owned(), replace)
     }
 
     fn to_page(&self, text: &str) -> String {
-        let swap = |text: String, (page, run): (&String, &String)| text.replace(run, page);
-        self.of_page.iter().fold(text.to_owned(), swap)
+        let replace = |text: String, (page, run): (&String, &String)| text.replace(run, page);
+        self.by_page_text.iter().fold(text.to_owned(), replace)
     }
 }
 
 fn send(address: SocketAddr, text: String) -> JoinHandle<Reply> {
     thread::spawn(move || {
         let (line, body) = text.split_once("\n\n").unwrap_or((&text, ""));
-        let (method, path) = line.split_once(' ').expect("a method and a path");
-        let method: Method = method.parse().expect("a method");
+        let (method, path) = line
+            .split_once(' ')
+            .expect("the example has a method and a path");
+        let method: Method = method.parse().expect("the method is valid");
         let body = body.as_bytes().to_vec();
-        block_on(call_once(address, method, path, body, WAIT_CEILING)).expect("an answer")
+        block_on(call_once(address, method, path, body, WAIT_TIMEOUT))
+            .expect("the request is answered")
     })
 }
 
-/// Leaves out how long to wait, which follows from the load; that there is a wait stays.
-fn without_wait(mut answer: Value) -> Value {
+/// Replaces the retry delay, which depends on the load, by a fixed text if the answer contains one.
+fn mask_retry_after(mut answer: Value) -> Value {
     if let Some(wait) = answer.get_mut("retry_after_ms") {
         *wait = "some".into();
     }
     answer
 }
 
-fn check(expected: &str, reply: &Reply, stand: &Stand) {
-    let (head, body) = expected.split_once("\n\n").expect("a head and a body");
+fn check(expected: &str, reply: &Reply, substitutions: &Substitutions) {
+    let (head, body) = expected
+        .split_once("\n\n")
+        .expect("the example has a head and a body");
     assert!(
         head.starts_with(&reply.status.to_string()),
         "{expected}\n{reply:?}"
     );
     let has_wait = reply.header_value("retry-after").is_some();
     assert_eq!(head.contains("Retry-After"), has_wait, "{expected}");
-    let found = stand.to_page(&String::from_utf8_lossy(&reply.body));
+    let found = substitutions.to_page(&String::from_utf8_lossy(&reply.body));
     let found: Value = serde_json::from_str(&found).expect("JSON");
-    let expected: Value = serde_json::from_str(body).expect("JSON on the page");
-    assert_eq!(without_wait(found), without_wait(expected));
+    let expected: Value = serde_json::from_str(body).expect("the example body is JSON");
+    assert_eq!(mask_retry_after(found), mask_retry_after(expected));
 }
 
-/// Waits until the entry host has heard of a task of a request that stays open.
-fn wait_first_result(cluster: &mut Cluster, request: &str) {
-    let is_ours = |event: &Event| {
+/// Waits until a task of a request that is not answered yet has finished.
+fn wait_for_first_result(cluster: &mut Cluster, request: &str) {
+    let is_task_finished = |event: &Event| {
         let id = event.submission.map(|id| id.ulid.to_string());
         event.kind == EventKind::TaskFinished && id.is_some_and(|id| request.contains(&id))
     };
     let has_result = async || {
-        let page = zone::timeline(cluster, "a1", Part::Entry).await;
-        page.events.iter().any(is_ours)
+        let page = zone::timeline(cluster, "a1", ProcessKind::Entry).await;
+        page.events.iter().any(is_task_finished)
     };
-    block_on(zone::until("a task has run", has_result));
+    block_on(zone::wait_until("a task has run", has_result));
 }
 
 fn incarnation(address: SocketAddr) -> String {
     let path = format!("/v1/jobs/{}", Ulid::generate());
     let reply = send(address, format!("GET {path}"))
         .join()
-        .expect("no panic");
+        .expect("the sending thread does not panic");
     let answer: Value = serde_json::from_slice(&reply.body).expect("JSON");
     answer["bind_to"]
         .as_str()
-        .expect("an incarnation")
+        .expect("the answer contains an incarnation")
         .to_owned()
 }
 
 #[test]
-fn every_example_of_the_page_is_true() {
+fn examples_of_callers_page_match_real_answers() {
     let page = include_str!("../../../docs/CALLERS.md");
-    let mut cluster = block_on(zone::start(1, Given::default()));
-    let address = zone::callers(&mut cluster, "a1");
-    block_on(zone::serve_one(address, zone::ONCE));
-    let stand = Stand::new(page, incarnation(address));
-    let mut open: BTreeMap<String, JoinHandle<Reply>> = BTreeMap::new();
+    let mut cluster = block_on(zone::start(1, ClusterOptions::default()));
+    let address = zone::caller_address(&mut cluster, "a1");
+    block_on(zone::run_one_job(address, zone::AT_MOST_ONCE));
+    let substitutions = Substitutions::new(page, incarnation(address));
+    let mut pending: BTreeMap<String, JoinHandle<Reply>> = BTreeMap::new();
     let mut answered = 0;
     for block in blocks(page) {
         if block.is_request {
-            let request = stand.to_run(&block.text);
+            let request = substitutions.to_run(&block.text);
             let sent = send(address, request.clone());
             if !block.tag.is_empty() {
-                wait_first_result(&mut cluster, &request);
+                wait_for_first_result(&mut cluster, &request);
             }
             assert!(
-                open.insert(block.tag, sent).is_none(),
-                "a request without answer"
+                pending.insert(block.tag, sent).is_none(),
+                "a request on the page has no answer"
             );
         } else {
-            let sent = open
+            let sent = pending
                 .remove(&block.tag)
-                .expect("a request before the answer");
-            check(&block.text, &sent.join().expect("no panic"), &stand);
+                .expect("the request precedes the answer on the page");
+            check(
+                &block.text,
+                &sent.join().expect("the sending thread does not panic"),
+                &substitutions,
+            );
             answered += 1;
         }
     }
-    assert!(open.is_empty());
-    assert!(answered > 10, "{answered} examples");
+    assert!(pending.is_empty());
+    assert!(answered > 10, "only {answered} examples on the page");
 }
