--- a/crates/onyxshed-platform/tests/client.rs
+++ b/crates/onyxshed-platform/tests/client.rs
@@ -9,12 +9,12 @@
 use onyxshed_core::{Millis, Offset};
 use onyxshed_http::Reply;
 use onyxshed_platform::{Error, PlatformClient, PlatformOptions};
-use onyxshed_standins::serve::{self, Act, Handler};
+use onyxshed_standins::serve::{self, Handler, ServerAction};
 use rstest::rstest;
 
-/// Runs a test with a client of a server that responds to every request with the same act.
-fn with_server(act: fn() -> Act, test: impl AsyncFnOnce(PlatformClient)) {
-    let handler: Handler = Rc::new(move |_| Box::pin(async move { act() }));
+/// Runs a test with a client of a server that responds to every request with the same action.
+fn with_server(action: fn() -> ServerAction, test: impl AsyncFnOnce(PlatformClient)) {
+    let handler: Handler = Rc::new(move |_| Box::pin(async move { action() }));
     with_handler(handler, test);
 }
 
@@ -44,20 +44,20 @@
 }
 
 #[rstest]
-#[case::closed_before_the_answer(|| Act::Close, 5007, true)]
-#[case::cut_short(|| Act::CutShort(Reply::bytes(200, "{\"offset\":1}")), 5007, true)]
-#[case::not_json(|| Act::Reply(Reply::bytes(200, "<html>")), 5012, true)]
-#[case::gateway_timeout(|| Act::Reply(Reply::bytes(504, "")), 5006, true)]
-#[case::server_error(|| Act::Reply(Reply::bytes(500, "")), 5006, true)]
-#[case::refused(|| Act::Reply(Reply::bytes(413, "")), 5006, false)]
+#[case::closed_before_the_answer(|| ServerAction::Close, 5007, true)]
+#[case::cut_short(|| ServerAction::CutShort(Reply::bytes(200, "{\"offset\":1}")), 5007, true)]
+#[case::not_json(|| ServerAction::Reply(Reply::bytes(200, "<html>")), 5012, true)]
+#[case::gateway_timeout(|| ServerAction::Reply(Reply::bytes(504, "")), 5006, true)]
+#[case::server_error(|| ServerAction::Reply(Reply::bytes(500, "")), 5006, true)]
+#[case::refused(|| ServerAction::Reply(Reply::bytes(413, "")), 5006, false)]
 fn failed_append_reports_whether_it_may_have_taken_effect(
-    #[case] act: fn() -> Act,
+    #[case] action: fn() -> ServerAction,
     #[case] code: u16,
     #[case] may_have_taken_effect: bool,
 ) {
     // The append was sent. The error may state that it had no effect only if that is certain: the
     // platform may have written the record before the answer was lost.
-    with_server(act, async |mut client| {
+    with_server(action, async |mut client| {
         let error = append(&mut client).await.unwrap_err();
         assert_eq!(error.code().number(), code, "{error}");
         assert_eq!(
@@ -96,7 +96,7 @@
 #[case::not_a_page(r#"{"offset":1}"#)]
 fn page_with_offsets_out_of_sequence_is_rejected(#[case] body: &'static str) {
     let handler: Handler =
-        Rc::new(move |_| Box::pin(async move { Act::Reply(Reply::bytes(200, body)) }));
+        Rc::new(move |_| Box::pin(async move { ServerAction::Reply(Reply::bytes(200, body)) }));
     with_handler(handler, async |mut client| {
         let read = client.read("config", Offset(3), Millis(0)).await;
         assert!(matches!(read, Err(Error::Unreadable { .. })), "{read:?}");
@@ -109,11 +109,11 @@
     let counted = calls.clone();
     let handler: Handler = Rc::new(move |_| {
         counted.set(counted.get() + 1);
-        let act = match counted.get() {
-            2 => Act::Close,
-            _ => Act::Reply(Reply::bytes(200, "{\"offset\":7}")),
+        let action = match counted.get() {
+            2 => ServerAction::Close,
+            _ => ServerAction::Reply(Reply::bytes(200, "{\"offset\":7}")),
         };
-        Box::pin(async move { act })
+        Box::pin(async move { action })
     });
     with_handler(handler, async |mut client| {
         assert_eq!(append(&mut client).await, Ok(Offset(7)));
--- a/crates/onyxshed-pool/tests/pool/load.rs
+++ b/crates/onyxshed-pool/tests/pool/load.rs
@@ -6,7 +6,7 @@
 
 use onyxshed_core::{Millis, Mono};
 use onyxshed_pool::{JobEnd, JobRequest, Resources};
-use onyxshed_standins::fleet::RunBook;
+use onyxshed_standins::fleet::ExecutorModel;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -43,7 +43,7 @@
     },
 ];
 
-pub fn executors() -> Vec<RunBook> {
+pub fn executors() -> Vec<ExecutorModel> {
     (0..16)
         .map(|index| {
             let capacity = Resources {
@@ -51,7 +51,7 @@
                 ..resources(if index % 3 == 2 { 96 } else { 64 })
             };
             let speed = [0.6, 1.0, 1.6][index / 2 % 3];
-            RunBook::new(capacity, speed, 0, 0)
+            ExecutorModel::new(capacity, speed, 0, 0)
         })
         .collect()
 }
--- a/crates/onyxshed-pool/tests/pool/search.rs
+++ b/crates/onyxshed-pool/tests/pool/search.rs
@@ -2,7 +2,7 @@
 
 use onyxshed_core::{Millis, Mono};
 use onyxshed_pool::{ExecutorId, JobEnd, JobId, JobRequest, Resources};
-use onyxshed_standins::fleet::RunBook;
+use onyxshed_standins::fleet::ExecutorModel;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
@@ -30,7 +30,7 @@
         .unwrap_or(SEEDS)
 }
 
-fn executors(rng: &mut SmallRng) -> Vec<RunBook> {
+fn executors(rng: &mut SmallRng) -> Vec<ExecutorModel> {
     (0..EXECUTORS)
         .map(|_| {
             let capacity = Resources {
@@ -39,7 +39,7 @@
             };
             let speed = [0.6, 1.0, 1.6][rng.random_range(0..3)];
             let (ahead_ms, slow_millis) = (rng.random_range(0..9_000), rng.random_range(0..20));
-            RunBook::new(capacity, speed, ahead_ms, slow_millis)
+            ExecutorModel::new(capacity, speed, ahead_ms, slow_millis)
         })
         .collect()
 }
--- a/crates/onyxshed-pool/tests/pool/simulation.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation.rs
@@ -18,7 +18,7 @@
     PoolOptions, RunNumber, Session, StartAnswer, StartOrder, StopAnswer, StopOrder,
     SubmissionNumber, TaskId,
 };
-use onyxshed_standins::fleet::RunBook;
+use onyxshed_standins::fleet::ExecutorModel;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -142,7 +142,7 @@
 pub struct Simulation {
     pub now: Mono,
     pub calls: BTreeMap<JobId, Call>,
-    pub executors: BTreeMap<ExecutorId, RunBook>,
+    pub executors: BTreeMap<ExecutorId, ExecutorModel>,
     pub message_faults: MessageFaults,
     pub timeouts: Timeouts,
     pub wasted_run_time: Micros,
@@ -165,7 +165,7 @@
 }
 
 impl Simulation {
-    pub fn new(seed: u64, executors: Vec<RunBook>, entries: usize) -> Self {
+    pub fn new(seed: u64, executors: Vec<ExecutorModel>, entries: usize) -> Self {
         let named = executors
             .into_iter()
             .enumerate()
--- a/crates/onyxshed-pool/tests/pool/simulation/executors.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/executors.rs
@@ -57,15 +57,15 @@
         self.check_runs_nowhere_else(id, order.task);
         self.started_at.insert(order.task, now);
         self.schedule_run_end(id, order.task, order.run);
-        let lapses_at = self.executors[id].lapses_at();
-        self.schedule_at(lapses_at, Event::LeaseExpired(id.clone()));
+        let lease_expires_at = self.executors[id].lease_expires_at();
+        self.schedule_at(lease_expires_at, Event::LeaseExpired(id.clone()));
         answer
     }
 
     /// Schedules the end of a run at the executor's current speed.
     pub(super) fn schedule_run_end(&mut self, id: &ExecutorId, task: TaskId, run: RunNumber) {
         let executor = &self.executors[id];
-        let over = Event::RunEnded(id.clone(), task, run, executor.born);
+        let over = Event::RunEnded(id.clone(), task, run, executor.started_at_ms);
         if let Some(ends_at) = executor.ends_at(task) {
             self.schedule_at(ends_at.max(self.now + Micros(1)), over);
         }
@@ -75,7 +75,7 @@
     pub(super) fn check_runs_nowhere_else(&self, executor_id: &ExecutorId, task: TaskId) {
         for (id, executor) in &self.executors {
             if id != executor_id && executor.is_up && executor.runs.contains_key(&task) {
-                let is_expired = executor.is_lapsed(self.now);
+                let is_expired = executor.is_lease_expired(self.now);
                 let events: Vec<_> = self.trace.iter().filter(|row| row.1 == task).collect();
                 assert!(
                     is_expired,
@@ -99,9 +99,9 @@
             let answer = Answer::Hold(HoldAnswer::Report(report));
             return self.answer(owner, id, number, answer);
         }
-        let lapses_at = executor.lapses_at();
+        let lease_expires_at = executor.lease_expires_at();
         let has_ends = executor.has_ends();
-        self.schedule_at(lapses_at, Event::LeaseExpired(id.clone()));
+        self.schedule_at(lease_expires_at, Event::LeaseExpired(id.clone()));
         if has_ends || order.wait.0 == 0 {
             self.report(owner, id, number);
         } else if number != 0 {
@@ -161,7 +161,7 @@
         self.expire_leases(id);
         let executor = self.executors.get_mut(id).expect("a known executor");
         let run = executor.runs.get(&task);
-        if executor.born != started_at || run.is_none_or(|run| run.number != number) {
+        if executor.started_at_ms != started_at || run.is_none_or(|run| run.number != number) {
             return;
         }
         // The executor has become slower since this event was scheduled.
@@ -179,7 +179,7 @@
     pub(super) fn expire_leases(&mut self, id: &ExecutorId) {
         let now = self.now;
         let executor = &self.executors[id];
-        if executor.runs.is_empty() || !executor.is_lapsed(now) {
+        if executor.runs.is_empty() || !executor.is_lease_expired(now) {
             return;
         }
         let tasks: Vec<TaskId> = executor.runs.keys().copied().collect();
@@ -187,7 +187,7 @@
             self.record_wasted_run(id, task);
         }
         let executor = self.executors.get_mut(id).expect("a known executor");
-        executor.lapse();
+        executor.stop_all_runs();
         self.answer_pending_holds(id);
     }
 
--- a/crates/onyxshed-pool/tests/pool/simulation/owners.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/owners.rs
@@ -7,7 +7,7 @@
     Action, Decision, ExecutorFacts, ExecutorId, FencingToken, HoldAnswer, Pool, StartAnswer,
     StopAnswer,
 };
-use onyxshed_standins::fleet::RunBook;
+use onyxshed_standins::fleet::ExecutorModel;
 use rand::RngExt;
 
 use super::{
@@ -271,7 +271,7 @@
     }
 }
 
-fn facts_of(executor: &RunBook) -> ExecutorFacts {
+fn facts_of(executor: &ExecutorModel) -> ExecutorFacts {
     ExecutorFacts {
         address: "10.0.0.1:80".parse().expect("a socket address"),
         upstream: "desk".into(),
@@ -279,6 +279,6 @@
         labels: Vec::new(),
         rack: None,
         is_draining: false,
-        started_at: Some(onyxshed_core::UnixMs(executor.born)),
+        started_at: Some(onyxshed_core::UnixMs(executor.started_at_ms)),
     }
 }
--- a/crates/onyxshed-proof/src/cluster.rs
+++ b/crates/onyxshed-proof/src/cluster.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 
 use http_types::Method;
-use onyxshed_standins::platform::{Faults, Hosts};
+use onyxshed_standins::platform::{Faults, HostSet};
 use onyxshed_wire::platform::HOSTS_PATH;
 use smol_str::SmolStr;
 use snafu::ResultExt;
@@ -66,7 +66,7 @@
 
     /// Replaces the platform's host list with the hosts and executors of the cluster that are listed.
     pub async fn publish_hosts(&self) -> Result<()> {
-        let hosts = Hosts {
+        let hosts = HostSet {
             executors: self
                 .executors
                 .values()
--- a/crates/onyxshed-standins/src/faults/control.rs
+++ b/crates/onyxshed-standins/src/faults/control.rs
@@ -12,7 +12,7 @@
 use smol_str::SmolStr;
 
 use crate::error::Result;
-use crate::serve::{Act, Handler, listen, local_address, no_such_path, read_json};
+use crate::serve::{Handler, ServerAction, listen, local_address, no_such_path, read_json};
 
 use super::mode::{Mode, NewRoute, SetMode};
 use super::route::Route;
@@ -74,53 +74,53 @@
         })
     }
 
-    async fn handle(&self, call: Call) -> Act {
+    async fn handle(&self, call: Call) -> ServerAction {
         match (call.method(), call.path()) {
             (Method::Get, "/control/routes") => self.list_routes(),
             (Method::Post, "/control/routes") => match read_json(&call.body) {
                 Ok(new) => self.open_on_free_port(new).await,
-                Err(act) => act,
+                Err(action) => action,
             },
             (Method::Post, "/control/mode") => match read_json(&call.body) {
                 Ok(command) => self.set_mode(&command),
-                Err(act) => act,
+                Err(action) => action,
             },
             _ => no_such_path(),
         }
     }
 
-    async fn open_on_free_port(&self, new: NewRoute) -> Act {
+    async fn open_on_free_port(&self, new: NewRoute) -> ServerAction {
         match self.open_route(([127, 0, 0, 1], 0).into(), new).await {
-            Ok(address) => Act::Reply(Reply::json(OK, &address)),
-            Err(error) => Act::Reply(Reply::bytes(UNAVAILABLE, error.to_string())),
+            Ok(address) => ServerAction::Reply(Reply::json(OK, &address)),
+            Err(error) => ServerAction::Reply(Reply::bytes(UNAVAILABLE, error.to_string())),
         }
     }
 
     /// Sets the mode of all routes that match the command's patterns; replies 404 at the first pattern
     /// without a match.
-    fn set_mode(&self, command: &SetMode) -> Act {
+    fn set_mode(&self, command: &SetMode) -> ServerAction {
         let routes = self.routes.borrow();
         for pattern in &command.routes {
             let mut matching = routes
                 .iter()
                 .filter(|(name, _)| matches_pattern(pattern, name));
             let Some(first) = matching.next() else {
-                return Act::Reply(Reply::bytes(NOT_FOUND, format!("no route {pattern}")));
+                return ServerAction::Reply(Reply::bytes(NOT_FOUND, format!("no route {pattern}")));
             };
             for (_, route) in std::iter::once(first).chain(matching) {
                 route.set_mode(command.mode);
             }
         }
-        Act::Reply(Reply::bytes(OK, ""))
+        ServerAction::Reply(Reply::bytes(OK, ""))
     }
 
-    fn list_routes(&self) -> Act {
+    fn list_routes(&self) -> ServerAction {
         let routes = self.routes.borrow();
         let views: BTreeMap<&SmolStr, RouteView> = routes
             .iter()
             .map(|(name, route)| (name, route_view(route)))
             .collect();
-        Act::Reply(Reply::json(OK, &views))
+        ServerAction::Reply(Reply::json(OK, &views))
     }
 }
 
--- a/crates/onyxshed-standins/src/fleet.rs
+++ b/crates/onyxshed-standins/src/fleet.rs
@@ -2,10 +2,10 @@
 //! describes them.
 
 pub mod executor;
+pub mod executor_model;
 pub mod groups;
-pub mod run_book;
 pub mod store;
 
 pub use executor::{FleetExecutor, FleetExecutorOptions};
-pub use run_book::RunBook;
+pub use executor_model::ExecutorModel;
 pub use store::FleetStore;
--- a/crates/onyxshed-standins/src/fleet/executor.rs
+++ b/crates/onyxshed-standins/src/fleet/executor.rs
@@ -25,9 +25,9 @@
 use serde_json::{Value, json};
 use smol_str::{SmolStr, format_smolstr};
 
-use super::run_book::RunBook;
+use super::executor_model::ExecutorModel;
 use crate::platform::service::now_ms;
-use crate::serve::{Act, Handler, no_such_path, read_json};
+use crate::serve::{Handler, ServerAction, no_such_path, read_json};
 
 const OK: u16 = 200;
 const CONFLICT: u16 = 409;
@@ -142,7 +142,7 @@
     options: FleetExecutorOptions,
     executor: Rc<LocalExecutor<'static>>,
     started_at: Instant,
-    book: RefCell<RunBook>,
+    model: RefCell<ExecutorModel>,
     records: RefCell<Vec<RunRecord>>,
     run_ended: Notifier,
 }
@@ -164,19 +164,19 @@
             memory_mb: 1_000_000,
             accelerators: 0,
         };
-        let mut book = RunBook::new(
+        let mut model = ExecutorModel::new(
             capacity,
             options.speed,
             options.clock_ahead_ms,
             options.clock_slow_millis,
         );
-        book.born = now_ms().0;
+        model.started_at_ms = now_ms().0;
         FleetExecutor {
             inner: Rc::new(Inner {
                 options,
                 executor,
                 started_at: Instant::now(),
-                book: RefCell::new(book),
+                model: RefCell::new(model),
                 records: RefCell::default(),
                 run_ended: Notifier::default(),
             }),
@@ -209,7 +209,7 @@
                 "service": options.upstream, "address": address, "zone": options.zone,
                 "version": "v1", "slots": 8, "state": "ready", "cold_left_ms": 0,
                 "capacity": {"cpu": options.cpu_millis, "mem_mb": 1_000_000, "gpus": 0},
-                "labels": ["a", "r1-1"], "seq": seq, "born": self.inner.book.borrow().born,
+                "labels": ["a", "r1-1"], "seq": seq, "born": self.inner.model.borrow().started_at_ms,
             });
             let body = entry.to_string().into_bytes();
             // A failed write is ignored: the next one replaces it.
@@ -231,25 +231,25 @@
     fn stop_expired_runs(&self) {
         let now = self.now();
         let (expired_tasks, late_ms): (Vec<TaskId>, u64) = {
-            let book = self.inner.book.borrow();
-            if !book.is_lapsed(now) {
+            let model = self.inner.model.borrow();
+            if !model.is_lease_expired(now) {
                 return;
             }
-            let late_ms = now.since(book.lapses_at()).as_millis();
-            (book.runs.keys().copied().collect(), late_ms.0)
+            let late_ms = now.since(model.lease_expires_at()).as_millis();
+            (model.runs.keys().copied().collect(), late_ms.0)
         };
         for task in expired_tasks {
             self.end_run_at(task, RunEnd::Stopped, "lapsed", now_ms().0 - late_ms);
         }
     }
 
-    async fn handle(&self, call: Call) -> Act {
+    async fn handle(&self, call: Call) -> ServerAction {
         if call.path() == "/control/runs" {
-            return Act::Reply(Reply::json(OK, &*self.inner.records.borrow()));
+            return ServerAction::Reply(Reply::json(OK, &*self.inner.records.borrow()));
         }
         let target = call.header("x-onyxshed-target-instance");
         if target.is_some_and(|target| target != self.inner.options.id) {
-            return Act::Reply(Reply::json(MISDIRECTED, &json!({})));
+            return ServerAction::Reply(Reply::json(MISDIRECTED, &json!({})));
         }
         match (call.method(), call.path()) {
             (Method::Post, "/run-start") => self.start(&call),
@@ -274,25 +274,25 @@
     }
 
     fn clock_ms(&self) -> u64 {
-        self.inner.book.borrow().clock_ms(self.now())
+        self.inner.model.borrow().clock_ms(self.now())
     }
 
-    fn refuse(&self, reason: &str) -> Act {
+    fn refuse(&self, reason: &str) -> ServerAction {
         let reply = json!({ "clock_ms": self.clock_ms(), "reason": reason });
-        Act::Reply(Reply::json(CONFLICT, &reply))
+        ServerAction::Reply(Reply::json(CONFLICT, &reply))
     }
 
-    fn accept(&self) -> Act {
-        Act::Reply(Reply::json(OK, &json!({ "clock_ms": self.clock_ms() })))
+    fn accept(&self) -> ServerAction {
+        ServerAction::Reply(Reply::json(OK, &json!({ "clock_ms": self.clock_ms() })))
     }
 
-    fn start(&self, call: &Call) -> Act {
+    fn start(&self, call: &Call) -> ServerAction {
         let order: StartBody = match read_json(&call.body) {
             Ok(order) => order,
-            Err(act) => return act,
+            Err(action) => return action,
         };
         let Some(task) = parse_task(&order.task_id) else {
-            return Act::Reply(Reply::bytes(400, "no such task"));
+            return ServerAction::Reply(Reply::bytes(400, "no such task"));
         };
         self.stop_expired_runs();
         let start = StartOrder {
@@ -307,7 +307,7 @@
         let spec = TaskSpec::parse(&order.spec);
         let (answer, is_new) = self
             .inner
-            .book
+            .model
             .borrow_mut()
             .start(now, &start, demand, spec.work);
         if is_new {
@@ -330,8 +330,9 @@
         }
         self.stop_expired_runs();
         let is_running = {
-            let book = self.inner.book.borrow();
-            book.runs
+            let model = self.inner.model.borrow();
+            model
+                .runs
                 .get(&task)
                 .is_some_and(|run_in_progress| run_in_progress.number == run)
         };
@@ -346,24 +347,24 @@
     /// Returns the time that a run still takes at the present speed; `None` if its work is done or it is no
     /// longer in progress.
     fn remaining_time(&self, task: TaskId, run: RunNumber) -> Option<Duration> {
-        let book = self.inner.book.borrow();
-        let is_running = book
+        let model = self.inner.model.borrow();
+        let is_running = model
             .runs
             .get(&task)
             .is_some_and(|run_in_progress| run_in_progress.number == run);
-        let remaining = book.ends_at(task)?.since(self.now());
+        let remaining = model.ends_at(task)?.since(self.now());
         (is_running && remaining.0 > 0).then(|| Duration::from_micros(remaining.0))
     }
 
     /// Handles a change of the speed, which applies to runs in progress as well.
-    fn set_speed(&self, call: &Call) -> Act {
+    fn set_speed(&self, call: &Call) -> ServerAction {
         match read_json::<f64>(&call.body) {
             Ok(speed) if speed > 0.0 => {
-                self.inner.book.borrow_mut().set_speed(self.now(), speed);
+                self.inner.model.borrow_mut().set_speed(self.now(), speed);
                 self.accept()
             }
-            Ok(_) => Act::Reply(Reply::bytes(400, "a speed is above zero")),
-            Err(act) => act,
+            Ok(_) => ServerAction::Reply(Reply::bytes(400, "a speed is above zero")),
+            Err(action) => action,
         }
     }
 
@@ -372,23 +373,23 @@
     }
 
     fn end_run_at(&self, task: TaskId, end: RunEnd, event: &str, at_ms: u64) {
-        let mut book = self.inner.book.borrow_mut();
-        let number = book.runs.get(&task).map(|run| run.number);
-        book.end(task, end);
-        drop(book);
+        let mut model = self.inner.model.borrow_mut();
+        let number = model.runs.get(&task).map(|run| run.number);
+        model.end(task, end);
+        drop(model);
         if let Some(number) = number {
             self.record_event_at(task, number, event, at_ms);
         }
         self.inner.run_ended.notify();
     }
 
-    fn stop(&self, call: &Call) -> Act {
+    fn stop(&self, call: &Call) -> ServerAction {
         let order: StopBody = match read_json(&call.body) {
             Ok(order) => order,
-            Err(act) => return act,
+            Err(action) => return action,
         };
         let Some(task) = parse_task(&order.task_id) else {
-            return Act::Reply(Reply::bytes(400, "no such task"));
+            return ServerAction::Reply(Reply::bytes(400, "no such task"));
         };
         let stop = StopOrder {
             task,
@@ -396,22 +397,22 @@
             token: FencingToken(order.fencing_token),
         };
         self.stop_expired_runs();
-        let was_running = self.inner.book.borrow().runs.contains_key(&task);
-        match self.inner.book.borrow_mut().stop(&stop) {
+        let was_running = self.inner.model.borrow().runs.contains_key(&task);
+        match self.inner.model.borrow_mut().stop(&stop) {
             StopAnswer::Fenced => return self.refuse("fence"),
             StopAnswer::Accepted | StopAnswer::OtherIncarnation | StopAnswer::Unknown => {}
         }
-        if was_running && !self.inner.book.borrow().runs.contains_key(&task) {
+        if was_running && !self.inner.model.borrow().runs.contains_key(&task) {
             self.record_event(task, stop.run, "stopped");
             self.inner.run_ended.notify();
         }
         self.accept()
     }
 
-    async fn hold(&self, call: &Call) -> Act {
+    async fn hold(&self, call: &Call) -> ServerAction {
         let order: HoldBody = match read_json(&call.body) {
             Ok(order) => order,
-            Err(act) => return act,
+            Err(action) => return action,
         };
         let hold = HoldOrder {
             expires: order.expires_ms.map(UnixMs),
@@ -422,12 +423,12 @@
         };
         self.stop_expired_runs();
         let now = self.now();
-        let result = self.inner.book.borrow_mut().hold(now, &hold);
+        let result = self.inner.model.borrow_mut().hold(now, &hold);
         if result.is_err() {
             return self.refuse("fence");
         }
         let deadline = Instant::now() + Duration::from_millis(order.wait_ms);
-        while !self.inner.book.borrow().has_ends() && Instant::now() < deadline {
+        while !self.inner.model.borrow().has_ends() && Instant::now() < deadline {
             let subscription = self.inner.run_ended.subscribe();
             let timeout = async {
                 Timer::at(deadline).await;
@@ -437,8 +438,8 @@
         self.report()
     }
 
-    fn report(&self) -> Act {
-        let report = self.inner.book.borrow().report(self.now());
+    fn report(&self) -> ServerAction {
+        let report = self.inner.model.borrow().report(self.now());
         let ExecutorReport::Lists(lists) = report else {
             return no_such_path();
         };
@@ -452,7 +453,7 @@
             "clock_ms": lists.clock.0, "born": lists.started_at.map(|at| at.0),
             "running": running, "finished": finished,
         });
-        Act::Reply(Reply::json(OK, &reply))
+        ServerAction::Reply(Reply::json(OK, &reply))
     }
 }
 
--- a/crates/onyxshed-standins/src/fleet/run_book.rs
+++ b/crates/onyxshed-standins/src/fleet/executor_model.rs
@@ -15,7 +15,7 @@
 
 /// One run in progress.
 #[derive(Debug, Clone, Copy)]
-pub struct BookedRun {
+pub struct ActiveRun {
     /// The number of the run among those of its task.
     pub number: RunNumber,
     /// The resources that the run occupies.
@@ -30,7 +30,7 @@
     is_stuck: bool,
 }
 
-impl BookedRun {
+impl ActiveRun {
     /// Returns the work done at a time, given the speed since `work_done` was updated last.
     fn work_done_at(&self, now: Mono, speed: f64) -> Micros {
         let since = scaled(now.since(self.updated_at), speed);
@@ -58,13 +58,13 @@
 
 /// The state of one executor.
 #[derive(Debug)]
-pub struct RunBook {
+pub struct ExecutorModel {
     /// The resources that are free when nothing runs.
     pub capacity: Resources,
     /// The factor by which the executor is faster than an ordinary one.
     pub speed: f64,
     /// The start of this incarnation in milliseconds, as the executor reports it.
-    pub born: u64,
+    pub started_at_ms: u64,
     /// The time by which the executor's clock is ahead, in milliseconds.
     pub ahead_ms: u64,
     /// The rate by which the executor's clock is slow, in thousandths.
@@ -76,7 +76,7 @@
     /// Whether the runs that start from now on never end.
     pub is_stuck: bool,
     /// The runs in progress, by task.
-    pub runs: BTreeMap<TaskId, BookedRun>,
+    pub runs: BTreeMap<TaskId, ActiveRun>,
     /// The highest fencing token seen.
     token: u64,
     /// The end of the lease by the executor's clock.
@@ -89,13 +89,13 @@
     last_end_number: u64,
 }
 
-impl RunBook {
+impl ExecutorModel {
     /// Creates an idle executor.
     pub fn new(capacity: Resources, speed: f64, ahead_ms: u64, slow_millis: u64) -> Self {
-        RunBook {
+        ExecutorModel {
             capacity,
             speed,
-            born: 1,
+            started_at_ms: 1,
             ahead_ms,
             slow_millis,
             is_up: true,
@@ -117,13 +117,13 @@
     }
 
     /// Returns the true time by which the lease has expired.
-    pub fn lapses_at(&self) -> Mono {
+    pub fn lease_expires_at(&self) -> Mono {
         let ms = self.lease_end_ms.saturating_sub(self.ahead_ms);
         Mono((ms * 1_000 / (1_000 - self.slow_millis) + 1) * 1_000)
     }
 
     /// Returns whether the lease has expired by the executor's clock.
-    pub fn is_lapsed(&self, now: Mono) -> bool {
+    pub fn is_lease_expired(&self, now: Mono) -> bool {
         self.clock_ms(now) >= self.lease_end_ms
     }
 
@@ -134,10 +134,10 @@
 
     /// Simulates a crash and a restart: runs, ends, fences and lease are lost.
     pub fn restart(&mut self) {
-        let born = self.born + 1;
-        *self = RunBook {
-            born,
-            ..RunBook::new(self.capacity, self.speed, self.ahead_ms, self.slow_millis)
+        let started_at_ms = self.started_at_ms + 1;
+        *self = ExecutorModel {
+            started_at_ms,
+            ..ExecutorModel::new(self.capacity, self.speed, self.ahead_ms, self.slow_millis)
         };
     }
 
@@ -197,7 +197,7 @@
         if !self.free_capacity().can_fit(demand) {
             return refuse(RefuseReason::NoRoom);
         }
-        let run = BookedRun {
+        let run = ActiveRun {
             number: order.run,
             demand,
             work,
@@ -245,7 +245,7 @@
     }
 
     /// Stops all runs, as an executor does when its lease has expired.
-    pub fn lapse(&mut self) {
+    pub fn stop_all_runs(&mut self) {
         let tasks: Vec<TaskId> = self.runs.keys().copied().collect();
         for task in tasks {
             self.end(task, RunEnd::Stopped);
@@ -280,7 +280,7 @@
         });
         ExecutorReport::Lists(ExecutorLists {
             clock: UnixMs(self.clock_ms(now)),
-            started_at: Some(UnixMs(self.born)),
+            started_at: Some(UnixMs(self.started_at_ms)),
             running: running.collect(),
             finished: self.ends.clone(),
             listed_to: self.last_end_number,
--- a/crates/onyxshed-standins/src/fleet/store.rs
+++ b/crates/onyxshed-standins/src/fleet/store.rs
@@ -16,7 +16,7 @@
 use smol_str::SmolStr;
 
 use super::groups::Group;
-use crate::serve::{Act, Handler, no_such_path, read_json};
+use crate::serve::{Handler, ServerAction, no_such_path, read_json};
 
 const OK: u16 = 200;
 const GONE: u16 = 410;
@@ -108,18 +108,18 @@
         })
     }
 
-    async fn handle(&self, call: Call) -> Act {
+    async fn handle(&self, call: Call) -> ServerAction {
         if let Some(rest) = call.path().strip_prefix("/control/") {
             return self.control(rest, &call);
         }
         let faults = *self.inner.faults.borrow();
         if faults.is_busy {
-            return Act::Reply(Reply::bytes(UNAVAILABLE, Vec::new()));
+            return ServerAction::Reply(Reply::bytes(UNAVAILABLE, Vec::new()));
         }
         if faults.delay_ms > 0 {
             Timer::after(Duration::from_millis(faults.delay_ms)).await;
         }
-        let act = match (call.method(), call.path()) {
+        let action = match (call.method(), call.path()) {
             (Method::Get, "/log-newest") => self.read_newest(&call),
             (Method::Get, "/log-read") => self.read(&call).await,
             (Method::Get, "/log-owners") => self.read_owners(&call),
@@ -129,10 +129,14 @@
             _ => no_such_path(),
         };
         let is_reply_lost = rand::rng().random_bool(faults.lost_answers.clamp(0.0, 1.0));
-        if is_reply_lost { Act::Close } else { act }
+        if is_reply_lost {
+            ServerAction::Close
+        } else {
+            action
+        }
     }
 
-    fn control(&self, command: &str, call: &Call) -> Act {
+    fn control(&self, command: &str, call: &Call) -> ServerAction {
         match command {
             "put" => self.put(call),
             "faults" => match read_json(&call.body) {
@@ -140,7 +144,7 @@
                     self.inner.faults.replace(faults);
                     empty_reply()
                 }
-                Err(act) => act,
+                Err(action) => action,
             },
             "forget" => {
                 for topic in self.inner.topics.borrow_mut().values_mut() {
@@ -149,7 +153,7 @@
                 }
                 empty_reply()
             }
-            "joins" => Act::Reply(Reply::json(OK, &self.inner.joins.get())),
+            "joins" => ServerAction::Reply(Reply::json(OK, &self.inner.joins.get())),
             "revoke" => {
                 let mut groups = self.inner.groups.borrow_mut();
                 groups.values_mut().for_each(Group::revoke);
@@ -160,7 +164,7 @@
     }
 
     /// Handles a write of a record by operators or executors; an empty body deletes the key.
-    fn put(&self, call: &Call) -> Act {
+    fn put(&self, call: &Call) -> ServerAction {
         let (Some(topic), Some(key)) = (call.query("topic"), call.query("key")) else {
             return no_such_path();
         };
@@ -174,7 +178,7 @@
 
     /// Handles an append of one record in the store's framing: a length of four bytes, the length of the key
     /// in one byte, the key and the value.
-    fn append(&self, call: &Call) -> Act {
+    fn append(&self, call: &Call) -> ServerAction {
         const LENGTH_BYTES: usize = 4;
         let record = call.body.get(LENGTH_BYTES..).unwrap_or_default();
         let Some((length, rest)) = record.split_first() else {
@@ -190,16 +194,16 @@
         let expected_end: Option<u64> = call.query("at").and_then(|text| text.parse().ok());
         if expected_end.is_some_and(|expected_end| expected_end != topic.end()) {
             let reply = json!({ "end": topic.end() });
-            return Act::Reply(Reply::json(PRECONDITION_FAILED, &reply));
+            return ServerAction::Reply(Reply::json(PRECONDITION_FAILED, &reply));
         }
         topic.put(key, Some(value.to_vec()));
         let reply = json!({ "offset": topic.end() - 1, "end": topic.end() });
         drop(topics);
         self.inner.changed.notify();
-        Act::Reply(Reply::json(OK, &reply))
+        ServerAction::Reply(Reply::json(OK, &reply))
     }
 
-    fn read_newest(&self, call: &Call) -> Act {
+    fn read_newest(&self, call: &Call) -> ServerAction {
         let mut topics = self.inner.topics.borrow_mut();
         let topic = topics
             .entry(call.query("topic").unwrap_or_default())
@@ -218,10 +222,10 @@
             truncated: false,
             end: topic.end(),
         };
-        Act::Reply(Reply::json(OK, &page))
+        ServerAction::Reply(Reply::json(OK, &page))
     }
 
-    async fn read(&self, call: &Call) -> Act {
+    async fn read(&self, call: &Call) -> ServerAction {
         let topic = call.query("topic").unwrap_or_default();
         let number = |name| -> u64 {
             let text = call.query(name).unwrap_or_default();
@@ -231,8 +235,8 @@
         let deadline = Instant::now() + wait;
         loop {
             let subscription = self.inner.changed.subscribe();
-            if let Some(act) = self.try_read(&topic, from, Instant::now() >= deadline) {
-                return act;
+            if let Some(action) = self.try_read(&topic, from, Instant::now() >= deadline) {
+                return action;
             }
             let timeout = async {
                 Timer::at(deadline).await;
@@ -241,12 +245,12 @@
         }
     }
 
-    fn try_read(&self, topic: &SmolStr, from: u64, is_last: bool) -> Option<Act> {
+    fn try_read(&self, topic: &SmolStr, from: u64, is_last: bool) -> Option<ServerAction> {
         let mut topics = self.inner.topics.borrow_mut();
         let topic = topics.entry(topic.clone()).or_default();
         if from < topic.first {
             let first = json!({ "first": topic.first });
-            return Some(Act::Reply(Reply::json(GONE, &first)));
+            return Some(ServerAction::Reply(Reply::json(GONE, &first)));
         }
         let skip = usize::try_from(from - topic.first).unwrap_or(usize::MAX);
         let records = topic.records.get(skip..).unwrap_or_default();
@@ -259,13 +263,13 @@
         for (key, value) in records {
             write_record(&mut body, key, value.as_deref().unwrap_or_default());
         }
-        Some(Act::Reply(Reply::bytes(OK, body)))
+        Some(ServerAction::Reply(Reply::bytes(OK, body)))
     }
 
-    fn join(&self, call: &Call) -> Act {
+    fn join(&self, call: &Call) -> ServerAction {
         let join: JoinRequest = match read_json(&call.body) {
             Ok(join) => join,
-            Err(act) => return act,
+            Err(action) => return action,
         };
         self.inner.joins.set(self.inner.joins.get() + 1);
         let mut groups = self.inner.groups.borrow_mut();
@@ -282,13 +286,13 @@
             .map(|partition| json!([join.group, partition, 0]))
             .collect();
         let reply = json!({ "generation": generation, "ttl_ms": join.ttl_ms, "parts": rows });
-        Act::Reply(Reply::json(OK, &reply))
+        ServerAction::Reply(Reply::json(OK, &reply))
     }
 
-    fn leave(&self, call: &Call) -> Act {
+    fn leave(&self, call: &Call) -> ServerAction {
         let leave: LeaveRequest = match read_json(&call.body) {
             Ok(leave) => leave,
-            Err(act) => return act,
+            Err(action) => return action,
         };
         let mut groups = self.inner.groups.borrow_mut();
         if let Some(group) = groups.get_mut(&leave.group) {
@@ -297,7 +301,7 @@
         empty_reply()
     }
 
-    fn read_owners(&self, call: &Call) -> Act {
+    fn read_owners(&self, call: &Call) -> ServerAction {
         let name = call.query("group").unwrap_or_default();
         let mut groups = self.inner.groups.borrow_mut();
         let owners = groups
@@ -308,7 +312,7 @@
             .into_iter()
             .map(|(partition, member)| json!([name, partition, member, 0]))
             .collect();
-        Act::Reply(Reply::json(OK, &json!({ "parts": rows })))
+        ServerAction::Reply(Reply::json(OK, &json!({ "parts": rows })))
     }
 }
 
@@ -328,8 +332,8 @@
     offset: u64,
 }
 
-fn empty_reply() -> Act {
-    Act::Reply(Reply::json(OK, &json!({})))
+fn empty_reply() -> ServerAction {
+    ServerAction::Reply(Reply::json(OK, &json!({})))
 }
 
 fn write_record(body: &mut Vec<u8>, key: &str, value: &[u8]) {
--- a/crates/onyxshed-standins/src/platform.rs
+++ b/crates/onyxshed-standins/src/platform.rs
@@ -5,4 +5,4 @@
 pub mod state;
 
 pub use service::Platform;
-pub use state::{Counts, Faults, Hosts, PlatformOptions, Truncation};
+pub use state::{Counts, Faults, HostSet, PlatformOptions, Truncation};
--- a/crates/onyxshed-standins/src/platform/service.rs
+++ b/crates/onyxshed-standins/src/platform/service.rs
@@ -14,9 +14,9 @@
 use onyxshed_wire::platform::{AppendReply, HOSTS_PATH, HostList, Page, RECORD_MAX_BYTES};
 use smol_str::SmolStr;
 
-use crate::serve::{Act, Handler, no_such_path, read_json};
+use crate::serve::{Handler, ServerAction, no_such_path, read_json};
 
-use super::state::{Faults, Hosts, Outage, PlatformOptions, State, consume_one};
+use super::state::{Faults, HostSet, Outage, PlatformOptions, State, consume_one};
 
 /// The greatest number of records in one page; a reader may request fewer.
 const PAGE_MAX: usize = 1_000;
@@ -50,12 +50,12 @@
         })
     }
 
-    async fn handle(&self, call: Call) -> Act {
+    async fn handle(&self, call: Call) -> ServerAction {
         if call.path().starts_with("/control/") || call.method() == Method::Put {
             return self.control(&call);
         }
-        if let Some(act) = self.apply_faults().await {
-            return act;
+        if let Some(action) = self.apply_faults().await {
+            return action;
         }
         match (call.method(), parse_stream_path(call.path())) {
             (Method::Post, Some(stream)) => self.append(stream, call.body).await,
@@ -65,35 +65,35 @@
         }
     }
 
-    fn control(&self, call: &Call) -> Act {
+    fn control(&self, call: &Call) -> ServerAction {
         let mut state = self.state.borrow_mut();
         match (call.method(), call.path()) {
-            (Method::Get, "/control/counts") => Act::Reply(Reply::json(OK, &state.counts)),
-            (Method::Get, "/control/faults") => Act::Reply(Reply::json(OK, &state.faults)),
+            (Method::Get, "/control/counts") => ServerAction::Reply(Reply::json(OK, &state.counts)),
+            (Method::Get, "/control/faults") => ServerAction::Reply(Reply::json(OK, &state.faults)),
             (Method::Post, "/control/faults") => match read_json::<Faults>(&call.body) {
                 Ok(faults) => {
                     state.set_faults(faults);
                     self.changed.notify();
-                    Act::Reply(Reply::bytes(OK, ""))
+                    ServerAction::Reply(Reply::bytes(OK, ""))
                 }
-                Err(act) => act,
+                Err(action) => action,
             },
-            (Method::Put, HOSTS_PATH) => match read_json::<Hosts>(&call.body) {
+            (Method::Put, HOSTS_PATH) => match read_json::<HostSet>(&call.body) {
                 Ok(hosts) => {
                     state.hosts.set(hosts);
-                    Act::Reply(Reply::bytes(OK, ""))
+                    ServerAction::Reply(Reply::bytes(OK, ""))
                 }
-                Err(act) => act,
+                Err(action) => action,
             },
             _ => no_such_path(),
         }
     }
 
     /// Applies the faults in force to a call; returns `None` if the call is to be served.
-    async fn apply_faults(&self) -> Option<Act> {
+    async fn apply_faults(&self) -> Option<ServerAction> {
         let faults = self.state.borrow().faults.clone();
         match faults.down {
-            Some(Outage::Refuse) => return Some(Act::Close),
+            Some(Outage::Refuse) => return Some(ServerAction::Close),
             Some(Outage::Hang) => return future::pending().await,
             None => {}
         }
@@ -102,21 +102,21 @@
         }
         faults
             .error_status
-            .map(|status| Act::Reply(Reply::bytes(status, "an error on purpose")))
+            .map(|status| ServerAction::Reply(Reply::bytes(status, "an error on purpose")))
     }
 
-    async fn append(&self, stream: SmolStr, body: Vec<u8>) -> Act {
+    async fn append(&self, stream: SmolStr, body: Vec<u8>) -> ServerAction {
         if body.len() > RECORD_MAX_BYTES {
-            return Act::Reply(Reply::bytes(TOO_LARGE, "the record is too large"));
+            return ServerAction::Reply(Reply::bytes(TOO_LARGE, "the record is too large"));
         }
         let Ok(data) = String::from_utf8(body) else {
-            return Act::Reply(Reply::bytes(BAD_REQUEST, "the record is no UTF-8"));
+            return ServerAction::Reply(Reply::bytes(BAD_REQUEST, "the record is no UTF-8"));
         };
         let synced_at = {
             let mut state = self.state.borrow_mut();
             state.counts.appends += 1;
             if consume_one(&mut state.faults.drop_append) {
-                return Act::Close;
+                return ServerAction::Close;
             }
             state.reserve_append()
         };
@@ -126,9 +126,9 @@
         let down = self.state.borrow().faults.down;
         match down {
             Some(Outage::Hang) => future::pending().await,
-            Some(Outage::Refuse) => Act::Close,
-            None if is_reply_lost => Act::Close,
-            None => Act::Reply(Reply::json(OK, &AppendReply { offset })),
+            Some(Outage::Refuse) => ServerAction::Close,
+            None if is_reply_lost => ServerAction::Close,
+            None => ServerAction::Reply(Reply::json(OK, &AppendReply { offset })),
         }
     }
 
@@ -141,7 +141,7 @@
         (offset, consume_one(&mut state.faults.lose_append_answer))
     }
 
-    async fn read(&self, stream: SmolStr, call: &Call) -> Act {
+    async fn read(&self, stream: SmolStr, call: &Call) -> ServerAction {
         let number = |name| call.query(name).and_then(|text| text.parse::<u64>().ok());
         let from = Offset(number("from").unwrap_or(0));
         let wait = Duration::from_millis(number("wait_ms").unwrap_or(0));
@@ -154,7 +154,7 @@
             let subscription = self.changed.subscribe();
             let page = self.page(&stream, from, max);
             if !page.records.is_empty() || Instant::now() >= deadline {
-                return Act::Reply(Reply::json(OK, &page));
+                return ServerAction::Reply(Reply::json(OK, &page));
             }
             let timeout = async {
                 Timer::at(deadline).await;
@@ -162,7 +162,7 @@
             subscription.wait().or(timeout).await;
             let down = self.state.borrow().faults.down;
             if down.is_some() {
-                return self.apply_faults().await.unwrap_or(Act::Close);
+                return self.apply_faults().await.unwrap_or(ServerAction::Close);
             }
         }
     }
@@ -179,7 +179,7 @@
         log.read(from, end, max)
     }
 
-    fn host_list(&self) -> Act {
+    fn host_list(&self) -> ServerAction {
         let mut state = self.state.borrow_mut();
         state.counts.host_lists += 1;
         let now = Instant::now();
@@ -191,7 +191,7 @@
             executors: hosts.executors,
             entries: hosts.entries,
         };
-        Act::Reply(Reply::json(OK, &list))
+        ServerAction::Reply(Reply::json(OK, &list))
     }
 }
 
--- a/crates/onyxshed-standins/src/platform/state.rs
+++ b/crates/onyxshed-standins/src/platform/state.rs
@@ -91,8 +91,8 @@
 
 /// The host list as `PUT /v1/hosts` sets it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Hosts {
+#[serde(default, deny_unknown_fields, expecting = "struct Hosts")]
+pub struct HostSet {
     /// All executors.
     pub executors: Vec<ExecutorHost>,
     /// All entry hosts.
@@ -111,7 +111,7 @@
 pub(super) struct State {
     pub(super) options: PlatformOptions,
     pub(super) streams: BTreeMap<SmolStr, Stream>,
-    pub(super) hosts: History<Hosts>,
+    pub(super) hosts: History<HostSet>,
     pub(super) faults: Faults,
     pub(super) frozen: Option<FrozenView>,
     pub(super) counts: Counts,
@@ -124,7 +124,7 @@
         State {
             options,
             streams: BTreeMap::new(),
-            hosts: History::new(lag, Hosts::default()),
+            hosts: History::new(lag, HostSet::default()),
             faults: Faults::default(),
             frozen: None,
             counts: Counts::default(),
--- a/crates/onyxshed-standins/src/serve.rs
+++ b/crates/onyxshed-standins/src/serve.rs
@@ -19,7 +19,7 @@
 
 /// The way in which a stand-in handles a request.
 #[derive(Debug)]
-pub enum Act {
+pub enum ServerAction {
     /// Sends the reply.
     Reply(Reply),
     /// Closes the connection without a reply.
@@ -28,11 +28,11 @@
     CutShort(Reply),
 }
 
-/// A future that resolves to the [`Act`] for one request.
-pub type ActFuture = Pin<Box<dyn Future<Output = Act>>>;
+/// A future that resolves to the [`ServerAction`] for one request.
+pub type ActionFuture = Pin<Box<dyn Future<Output = ServerAction>>>;
 
 /// A function that handles the requests of all connections.
-pub type Handler = Rc<dyn Fn(Call) -> ActFuture>;
+pub type Handler = Rc<dyn Fn(Call) -> ActionFuture>;
 
 /// Binds a listener to an address; port 0 takes a free port.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener> {
@@ -62,18 +62,18 @@
 
 async fn handle_request(mut request: Request, handler: Handler) -> http_types::Result<Response> {
     let body = request.body_bytes().await?;
-    let act = handler(Call {
+    let action = handler(Call {
         head: request,
         body,
     })
     .await;
-    match act {
-        Act::Reply(reply) => Ok(complete_response(reply)),
-        Act::Close => Err(http_types::Error::from_str(
+    match action {
+        ServerAction::Reply(reply) => Ok(complete_response(reply)),
+        ServerAction::Close => Err(http_types::Error::from_str(
             StatusCode::InternalServerError,
             "closed on purpose",
         )),
-        Act::CutShort(reply) => Ok(truncated_response(reply)),
+        ServerAction::CutShort(reply) => Ok(truncated_response(reply)),
     }
 }
 
@@ -105,16 +105,16 @@
 }
 
 /// Parses the JSON body of a call, or returns a 400 reply with the parse error.
-pub fn read_json<T: DeserializeOwned>(body: &[u8]) -> std::result::Result<T, Act> {
+pub fn read_json<T: DeserializeOwned>(body: &[u8]) -> std::result::Result<T, ServerAction> {
     const BAD_REQUEST: u16 = 400;
     serde_json::from_slice(body)
-        .map_err(|error| Act::Reply(Reply::bytes(BAD_REQUEST, error.to_string())))
+        .map_err(|error| ServerAction::Reply(Reply::bytes(BAD_REQUEST, error.to_string())))
 }
 
 /// Returns the 404 reply to a call whose path or method is unknown.
-pub fn no_such_path() -> Act {
+pub fn no_such_path() -> ServerAction {
     const NOT_FOUND: u16 = 404;
-    Act::Reply(Reply::bytes(NOT_FOUND, "no such path or method"))
+    ServerAction::Reply(Reply::bytes(NOT_FOUND, "no such path or method"))
 }
 
 /// Returns the address that a listener is bound to.
--- a/crates/onyxshed-standins/src/upstream/service.rs
+++ b/crates/onyxshed-standins/src/upstream/service.rs
@@ -18,13 +18,13 @@
 use smol_str::format_smolstr;
 
 use crate::platform::service::now_ms;
-use crate::serve::{Act, Handler, no_such_path, read_json};
+use crate::serve::{Handler, ServerAction, no_such_path, read_json};
 
 use super::options::{Payload, UpstreamFaults, UpstreamOptions};
 use super::tasks::{Admission, Attempt, StartRecord, TaskTable, WakeReason};
 
 /// The number of characters of a payload that the record of a start keeps.
-const CONTENT_CHARS: usize = 64;
+const PAYLOAD_PREFIX_CHARS: usize = 64;
 
 const OK: u16 = 200;
 const BAD_REQUEST: u16 = 400;
@@ -107,11 +107,11 @@
         }
     }
 
-    async fn handle(&self, call: Call) -> Act {
+    async fn handle(&self, call: Call) -> ServerAction {
         if call.path().starts_with("/control/") {
             return self.control(&call);
         }
-        let act = match (call.method(), parse_task_path(call.path())) {
+        let action = match (call.method(), parse_task_path(call.path())) {
             (Method::Get, None) if call.path() == USAGE_PATH => self.usage(),
             (Method::Post, Some(task)) => self.post(task, call).await,
             (Method::Delete, Some(task)) => self.delete(task, &call),
@@ -121,44 +121,44 @@
         let is_silent = self.inner.faults.borrow().silent;
         match is_silent {
             true => future::pending().await,
-            false => act,
+            false => action,
         }
     }
 
-    fn control(&self, call: &Call) -> Act {
+    fn control(&self, call: &Call) -> ServerAction {
         match (call.method(), call.path()) {
             (Method::Get, "/control/starts") => {
-                Act::Reply(Reply::json(OK, &self.inner.tasks.borrow().starts()))
+                ServerAction::Reply(Reply::json(OK, &self.inner.tasks.borrow().starts()))
             }
             (Method::Get, "/control/load") => {
                 let load = self.inner.tasks.borrow().load(self.inner.is_draining.get());
-                Act::Reply(Reply::json(OK, &load))
+                ServerAction::Reply(Reply::json(OK, &load))
             }
             (Method::Post, "/control/drain") => {
                 self.inner.is_draining.set(true);
-                Act::Reply(Reply::bytes(OK, ""))
+                ServerAction::Reply(Reply::bytes(OK, ""))
             }
             (Method::Post, "/control/faults") => match read_json(&call.body) {
                 Ok(faults) => {
                     self.inner.faults.replace(faults);
-                    Act::Reply(Reply::bytes(OK, ""))
+                    ServerAction::Reply(Reply::bytes(OK, ""))
                 }
-                Err(act) => act,
+                Err(action) => action,
             },
             _ => no_such_path(),
         }
     }
 
-    fn usage(&self) -> Act {
+    fn usage(&self) -> ServerAction {
         let (renewed_at, mut usage) = self.inner.usage.borrow().clone();
         let age_ms = u64::try_from(renewed_at.elapsed().as_millis()).unwrap_or(u64::MAX);
         usage.age_ms = Millis(age_ms);
-        Act::Reply(Reply::json(OK, &usage))
+        ServerAction::Reply(Reply::json(OK, &usage))
     }
 
-    fn delete(&self, task: TaskId, call: &Call) -> Act {
+    fn delete(&self, task: TaskId, call: &Call) -> ServerAction {
         let Some(attempt) = parse_attempt(call) else {
-            return Act::Reply(Reply::bytes(BAD_REQUEST, "a header is missing or wrong"));
+            return ServerAction::Reply(Reply::bytes(BAD_REQUEST, "a header is missing or wrong"));
         };
         let (state, body) = self.inner.tasks.borrow_mut().stop(task, attempt);
         let end = TaskEnd {
@@ -166,20 +166,20 @@
             body,
             service: Duration::ZERO,
         };
-        Act::Reply(self.task_reply(task, OK, end))
+        ServerAction::Reply(self.task_reply(task, OK, end))
     }
 
-    fn task_status(&self, task: TaskId) -> Act {
+    fn task_status(&self, task: TaskId) -> ServerAction {
         let status = self.inner.tasks.borrow().status(task);
         let reply = Reply::bytes(OK, "")
             .header(TASK_HEADER, format_smolstr!("{task}"))
             .header(STATE_HEADER, status.as_str());
-        Act::Reply(reply)
+        ServerAction::Reply(reply)
     }
 
-    async fn post(&self, task: TaskId, call: Call) -> Act {
+    async fn post(&self, task: TaskId, call: Call) -> ServerAction {
         let Some(start) = parse_start(task, &call) else {
-            return Act::Reply(Reply::bytes(BAD_REQUEST, "a header is missing or wrong"));
+            return ServerAction::Reply(Reply::bytes(BAD_REQUEST, "a header is missing or wrong"));
         };
         let mut end = self.run(&start, call.body).await;
         let faults = self.inner.faults.borrow().clone();
@@ -194,8 +194,8 @@
         let status = status_of(end.state);
         let reply = self.task_reply(reported_task, status, end);
         match faults.close_mid_body {
-            true => Act::CutShort(reply),
-            false => Act::Reply(reply),
+            true => ServerAction::CutShort(reply),
+            false => ServerAction::Reply(reply),
         }
     }
 
@@ -248,7 +248,7 @@
             task: start.task,
             starter: start.starter,
             at_ms: now_ms(),
-            content: text.chars().take(CONTENT_CHARS).collect(),
+            content: text.chars().take(PAYLOAD_PREFIX_CHARS).collect(),
         };
         if self.inner.options.logs_starts {
             eprintln!(
