--- a/crates/onyxshed-proof/src/cluster.rs
+++ b/crates/onyxshed-proof/src/cluster.rs
@@ -42,7 +42,7 @@
     /// Starts all processes, waits until each is ready, and publishes the host list.
     pub async fn start(topology: &Topology, options: ClusterOptions) -> Result<Self> {
         let folder = tempfile::tempdir().context(SystemSnafu {
-            what: "create a temporary folder",
+            operation: "create a temporary folder",
         })?;
         let path = folder.path();
         let mut platform =
--- a/crates/onyxshed-proof/src/cluster/hosts.rs
+++ b/crates/onyxshed-proof/src/cluster/hosts.rs
@@ -176,7 +176,7 @@
         let label = format!("{}-{host}", process_kind.as_str());
         let file = self.folder().join(format!("{label}.jsonc"));
         std::fs::write(&file, format!("{settings:#}")).context(SystemSnafu {
-            what: "write settings",
+            operation: "write settings",
         })?;
         let binary = format!("onyxshed-{}", process_kind.as_str());
         let arguments = ["--settings".to_owned(), file.display().to_string()];
--- a/crates/onyxshed-proof/src/cluster/operator.rs
+++ b/crates/onyxshed-proof/src/cluster/operator.rs
@@ -90,7 +90,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .context(SystemSnafu {
-            what: "start onyxshed, which `cargo build --bins` builds",
+            operation: "start onyxshed, which `cargo build --bins` builds",
         })?;
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while is_running(&mut child)? {
@@ -102,7 +102,7 @@
         pause().await;
     }
     let output = child.wait_with_output().context(SystemSnafu {
-        what: "read the output of onyxshed",
+        operation: "read the output of onyxshed",
     })?;
     let text = format_smolstr!(
         "{}{}",
@@ -116,6 +116,8 @@
 }
 
 fn is_running(child: &mut Child) -> Result<bool> {
-    let ended = child.try_wait().context(SystemSnafu { what: "wait" })?;
+    let ended = child
+        .try_wait()
+        .context(SystemSnafu { operation: "wait" })?;
     Ok(ended.is_none())
 }
--- a/crates/onyxshed-proof/src/error.rs
+++ b/crates/onyxshed-proof/src/error.rs
@@ -11,10 +11,10 @@
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// An operation on a file or process of the test failed.
-    #[snafu(display("{what}: {source}"))]
+    #[snafu(display("{operation}: {source}"))]
     System {
         /// The operation that was attempted.
-        what: SmolStr,
+        operation: SmolStr,
         /// The error of the operating system.
         source: io::Error,
     },
@@ -27,10 +27,10 @@
         reason: SmolStr,
     },
     /// A request of the test itself to one of its processes failed.
-    #[snafu(display("{what}: {reason}"))]
+    #[snafu(display("{request}: {reason}"))]
     Call {
-        /// The request.
-        what: SmolStr,
+        /// The request, such as its method and path.
+        request: SmolStr,
         /// The error, or the reply that was not accepted.
         reason: SmolStr,
     },
@@ -45,29 +45,31 @@
         allowed: SmolStr,
     },
     /// A condition was not met in time.
-    #[snafu(display("timed out waiting for {what}"))]
-    InVain {
+    #[snafu(display("timed out waiting for {condition}"))]
+    TimedOut {
         /// The condition, and the state that was observed last.
-        what: SmolStr,
+        condition: SmolStr,
     },
     /// An expectation is not met.
-    #[snafu(display("{what}"))]
-    Unmet {
+    #[snafu(display("{detail}"))]
+    ExpectationNotMet {
         /// The expectation, and what was found instead.
-        what: SmolStr,
+        detail: SmolStr,
     },
 }
 
 impl Error {
     /// Creates an error for an expectation that is not met.
-    pub fn unmet(what: impl Into<SmolStr>) -> Self {
-        Error::Unmet { what: what.into() }
+    pub fn unmet(detail: impl Into<SmolStr>) -> Self {
+        Error::ExpectationNotMet {
+            detail: detail.into(),
+        }
     }
 
     /// Creates an error for a request of the test itself.
-    pub fn call(what: impl Into<SmolStr>, reason: impl ToString) -> Self {
+    pub fn call(request: impl Into<SmolStr>, reason: impl ToString) -> Self {
         Error::Call {
-            what: what.into(),
+            request: request.into(),
             reason: reason.to_string().into(),
         }
     }
@@ -78,7 +80,7 @@
             Error::System { .. } | Error::NotReady { .. } => ResultCode::ServiceFailed,
             Error::Call { .. } => ResultCode::PeerUnreachable,
             Error::NoSuch { .. } => ResultCode::Usage,
-            Error::InVain { .. } | Error::Unmet { .. } => ResultCode::TaskFailed,
+            Error::TimedOut { .. } | Error::ExpectationNotMet { .. } => ResultCode::TaskFailed,
         }
     }
 }
--- a/crates/onyxshed-proof/src/process.rs
+++ b/crates/onyxshed-proof/src/process.rs
@@ -41,7 +41,9 @@
             .create(true)
             .append(true)
             .open(&log)
-            .context(SystemSnafu { what: "open a log" })?;
+            .context(SystemSnafu {
+                operation: "open a log",
+            })?;
         let mut child = Command::new(find_binary(binary)?)
             .args(arguments)
             .stdin(Stdio::null())
@@ -49,7 +51,7 @@
             .stderr(file)
             .spawn()
             .with_context(|_| SystemSnafu {
-                what: format_smolstr!("start {binary}, which `cargo build --bins` builds"),
+                operation: format_smolstr!("start {binary}, which `cargo build --bins` builds"),
             })?;
         let ready = read_first_line(child.stdout.take());
         Ok(Process {
@@ -73,7 +75,9 @@
         let open = || {
             let mut options = File::options();
             let file = options.create(true).append(true).open(&log);
-            file.context(SystemSnafu { what: "open a log" })
+            file.context(SystemSnafu {
+                operation: "open a log",
+            })
         };
         let child = Command::new(find_binary(binary)?)
             .args(arguments)
@@ -82,7 +86,7 @@
             .stderr(open()?)
             .spawn()
             .with_context(|_| SystemSnafu {
-                what: format_smolstr!("start {binary}, which `cargo build --bins` builds"),
+                operation: format_smolstr!("start {binary}, which `cargo build --bins` builds"),
             })?;
         Ok(Process {
             name: name.into(),
@@ -94,7 +98,7 @@
     }
 
     /// Sends SIGHUP, on which the process reloads its settings.
-    pub fn hang_up(&self) -> Result<()> {
+    pub fn request_reload(&self) -> Result<()> {
         self.signal(Signal::HUP)
     }
 
@@ -142,7 +146,7 @@
     pub fn kill(&mut self) -> Result<()> {
         self.signal(Signal::KILL)?;
         let waited = self.child.wait();
-        waited.map(drop).context(SystemSnafu { what: "wait" })
+        waited.map(drop).context(SystemSnafu { operation: "wait" })
     }
 
     /// Suspends the process with SIGSTOP, which it can't notice or prevent.
@@ -156,23 +160,25 @@
     }
 
     /// Sends SIGTERM, on which the process drains and exits.
-    pub fn ask_to_stop(&self) -> Result<()> {
+    pub fn request_stop(&self) -> Result<()> {
         self.signal(Signal::TERM)
     }
 
     /// Sends SIGQUIT, on which the process exits without waiting for work in flight.
-    pub fn ask_to_quit(&self) -> Result<()> {
+    pub fn request_quit(&self) -> Result<()> {
         self.signal(Signal::QUIT)
     }
 
     /// Returns the exit status, `None` while the process runs.
-    pub fn ended(&mut self) -> Result<Option<ExitStatus>> {
-        self.child.try_wait().context(SystemSnafu { what: "wait" })
+    pub fn exit_status(&mut self) -> Result<Option<ExitStatus>> {
+        self.child
+            .try_wait()
+            .context(SystemSnafu { operation: "wait" })
     }
 
     /// Returns whether the process has logged that it is draining, or has exited.
     pub fn is_stopping_or_ended(&mut self) -> Result<bool> {
-        Ok(self.ended()?.is_some() || self.log().contains(EventKind::ProcessDraining.name()))
+        Ok(self.exit_status()?.is_some() || self.log().contains(EventKind::ProcessDraining.name()))
     }
 
     /// Returns the process's log, empty if it can't be read.
@@ -190,7 +196,9 @@
     fn signal(&self, signal: Signal) -> Result<()> {
         kill_process(Pid::from_child(&self.child), signal)
             .map_err(std::io::Error::from)
-            .context(SystemSnafu { what: "signal" })
+            .context(SystemSnafu {
+                operation: "signal",
+            })
     }
 
     fn not_ready_error(&self, reason: &str) -> Error {
@@ -228,7 +236,7 @@
 /// is in neither, returns the bare name, which is then looked up in `PATH`.
 pub fn find_binary(binary: &str) -> Result<PathBuf> {
     let test = std::env::current_exe().context(SystemSnafu {
-        what: "find the test executable",
+        operation: "find the test executable",
     })?;
     let folders: Vec<&Path> = test.ancestors().skip(1).take(2).collect();
     let found = folders.iter().map(|folder| folder.join(binary));
--- a/crates/onyxshed-proof/src/scenario.rs
+++ b/crates/onyxshed-proof/src/scenario.rs
@@ -3,15 +3,15 @@
 //! [`parse()`] parses a file into a [`Script`] and reports errors with line and column; [`play()`] runs
 //! the script with real processes.
 
-pub mod ask;
+mod checks;
+pub mod expectation;
 pub mod grammar;
 pub mod language;
 pub mod parse;
 pub mod play;
+pub mod scenario_run;
 mod steps;
-mod verdicts;
-mod words;
-pub mod world;
+mod tokens;
 
 pub use language::{Script, Step};
 pub use parse::{ScriptError, parse};
--- a/crates/onyxshed-proof/src/scenario/verdicts.rs
+++ b/crates/onyxshed-proof/src/scenario/checks.rs
@@ -17,8 +17,8 @@
 use super::language::{
     AnswerKind, Condition, Expectation, HostScope, Jobs, Publication, StartCount,
 };
+use super::scenario_run::ScenarioRun;
 use super::steps::class_target;
-use super::world::ScenarioRun;
 
 impl ScenarioRun {
     /// Waits until a condition is met.
@@ -28,8 +28,8 @@
             match self.check_condition(condition).await? {
                 WaitState::Holds => return Ok(()),
                 WaitState::NotYet(observed) if Instant::now() > deadline => {
-                    let what = format_smolstr!("{condition:?}; last seen: {observed}");
-                    return Err(Error::InVain { what });
+                    let condition = format_smolstr!("{condition:?}; last seen: {observed}");
+                    return Err(Error::TimedOut { condition });
                 }
                 WaitState::NotYet(_) => pause().await,
             }
@@ -48,7 +48,7 @@
             Condition::InForce(revision, scope) => self.check_in_force(*revision, scope).await,
             Condition::Ended(host) => {
                 let process = self.cluster()?.host(host)?.process(ProcessKind::Entry)?;
-                let has_ended = process.ended()?.is_some();
+                let has_ended = process.exit_status()?.is_some();
                 Ok(WaitState::from_condition(has_ended, || {
                     "the process still runs".into()
                 }))
@@ -282,7 +282,7 @@
 
     fn expect_exit_code(&mut self, host: &str, expected: i32) -> Result<()> {
         let process = self.cluster()?.host(host)?.process(ProcessKind::Entry)?;
-        let ended = process.ended()?;
+        let ended = process.exit_status()?;
         let code = ended.and_then(|status| status.code());
         ensure(code == Some(expected), || {
             format_smolstr!("the entry process ended with {ended:?}")
--- a/crates/onyxshed-proof/src/scenario/ask.rs
+++ b/crates/onyxshed-proof/src/scenario/expectation.rs
@@ -6,7 +6,7 @@
 
 use super::grammar::{jobs, jobs_after_keyword, publication_after_class};
 use super::language::{AnswerKind, Condition, Expectation, HostScope, Jobs, StartCount};
-use super::words::{accept_word, expect_words, name, number, one_of};
+use super::tokens::{accept_word, expect_words, name, number, one_of};
 
 /// Parses the condition after `wait until`.
 pub(super) fn condition(input: &mut &str) -> ModalResult<Condition> {
--- a/crates/onyxshed-proof/src/scenario/grammar.rs
+++ b/crates/onyxshed-proof/src/scenario/grammar.rs
@@ -8,12 +8,12 @@
 
 use crate::cluster::{Edge, ProcessKind, Topology};
 
-use super::ask::{condition, expectation};
+use super::expectation::{condition, expectation};
 use super::language::{
     Action, Content, ExecutorFault, Jobs, PlatformFault, Publication, PublishResult, Receivers,
     Setting, Step, Submit, Target,
 };
-use super::words::{
+use super::tokens::{
     accept_word, duration, expect_words, fail_described, fail_expected, name, names_to_end,
     names_until, number, one_of, parse_word,
 };
--- a/crates/onyxshed-proof/src/scenario/play.rs
+++ b/crates/onyxshed-proof/src/scenario/play.rs
@@ -6,7 +6,7 @@
 use async_executor::LocalExecutor;
 
 use super::language::{Line, Script};
-use super::world::ScenarioRun;
+use super::scenario_run::ScenarioRun;
 
 /// The failure of a scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/onyxshed-proof/src/scenario/steps.rs
+++ b/crates/onyxshed-proof/src/scenario/steps.rs
@@ -21,7 +21,7 @@
     Action, Content, ExecutorFault, PlatformFault, Publication, Receivers, Setting, Step, Submit,
     Target,
 };
-use super::world::ScenarioRun;
+use super::scenario_run::ScenarioRun;
 
 /// Time between two checks whether a process has reacted to SIGTERM.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -207,7 +207,7 @@
             match action {
                 Action::Freeze => process.freeze()?,
                 Action::Thaw => process.thaw()?,
-                Action::Stop => process.ask_to_stop()?,
+                Action::Stop => process.request_stop()?,
                 Action::Kill | Action::Restart => cluster.kill_process(*process_kind, host)?,
             }
         }
@@ -248,7 +248,7 @@
     match action {
         Action::Freeze => process.freeze(),
         Action::Thaw => process.thaw(),
-        Action::Stop => process.ask_to_stop(),
+        Action::Stop => process.request_stop(),
         Action::Kill => process.kill(),
         Action::Restart => Err(Error::unmet("executors can't be restarted")),
     }
--- a/crates/onyxshed-proof/tests/stop.rs
+++ b/crates/onyxshed-proof/tests/stop.rs
@@ -51,7 +51,9 @@
     zone::wait_until("the task runs", has_started).await;
     for _ in 0..2 {
         entry(cluster, |process| {
-            process.ask_to_stop().expect("the process can be signalled")
+            process
+                .request_stop()
+                .expect("the process can be signalled")
         });
         let is_unready = async || readiness(cluster).await == 503;
         zone::wait_until("the host is not ready", is_unready).await;
@@ -68,7 +70,9 @@
         }
     }
     entry(cluster, |process| {
-        process.ask_to_quit().expect("the process can be signalled")
+        process
+            .request_quit()
+            .expect("the process can be signalled")
     });
 }
 
@@ -103,7 +107,7 @@
             .process(ProcessKind::Entry);
         let ended = process
             .expect("the host was started")
-            .ended()
+            .exit_status()
             .expect("the exit status can be read");
         code = ended.and_then(|status| status.code());
         ended.is_some()
--- a/crates/onyxshed-soak/src/fleet.rs
+++ b/crates/onyxshed-soak/src/fleet.rs
@@ -228,7 +228,7 @@
             return Ok(());
         };
         if let Some(process) = &mut host.process
-            && process.ended()?.is_none()
+            && process.exit_status()?.is_none()
         {
             return Ok(());
         }
@@ -247,7 +247,7 @@
         let Some(process) = host.and_then(|host| host.process.as_mut()) else {
             return Ok(());
         };
-        if process.ended()?.is_some() {
+        if process.exit_status()?.is_some() {
             return Ok(());
         }
         action(process)
@@ -333,8 +333,8 @@
 
 /// Returns the error for an expectation that is not met, with what was found instead.
 pub fn unmet(expectation: &str, found: &str) -> Error {
-    Error::Unmet {
-        what: format_smolstr!("{expectation}: {found}"),
+    Error::ExpectationNotMet {
+        detail: format_smolstr!("{expectation}: {found}"),
     }
 }
 
--- a/crates/onyxshed-soak/src/run.rs
+++ b/crates/onyxshed-soak/src/run.rs
@@ -256,7 +256,7 @@
                 let mut stopped = None;
                 fleet.signal_host(name, |process| {
                     stopped = Some(process.id());
-                    process.ask_to_stop()
+                    process.request_stop()
                 })?;
                 let kill_at = Instant::now() + STOP_GRACE;
                 // A host that is not running is started again by the repair of the fault that ended it.
@@ -265,7 +265,7 @@
                     self.schedule_repair(Duration::from_millis(500), repair);
                 }
             }
-            Fault::HangUp(name) => fleet.signal_host(name, |process| process.hang_up())?,
+            Fault::HangUp(name) => fleet.signal_host(name, |process| process.request_reload())?,
             Fault::KillExecutor(id, span) => {
                 fleet.kill_executor(id).await?;
                 self.killed_ms.entry(id.clone()).or_default().push(now_ms());
--- a/crates/onyxshed-soak/tests/hosts/callers.rs
+++ b/crates/onyxshed-soak/tests/hosts/callers.rs
@@ -100,7 +100,7 @@
             Timer::after(Duration::from_millis(200)).await;
             for name in fleet.host_names() {
                 fleet
-                    .signal_host(&name, |process| process.ask_to_stop())
+                    .signal_host(&name, |process| process.request_stop())
                     .expect("the signal is sent");
             }
         };
@@ -234,7 +234,7 @@
             .expect("the manifest is published");
         for name in fleet.host_names() {
             fleet
-                .signal_host(&name, |process| process.hang_up())
+                .signal_host(&name, |process| process.request_reload())
                 .expect("the signal is sent");
             wait_until(
                 "the log shows the new manifest and the reload",
--- a/crates/onyxshed-soak/tests/hosts/owners.rs
+++ b/crates/onyxshed-soak/tests/hosts/owners.rs
@@ -90,7 +90,7 @@
             .await
             .expect("the routes are cut");
         fleet
-            .signal_host(&names[owner], |process| process.ask_to_stop())
+            .signal_host(&names[owner], |process| process.request_stop())
             .expect("the signal is sent");
         wait_until("the successor owns the pool", async || {
             fleet
@@ -152,7 +152,7 @@
         for host_index in [owner, 1 - owner] {
             let name = &names[host_index];
             fleet
-                .signal_host(name, |process| process.ask_to_stop())
+                .signal_host(name, |process| process.request_stop())
                 .expect("the signal is sent");
             wait_until_host_ends(&mut fleet, name).await;
             fleet.start_host(name).expect("the host starts");
