--- a/crates/onyxshed-dispatch/src/dispatch.rs
+++ b/crates/onyxshed-dispatch/src/dispatch.rs
@@ -17,7 +17,7 @@
     ClassName, Event, EventKind, ExecutorName, Incarnation, Micros, Mono, Now, SubmissionId, TaskId,
 };
 use onyxshed_policy::Policy;
-use onyxshed_policy::decision::PolicyDecision as Decision;
+use onyxshed_policy::decision::PolicyDecision;
 use onyxshed_state::{ClaimBook, Config, Member};
 use onyxshed_wire::caller::Answer;
 
@@ -170,21 +170,23 @@
     fn emit_policy_decisions(&mut self) {
         for decision in self.policy.drain_decisions() {
             let event = match decision {
-                Decision::BreakerOpened { executor, reason } => {
+                PolicyDecision::BreakerOpened { executor, reason } => {
                     Event::new(EventKind::BreakerOpened)
                         .party(executor.as_str())
                         .detail(smol_str::format_smolstr!("{reason}"))
                 }
-                Decision::BreakerClosed { executor } => {
+                PolicyDecision::BreakerClosed { executor } => {
                     Event::new(EventKind::BreakerClosed).party(executor.as_str())
                 }
-                Decision::JobUnrunnable { submission, class } => Event::new(EventKind::JobBlamed)
-                    .submission(submission)
-                    .class(&class),
-                Decision::ClassUnrunnable { class } => Event::new(EventKind::JobBlamed)
+                PolicyDecision::JobUnrunnable { submission, class } => {
+                    Event::new(EventKind::JobBlamed)
+                        .submission(submission)
+                        .class(&class)
+                }
+                PolicyDecision::ClassUnrunnable { class } => Event::new(EventKind::JobBlamed)
                     .class(&class)
                     .detail("every job of the class"),
-                Decision::ClassRunnable { class } => Event::new(EventKind::JobBlamed)
+                PolicyDecision::ClassRunnable { class } => Event::new(EventKind::JobBlamed)
                     .class(&class)
                     .detail("no longer"),
             };
--- a/crates/onyxshed-dispatch/src/dispatch/status.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/status.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns counts of messages that contributed to no answer, by kind.
-    pub fn waste(&self) -> WastedMessages {
+    pub fn wasted_messages(&self) -> WastedMessages {
         self.policy.wasted_messages()
     }
 
--- a/crates/onyxshed-dispatch/tests/search/simulation/wire.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation/wire.rs
@@ -187,11 +187,11 @@
         &mut self,
         to: Incarnation,
         attempt: AttemptId,
-        verdict: AttemptOutcome,
+        outcome: AttemptOutcome,
         body: Vec<u8>,
     ) {
         let report = AttemptReport {
-            outcome: verdict,
+            outcome,
             body,
             service_us: None,
             load: None,
--- a/crates/onyxshed-entry/src/measures.rs
+++ b/crates/onyxshed-entry/src/measures.rs
@@ -86,7 +86,7 @@
 }
 
 fn refresh_wasted_messages(machine: &Dispatch) {
-    let wasted = machine.waste();
+    let wasted = machine.wasted_messages();
     let kinds = [
         ("refusal", wasted.refusals),
         ("unsent", wasted.unsent),
