--- a/crates/onyxshed-host/src/decisions.rs
+++ b/crates/onyxshed-host/src/decisions.rs
@@ -57,15 +57,27 @@
             event_about(EventKind::PoolPeerSilent, format_smolstr!("{peer}"))
                 .detail(format_smolstr!("{jobs} jobs given up"))
         }
-        Decision::HandoverBegun { handed_back, kept } => {
-            drain_event(EventKind::PoolHandoverBegun, token, *handed_back, *kept)
-        }
+        Decision::HandoverBegun {
+            returned_jobs,
+            remaining_jobs,
+        } => drain_event(
+            EventKind::PoolHandoverBegun,
+            token,
+            *returned_jobs,
+            *remaining_jobs,
+        ),
         Decision::HandoverEnded => {
             Event::new(EventKind::PoolHandoverEnded).detail(format_smolstr!("token {token}"))
         }
-        Decision::EvacuationBegun { handed_back, kept } => {
-            drain_event(EventKind::PoolEvacuationBegun, token, *handed_back, *kept)
-        }
+        Decision::EvacuationBegun {
+            returned_jobs,
+            remaining_jobs,
+        } => drain_event(
+            EventKind::PoolEvacuationBegun,
+            token,
+            *returned_jobs,
+            *remaining_jobs,
+        ),
         Decision::EvacuationEnded => {
             Event::new(EventKind::PoolEvacuationEnded).detail(format_smolstr!("token {token}"))
         }
@@ -90,8 +102,13 @@
 }
 
 /// Creates the event of a pool that stops accepting jobs.
-fn drain_event(kind: EventKind, token: FencingToken, handed_back: usize, kept: usize) -> Event {
+fn drain_event(
+    kind: EventKind,
+    token: FencingToken,
+    returned_jobs: usize,
+    remaining_jobs: usize,
+) -> Event {
     Event::new(kind).detail(format_smolstr!(
-        "token {token}, {handed_back} jobs handed back, {kept} end here"
+        "token {token}, {returned_jobs} jobs handed back, {remaining_jobs} end here"
     ))
 }
--- a/crates/onyxshed-host/src/engine.rs
+++ b/crates/onyxshed-host/src/engine.rs
@@ -116,7 +116,7 @@
     pub fn counts(&self) -> (usize, usize) {
         let pool = self.pool.borrow();
         pool.as_ref()
-            .map_or((0, 0), |pool| (pool.executors(), pool.job_count()))
+            .map_or((0, 0), |pool| (pool.executor_count(), pool.job_count()))
     }
 
     /// Returns whether an executor has refused this host's fencing token, and resets the flag.
--- a/crates/onyxshed-pool/src/message.rs
+++ b/crates/onyxshed-pool/src/message.rs
@@ -261,18 +261,18 @@
     /// The next owner began to take over.
     HandoverBegun {
         /// Number of jobs without a started task, which ended as not run.
-        handed_back: usize,
+        returned_jobs: usize,
         /// Number of started jobs, which this owner completes.
-        kept: usize,
+        remaining_jobs: usize,
     },
     /// The previous owner has released every executor.
     HandoverEnded,
     /// Operators have evacuated the zone.
     EvacuationBegun {
         /// Number of jobs without a started task, which ended as not run.
-        handed_back: usize,
+        returned_jobs: usize,
         /// Number of started jobs, which continue in this pool.
-        kept: usize,
+        remaining_jobs: usize,
     },
     /// The zone was restored and gets tasks again.
     EvacuationEnded,
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -104,7 +104,7 @@
     }
 
     /// Returns the number of known executors, usable or not.
-    pub fn executors(&self) -> usize {
+    pub fn executor_count(&self) -> usize {
         self.executors.len()
     }
 
--- a/crates/onyxshed-pool/src/pool/evacuation.rs
+++ b/crates/onyxshed-pool/src/pool/evacuation.rs
@@ -38,9 +38,12 @@
 
     fn begin_evacuation(&mut self, now: Mono) {
         self.zone_status = ZoneStatus::Draining(now + self.options.evacuation_grace_ms);
-        let handed_back = self.return_unstarted_jobs(NotRunReason::ZoneEvacuated);
-        let kept = self.jobs.len();
-        self.log(Decision::EvacuationBegun { handed_back, kept });
+        let returned_jobs = self.return_unstarted_jobs(NotRunReason::ZoneEvacuated);
+        let remaining_jobs = self.jobs.len();
+        self.log(Decision::EvacuationBegun {
+            returned_jobs,
+            remaining_jobs,
+        });
     }
 
     fn end_evacuation(&mut self, now: Mono) {
--- a/crates/onyxshed-pool/src/pool/handover.rs
+++ b/crates/onyxshed-pool/src/pool/handover.rs
@@ -111,9 +111,12 @@
         }
         if !self.is_releasing() {
             self.stage = Stage::Releasing;
-            let handed_back = self.return_unstarted_jobs(NotRunReason::NotOwner);
-            let kept = self.jobs.len();
-            self.log(Decision::HandoverBegun { handed_back, kept });
+            let returned_jobs = self.return_unstarted_jobs(NotRunReason::NotOwner);
+            let remaining_jobs = self.jobs.len();
+            self.log(Decision::HandoverBegun {
+                returned_jobs,
+                remaining_jobs,
+            });
         }
         self.place(now);
         // Waiting tasks of started jobs take free executors before the next owner does.
