--- a/crates/onyxshed-entry/src/upstreams.rs
+++ b/crates/onyxshed-entry/src/upstreams.rs
@@ -26,7 +26,7 @@
     pub connections_per_executor: usize,
     /// A task that may not run twice is sent only over a connection that has answered within this time.
     /// Default 2 s.
-    pub proven_within: Duration,
+    pub reuse_within: Duration,
     /// Timeout of a stop and of a status query. Default 1 s.
     pub stop_timeout: Duration,
     /// How much longer than the task's lease the call of a start may take. Default 200 ms.
@@ -39,7 +39,7 @@
     fn default() -> Self {
         UpstreamOptions {
             connections_per_executor: 16,
-            proven_within: Duration::from_secs(2),
+            reuse_within: Duration::from_secs(2),
             stop_timeout: Duration::from_secs(1),
             call_slack: Duration::from_millis(200),
             client: ClientOptions::default(),
--- a/crates/onyxshed-entry/src/upstreams/call.rs
+++ b/crates/onyxshed-entry/src/upstreams/call.rs
@@ -33,7 +33,7 @@
     /// How long the executor may work on the task, in milliseconds.
     pub lease_ms: Millis,
     /// Whether the call needs a connection that has answered recently, see
-    /// [`super::UpstreamOptions::proven_within`].
+    /// [`super::UpstreamOptions::reuse_within`].
     pub needs_proven_connection: bool,
 }
 
@@ -53,7 +53,7 @@
             return report_without_reply(AttemptOutcome::Unsent, "the executor is no longer known");
         };
         let health = match call.needs_proven_connection {
-            true => ReusePolicy::AnsweredWithin(self.options.proven_within),
+            true => ReusePolicy::AnsweredWithin(self.options.reuse_within),
             false => ReusePolicy::AnyOpen,
         };
         let mut connection = match pool.get(health).await {
--- a/crates/onyxshed-host/src/engine/calls.rs
+++ b/crates/onyxshed-host/src/engine/calls.rs
@@ -28,7 +28,7 @@
 ///
 /// Existing connections may stop delivering data for good while new ones work; a start order on
 /// such a connection is delayed by its timeout.
-const CONNECTION_PROVEN_WITHIN: Duration = Duration::from_secs(8);
+const CONNECTION_REUSE_WITHIN: Duration = Duration::from_secs(8);
 
 impl Engine {
     pub(super) fn spawn_start(
@@ -136,7 +136,7 @@
     ) -> Option<Result<T, Error>> {
         let pool = self.connections.borrow().get(id).cloned()?;
         let mut connection = pool
-            .get(ReusePolicy::AnsweredWithin(CONNECTION_PROVEN_WITHIN))
+            .get(ReusePolicy::AnsweredWithin(CONNECTION_REUSE_WITHIN))
             .await
             .ok()?;
         let answer = call(&mut connection).await;
--- a/crates/onyxshed-load/src/cli/values.rs
+++ b/crates/onyxshed-load/src/cli/values.rs
@@ -12,7 +12,7 @@
 use crate::run::RunOptions;
 use crate::sim::SimOptions;
 use crate::sim::scenario::Scenario;
-use crate::sim::world::ZoneOptions;
+use crate::sim::simulation::ZoneOptions;
 use crate::whole_path::WholePathOptions;
 
 /// Returns the value of an option that is required or has a default. Panics if it has none.
--- a/crates/onyxshed-load/src/sim.rs
+++ b/crates/onyxshed-load/src/sim.rs
@@ -5,19 +5,19 @@
 //! of a cluster is modelled: no log, no claims, no sockets. All policies see the same arrivals and
 //! faults for a scenario and seed.
 
-pub mod chooser;
 pub mod executor;
+pub mod policies;
 pub mod scenario;
+pub mod simulation;
 pub mod summary;
-pub mod world;
 
 use crate::mix::Mix;
 use crate::plan::{PlanOptions, plan};
 
-use chooser::PolicyKind;
+use policies::PolicyKind;
 use scenario::Scenario;
+use simulation::{RunResult, Simulation, ZoneOptions};
 use summary::{Cell, Summary};
-use world::{RunResult, Simulation, ZoneOptions};
 
 /// Options of a simulation.
 #[derive(Debug, Clone)]
--- a/crates/onyxshed-load/src/sim/world.rs
+++ b/crates/onyxshed-load/src/sim/simulation.rs
@@ -14,8 +14,8 @@
 use parts::{Attempt, Event, Host, Job, executor_info};
 
 use super::SimOptions;
-use super::chooser::PolicyKind;
 use super::executor::{Health, ModelExecutor, StartOutcome};
+use super::policies::PolicyKind;
 use super::scenario::Scenario;
 use crate::mix::Mix;
 use crate::plan::PlannedJob;
--- a/crates/onyxshed-load/src/sim/world/host.rs
+++ b/crates/onyxshed-load/src/sim/simulation/host.rs
@@ -9,7 +9,7 @@
 use super::Simulation;
 use super::parts::{Attempt, Event, Host, job_index, service_time, task_id};
 use crate::run::class_name;
-use crate::sim::chooser::{HostPolicy, PolicyKind};
+use crate::sim::policies::{HostPolicy, PolicyKind};
 
 const REPEATS_MAX: u32 = 2;
 
--- a/crates/onyxshed-load/src/sim/world/parts.rs
+++ b/crates/onyxshed-load/src/sim/simulation/parts.rs
@@ -7,7 +7,7 @@
 
 use super::{RACK, WALL_START};
 use crate::plan::PlannedJob;
-use crate::sim::chooser::HostPolicy;
+use crate::sim::policies::HostPolicy;
 
 /// An event of the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/onyxshed-load/src/sim/summary.rs
+++ b/crates/onyxshed-load/src/sim/summary.rs
@@ -7,9 +7,9 @@
 use smol_str::SmolStr;
 
 use super::SimOptions;
-use super::chooser::PolicyKind;
+use super::policies::PolicyKind;
 use super::scenario::Scenario;
-use super::world::RunResult;
+use super::simulation::RunResult;
 use crate::error::Result;
 use crate::plot::{Bars, Series};
 use crate::report::write_json;
--- a/crates/onyxshed-load/tests/sim.rs
+++ b/crates/onyxshed-load/tests/sim.rs
@@ -1,9 +1,9 @@
 //! Tests of the simulation: a seed determines a run, and every job ends exactly once.
 
 use onyxshed_load::mix::Mix;
-use onyxshed_load::sim::chooser::PolicyKind;
+use onyxshed_load::sim::policies::PolicyKind;
 use onyxshed_load::sim::scenario::Scenario;
-use onyxshed_load::sim::world::ZoneOptions;
+use onyxshed_load::sim::simulation::ZoneOptions;
 use onyxshed_load::sim::{SimOptions, run_once, simulate};
 use rstest::rstest;
 
