--- a/crates/onyxshed-cli/src/target/publish.rs
+++ b/crates/onyxshed-cli/src/target/publish.rs
@@ -26,7 +26,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 #[derive(Serialize)]
-struct Published {
+struct PublishedChange {
     change_id: ChangeId,
     revision: Revision,
     is_in_force_everywhere: Option<bool>,
@@ -43,7 +43,7 @@
 }
 
 /// A change that is being sent.
-struct Sending<'a> {
+struct ChangeSender<'a> {
     log: &'a mut ConfigLog,
     change_id: ChangeId,
     /// Whether a copy of the change may be on the log or still reach it.
@@ -60,7 +60,7 @@
         (Format::Json, published) => json(published),
         (
             Format::Human,
-            Published {
+            PublishedChange {
                 change_id,
                 revision,
                 ..
@@ -75,7 +75,7 @@
     })
 }
 
-async fn publish_change(publish: Publish, progress: &Progress) -> Result<Published> {
+async fn publish_change(publish: Publish, progress: &Progress) -> Result<PublishedChange> {
     let mut log = ConfigLog::new(publish.platform);
     log.read_all().await?;
     let change = prepare(&log, publish.body, publish.based_on)?;
@@ -85,7 +85,7 @@
     if should_wait {
         wait_in_force(&publish.wait_for, revision, || log.is_late(), progress).await?;
     }
-    Ok(Published {
+    Ok(PublishedChange {
         change_id,
         revision,
         is_in_force_everywhere: should_wait.then_some(true),
@@ -113,7 +113,7 @@
     proposal: Proposal<Ready>,
     progress: &Progress,
 ) -> Result<Revision> {
-    let mut sending = Sending {
+    let mut sender = ChangeSender {
         log,
         change_id: proposal.change().change_id,
         may_be_sent: false,
@@ -122,14 +122,14 @@
     let mut next = NextStep::Append(proposal);
     loop {
         next = match next {
-            NextStep::Append(proposal) => sending.append(proposal).await?,
-            NextStep::Read(proposal) => sending.read(proposal).await?,
+            NextStep::Append(proposal) => sender.append(proposal).await?,
+            NextStep::Read(proposal) => sender.read(proposal).await?,
             NextStep::Done(revision) => return Ok(revision),
         };
     }
 }
 
-impl Sending<'_> {
+impl ChangeSender<'_> {
     async fn append(&mut self, proposal: Proposal<Ready>) -> Result<NextStep> {
         let append_result = self.log.append(proposal.record()).await;
         let result = append_result.as_ref().copied().map_err(append_failure);
@@ -163,7 +163,7 @@
                 ),
             }),
             ProposalStatus::Repeat(_) | ProposalStatus::Undecided(_) if self.log.is_late() => {
-                Err(self.undecided("it was not read back"))
+                Err(self.undecided_error("it was not read back"))
             }
             ProposalStatus::Repeat(proposal) => Ok(NextStep::Append(proposal)),
             ProposalStatus::Undecided(proposal) => {
@@ -178,7 +178,7 @@
     async fn pause(&mut self, error: &onyxshed_platform::Error) -> Result<()> {
         if self.log.is_late() {
             return Err(match self.may_be_sent {
-                true => self.undecided(&error.to_string()),
+                true => self.undecided_error(&error.to_string()),
                 false => Error::Platform {
                     source: error.clone(),
                 },
@@ -189,7 +189,7 @@
         Ok(())
     }
 
-    fn undecided(&self, reason: &str) -> Error {
+    fn undecided_error(&self, reason: &str) -> Error {
         Error::ChangeUndecided {
             change_id: self.change_id,
             reason: reason.into(),
--- a/crates/onyxshed-cli/src/target/show.rs
+++ b/crates/onyxshed-cli/src/target/show.rs
@@ -27,7 +27,7 @@
 }
 
 #[derive(Serialize)]
-struct Expired {
+struct ExpiredChange {
     change_id: ChangeId,
     fate: &'static str,
     revision: Revision,
@@ -130,7 +130,7 @@
 fn show_expired(log: &ConfigLog, change_id: ChangeId, format: Format) -> Result<String> {
     match log.fold().find_change(change_id) {
         ChangeOutcome::Accepted(revision) => Ok(match format {
-            Format::Json => json(&Expired {
+            Format::Json => json(&ExpiredChange {
                 change_id,
                 fate: "accepted",
                 revision,
--- a/crates/onyxshed-cli/src/target/wait.rs
+++ b/crates/onyxshed-cli/src/target/wait.rs
@@ -26,12 +26,12 @@
 ) -> Result<()> {
     loop {
         let replies = query_status(processes, QUERY_TIMEOUT).await;
-        let lacking = lacking(&replies, revision);
-        if lacking.is_empty() {
+        let lagging_processes = lagging_processes(&replies, revision);
+        if lagging_processes.is_empty() {
             return Ok(());
         }
-        let (total, done) = (replies.len(), replies.len() - lacking.len());
-        let waiting = lacking.join(", ");
+        let (total, done) = (replies.len(), replies.len() - lagging_processes.len());
+        let waiting = lagging_processes.join(", ");
         if is_late() {
             return Err(Error::NotInForce {
                 revision,
@@ -46,11 +46,11 @@
 }
 
 /// Describes every process that lacks the revision.
-fn lacking(replies: &[ProcessReply<Status>], revision: Revision) -> Vec<String> {
-    let lacking = replies
+fn lagging_processes(replies: &[ProcessReply<Status>], revision: Revision) -> Vec<String> {
+    let lagging_processes = replies
         .iter()
         .filter(|reply| !has_revision(reply, revision));
-    lacking.map(describe).collect()
+    lagging_processes.map(describe).collect()
 }
 
 fn has_revision(reply: &ProcessReply<Status>, revision: Revision) -> bool {
--- a/crates/onyxshed-cli/src/timeline.rs
+++ b/crates/onyxshed-cli/src/timeline.rs
@@ -27,7 +27,7 @@
 /// Collects the events of all processes or logs and shows them as one time line.
 pub async fn run(args: &TimelineArgs, format: Format) -> Result<CommandOutput> {
     let (mut merged, is_complete) = match &args.source {
-        EventSource::Processes(processes) => gather(args, processes).await?,
+        EventSource::Processes(processes) => query_events(args, processes).await?,
         EventSource::Logs(files) => {
             let mut merged = merge::merge_logs(read_logs(files)?);
             merged.retain_matching(args);
@@ -35,7 +35,7 @@
         }
     };
     if args.beliefs_only {
-        merged.retain_beliefs();
+        merged.retain_process_events();
     }
     Ok(CommandOutput {
         text: render::render(&merged, args, format),
@@ -44,7 +44,10 @@
 }
 
 /// Queries every process for its events. The flag is `true` if all have answered.
-async fn gather(args: &TimelineArgs, processes: &ProcessArgs) -> Result<(merge::Timeline, bool)> {
+async fn query_events(
+    args: &TimelineArgs,
+    processes: &ProcessArgs,
+) -> Result<(merge::Timeline, bool)> {
     let executors = match &args.upstream {
         Some((upstream, platform)) => Some(executors_of(upstream, *platform).await?),
         None => None,
--- a/crates/onyxshed-cli/src/timeline/merge.rs
+++ b/crates/onyxshed-cli/src/timeline/merge.rs
@@ -106,7 +106,7 @@
     }
 
     /// Retains only the events that concern no single request, job or submission (`--beliefs`).
-    pub fn retain_beliefs(&mut self) {
+    pub fn retain_process_events(&mut self) {
         self.events.retain(|entry| {
             let event = &entry.event;
             event.submission.is_none() && event.request.is_empty() && event.job.is_empty()
--- a/crates/onyxshed-dispatch/src/dispatch/attempt.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/attempt.rs
@@ -96,7 +96,7 @@
             | AttemptOutcome::Stopped => {
                 job.evidence.has_run = true;
             }
-            AttemptOutcome::Lost => job.evidence.is_in_doubt = true,
+            AttemptOutcome::Lost => job.evidence.may_have_run = true,
             AttemptOutcome::Refused | AttemptOutcome::Unsent => {}
         }
         match report.outcome {
--- a/crates/onyxshed-dispatch/src/dispatch/claim.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/claim.rs
@@ -3,7 +3,7 @@
 use onyxshed_core::{Event, EventKind, Incarnation, Now, Offset, ResultCode, SubmissionId};
 use onyxshed_policy::QueuedTask;
 use onyxshed_state::claim::AppendFailure;
-use onyxshed_state::{ClaimOutcome, ClaimStep, SettledClaim};
+use onyxshed_state::{ClaimOutcome, ClaimResult, ClaimStep};
 use onyxshed_wire::ContentHash;
 use onyxshed_wire::caller::{Answer, CopyMark, Submission};
 use onyxshed_wire::platform::Record;
@@ -23,26 +23,26 @@
     ) {
         self.book.skip_to(now, oldest);
         for record in records {
-            let settled = self.book.apply_record(now, record.offset, &record.data);
-            self.settle_all(now, settled);
+            let results = self.book.apply_record(now, record.offset, &record.data);
+            self.apply_claim_results(now, results);
         }
         self.book.mark_caught_up(next);
     }
 
     pub(super) fn apply_log_loss(&mut self, now: Now) {
         let failed = self.book.mark_log_unreachable();
-        self.settle_all(now, failed);
+        self.apply_claim_results(now, failed);
     }
 
-    /// Settles claims that were not read back in time.
-    pub(super) fn settle_overdue_claims(&mut self, now: Now) {
+    /// Fails the claims that were not read back in time.
+    pub(super) fn fail_overdue_claims(&mut self, now: Now) {
         let overdue = self.book.tick(now);
-        self.settle_all(now, overdue);
+        self.apply_claim_results(now, overdue);
     }
 
-    fn settle_all(&mut self, now: Now, settled: Vec<SettledClaim>) {
-        for claim in settled {
-            self.settle(now, claim);
+    fn apply_claim_results(&mut self, now: Now, results: Vec<ClaimResult>) {
+        for result in results {
+            self.apply_claim_result(now, result);
         }
     }
 
@@ -60,14 +60,14 @@
                     .detail(detail),
             );
         }
-        let settled = self.book.apply_append_result(now, batch, result);
-        self.settle_all(now, settled);
+        let results = self.book.apply_append_result(now, batch, result);
+        self.apply_claim_results(now, results);
     }
 
     /// Applies the outcome of a claim to its job.
-    fn settle(&mut self, now: Now, settled: SettledClaim) {
-        let id = settled.submission;
-        match settled.outcome {
+    fn apply_claim_result(&mut self, now: Now, result: ClaimResult) {
+        let id = result.submission;
+        match result.outcome {
             ClaimOutcome::Won => {
                 self.emit(Event::new(EventKind::ClaimWon).submission(id));
                 self.start_job(now, id, true);
@@ -92,7 +92,7 @@
             }
             return;
         };
-        if self.settle_cancels(now, id, &job) {
+        if self.answer_cancel_requests(now, id, &job) {
             return;
         }
         let job = job.into_running(is_claimed);
@@ -145,7 +145,7 @@
     /// cancelled.
     ///
     /// The job is cancelled unless another request has joined it since the cancel request.
-    fn settle_cancels(&mut self, now: Now, id: SubmissionId, job: &ClaimingJob) -> bool {
+    fn answer_cancel_requests(&mut self, now: Now, id: SubmissionId, job: &ClaimingJob) -> bool {
         let is_cancelled = !job.cancels.is_empty() && job.waiters.is_empty();
         if is_cancelled {
             self.release_bytes(&job.payloads);
--- a/crates/onyxshed-dispatch/src/dispatch/completion.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/completion.rs
@@ -11,8 +11,8 @@
 impl Dispatch {
     /// Processes the claims, tasks and jobs that are due.
     pub(super) fn process_due(&mut self, now: Now) {
-        self.settle_overdue_claims(now);
-        self.settle_expired_tasks(now);
+        self.fail_overdue_claims(now);
+        self.handle_expired_tasks(now);
         while let Some(id) = self.jobs.first_due(now.mono) {
             self.process_due_job(now, id);
         }
--- a/crates/onyxshed-dispatch/src/dispatch/pump.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/pump.rs
@@ -162,7 +162,7 @@
 
     /// Handles queued tasks whose deadline has passed: a job that has begun continues until its
     /// final deadline, and a job that has not begun is aborted.
-    pub(super) fn settle_expired_tasks(&mut self, now: Now) {
+    pub(super) fn handle_expired_tasks(&mut self, now: Now) {
         for ExpiredTask { task, deadline, .. } in self.policy.take_expired(now) {
             match self.jobs.get(task.submission) {
                 // Past the final deadline, requeueing would only make the task expire again.
--- a/crates/onyxshed-dispatch/src/job.rs
+++ b/crates/onyxshed-dispatch/src/job.rs
@@ -9,7 +9,7 @@
 
 pub use claiming::ClaimingJob;
 pub use ended::EndedJob;
-pub use running::{AbortCodes, Evidence, RunningJob};
+pub use running::{AbortCodes, RunningJob, StartEvidence};
 
 use onyxshed_core::{ClassName, Mono, SubmissionId};
 use onyxshed_wire::ContentHash;
--- a/crates/onyxshed-dispatch/src/job/running.rs
+++ b/crates/onyxshed-dispatch/src/job/running.rs
@@ -14,11 +14,11 @@
 ///
 /// A job may be reported as "not run" only while both fields are `false`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Evidence {
+pub struct StartEvidence {
     /// An executor reported that it ran a task.
     pub has_run: bool,
     /// An attempt was lost, so a task may have run.
-    pub is_in_doubt: bool,
+    pub may_have_run: bool,
 }
 
 /// Job whose tasks may start, run and end on this host.
@@ -33,7 +33,7 @@
     /// Attempts that have not ended.
     pub attempts: BTreeSet<AttemptId>,
     /// Evidence on whether any task has started.
-    pub evidence: Evidence,
+    pub evidence: StartEvidence,
     /// Whether this host holds a claim to the submission; a job that may run twice can run without
     /// one.
     pub is_claimed: bool,
@@ -54,7 +54,7 @@
             payloads,
             waiters,
             attempts: BTreeSet::new(),
-            evidence: Evidence::default(),
+            evidence: StartEvidence::default(),
             is_claimed,
             results: vec![None; missing],
             missing_results: missing,
@@ -93,7 +93,7 @@
 
     /// Returns whether it is proven that no task has started.
     pub fn is_unstarted(&self) -> bool {
-        !self.evidence.has_run && !self.evidence.is_in_doubt && self.attempts.is_empty()
+        !self.evidence.has_run && !self.evidence.may_have_run && self.attempts.is_empty()
     }
 
     /// Returns the code that correctly describes the job if it is aborted now.
@@ -101,7 +101,7 @@
     /// A "not run" code is returned only while it is proven that no task has started, and a
     /// "failed" code of the started case only if a task is known to have run.
     pub fn abort_code(&self, codes: AbortCodes) -> ResultCode {
-        let is_doubtful = self.evidence.is_in_doubt || !self.attempts.is_empty();
+        let is_doubtful = self.evidence.may_have_run || !self.attempts.is_empty();
         match (self.evidence.has_run, is_doubtful) {
             (false, false) => codes.unstarted,
             (true, _) => codes.started,
--- a/crates/onyxshed-dispatch/tests/search.rs
+++ b/crates/onyxshed-dispatch/tests/search.rs
@@ -37,7 +37,7 @@
         for _ in 0..STEPS_PER_SEED {
             simulation.step();
         }
-        simulation.settle();
+        simulation.run_to_completion();
     }
 }
 
--- a/crates/onyxshed-dispatch/tests/search/simulation.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation.rs
@@ -194,7 +194,7 @@
     }
 
     /// Runs until no work is left, then checks that every request was answered once.
-    pub fn settle(&mut self) {
+    pub fn run_to_completion(&mut self) {
         self.is_log_down = false;
         for _ in 0..20_000 {
             self.now_ms += 5;
@@ -261,9 +261,9 @@
             let members = others.map(|incarnation| member_of(*incarnation)).collect();
             let live_hosts =
                 u32::try_from(incarnations.len()).expect("the number of hosts fits in u32");
-            self.feed(index, Input::Configured(config.clone()));
-            self.feed(index, Input::Executors(executors.clone()));
-            self.feed(
+            self.deliver_input(index, Input::Configured(config.clone()));
+            self.deliver_input(index, Input::Executors(executors.clone()));
+            self.deliver_input(
                 index,
                 Input::Members {
                     members,
@@ -285,7 +285,7 @@
     }
 
     /// Applies an input to a host, or queues it while the host is frozen.
-    pub(super) fn feed(&mut self, index: usize, input: Input) {
+    pub(super) fn deliver_input(&mut self, index: usize, input: Input) {
         let host = &mut self.hosts[index];
         if host.frozen_until_ms > self.now_ms {
             host.inbox.push_back(input);
@@ -312,7 +312,7 @@
                 let Some(input) = self.hosts[index].inbox.pop_front() else {
                     break;
                 };
-                self.feed(index, input);
+                self.deliver_input(index, input);
             }
         }
     }
--- a/crates/onyxshed-dispatch/tests/search/simulation/callers.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation/callers.rs
@@ -48,7 +48,7 @@
 
         self.trace
             .push(format!("submit {} to {index}", submission.submission));
-        self.feed(
+        self.deliver_input(
             index,
             Input::Submit {
                 request,
@@ -76,7 +76,7 @@
         let request = self.request(index, Requester::Caller { id, copy, is_alone });
 
         self.trace.push(format!("cancel {id} at {index}"));
-        self.feed(
+        self.deliver_input(
             index,
             Input::Cancel {
                 request,
@@ -94,7 +94,7 @@
 
     pub(super) fn tick(&mut self) {
         for index in 0..HOSTS {
-            self.feed(index, Input::Tick);
+            self.deliver_input(index, Input::Tick);
         }
     }
 
--- a/crates/onyxshed-dispatch/tests/search/simulation/wire.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation/wire.rs
@@ -78,7 +78,7 @@
 
     pub(super) fn deliver_to(&mut self, to: Incarnation, input: Input) {
         if let Some(index) = self.index_of(to) {
-            self.feed(index, input);
+            self.deliver_input(index, input);
         }
     }
 
@@ -118,7 +118,7 @@
             true => Input::LogLost,
             false => self.page(self.hosts[index].machine.next_log_offset()),
         };
-        self.feed(index, input);
+        self.deliver_input(index, input);
         self.schedule_read(index);
     }
 
@@ -253,6 +253,6 @@
                 is_forwarded: true,
             },
         };
-        self.feed(index, input);
+        self.deliver_input(index, input);
     }
 }
--- a/crates/onyxshed-entry/src/callers.rs
+++ b/crates/onyxshed-entry/src/callers.rs
@@ -119,7 +119,7 @@
     /// written.
     fn drain<'a>(&'a self, kernel: &'a Kernel) -> LocalFuture<'a, ()> {
         Box::pin(async move {
-            self.engine.feed(Input::Drain);
+            self.engine.handle_input(Input::Drain);
             Timer::after(DRAIN_GRACE).await;
             let Ok(callers) = kernel.find::<Callers>(CALLERS) else {
                 return;
--- a/crates/onyxshed-entry/src/claim_log.rs
+++ b/crates/onyxshed-entry/src/claim_log.rs
@@ -63,7 +63,7 @@
                 true => AppendFailure::AnswerLost,
                 false => AppendFailure::NotAppended,
             });
-            log.engine.feed(Input::AppendEnded {
+            log.engine.handle_input(Input::AppendEnded {
                 batch: batch_number,
                 result,
             });
@@ -93,7 +93,7 @@
                             .emit(Event::new(EventKind::PlatformBack).party("platform"));
                     }
                     let (oldest, next, records) = (page.oldest, page.next, page.records);
-                    self.engine.feed(Input::LogRead {
+                    self.engine.handle_input(Input::LogRead {
                         oldest,
                         next,
                         records,
@@ -103,7 +103,7 @@
                     if !std::mem::replace(&mut is_lost, true) {
                         let event = Event::new(EventKind::PlatformLost).party("platform");
                         self.kernel.emit(event.detail(error.to_string()));
-                        self.engine.feed(Input::LogLost);
+                        self.engine.handle_input(Input::LogLost);
                     }
                     Timer::after(READ_RETRY_DELAY).await;
                 }
--- a/crates/onyxshed-entry/src/control_port.rs
+++ b/crates/onyxshed-entry/src/control_port.rs
@@ -67,7 +67,7 @@
                 .find::<Upstreams>(UPSTREAMS)?
                 .set_executors(&executors);
             let infos = executors.into_iter().map(|entry| entry.info).collect();
-            engine.feed(Input::Executors(infos));
+            engine.handle_input(Input::Executors(infos));
             self.kernel.readiness().clear_not_ready(NO_EXECUTORS_YET);
             let live_members = snapshot
                 .members
@@ -77,14 +77,14 @@
                 self.kernel.readiness().clear_not_ready(PEERS_NOT_KNOWN_YET);
             }
         }
-        engine.feed(Input::Members {
+        engine.handle_input(Input::Members {
             members: snapshot.members,
             gone: snapshot.gone,
             zone_hosts: snapshot.zone_hosts,
             live_hosts: snapshot.live_hosts,
         });
         if let Some(config) = snapshot.config {
-            engine.feed(Input::Configured(config));
+            engine.handle_input(Input::Configured(config));
             self.kernel.readiness().clear_not_ready(NO_CONFIG_YET);
         }
         Ok(self.status(&engine))
--- a/crates/onyxshed-entry/src/engine.rs
+++ b/crates/onyxshed-entry/src/engine.rs
@@ -52,7 +52,7 @@
     }
 
     /// Feeds one input to the state machine and executes its outputs.
-    pub fn feed(&self, input: Input) {
+    pub fn handle_input(&self, input: Input) {
         let now = self.kernel.clock().now();
         let outputs = self.dispatch.borrow_mut().handle(now, input);
         for output in outputs {
@@ -67,7 +67,7 @@
         self.last_request.set(request.0);
         let (sender, receiver) = async_channel::bounded(1);
         self.pending.borrow_mut().insert(request, sender);
-        self.feed(make_input(request));
+        self.handle_input(make_input(request));
         receiver
             .recv()
             .await
@@ -159,7 +159,7 @@
                 Timer::after(TICK_INTERVAL_MAX).await;
             };
             rearmed.or(wake).or(interval_elapsed).await;
-            self.feed(Input::Tick);
+            self.handle_input(Input::Tick);
         }
     }
 }
--- a/crates/onyxshed-entry/src/peers.rs
+++ b/crates/onyxshed-entry/src/peers.rs
@@ -62,7 +62,7 @@
                 None => None,
             };
             if let Ok(engine) = peers.kernel.find::<Engine>(ENGINE) {
-                engine.feed(Input::ForwardEnded {
+                engine.handle_input(Input::ForwardEnded {
                     request,
                     id,
                     answer,
--- a/crates/onyxshed-entry/src/upstreams.rs
+++ b/crates/onyxshed-entry/src/upstreams.rs
@@ -157,7 +157,7 @@
 
     fn report(&self, input: Input) {
         if let Ok(engine) = self.kernel.find::<Engine>(ENGINE) {
-            engine.feed(input);
+            engine.handle_input(input);
         }
     }
 
--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -224,7 +224,7 @@
     fn reply(&self, end: &JobEnd) -> Reply {
         let reply = job_reply(end);
         match end {
-            JobEnd::NotRun(..) if self.links.should_send_callers_away() => reply.connection_close(),
+            JobEnd::NotRun(..) if self.links.should_divert_callers() => reply.connection_close(),
             _ => reply,
         }
     }
--- a/crates/onyxshed-host/src/directory.rs
+++ b/crates/onyxshed-host/src/directory.rs
@@ -224,7 +224,7 @@
         if self.engine.serves(pool) {
             return OwnerStatus::Owned;
         }
-        match (self.links.is_settled(pool), pool.zone == self.zone) {
+        match (self.links.has_stable_owner(pool), pool.zone == self.zone) {
             (false, true) => OwnerStatus::UnsettledLocal,
             (false, false) => OwnerStatus::UnsettledRemote,
             (true, true) => OwnerStatus::SettledLocal,
--- a/crates/onyxshed-host/src/executors.rs
+++ b/crates/onyxshed-host/src/executors.rs
@@ -180,7 +180,7 @@
             .collect();
         self.zone_executors.retain(|id| present.contains(id));
         for id in removed {
-            self.unlist(&id);
+            self.remove_unlisted(&id);
         }
         records.iter().for_each(|record| self.apply_record(record));
         self.engine.mark_executors_read();
@@ -188,7 +188,7 @@
 
     fn apply_record(&mut self, record: &KeyedRecord) {
         let Some(value) = &record.value else {
-            return self.unlist(&record.key);
+            return self.remove_unlisted(&record.key);
         };
         // An entry that cannot be parsed comes from a foreign writer and describes no executor.
         // Known facts about an executor of that id are kept.
@@ -218,7 +218,7 @@
     }
 
     /// Removes an executor that the store no longer lists.
-    fn unlist(&mut self, id: &SmolStr) {
+    fn remove_unlisted(&mut self, id: &SmolStr) {
         self.zone_executors.remove(id);
         if self.pool_executors.remove(id) {
             self.engine.unlist_executor(&ExecutorId(id.clone()));
--- a/crates/onyxshed-host/src/links.rs
+++ b/crates/onyxshed-host/src/links.rs
@@ -186,7 +186,7 @@
 
     /// Returns whether callers should be sent to another host, since this one reaches no pool. This
     /// is not the case while every zone is evacuated, since every host rejects callers then.
-    pub fn should_send_callers_away(&self) -> bool {
+    pub fn should_divert_callers(&self) -> bool {
         !self.can_reach_pool() && !self.evacuations.covers_deployment()
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// Returns whether the owner of a pool answers and does not want to be replaced.
-    pub fn is_settled(&self, pool: &PoolId) -> bool {
+    pub fn has_stable_owner(&self, pool: &PoolId) -> bool {
         self.is_up(pool) && !self.selector.borrow().needs_replacement(pool)
     }
 
@@ -296,7 +296,7 @@
 
     /// Applies the load report of a pool's owner.
     fn update_load(self: &Rc<Self>, pool: &PoolId, load: PoolLoad) {
-        if load.needs_replacement && self.is_settled(pool) {
+        if load.needs_replacement && self.has_stable_owner(pool) {
             self.owner_changed.notify();
         }
         let successor = load.successor;
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -186,7 +186,7 @@
     /// Returns the status of a vacant pool's last owner. Probes that owner if this host has never
     /// been connected to an owner of the pool.
     async fn last_owner(&mut self, pool: &PoolId) -> LastOwner {
-        if self.links.is_settled(pool) {
+        if self.links.has_stable_owner(pool) {
             return LastOwner::Active;
         }
         // On the first start of the deployment there is no previous owner.
--- a/crates/onyxshed-host/src/ready.rs
+++ b/crates/onyxshed-host/src/ready.rs
@@ -34,9 +34,8 @@
         let manifest: Rc<ManifestHolder> = kernel.find(MANIFEST)?;
         let links: Rc<Links> = kernel.find(LINKS)?;
         let handler: Handler = Rc::new(move |_call: Call| {
-            let is_ready = readiness.is_ready()
-                && manifest.get().is_some()
-                && !links.should_send_callers_away();
+            let is_ready =
+                readiness.is_ready() && manifest.get().is_some() && !links.should_divert_callers();
             let status = if is_ready {
                 STATUS_READY
             } else {
--- a/crates/onyxshed-host/tests/lookup.rs
+++ b/crates/onyxshed-host/tests/lookup.rs
@@ -29,7 +29,7 @@
 
 /// Hosts of other zones must not look up a pool as often as the hosts that may acquire it.
 #[test]
-fn settled_remote_pools_are_looked_up_less_often() {
+fn remote_pools_with_stable_owner_are_looked_up_less_often() {
     let local = OwnerStatus::SettledLocal
         .lookup_interval(10)
         .expect("a pool of another owner has a lookup interval");
--- a/crates/onyxshed-http/src/client.rs
+++ b/crates/onyxshed-http/src/client.rs
@@ -111,7 +111,7 @@
                 Ok(reply)
             }
             Err(ExchangeError::Timeout) => Err(CallError::timeout(sent)),
-            Err(ExchangeError::Stream(reason)) => Err(CallError::broken(sent, reason)),
+            Err(ExchangeError::Stream(reason)) => Err(CallError::connection_failed(sent, reason)),
         }
     }
 
--- a/crates/onyxshed-http/src/error.rs
+++ b/crates/onyxshed-http/src/error.rs
@@ -63,7 +63,7 @@
     }
 
     /// Creates an error for a call whose connection or reply failed.
-    pub fn broken(sent: SendState, reason: impl ToString) -> Self {
+    pub fn connection_failed(sent: SendState, reason: impl ToString) -> Self {
         CallError {
             sent,
             is_timeout: false,
--- a/crates/onyxshed-load/src/caller.rs
+++ b/crates/onyxshed-load/src/caller.rs
@@ -11,7 +11,7 @@
 use onyxshed_http::{CallError, ClientOptions, Connection, SendState};
 use onyxshed_wire::caller::{Answer, CopyMark, JOBS_PATH, Submission};
 
-use crate::tally::Wasted;
+use crate::tally::WastedMessages;
 
 /// Retry, binding and timeout rules of the callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 pub struct Callers {
     entries: Vec<EntryHost>,
     options: CallerOptions,
-    wasted: RefCell<Wasted>,
+    wasted: RefCell<WastedMessages>,
 }
 
 /// The next step of a caller after an answer or a failed call.
@@ -84,7 +84,7 @@
     }
 
     /// Returns the messages wasted so far.
-    pub fn wasted(&self) -> Wasted {
+    pub fn wasted(&self) -> WastedMessages {
         *self.wasted.borrow()
     }
 
@@ -186,7 +186,7 @@
         let mut connection = self.connection().await?;
         let reply = connection.call(method, path, &[], body, timeout).await?;
         let answer = Answer::decode(&reply.body)
-            .map_err(|error| CallError::broken(SendState::MaybeSent, error))?;
+            .map_err(|error| CallError::connection_failed(SendState::MaybeSent, error))?;
         if reply.header_value("connection") != Some("close") {
             self.idle.borrow_mut().push(connection);
         }
--- a/crates/onyxshed-policy/src/class.rs
+++ b/crates/onyxshed-policy/src/class.rs
@@ -2,9 +2,9 @@
 
 use onyxshed_core::{ClassTarget, Micros, Mono};
 
-use crate::demand::Demand;
 use crate::estimate::ClassEstimate;
 use crate::faults::ClassFaults;
+use crate::offered_load::OfferedLoad;
 use crate::span::to_micros;
 
 /// Quantile of the service time that counts as the shortest possible time.
@@ -26,7 +26,7 @@
     /// Learned service times.
     pub estimate: ClassEstimate,
     /// Rate of arriving work.
-    pub demand: Demand,
+    pub offered_load: OfferedLoad,
     /// Failures per executor and job.
     pub faults: ClassFaults,
     /// Attempts that have not ended.
@@ -40,7 +40,7 @@
             target,
             is_configured: true,
             estimate: ClassEstimate::default(),
-            demand: Demand::default(),
+            offered_load: OfferedLoad::default(),
             faults: ClassFaults::default(),
             in_flight: 0,
         }
--- a/crates/onyxshed-policy/src/executor/breaker.rs
+++ b/crates/onyxshed-policy/src/executor/breaker.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// What an executor may get.
+/// The kind of task that may be sent to an executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gate {
     /// Any task.
@@ -80,7 +80,7 @@
     Closed,
 }
 
-/// What the end of an attempt indicates about the executor.
+/// Indication about the executor that the end of an attempt gives.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Signal {
     /// The executor finished the task.
@@ -130,7 +130,7 @@
 }
 
 impl Breaker {
-    /// Returns what the executor may get now.
+    /// Returns the kind of task that may be sent to the executor now.
     pub fn gate(&self, now: Mono) -> Gate {
         match self.state {
             State::Closed => Gate::Work,
--- a/crates/onyxshed-policy/src/executor/limit.rs
+++ b/crates/onyxshed-policy/src/executor/limit.rs
@@ -31,8 +31,8 @@
     }
 
     /// Records a finished task that ran beside `in_flight` others of this host.
-    pub fn record_finished(&mut self, slots: u32, in_flight: u32, worsening: f64) {
-        if worsening > WORSENED_RATIO_MIN {
+    pub fn record_finished(&mut self, slots: u32, in_flight: u32, slowdown_increase: f64) {
+        if slowdown_increase > WORSENED_RATIO_MIN {
             // The limit shrinks by one factor per round, so each of the tasks in flight applies its
             // part.
             let part = WORSENED_FACTOR.powf(1.0 / f64::from(in_flight + 1));
--- a/crates/onyxshed-policy/src/executor/speed.rs
+++ b/crates/onyxshed-policy/src/executor/speed.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns the ratio of the recent to the long-run slowdown, without decay.
-    pub fn worsening(&self) -> f64 {
+    pub fn slowdown_increase(&self) -> f64 {
         (self.recent_log - self.log).exp()
     }
 
--- a/crates/onyxshed-policy/src/faults.rs
+++ b/crates/onyxshed-policy/src/faults.rs
@@ -62,7 +62,7 @@
 
     /// Returns the weight of one failure as evidence against `executor`: the logarithm of the odds
     /// that the executor is at fault, at least 0.
-    pub fn weight_against(&self, executor: ExecutorId) -> f64 {
+    pub fn executor_fault_weight(&self, executor: ExecutorId) -> f64 {
         let own = self.rates.get(&executor).copied();
         let others = self.rates.len() - usize::from(own.is_some());
         let sum = self.sum - own.unwrap_or(0.0);
--- a/crates/onyxshed-policy/src/demand.rs
+++ b/crates/onyxshed-policy/src/offered_load.rs
@@ -7,14 +7,14 @@
 /// Time constant of the rate.
 const RATE_TIME_CONSTANT: Millis = Millis(1_000);
 
-/// A rate of work with exponential decay.
+/// The rate of arriving work of a class or an upstream, with exponential decay.
 #[derive(Debug, Clone, Default)]
-pub struct Demand {
+pub struct OfferedLoad {
     work_us: f64,
     updated_at: Mono,
 }
 
-impl Demand {
+impl OfferedLoad {
     /// Adds arriving work, in microseconds on one slot of ordinary speed.
     pub fn record_arrival(&mut self, now: Mono, work_us: f64) {
         self.work_us = self.decayed_us(now) + work_us;
--- a/crates/onyxshed-policy/src/policy/end.rs
+++ b/crates/onyxshed-policy/src/policy/end.rs
@@ -150,7 +150,7 @@
         let weight = if was_suspect {
             0.0
         } else {
-            class.faults.weight_against(executor.id)
+            class.faults.executor_fault_weight(executor.id)
         };
         if class.faults.record_failure(executor.id, job) == Some(ClassChange::Unrunnable) {
             self.decisions.push(PolicyDecision::ClassUnrunnable {
@@ -330,8 +330,10 @@
     let slowdown = executor.speed.slowdown(now);
     class.estimate.observe(now, service, slowdown);
     let (slots, in_flight) = (executor.info.slots, executor.in_flight);
-    let worsening = executor.speed.worsening();
-    executor.limit.record_finished(slots, in_flight, worsening);
+    let slowdown_increase = executor.speed.slowdown_increase();
+    executor
+        .limit
+        .record_finished(slots, in_flight, slowdown_increase);
     ratio
 }
 
--- a/crates/onyxshed-policy/src/policy/intake.rs
+++ b/crates/onyxshed-policy/src/policy/intake.rs
@@ -66,8 +66,8 @@
             && let Some(upstream) = self.upstreams.get_mut(&class.target.upstream)
         {
             let work_us = class.estimate.mean_us().unwrap_or(upstream.mean_us());
-            class.demand.record_arrival(now.mono, work_us);
-            upstream.demand.record_arrival(now.mono, work_us);
+            class.offered_load.record_arrival(now.mono, work_us);
+            upstream.offered_load.record_arrival(now.mono, work_us);
         }
         self.queue_ticket(Ticket::new(now.mono, task), None);
     }
@@ -261,7 +261,7 @@
     let others: Vec<f64> = classes
         .iter()
         .filter(|(other, class)| *other != name && class.competes_with(&classes[name]))
-        .map(|(_, class)| class.demand.slots(now))
+        .map(|(_, class)| class.offered_load.slots(now))
         .collect();
     let effective_slots = upstream.capacity.effective_slots();
     let longest_us = estimate
--- a/crates/onyxshed-policy/src/policy/place.rs
+++ b/crates/onyxshed-policy/src/policy/place.rs
@@ -13,7 +13,7 @@
 use crate::placement::{Candidate, Choice};
 use crate::queue::Ticket;
 use crate::span::{as_us, to_micros};
-use crate::upstream::{Scan, Upstream};
+use crate::upstream::{ScanScope, Upstream};
 
 /// Number of candidates after which the search for an executor ends.
 const CANDIDATES_MAX: usize = 48;
@@ -60,7 +60,7 @@
         let name = class.target.upstream.clone();
         let mut ticket = running.clone();
         ticket.failed_on.push(self.fleet.get(at)?.id);
-        let scan = std::mem::replace(&mut self.upstreams.get_mut(&name)?.scan, Scan::All);
+        let scan = std::mem::replace(&mut self.upstreams.get_mut(&name)?.scan, ScanScope::All);
         let found = self.find_candidates(now, &name, &ticket);
         self.upstreams.get_mut(&name)?.scan = scan;
         let CandidateSearch::Some(mut candidates) = found else {
@@ -219,7 +219,7 @@
             (true, true) | (false, false) => {}
         }
         let gain_us = slow_us - fast_us;
-        let idle_share = 1.0 - upstream.demand.slots(now) / faster.effective_slots;
+        let idle_share = 1.0 - upstream.offered_load.slots(now) / faster.effective_slots;
         let wait_us = (upstream.queue.len() + 1) as f64 * slot_free_us;
         let has_time = ticket.queued_at + to_micros(gain_us) > now;
         has_time && idle_share > 0.0 && wait_us / idle_share < gain_us
@@ -230,8 +230,8 @@
 /// the scan starts at a rotating offset.
 fn keys_to_scan(upstream: &mut Upstream, is_guarded: bool) -> Vec<ExecutorKey> {
     let mut keys = match &upstream.scan {
-        Scan::All => upstream.members.clone(),
-        Scan::Only(keys) => keys.clone(),
+        ScanScope::All => upstream.members.clone(),
+        ScanScope::Only(keys) => keys.clone(),
     };
     if is_guarded && keys.len() > CANDIDATES_MAX {
         upstream.scan_offset = (upstream.scan_offset + CANDIDATES_MAX) % keys.len();
--- a/crates/onyxshed-policy/src/policy/start.rs
+++ b/crates/onyxshed-policy/src/policy/start.rs
@@ -8,7 +8,7 @@
 use crate::placement::{Candidate, Choice};
 use crate::queue::Ticket;
 use crate::running::{Attempt, RunningTask};
-use crate::upstream::Scan;
+use crate::upstream::ScanScope;
 use crate::work::NextStep;
 
 /// Interval at which an upstream with queued tasks is checked again without an event.
@@ -56,7 +56,7 @@
         {
             if let Some(upstream) = self.upstreams.get_mut(&name) {
                 upstream.wake_at = None;
-                upstream.scan = Scan::All;
+                upstream.scan = ScanScope::All;
                 self.ready.insert(name);
             }
         }
@@ -97,14 +97,14 @@
     /// Tries to start a task on an upstream; `None` if it cannot start any.
     fn start_from(&mut self, now: Mono, name: &UpstreamName) -> Option<NextStep> {
         self.refresh_upstream(now, name);
-        if self.upstreams.get(name)?.scan == Scan::Only(Vec::new()) {
+        if self.upstreams.get(name)?.scan == ScanScope::Only(Vec::new()) {
             return None;
         }
         let mut waiting_classes: Vec<ClassName> = Vec::new();
         for _ in 0..PLACEMENT_TRIES_MAX {
             let class = self.next_class(name, &waiting_classes)?;
             let ticket = self.upstreams.get(name)?.queue.peek(&class)?.clone();
-            if self.is_out_of_time(now, name, &ticket) {
+            if self.is_too_late_to_start(now, name, &ticket) {
                 self.drop_first(name, &class);
                 continue;
             }
@@ -120,7 +120,7 @@
                 // Another class may be able to use the slot that this one declines.
                 Choice::WaitForFaster => waiting_classes.push(class),
                 Choice::Full => {
-                    self.upstreams.get_mut(name)?.scan = Scan::Only(Vec::new());
+                    self.upstreams.get_mut(name)?.scan = ScanScope::Only(Vec::new());
                     return None;
                 }
             }
@@ -183,7 +183,7 @@
         else {
             return;
         };
-        if let Scan::Only(keys) = &mut upstream.scan
+        if let ScanScope::Only(keys) = &mut upstream.scan
             && !executor.has_free_slot(now, conditions)
         {
             keys.retain(|other| *other != key);
--- a/crates/onyxshed-policy/src/policy/turn.rs
+++ b/crates/onyxshed-policy/src/policy/turn.rs
@@ -35,7 +35,12 @@
     }
 
     /// Returns whether a task has too little time left to be started.
-    pub(super) fn is_out_of_time(&self, now: Mono, name: &UpstreamName, ticket: &Ticket) -> bool {
+    pub(super) fn is_too_late_to_start(
+        &self,
+        now: Mono,
+        name: &UpstreamName,
+        ticket: &Ticket,
+    ) -> bool {
         let class = self.classes.get(&ticket.work.class);
         let (Some(upstream), Some(class)) = (self.upstreams.get(name), class) else {
             return false;
--- a/crates/onyxshed-policy/src/upstream.rs
+++ b/crates/onyxshed-policy/src/upstream.rs
@@ -3,10 +3,10 @@
 use onyxshed_core::{Micros, Millis, Mono};
 
 use crate::budget::Budget;
-use crate::demand::Demand;
 use crate::executor::Executor;
 use crate::executor::breaker::Gate;
 use crate::fleet::{ExecutorKey, Fleet};
+use crate::offered_load::OfferedLoad;
 use crate::queue::Queue;
 use crate::span::to_micros;
 
@@ -36,7 +36,7 @@
 
 /// Executors that may have become able to take a task since the last scan.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Scan {
+pub enum ScanScope {
     /// Any member of the upstream.
     All,
     /// Only these executors.
@@ -45,7 +45,7 @@
 
 /// Totals over the usable executors up to a slowdown.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Tier {
+struct CapacityTier {
     slowdown: f64,
     slots: f64,
     effective_slots: f64,
@@ -63,7 +63,7 @@
 /// Capacity of an upstream for this host.
 #[derive(Debug, Clone, Default)]
 pub struct Capacity {
-    tiers: Vec<Tier>,
+    tiers: Vec<CapacityTier>,
     /// Executors that are configured, have slots and are not draining.
     pub schedulable: usize,
     /// Executors that get tasks other than probes.
@@ -131,7 +131,7 @@
         for (slowdown, own_slots) in executor_slots {
             slots += own_slots;
             effective_slots += own_slots / slowdown;
-            capacity.tiers.push(Tier {
+            capacity.tiers.push(CapacityTier {
                 slowdown,
                 slots,
                 effective_slots,
@@ -152,11 +152,11 @@
     /// Keys of its executors, in ascending order.
     pub members: Vec<ExecutorKey>,
     /// Executors that may have a free slot.
-    pub scan: Scan,
+    pub scan: ScanScope,
     /// Capacity, at most `CAPACITY_TTL` old when it is read after a refresh.
     pub capacity: Capacity,
     /// Rate of arriving work.
-    pub demand: Demand,
+    pub offered_load: OfferedLoad,
     /// Budget of retries.
     pub retries: Budget,
     /// Budget of hedges.
@@ -174,9 +174,9 @@
         Upstream {
             queue: Queue::default(),
             members: Vec::new(),
-            scan: Scan::All,
+            scan: ScanScope::All,
             capacity: Capacity::default(),
-            demand: Demand::default(),
+            offered_load: OfferedLoad::default(),
             retries: Budget::new(RETRIES_PER_FINISHED, RETRIES_MAX),
             hedges: Budget::new(HEDGES_PER_FINISHED, HEDGES_MAX),
             wake_at: None,
@@ -206,12 +206,12 @@
     /// Marks the capacity as stale and all executors as possibly free.
     pub fn invalidate(&mut self) {
         self.capacity_valid_until = Mono::default();
-        self.scan = Scan::All;
+        self.scan = ScanScope::All;
     }
 
     /// Records that an executor may have a free slot.
     pub fn record_free_slot(&mut self, key: ExecutorKey) {
-        if let Scan::Only(keys) = &mut self.scan
+        if let ScanScope::Only(keys) = &mut self.scan
             && !keys.contains(&key)
         {
             keys.push(key);
@@ -238,7 +238,7 @@
     /// one that is to probe an executor included, and the recovery of the executors would never be
     /// detected.
     pub fn is_overloaded(&self, now: Mono) -> bool {
-        self.capacity.usable > 0 && self.demand.slots(now) > self.capacity.effective_slots()
+        self.capacity.usable > 0 && self.offered_load.slots(now) > self.capacity.effective_slots()
     }
 
     /// Returns the time constant with which a load report loses its weight: the mean service time.
--- a/crates/onyxshed-policy/src/work.rs
+++ b/crates/onyxshed-policy/src/work.rs
@@ -102,7 +102,7 @@
     pub load: Option<LoadReport>,
 }
 
-/// What happens to a task after an attempt that did not finish it.
+/// Next step for a task after an attempt that did not finish it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryStep {
     /// The task is queued again.
--- a/crates/onyxshed-pool/src/candidate.rs
+++ b/crates/onyxshed-pool/src/candidate.rs
@@ -26,7 +26,7 @@
 /// [`OWNER_CPU_MILLIS`].
 const SMALL_HOST_DELAY: Millis = Millis(200);
 
-/// What a host does about a vacant pool.
+/// Next step of a host for a vacant pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CandidateStep {
     /// The host leaves the pool to its last owner for now.
@@ -35,7 +35,7 @@
     JoinAfter(Millis),
 }
 
-/// What a host knows about the last owner of a vacant pool.
+/// Knowledge of a host about the last owner of a vacant pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LastOwner {
     /// The owner answers and needs no replacement.
--- a/crates/onyxshed-pool/src/job.rs
+++ b/crates/onyxshed-pool/src/job.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Why a job was not run.
+/// Reason for which a job was not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRunReason {
     /// The job could not end in time for its caller, given the jobs ahead of it.
--- a/crates/onyxshed-pool/src/offered_load.rs
+++ b/crates/onyxshed-pool/src/offered_load.rs
@@ -21,7 +21,7 @@
     /// Records the work of an arriving job.
     pub fn record(&mut self, now: Mono, work: u64) {
         self.advance(now);
-        self.buckets[slot_of(self.newest_bucket)] += work;
+        self.buckets[bucket_index(self.newest_bucket)] += work;
     }
 
     /// Returns the offered load in thousandths of a core.
@@ -31,7 +31,7 @@
         let work: u64 = (0..kept)
             .filter_map(|age| self.newest_bucket.checked_sub(age))
             .filter(|number| number + kept > newest)
-            .map(|number| self.buckets[slot_of(number)])
+            .map(|number| self.buckets[bucket_index(number)])
             .sum();
         work * 1_000 / (kept * BUCKET_US)
     }
@@ -43,12 +43,12 @@
             .saturating_sub(self.newest_bucket)
             .min(BUCKETS as u64);
         for age in 0..passed {
-            self.buckets[slot_of(newest - age)] = 0;
+            self.buckets[bucket_index(newest - age)] = 0;
         }
         self.newest_bucket = self.newest_bucket.max(newest);
     }
 }
 
-fn slot_of(number: u64) -> usize {
+fn bucket_index(number: u64) -> usize {
     usize::try_from(number % BUCKETS as u64).unwrap_or_default()
 }
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -33,7 +33,7 @@
 use crate::resources::Resources;
 use crate::successor::{SuccessorOffer, SuccessorSelection};
 use evacuation::ZoneStatus;
-use handover::{Predecessor, Stage};
+use handover::{HandoverStage, Predecessor};
 
 /// A pool of executors and its queue, as known to its owner.
 pub struct Pool {
@@ -46,7 +46,7 @@
     offered: OfferedLoad,
     peers: PeerSessions,
     last_tick_at: Mono,
-    stage: Stage,
+    stage: HandoverStage,
     zone_status: ZoneStatus,
     successor_selection: SuccessorSelection,
     /// Total capacity of the usable executors that are not slow, as of the last tick.
@@ -80,7 +80,7 @@
             offered: OfferedLoad::default(),
             peers: PeerSessions::default(),
             last_tick_at: now,
-            stage: Stage::Serving,
+            stage: HandoverStage::Serving,
             zone_status: ZoneStatus::InService,
             successor_selection: SuccessorSelection::default(),
             full_speed_capacity: Resources::default(),
@@ -110,12 +110,12 @@
 
     /// Stops admitting jobs; each later submission ends as not run.
     pub fn close(&mut self) {
-        self.stage = self.stage.max(Stage::Closed);
+        self.stage = self.stage.max(HandoverStage::Closed);
     }
 
     /// Returns whether the pool has stopped admitting jobs.
     pub fn is_closed(&self) -> bool {
-        self.stage >= Stage::Closed
+        self.stage >= HandoverStage::Closed
     }
 
     /// Records a heartbeat of an entry host with its offer to own the pool, if any, and returns the
@@ -156,7 +156,7 @@
             capacity_cpu_millis: capacity,
             free_cpu_millis: free,
             waiting_work: self.jobs.values().map(Job::waiting_work).sum(),
-            needs_replacement: self.stage >= Stage::Draining || !self.has_read_executors,
+            needs_replacement: self.stage >= HandoverStage::Draining || !self.has_read_executors,
             is_closed: self.is_closed(),
             successor: self.successor_selection.successor_address(),
         }
@@ -187,7 +187,7 @@
                 }
             }
             // The executor already belongs to the next owner.
-            None if self.stage == Stage::Releasing => {}
+            None if self.stage == HandoverStage::Releasing => {}
             None => self.add_executor(now, id.clone(), facts),
         }
         self.place_after_report(now, &id);
--- a/crates/onyxshed-pool/src/pool/handover.rs
+++ b/crates/onyxshed-pool/src/pool/handover.rs
@@ -20,7 +20,7 @@
 
 /// Progress of an owner towards giving up its pool. The stage never goes back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Stage {
+pub(super) enum HandoverStage {
     /// The owner serves the pool.
     Serving,
     /// The owner is stopping and needs to be replaced, but still admits jobs.
@@ -57,7 +57,7 @@
 impl Pool {
     /// Records that this owner is stopping. It serves the pool until another host takes over.
     pub fn begin_drain(&mut self) {
-        self.stage = self.stage.max(Stage::Draining);
+        self.stage = self.stage.max(HandoverStage::Draining);
     }
 
     /// Sets whether this owner has to select a successor among the hosts that offer themselves, because the
@@ -97,7 +97,7 @@
 
     /// Returns whether the next owner is taking over.
     pub fn is_releasing(&self) -> bool {
-        self.stage == Stage::Releasing
+        self.stage == HandoverStage::Releasing
     }
 
     /// Releases the idle executors to the next owner, whose token is `next`, and returns the executors that
@@ -110,7 +110,7 @@
             self.successor_selection.record_takeover();
         }
         if !self.is_releasing() {
-            self.stage = Stage::Releasing;
+            self.stage = HandoverStage::Releasing;
             let returned_jobs = self.return_unstarted_jobs(NotRunReason::NotOwner);
             let remaining_jobs = self.jobs.len();
             self.log(Decision::HandoverBegun {
--- a/crates/onyxshed-pool/tests/pool/load.rs
+++ b/crates/onyxshed-pool/tests/pool/load.rs
@@ -235,7 +235,7 @@
 /// overtake are kept for three targets before they are rejected, 0.47 of the long jobs and 0.13 of the pairs
 /// wait for over 900 ms without a result; with shedding, 0.08 and none.
 #[test]
-fn hopeless_jobs_are_shed_early() {
+fn infeasible_jobs_are_shed_early() {
     let load = Load {
         timeouts: Timeouts::HOST,
         deadline: Millis(2_500),
--- a/crates/onyxshed-proof/src/scenario/steps.rs
+++ b/crates/onyxshed-proof/src/scenario/steps.rs
@@ -101,8 +101,8 @@
         let output = cluster.put_target(&target, publication.from).await?;
         let expected = publication.told.exit_code();
         if output.code != Some(expected) {
-            let what = format_smolstr!("expected exit code {expected}, found {output:?}");
-            return Err(Error::unmet(what));
+            let detail = format_smolstr!("expected exit code {expected}, found {output:?}");
+            return Err(Error::unmet(detail));
         }
         let may_run_twice = publication.may_run_twice;
         self.may_run_twice.insert(class, may_run_twice);
--- a/crates/onyxshed-proof/src/truth.rs
+++ b/crates/onyxshed-proof/src/truth.rs
@@ -79,8 +79,8 @@
         }
     }
     if is_all_not_run(job) && starts.of_submission(job.id).next().is_some() {
-        let what = format_smolstr!("every answer to {} was not_run, but a task started", job.id);
-        return Err(Error::unmet(what));
+        let detail = format_smolstr!("every answer to {} was not_run, but a task started", job.id);
+        return Err(Error::unmet(detail));
     }
     Ok(())
 }
--- a/crates/onyxshed-settings/src/address.rs
+++ b/crates/onyxshed-settings/src/address.rs
@@ -10,7 +10,7 @@
 
 /// An address given in a settings file.
 #[derive(Debug, Clone)]
-pub(crate) struct GivenAddress {
+pub(crate) struct ConfiguredAddress {
     pub(crate) position: Position,
     pub(crate) path: SmolStr,
     pub(crate) address: SocketAddr,
@@ -31,7 +31,7 @@
 }
 
 /// Returns a fault for every address that conflicts with an earlier one.
-pub(crate) fn duplicates(addresses: &[GivenAddress]) -> Vec<Fault> {
+pub(crate) fn duplicates(addresses: &[ConfiguredAddress]) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (index, later) in addresses.iter().enumerate() {
         let earlier = addresses[..index]
@@ -54,7 +54,7 @@
 }
 
 /// Returns whether two fields can't both have their address.
-fn conflicts(first: &GivenAddress, second: &GivenAddress) -> bool {
+fn conflicts(first: &ConfiguredAddress, second: &ConfiguredAddress) -> bool {
     // The same list of seeds may be used on every host, so it may contain the host's own address.
     let is_own_seed = (first.role == Role::Seed) != (second.role == Role::Seed);
     let (a, b) = (first.address, second.address);
--- a/crates/onyxshed-settings/src/check.rs
+++ b/crates/onyxshed-settings/src/check.rs
@@ -10,7 +10,7 @@
 use serde_json::Map;
 use smol_str::{SmolStr, format_smolstr};
 
-use crate::address::{self, GivenAddress};
+use crate::address::{self, ConfiguredAddress};
 use crate::error::Fault;
 use crate::field::{Fallback, Field, FieldKind, Role};
 use crate::position::Position;
@@ -23,7 +23,7 @@
 pub(crate) struct Checker<'t> {
     text: &'t str,
     faults: Vec<Fault>,
-    given_addresses: Vec<GivenAddress>,
+    configured_addresses: Vec<ConfiguredAddress>,
     positions: BTreeMap<SmolStr, (Position, SmolStr)>,
 }
 
@@ -32,7 +32,7 @@
         Checker {
             text,
             faults: Vec::new(),
-            given_addresses: Vec::new(),
+            configured_addresses: Vec::new(),
             positions: BTreeMap::new(),
         }
     }
@@ -40,7 +40,7 @@
     /// Finishes the check and returns every fault found.
     pub(crate) fn into_faults(mut self) -> Vec<Fault> {
         self.faults
-            .extend(address::duplicates(&self.given_addresses));
+            .extend(address::duplicates(&self.configured_addresses));
         self.faults
     }
 
@@ -197,7 +197,7 @@
             self.push_fault(value, path, FieldKind::Address(role).allowed());
             return None;
         };
-        self.given_addresses.push(GivenAddress {
+        self.configured_addresses.push(ConfiguredAddress {
             position: self.position(value),
             path: path.into(),
             address,
--- a/crates/onyxshed-state/src/claim.rs
+++ b/crates/onyxshed-state/src/claim.rs
@@ -29,7 +29,7 @@
 pub use self::options::ClaimOptions;
 use self::pace::TokenBucket;
 use self::queue::ClaimQueue;
-pub use self::step::{BatchStep, ClaimCounts, ClaimOutcome, ClaimStep, SettledClaim};
+pub use self::step::{BatchStep, ClaimCounts, ClaimOutcome, ClaimResult, ClaimStep};
 use self::table::{ClaimState, ClaimTable};
 pub use crate::append::AppendFailure;
 
@@ -145,7 +145,7 @@
 
     /// Releases a submission of which no task was started, whether its claim is pending or won.
     ///
-    /// No [`SettledClaim`] follows. A claim that was won, or that is read back later, is released
+    /// No [`ClaimResult`] follows. A claim that was won, or that is read back later, is released
     /// with the next batch; until that batch is made, a resubmission to this host may start the
     /// submission.
     pub fn release(&mut self, now: Now, id: SubmissionId) {
@@ -209,7 +209,7 @@
         now: Now,
         batch: u64,
         result: Result<Offset, AppendFailure>,
-    ) -> Vec<SettledClaim> {
+    ) -> Vec<ClaimResult> {
         let Some(sent) = self.outbox.take_sent(batch) else {
             return Vec::new();
         };
@@ -226,15 +226,15 @@
     }
 
     /// Fails every claim that was not read back in time, and drops entries older than the horizon.
-    pub fn tick(&mut self, now: Now) -> Vec<SettledClaim> {
+    pub fn tick(&mut self, now: Now) -> Vec<ClaimResult> {
         self.expire(now);
         let overdue = self.queue.take_overdue(now.mono);
         overdue.into_iter().map(failed_claim).collect()
     }
 
-    /// Applies a record of the `claims` stream and returns the pending claims that it settles. A
+    /// Applies a record of the `claims` stream and returns the pending claims that it decides. A
     /// record before [`Self::next`] was read already and is ignored.
-    pub fn apply_record(&mut self, now: Now, offset: Offset, data: &str) -> Vec<SettledClaim> {
+    pub fn apply_record(&mut self, now: Now, offset: Offset, data: &str) -> Vec<ClaimResult> {
         if offset < self.next {
             return Vec::new();
         }
@@ -289,7 +289,7 @@
     }
 
     /// Records that the log can't be reached, and fails every pending claim at once.
-    pub fn mark_log_unreachable(&mut self) -> Vec<SettledClaim> {
+    pub fn mark_log_unreachable(&mut self) -> Vec<ClaimResult> {
         self.is_caught_up = false;
         self.queue
             .take_all()
@@ -310,10 +310,10 @@
     /// Drops entries older than the horizon; the cost is proportional to the number dropped.
     pub fn expire(&mut self, now: Now) {
         self.observe_clock(now);
-        let keep_ms = self.options.keep_ms();
+        let claim_max_age_ms = self.options.claim_max_age_ms();
         self.table.expire(
-            self.latest_wall - keep_ms,
-            self.latest_wall - Millis(2 * keep_ms.0),
+            self.latest_wall - claim_max_age_ms,
+            self.latest_wall - Millis(2 * claim_max_age_ms.0),
         );
     }
 
@@ -341,8 +341,8 @@
     }
 }
 
-fn failed_claim(submission: SubmissionId) -> SettledClaim {
-    SettledClaim {
+fn failed_claim(submission: SubmissionId) -> ClaimResult {
+    ClaimResult {
         submission,
         outcome: ClaimOutcome::Failed,
     }
--- a/crates/onyxshed-state/src/claim/fold.rs
+++ b/crates/onyxshed-state/src/claim/fold.rs
@@ -4,18 +4,19 @@
 use onyxshed_wire::record::{Claim, ClaimBatch};
 
 use super::ClaimBook;
-use super::step::{ClaimOutcome, SettledClaim};
+use super::step::{ClaimOutcome, ClaimResult};
 use super::table::{ClaimEffect, ClaimState};
 
 impl ClaimBook {
     /// Applies the releases of a batch, then its claims, and returns the pending claims that are
     /// decided now. Claims on ids that every host rejects by age are skipped.
-    pub(super) fn fold_batch(&mut self, now: Now, batch: &ClaimBatch) -> Vec<SettledClaim> {
+    pub(super) fn fold_batch(&mut self, now: Now, batch: &ClaimBatch) -> Vec<ClaimResult> {
         for id in &batch.releases {
             self.table.apply_release(batch.by, id);
         }
-        let keep_ms = self.options.keep_ms();
-        let is_recent = |claim: &&Claim| self.latest_wall.since(claim.submission.time()) <= keep_ms;
+        let claim_max_age_ms = self.options.claim_max_age_ms();
+        let is_recent =
+            |claim: &&Claim| self.latest_wall.since(claim.submission.time()) <= claim_max_age_ms;
         let recent: Vec<Claim> = batch.claims.iter().filter(is_recent).copied().collect();
         recent
             .iter()
@@ -25,7 +26,7 @@
 
     /// Applies one claim of a batch. Returns the outcome of this host's pending claim on the same
     /// id if it is decided now.
-    fn fold_claim(&mut self, now: Now, batch: &ClaimBatch, claim: &Claim) -> Option<SettledClaim> {
+    fn fold_claim(&mut self, now: Now, batch: &ClaimBatch, claim: &Claim) -> Option<ClaimResult> {
         let id = claim.submission;
         let is_own = batch.by == self.incarnation;
         let effect = if is_own {
@@ -49,7 +50,7 @@
         if outcome == ClaimOutcome::Won {
             self.table.set_state(id.ulid, ClaimState::Started);
         }
-        Some(SettledClaim {
+        Some(ClaimResult {
             submission: id,
             outcome,
         })
--- a/crates/onyxshed-state/src/claim/options.rs
+++ b/crates/onyxshed-state/src/claim/options.rs
@@ -69,7 +69,7 @@
 
     /// Returns the age at which a claim is forgotten: by then the id is past the horizon on every
     /// host's clock.
-    pub(crate) fn keep_ms(&self) -> Millis {
+    pub(crate) fn claim_max_age_ms(&self) -> Millis {
         Millis(self.horizon_ms.0 + 2 * self.skew_ms.0)
     }
 }
--- a/crates/onyxshed-state/src/claim/queue.rs
+++ b/crates/onyxshed-state/src/claim/queue.rs
@@ -17,7 +17,7 @@
 
 /// Pending claims in the order in which they were queued.
 ///
-/// `unsent` and `deadlines` may contain ids whose claims were settled in the meantime; such ids are
+/// `unsent` and `deadlines` may contain ids whose claims were decided in the meantime; such ids are
 /// skipped when they reach the front.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimQueue {
@@ -37,7 +37,7 @@
         self.pending.get(&id)
     }
 
-    /// Adds a claim that fails unless it is settled before `deadline`.
+    /// Adds a claim that fails unless it is decided before `deadline`.
     pub(crate) fn push(&mut self, claim: Claim, deadline: Mono) {
         let id = claim.submission.ulid;
         let pending = PendingClaim {
@@ -50,7 +50,7 @@
         self.deadlines.push_back((deadline, id));
     }
 
-    /// Removes a claim that was settled or whose job was abandoned.
+    /// Removes a claim that was decided or whose job was abandoned.
     pub(crate) fn remove(&mut self, id: Ulid) -> Option<PendingClaim> {
         self.pending.remove(&id)
     }
--- a/crates/onyxshed-state/src/claim/step.rs
+++ b/crates/onyxshed-state/src/claim/step.rs
@@ -9,7 +9,7 @@
     /// This host holds the submission and may start it. Returned once, until the submission is
     /// released.
     Start,
-    /// A claim is queued or being appended; its outcome is returned later in a [`SettledClaim`].
+    /// A claim is queued or being appended; its outcome is returned later in a [`ClaimResult`].
     Wait,
     /// Another incarnation holds the submission.
     HeldBy(Incarnation),
@@ -40,9 +40,9 @@
     Failed,
 }
 
-/// A claim whose outcome is known.
+/// The outcome of the claim on a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SettledClaim {
+pub struct ClaimResult {
     /// The claimed submission.
     pub submission: SubmissionId,
     /// The outcome of the claim.
--- a/crates/onyxshed-state/src/lib.rs
+++ b/crates/onyxshed-state/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use append::AppendFailure;
 pub use claim::{
-    BatchStep, ClaimBook, ClaimCounts, ClaimOptions, ClaimOutcome, ClaimStep, SettledClaim,
+    BatchStep, ClaimBook, ClaimCounts, ClaimOptions, ClaimOutcome, ClaimResult, ClaimStep,
 };
 pub use config::{
     ChangeOutcome, Config, ConfigCounts, ConfigFold, ConfigOptions, FoldOutcome, Handover,
--- a/crates/onyxshed-state/tests/claim_search.rs
+++ b/crates/onyxshed-state/tests/claim_search.rs
@@ -10,7 +10,7 @@
     Incarnation, Micros, Millis, Mono, Now, Offset, RatePerS, SubmissionId, UnixMs,
 };
 use onyxshed_state::{
-    AppendFailure, BatchStep, ClaimBook, ClaimOptions, ClaimOutcome, ClaimStep, SettledClaim,
+    AppendFailure, BatchStep, ClaimBook, ClaimOptions, ClaimOutcome, ClaimResult, ClaimStep,
 };
 use onyxshed_wire::ContentHash;
 use onyxshed_wire::record::{ClaimBatch, ClaimRecord};
@@ -277,8 +277,8 @@
                 self.hosts[host] = self.new_host(self.hosts[host].skew_ms);
             }
             Op::LogUnreachable { host } => {
-                let settled = self.hosts[host].book.mark_log_unreachable();
-                self.settle(host, &settled);
+                let results = self.hosts[host].book.mark_log_unreachable();
+                self.apply_claim_results(host, &results);
             }
             Op::StepClock { host, skew_ms } => self.hosts[host].skew_ms = skew_ms,
             Op::Advance { ms } => self.advance(ms),
@@ -344,7 +344,7 @@
     fn send(&mut self, host: usize, result: AppendResult) {
         let now = self.now(host);
         let overdue = self.hosts[host].book.tick(now);
-        self.settle(host, &overdue);
+        self.apply_claim_results(host, &overdue);
         let BatchStep::Append(batch) = self.hosts[host].book.next_batch(now) else {
             return;
         };
@@ -360,10 +360,10 @@
                 Err(AppendFailure::AnswerLost)
             }
         };
-        let settled = self.hosts[host]
+        let results = self.hosts[host]
             .book
             .apply_append_result(now, batch.batch, append_result);
-        self.settle(host, &settled);
+        self.apply_claim_results(host, &results);
     }
 
     fn append(&mut self, batch: &ClaimBatch) -> Offset {
@@ -387,21 +387,21 @@
         let end = next.saturating_add(count).min(self.log.len() as u64);
         for offset in from..end {
             let (_, data) = &self.log[usize::try_from(offset).expect("small")];
-            let settled = self.hosts[host]
+            let results = self.hosts[host]
                 .book
                 .apply_record(now, Offset(offset), data);
-            self.settle(host, &settled);
+            self.apply_claim_results(host, &results);
         }
         self.hosts[host]
             .book
             .mark_caught_up(Offset(self.log.len() as u64));
     }
 
-    fn settle(&mut self, host: usize, settled: &[SettledClaim]) {
-        for SettledClaim {
+    fn apply_claim_results(&mut self, host: usize, results: &[ClaimResult]) {
+        for ClaimResult {
             submission,
             outcome,
-        } in settled
+        } in results
         {
             let number = self.number();
             let jobs = &mut self.hosts[host].jobs;
--- a/crates/onyxshed-state/tests/claim_traps.rs
+++ b/crates/onyxshed-state/tests/claim_traps.rs
@@ -6,7 +6,7 @@
 use claims::{CONTENT, at, host, id, take_batch};
 use onyxshed_core::{Incarnation, Millis, Now, Offset, SubmissionId};
 use onyxshed_state::{
-    AppendFailure, BatchStep, ClaimBook, ClaimOptions, ClaimOutcome, ClaimStep, SettledClaim,
+    AppendFailure, BatchStep, ClaimBook, ClaimOptions, ClaimOutcome, ClaimResult, ClaimStep,
 };
 use onyxshed_wire::ContentHash;
 use onyxshed_wire::record::{ClaimBatch, ClaimRecord};
@@ -23,13 +23,13 @@
     }
 
     /// Applies every record that the host has not read, and marks it as caught up.
-    fn read(&self, book: &mut ClaimBook, now: Now) -> Vec<SettledClaim> {
-        let mut settled = Vec::new();
+    fn read(&self, book: &mut ClaimBook, now: Now) -> Vec<ClaimResult> {
+        let mut results = Vec::new();
         for (offset, data) in (0..).zip(&self.0) {
-            settled.extend(book.apply_record(now, Offset(offset), data));
+            results.extend(book.apply_record(now, Offset(offset), data));
         }
         book.mark_caught_up(Offset(self.0.len() as u64));
-        settled
+        results
     }
 
     /// Appends the host's next batch and reports success to the host.
@@ -58,8 +58,8 @@
     assert_eq!(outcomes(&log.read(book, now)), [ClaimOutcome::Won]);
 }
 
-fn outcomes(settled: &[SettledClaim]) -> Vec<ClaimOutcome> {
-    settled.iter().map(|settled| settled.outcome).collect()
+fn outcomes(results: &[ClaimResult]) -> Vec<ClaimOutcome> {
+    results.iter().map(|result| result.outcome).collect()
 }
 
 /// The caller sends to both hosts at once, and both append a claim before either has read the log.
--- a/crates/onyxshed-telemetry/src/timeline.rs
+++ b/crates/onyxshed-telemetry/src/timeline.rs
@@ -68,7 +68,7 @@
 
 /// The events that match a filter.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Matches {
+pub struct MatchingEvents {
     /// The newest matching events, oldest first.
     pub events: Vec<Event>,
     /// Whether older matching events were left out because of the limit.
@@ -109,7 +109,7 @@
     }
 
     /// Returns the newest events that match, up to the filter's limit and [`LIMIT_MAX`].
-    pub fn find(&self, filter: &Filter) -> Matches {
+    pub fn find(&self, filter: &Filter) -> MatchingEvents {
         let limit = filter.limit.min(LIMIT_MAX);
         let mut matching = self
             .events
@@ -119,7 +119,7 @@
         let mut events: Vec<Event> = matching.by_ref().take(limit).cloned().collect();
         events.reverse();
         let is_cut = matching.next().is_some();
-        Matches { events, is_cut }
+        MatchingEvents { events, is_cut }
     }
 
     /// Returns how many events were dropped to make room for newer ones.
