--- a/crates/onyxshed-entry/src/engine.rs
+++ b/crates/onyxshed-entry/src/engine.rs
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Feeds one input to the state machine and executes its outputs.
+    /// Applies one input to the state machine and executes its outputs.
     pub fn handle_input(&self, input: Input) {
         let now = self.kernel.clock().now();
         let outputs = self.dispatch.borrow_mut().handle(now, input);
@@ -61,7 +61,7 @@
         self.arm_timer();
     }
 
-    /// Feeds a request to the state machine and waits for its answer.
+    /// Passes a request to the state machine and waits for its answer.
     pub async fn request(&self, make_input: impl FnOnce(RequestId) -> Input) -> Answer {
         let request = RequestId(self.last_request.get() + 1);
         self.last_request.set(request.0);
--- a/crates/onyxshed-load/src/caller.rs
+++ b/crates/onyxshed-load/src/caller.rs
@@ -11,7 +11,7 @@
 use onyxshed_http::{CallError, ClientOptions, Connection, SendState};
 use onyxshed_wire::caller::{Answer, CopyMark, JOBS_PATH, Submission};
 
-use crate::tally::WastedMessages;
+use crate::tally::Wasted;
 
 /// Retry, binding and timeout rules of the callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 pub struct Callers {
     entries: Vec<EntryHost>,
     options: CallerOptions,
-    wasted: RefCell<WastedMessages>,
+    wasted: RefCell<Wasted>,
 }
 
 /// The next step of a caller after an answer or a failed call.
@@ -84,7 +84,7 @@
     }
 
     /// Returns the messages wasted so far.
-    pub fn wasted(&self) -> WastedMessages {
+    pub fn wasted(&self) -> Wasted {
         *self.wasted.borrow()
     }
 
--- a/crates/onyxshed-load/src/report.rs
+++ b/crates/onyxshed-load/src/report.rs
@@ -8,7 +8,7 @@
 use snafu::ResultExt;
 
 use crate::error::{Result, WriteSnafu};
-use crate::tally::{ClassTally, RATIO_UNIT, Tally, WastedMessages, float};
+use crate::tally::{ClassTally, RATIO_UNIT, Tally, Wasted, float};
 
 /// The results of a run.
 #[derive(Debug, Clone, Serialize)]
@@ -22,7 +22,7 @@
     /// Results by class.
     pub classes: Vec<ClassReport>,
     /// Wasted messages by kind.
-    pub wasted: WastedMessages,
+    pub wasted: Wasted,
     /// Wasted messages as a percentage of tasks.
     pub wasted_percent: f64,
     /// Tasks per second that belonged to jobs complete within their target.
--- a/crates/onyxshed-load/src/sim/simulation.rs
+++ b/crates/onyxshed-load/src/sim/simulation.rs
@@ -19,7 +19,7 @@
 use super::scenario::Scenario;
 use crate::mix::Mix;
 use crate::plan::PlannedJob;
-use crate::tally::{JobEnd, Tally, WastedMessages};
+use crate::tally::{JobEnd, Tally, Wasted};
 
 /// Size and network delays of the simulated zone.
 #[derive(Debug, Clone)]
@@ -86,7 +86,7 @@
     attempts: Vec<Attempt>,
     jobs: Vec<Job>,
     result: RunResult,
-    uncounted_wasted: WastedMessages,
+    uncounted_wasted: Wasted,
 }
 
 /// Wall clock at the start of every run. No result depends on its value.
@@ -135,7 +135,7 @@
                 tally: Tally::new(options.mix),
                 by_second: BTreeMap::new(),
             },
-            uncounted_wasted: WastedMessages::default(),
+            uncounted_wasted: Wasted::default(),
             options: zone,
         };
         simulation.start_hosts(policy_kind, seed, &upstream);
@@ -269,7 +269,7 @@
 
     /// Returns the current counts of wasted messages. Those outside the middle third are not
     /// reported.
-    fn wasted(&mut self) -> &mut WastedMessages {
+    fn wasted(&mut self) -> &mut Wasted {
         match self.is_in_middle(self.now_us) {
             true => &mut self.result.tally.wasted,
             false => &mut self.uncounted_wasted,
--- a/crates/onyxshed-load/src/tally.rs
+++ b/crates/onyxshed-load/src/tally.rs
@@ -76,7 +76,7 @@
 
 /// Numbers of messages that did not contribute to an answer that a caller received, by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
-pub struct WastedMessages {
+pub struct Wasted {
     /// Answers "not run" to callers.
     pub refusals: u64,
     /// Submissions that callers sent again.
@@ -96,7 +96,7 @@
     pub lost_starts: u64,
 }
 
-impl WastedMessages {
+impl Wasted {
     /// Returns the sum over all kinds.
     pub fn total(&self) -> u64 {
         self.kinds().iter().map(|(_, count)| count).sum()
@@ -125,7 +125,7 @@
     /// Results by class, in the order of [`Mix::classes`].
     pub classes: Vec<ClassTally>,
     /// Wasted messages.
-    pub wasted: WastedMessages,
+    pub wasted: Wasted,
 }
 
 impl Tally {
@@ -134,7 +134,7 @@
         Tally {
             mix,
             classes: vec![ClassTally::default(); mix.classes().len()],
-            wasted: WastedMessages::default(),
+            wasted: Wasted::default(),
         }
     }
 
--- a/crates/onyxshed-proof/src/scenario/scenario_run.rs
+++ b/crates/onyxshed-proof/src/scenario/scenario_run.rs
@@ -52,12 +52,12 @@
     /// Returns the mark that an honest caller sets on the next copy of the submission, given the
     /// results of all earlier requests.
     pub fn next_copy_mark(&self) -> CopyMark {
-        let is_settled = |request: &Request| {
+        let is_not_run = |request: &Request| {
             let exchange = request.exchange.borrow();
             let result = exchange.result.as_ref();
             result.and_then(|timed_result| timed_result.result.outcome()) == Some(Outcome::NotRun)
         };
-        match self.requests.iter().all(is_settled) {
+        match self.requests.iter().all(is_not_run) {
             true if self.requests.is_empty() => CopyMark::First,
             true => CopyMark::Unmarked,
             false => CopyMark::Again,
