--- a/crates/onyxshed-load/src/caller.rs
+++ b/crates/onyxshed-load/src/caller.rs
@@ -186,7 +186,7 @@
         let mut connection = self.connection().await?;
         let reply = connection.call(method, path, &[], body, timeout).await?;
         let answer = Answer::decode(&reply.body)
-            .map_err(|error| CallError::broken(SendState::MaybeSent, error))?;
+            .map_err(|error| CallError::connection_failed(SendState::MaybeSent, error))?;
         if reply.header_value("connection") != Some("close") {
             self.idle.borrow_mut().push(connection);
         }
--- a/crates/onyxshed-proof/src/cluster.rs
+++ b/crates/onyxshed-proof/src/cluster.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 
 use http_types::Method;
-use onyxshed_standins::platform::{Faults, Hosts};
+use onyxshed_standins::platform::{Faults, HostSet};
 use onyxshed_wire::platform::HOSTS_PATH;
 use smol_str::SmolStr;
 use snafu::ResultExt;
@@ -42,7 +42,7 @@
     /// Starts all processes, waits until each is ready, and publishes the host list.
     pub async fn start(topology: &Topology, options: ClusterOptions) -> Result<Self> {
         let folder = tempfile::tempdir().context(SystemSnafu {
-            what: "create a temporary folder",
+            operation: "create a temporary folder",
         })?;
         let path = folder.path();
         let mut platform =
@@ -66,7 +66,7 @@
 
     /// Replaces the platform's host list with the hosts and executors of the cluster that are listed.
     pub async fn publish_hosts(&self) -> Result<()> {
-        let hosts = Hosts {
+        let hosts = HostSet {
             executors: self
                 .executors
                 .values()
