--- a/crates/onyxshed-policy/src/faults.rs
+++ b/crates/onyxshed-policy/src/faults.rs
@@ -1,21 +1,23 @@
 //! Attribution of task failures to executors, or to jobs and classes that cannot run.
 //!
-//! Each class keeps its failure rate per executor. A failure counts against an executor only to the
-//! degree that the class fails less elsewhere: a class that fails everywhere is no evidence against
-//! one executor. A job that fails on several executors is marked unrunnable, and so is a class of
-//! which several jobs fail in succession.
+//! Each class has a failure rate per executor. A failure counts against an executor only to the
+//! degree that the class fails less on other executors: a class that fails everywhere is no
+//! evidence against one executor. A job that fails on several executors is marked unrunnable, and
+//! so is a class if several of its jobs fail in succession.
 
 use std::collections::BTreeMap;
 
 use onyxshed_core::SubmissionId;
 
-/// Executors per class with a stored failure rate.
+/// Maximum number of executors per class whose failure rate is stored; beyond it, the executor
+/// known longest is dropped.
 const EXECUTORS_MAX: usize = 64;
 
-/// Failed jobs that are remembered.
+/// Maximum number of failed jobs that are remembered.
 const JOBS_MAX: usize = 4_096;
 
-/// Number of distinct executors that must fail a job or class before it is marked unrunnable.
+/// Number of distinct executors on which a job or class must have failed before it is marked
+/// unrunnable.
 const UNRUNNABLE_EXECUTORS: usize = 3;
 
 /// Number of distinct jobs of a class that must fail, without a task finishing in between, before
@@ -45,7 +47,7 @@
     is_unrunnable: bool,
 }
 
-/// A change of a class's state.
+/// Change of a class's unrunnable mark.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClassChange {
     /// The class is now marked unrunnable.
@@ -60,8 +62,8 @@
         self.is_unrunnable
     }
 
-    /// Returns the weight of one failure as evidence against `executor`: the logarithm of the odds
-    /// that the executor is at fault, at least 0.
+    /// Returns the weight of one failure as evidence against `executor`: the natural logarithm of
+    /// the ratio of the failure rate of a bad executor to that of the class elsewhere, at least 0.
     pub fn executor_fault_weight(&self, executor: ExecutorId) -> f64 {
         let own = self.rates.get(&executor).copied();
         let others = self.rates.len() - usize::from(own.is_some());
@@ -70,7 +72,8 @@
         (BAD_EXECUTOR_RATE / elsewhere.max(0.01)).ln().max(0.0)
     }
 
-    /// Records a finished task; returns the change if the class was marked unrunnable.
+    /// Records a finished task, which removes the unrunnable mark; returns the change if there was
+    /// one.
     pub fn record_finished(&mut self, executor: ExecutorId) -> Option<ClassChange> {
         self.record(executor, 0.0);
         self.failed_jobs.clear();
@@ -127,13 +130,13 @@
     }
 }
 
-/// Failures per job, over distinct healthy executors.
+/// Distinct executors on which each remembered job has failed.
 #[derive(Debug, Default)]
 pub struct JobFaults {
     failed_on: BTreeMap<SubmissionId, Vec<ExecutorId>>,
 }
 
-/// Effect of one more failure of a job.
+/// What a failure of a job adds to its earlier failures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobFault {
     /// The job's first failure on this executor.
@@ -145,7 +148,7 @@
 }
 
 impl JobFaults {
-    /// Records a job's failure on a healthy executor. Evicts the oldest job if too many are
+    /// Records a job's failure on an executor. Removes the job with the oldest id if too many are
     /// remembered.
     pub fn record_failure(&mut self, job: SubmissionId, executor: ExecutorId) -> JobFault {
         if self.failed_on.len() >= JOBS_MAX && !self.failed_on.contains_key(&job) {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Returns whether the job has failed on any executor.
+    /// Returns whether a failure of the job on any executor is remembered.
     pub fn has_failed(&self, job: SubmissionId) -> bool {
         self.failed_on.contains_key(&job)
     }
--- a/crates/onyxshed-policy/src/fleet.rs
+++ b/crates/onyxshed-policy/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The known executors, stored under keys that stay valid while attempts refer to them.
+//! The known executors, stored under keys that remain valid until the last attempt on the executor
+//! has ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,7 +9,7 @@
 use crate::faults::ExecutorId;
 use crate::work::ExecutorInfo;
 
-/// Index of an executor in the [`Fleet`]; reused after the executor is removed.
+/// Index of an executor in the [`Fleet`]; reused for another executor after the first is removed.
 pub type ExecutorKey = usize;
 
 /// The known executors of all upstreams.
@@ -21,7 +22,8 @@
 }
 
 impl Fleet {
-    /// Replaces the list of executors; returns the ids of those that were removed.
+    /// Replaces the list of executors; returns the ids of the missing executors that were removed
+    /// immediately because no attempt was in flight on them.
     pub fn set(&mut self, infos: &[ExecutorInfo]) -> Vec<ExecutorId> {
         // Only executors missing from the list are marked as removed. One that is listed again has
         // not restarted, so its report that it is draining still holds.
@@ -58,7 +60,7 @@
         self.executors.get_mut(key)?.as_mut()
     }
 
-    /// Returns the key of an executor by its name.
+    /// Returns the key of the executor with the given name; `None` if it is not known.
     pub fn key(&self, name: &ExecutorName) -> Option<ExecutorKey> {
         self.by_name.get(name).copied()
     }
@@ -69,8 +71,8 @@
         entries.filter_map(|(key, executor)| Some((key, executor.as_ref()?)))
     }
 
-    /// Removes an executor that is marked as removed and has no attempts left; returns its id if
-    /// so.
+    /// Removes an executor that is missing from the list and has no attempts in flight. Returns its
+    /// id; `None` if it was not removed.
     pub fn remove_if_idle(&mut self, key: ExecutorKey) -> Option<ExecutorId> {
         let is_done = self
             .get(key)
--- a/crates/onyxshed-policy/src/lib.rs
+++ b/crates/onyxshed-policy/src/lib.rs
@@ -5,6 +5,10 @@
 //! configured classes and executors, the tasks to run and the end of each attempt from the
 //! dispatch, and returns the tasks to start and the time of the next call. Operators set only
 //! targets, so every other parameter is learned or derived.
+//!
+//! A slowdown is the ratio of an executor's service times to the usual service times of the same
+//! classes. An executor of ordinary speed has the slowdown 1; a slower executor has a higher
+//! slowdown.
 
 pub mod decision;
 pub mod placement;
--- a/crates/onyxshed-policy/src/offered_load.rs
+++ b/crates/onyxshed-policy/src/offered_load.rs
@@ -1,10 +1,11 @@
-//! Rate of arriving work.
+//! Rate of arriving work, kept per class and per upstream to detect overload and to compute the
+//! share of each class.
 
 use onyxshed_core::{Millis, Mono};
 
 use crate::span::as_us;
 
-/// Time constant of the rate.
+/// Time constant of the exponential decay of the rate.
 const RATE_TIME_CONSTANT: Millis = Millis(1_000);
 
 /// The rate of arriving work of a class or an upstream, with exponential decay.
@@ -15,7 +16,8 @@
 }
 
 impl OfferedLoad {
-    /// Adds arriving work, in microseconds on one slot of ordinary speed.
+    /// Adds the work of an arriving task: its expected service time in microseconds on an executor
+    /// of ordinary speed.
     pub fn record_arrival(&mut self, now: Mono, work_us: f64) {
         self.work_us = self.decayed_us(now) + work_us;
         self.updated_at = now;
--- a/crates/onyxshed-policy/src/placement.rs
+++ b/crates/onyxshed-policy/src/placement.rs
@@ -1,7 +1,7 @@
 //! Algorithms that select the executor of a task.
 //!
-//! There are three, so that experiments can compare the default with the two common baselines. Each
-//! is found by its name in [`PlacementKind::ALL`].
+//! The default is compared in experiments with the two common baselines. Settings select an
+//! algorithm by its [`PlacementKind::name`].
 
 mod least_finish;
 mod least_outstanding;
@@ -79,11 +79,11 @@
 pub struct Candidate {
     /// Key of the executor.
     pub key: ExecutorKey,
-    /// This host's attempts in flight there.
+    /// Number of attempts of this host in flight on the executor.
     pub in_flight: u32,
     /// Number of tasks that the executor runs concurrently.
     pub slots: u32,
-    /// Current slowdown relative to the other executors.
+    /// Slowdown relative to the other executors; higher while the executor does not respond.
     pub slowdown: f64,
     /// Whether the task would probe an executor with an open breaker.
     pub is_probe: bool,
@@ -96,13 +96,14 @@
     Take(Candidate),
     /// The task waits: a faster executor is expected to be free soon enough.
     WaitForFaster,
-    /// Only executors that the task must avoid could take it.
+    /// Every executor that could take the task is one that it must avoid, because an attempt of the
+    /// task failed or was refused there.
     Avoided,
     /// No executor can take the task.
     Full,
 }
 
-/// State of the placement in use.
+/// Algorithm in use, with the executor that round robin selected last.
 #[derive(Debug)]
 pub struct Placement {
     kind: PlacementKind,
@@ -110,7 +111,7 @@
 }
 
 impl Placement {
-    /// Creates the state of a placement.
+    /// Creates a placement that uses the given algorithm.
     pub fn new(kind: PlacementKind) -> Self {
         Placement {
             kind,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Returns the kind of placement.
+    /// Returns the algorithm in use.
     pub fn kind(&self) -> PlacementKind {
         self.kind
     }
@@ -143,7 +144,7 @@
     }
 }
 
-/// Returns the candidates with the least key.
+/// Returns the candidates for which `key` returns the least value.
 fn least_by<K: PartialOrd>(
     candidates: &[Candidate],
     key: impl Fn(&Candidate) -> K,
--- a/crates/onyxshed-policy/src/placement/least_finish.rs
+++ b/crates/onyxshed-policy/src/placement/least_finish.rs
@@ -4,12 +4,13 @@
 
 use super::{Candidate, least_by, pick_random};
 
-/// Width of a step of the slowdown's natural logarithm; slowdowns within one step, 20%, count as
-/// equal. Without steps, noise in the estimates would send all tasks to one of many equal
-/// executors.
+/// Width of a step of the slowdown's natural logarithm. Slowdowns that round to the same step,
+/// about 20% wide, count as equal. Without steps, noise in the estimates would send all tasks to a
+/// single one of many equal executors.
 const SPEED_STEP: f64 = 0.18;
 
-/// Selects by speed, then by utilization, then at random. Probes come first.
+/// Selects probes first; otherwise the fastest speed step, then the lowest utilization, then a
+/// random candidate.
 pub fn choose(candidates: &[Candidate], rng: &mut SmallRng) -> Option<Candidate> {
     let fastest = least_by(candidates, |candidate| {
         (!candidate.is_probe, speed_step(candidate.slowdown))
--- a/crates/onyxshed-policy/src/placement/round_robin.rs
+++ b/crates/onyxshed-policy/src/placement/round_robin.rs
@@ -3,7 +3,8 @@
 use super::Candidate;
 use crate::fleet::ExecutorKey;
 
-/// Selects the next key after the last one.
+/// Selects the candidate with the next key after `last_key`, or the first candidate if there is no
+/// higher key, and stores its key in `last_key`.
 pub fn choose(candidates: &[Candidate], last_key: &mut Option<ExecutorKey>) -> Option<Candidate> {
     let after = candidates
         .iter()
--- a/crates/onyxshed-policy/src/policy.rs
+++ b/crates/onyxshed-policy/src/policy.rs
@@ -1,4 +1,5 @@
-//! The state machine: admission, order, placement and retries.
+//! The state machine [`Policy`], which the dispatch calls to admit jobs, queue tasks, select the
+//! next start and record the ends of attempts. Each submodule implements one of these steps.
 
 mod end;
 mod hedge;
@@ -56,7 +57,7 @@
     upstreams: BTreeMap<UpstreamName, Upstream>,
     /// Upstreams that may be able to start a task.
     ready: BTreeSet<UpstreamName>,
-    /// Scheduled checks of upstreams that cannot start a task, by time.
+    /// Times at which upstreams that cannot start a task now are checked again.
     wakeups: BTreeSet<(Mono, UpstreamName)>,
     last_served: Option<UpstreamName>,
     /// Upstream on which each queued task waits.
@@ -64,7 +65,7 @@
     /// Jobs of which a task has started while others are still queued.
     started_jobs: BTreeSet<SubmissionId>,
     running: BTreeMap<TaskId, RunningTask>,
-    /// Planned hedges, by time.
+    /// Running tasks for which a second copy is planned, by the time at which it is due.
     planned_hedges: BTreeSet<(Mono, TaskId)>,
     /// Tasks dropped from the queue that `take_expired` has not returned yet.
     dropped: Vec<ExpiredTask>,
@@ -120,7 +121,8 @@
         });
     }
 
-    /// Replaces the known executors; those that are missing from the list get no new tasks.
+    /// Replaces the list of known executors. An executor that is missing from the list gets no new
+    /// tasks, but its running tasks may finish.
     pub fn set_executors(&mut self, now: Now, executors: &[ExecutorInfo]) {
         for id in self.fleet.set(executors) {
             self.classes
--- a/crates/onyxshed-policy/src/policy/end.rs
+++ b/crates/onyxshed-policy/src/policy/end.rs
@@ -15,17 +15,18 @@
 use crate::span::{as_us, to_micros};
 use crate::work::{AttemptEnd, AttemptOutcome, RetryStep};
 
-/// Backoff after the first start of a task that was refused or not sent.
+/// Mean backoff after the first start of a task that was refused or not sent; it doubles with every
+/// further such start.
 const BACKOFF_FIRST: Millis = Millis(4);
 
 /// Maximum number of times that the backoff doubles: up to half a second before jitter.
 const BACKOFF_DOUBLINGS_MAX: u32 = 7;
 
-/// Refused or unsent starts after which a task fails.
+/// Number of refused or unsent starts of a task after which the task fails.
 const FAILED_STARTS_MAX: u32 = 16;
 
-/// Weight of a finished task that shows that the executor is slow, or still slow after a probe:
-/// enough to open the breaker.
+/// Suspicion added by a finished task or probe whose service time shows that the executor is slow.
+/// One such task is enough to open the breaker.
 const SLOW_WEIGHT: f64 = 10.0;
 
 impl Policy {
@@ -51,7 +52,7 @@
         step
     }
 
-    /// Updates the state of the executor, the class and the job from an attempt's end.
+    /// Updates the executor, its breaker, the class and the job with the result of an attempt.
     fn record_outcome(&mut self, now: Mono, end: &AttemptEnd, attempt: Attempt) {
         let key = attempt.key;
         let has_responded = !matches!(end.outcome, AttemptOutcome::Unsent | AttemptOutcome::Lost);
@@ -137,8 +138,8 @@
         let Some(class) = self.classes.get_mut(&name) else {
             return Signal::Neutral;
         };
-        // Tasks of one job tend to fail alike. If each failure counted, a single bad job would open
-        // the executor's breaker.
+        // Tasks of one job tend to fail for the same reason. If each failure counted, a single bad
+        // job would open the executor's breaker.
         let was_suspect = self.job_faults.has_failed(job);
         let fault = self.job_faults.record_failure(job, executor.id);
         if fault == JobFault::Repeated {
@@ -168,8 +169,8 @@
 
     fn record_refused_task(&mut self, end: &AttemptEnd, key: ExecutorKey) -> Signal {
         if let Some(executor) = self.fleet.get_mut(key) {
-            // A refusal without a load report stems from a stop and carries no information about
-            // the load.
+            // A refusal without a load report is the reply to a stop and says nothing about the
+            // load.
             let is_explained = end.load.is_none_or(|load| {
                 load.is_draining || load.running + load.queued >= executor.info.slots
             });
@@ -218,7 +219,9 @@
         }
     }
 
-    /// Requeues a task that was certainly not started.
+    /// Requeues a task whose last start was refused or not sent, after a backoff. Gives up if no
+    /// time is left, after `FAILED_STARTS_MAX` such starts, or if a refused task gets no retry
+    /// token.
     fn requeue_unstarted(
         &mut self,
         now: Mono,
@@ -244,8 +247,9 @@
         RetryStep::Queued
     }
 
-    /// Requeues a task that ran or may have run, if it may run twice, has time left, has another
-    /// executor to run on and a retry token is available.
+    /// Requeues a task that ran or may have run. Gives up unless the task may run twice, is not
+    /// marked unrunnable, has time left, has an executor on which it has not failed, and gets a
+    /// retry token.
     fn retry(&mut self, now: Mono, ticket: Ticket, code: ResultCode) -> RetryStep {
         let is_in_time = now + self.min_service_time(now, &ticket) < ticket.work.deadline;
         let can_retry = ticket.work.may_run_twice && is_in_time && code != ResultCode::NeverRuns;
@@ -290,7 +294,8 @@
         upstream.is_some_and(|upstream| upstream.retries.try_take())
     }
 
-    /// Returns the shortest time that the task is expected to need once it is started.
+    /// Returns the minimum time that the task needs on the fastest usable executor; zero without an
+    /// estimate.
     fn min_service_time(&self, now: Mono, ticket: &Ticket) -> Micros {
         let class = self.classes.get(&ticket.work.class);
         let upstream = class.and_then(|class| self.upstreams.get(&class.target.upstream));
@@ -314,8 +319,9 @@
     }
 }
 
-/// Records a service time and returns its ratio to the class's median, or `None` without a service
-/// time or a learned median.
+/// Records a service time in the estimate of the class and in the speed and the limit of the
+/// executor. Returns its ratio to the median of the class, or `None` without a service time or a
+/// learned median.
 fn observe_service_time(
     now: Mono,
     class: &mut Class,
@@ -360,7 +366,8 @@
     }
 }
 
-/// Returns the result code of an outcome that no other state changes.
+/// Returns the result code that follows from the outcome alone, regardless of the state of the
+/// executor, the class and the job.
 fn default_code(outcome: AttemptOutcome) -> ResultCode {
     match outcome {
         AttemptOutcome::Finished => ResultCode::Complete,
--- a/crates/onyxshed-policy/src/policy/hedge.rs
+++ b/crates/onyxshed-policy/src/policy/hedge.rs
@@ -2,8 +2,8 @@
 //!
 //! A hedge is sent only for a task that may run twice, only once the first copy has run longer than
 //! most tasks and the deadline is at risk, and only within a budget of one hedge per hundred
-//! finished tasks. A class with a tight target therefore gets its hedges early and one with a loose
-//! target hardly any: the overhead follows from the target alone.
+//! finished tasks. A class with a tight target therefore gets hedges early and a class with a loose
+//! target hardly any, without a setting for hedges.
 
 use onyxshed_core::{Micros, Millis, Mono, TaskId};
 
@@ -11,10 +11,10 @@
 use crate::span::{as_us, to_micros};
 use crate::work::NextStep;
 
-/// Quantile of the service time after which a task counts as late enough for a hedge.
+/// Quantile of the service time; a first copy that has run longer may be hedged.
 const LATE_QUANTILE: f64 = 0.95;
 
-/// Delay before a hedge that found no executor is tried again.
+/// Delay before another attempt to start a hedge for which no executor was available.
 const HEDGE_RETRY_DELAY: Millis = Millis(5);
 
 impl Policy {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Cancels a planned hedge.
+    /// Cancels the planned hedge of a task; no effect if none is planned.
     pub(super) fn cancel_hedge(&mut self, task: TaskId) {
         let running = self.running.get_mut(&task);
         if let Some(at) = running.and_then(|running| running.hedge_at.take()) {
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Starts the first due hedge that finds an executor and a token; `None` if there is none.
+    /// Starts the first due hedge for which an executor and a hedge token are available; returns
+    /// `None` if there is no such hedge.
     pub(super) fn start_due_hedge(&mut self, now: Mono) -> Option<NextStep> {
         while let Some((at, task)) = self.planned_hedges.first().copied()
             && at <= now
@@ -50,8 +51,9 @@
         None
     }
 
-    /// Returns when the deadline is at risk; `None` if no hedge is allowed, or if one sent then
-    /// would be too late.
+    /// Returns when a hedge is due: once the task has run longer than most tasks and its deadline
+    /// is at risk. Returns `None` if no hedge is allowed, or if a hedge at that time would be too
+    /// late.
     fn hedge_due_at(&self, now: Mono, task: TaskId) -> Option<Mono> {
         let work = &self.running.get(&task)?.ticket.work;
         if !work.may_run_twice || !self.placement.kind().is_guarded() {
--- a/crates/onyxshed-policy/src/policy/intake.rs
+++ b/crates/onyxshed-policy/src/policy/intake.rs
@@ -14,17 +14,18 @@
 use crate::upstream::Upstream;
 use crate::work::{Admission, ExpiredTask, QueuedTask};
 
-/// Retry-after if no executor is known: about the time in which a new host list arrives.
+/// Retry-after if no executor of the upstream can get tasks: about the time in which a new list of
+/// executors arrives.
 const NO_UPSTREAM_RETRY_AFTER: Micros = Micros(1_000_000);
 
-/// Minimum retry-after while every breaker is open and a probe has to find out whether an executor
-/// has recovered.
+/// Minimum retry-after while every breaker is open and the next probe is pending.
 const PROBING_RETRY_AFTER_MIN: Micros = Micros(250_000);
 
 /// Retry-after if the class is not configured: about the time in which a new configuration arrives.
 const UNKNOWN_CLASS_RETRY_AFTER: Micros = Micros(5_000_000);
 
-/// Minimum interval between two scans for expired tasks, because every event asks for one.
+/// Minimum interval between two scans for expired tasks. The dispatch asks for expired tasks on
+/// every input, and a scan visits every queue.
 const EXPIRY_SCAN_INTERVAL: Millis = Millis(1);
 
 /// Maximum retry-after while most breakers are open.
@@ -34,7 +35,8 @@
 /// can fill two thirds of the queue.
 const QUEUE_SHARE_FACTOR: usize = 2;
 
-/// Fraction by which retry-after times vary, so that refused callers do not return all at once.
+/// Maximum fraction added at random to a retry-after, so that refused callers do not all return at
+/// the same time.
 const RETRY_AFTER_JITTER: f64 = 0.25;
 
 impl Policy {
@@ -72,9 +74,10 @@
         self.queue_ticket(Ticket::new(now.mono, task), None);
     }
 
-    /// Removes a queued task; returns false if it was not queued.
+    /// Withdraws a task: removes it from the queue, and prevents retries and hedges if it runs.
     ///
-    /// A task that runs is neither retried nor hedged afterwards.
+    /// Returns `false` if the task was neither queued nor dropped from the queue without having
+    /// been reported.
     pub fn withdraw(&mut self, task: TaskId) -> bool {
         if let Some(running) = self.running.get_mut(&task) {
             running.is_over = true;
@@ -122,8 +125,8 @@
         expired
     }
 
-    /// Queues a ticket on its class's upstream, ready at `not_before` if that is given. Drops it if
-    /// the class is unknown.
+    /// Queues a ticket on its class's upstream, delayed until `not_before` if that is given. A
+    /// ticket of an unknown class is dropped and reported as expired.
     pub(super) fn queue_ticket(&mut self, ticket: Ticket, not_before: Option<Mono>) {
         let Some(class) = self.classes.get(&ticket.work.class) else {
             self.dropped.push(ticket.to_expired());
@@ -136,7 +139,8 @@
         self.ready.insert(name);
     }
 
-    /// Records that a task is no longer queued; returns the upstream that it was queued on.
+    /// Records that a task is no longer queued. Returns the upstream on which it was queued; `None`
+    /// if it was not.
     pub(super) fn untrack_queued(&mut self, task: TaskId) -> Option<UpstreamName> {
         let upstream_name = self.queued_on.remove(&task)?;
         if self.queued_tasks_of(task.submission).next().is_none() {
@@ -192,10 +196,10 @@
 
     /// Returns whether a job is admitted only if the estimate says that it meets its deadline.
     ///
-    /// With every breaker open the capacity is zero and no job looks feasible. If all jobs were
-    /// refused for that, no task would probe the executors, and everything would be refused long
-    /// after they have recovered. A job that serves as the probe is therefore not checked, nor is
-    /// one that tests a stale estimate.
+    /// With every breaker open the capacity is zero and every job appears to miss its deadline. If
+    /// all jobs were refused for this reason, no task would probe the executors, and jobs would
+    /// still be refused long after the executors have recovered. The estimate is therefore not
+    /// applied while every breaker is open, nor to a job whose tasks renew a stale estimate.
     fn is_checked_by_estimate(&self, now: Mono, upstream: &Upstream, name: &ClassName) -> bool {
         let class = self.classes.get(name);
         let needs_sample = class.is_some_and(|class| class.needs_sample(now));
@@ -214,10 +218,10 @@
 /// Minimum retry-after if the queue is full.
 const OVERLOADED_RETRY_AFTER_MIN_US: f64 = 100_000.0;
 
-/// Returns the maximum retry-after.
+/// Returns the maximum retry-after of a job that would miss its deadline.
 ///
-/// While most breakers are open, the next probes may restore the capacity, so the present capacity
-/// is no basis for a long delay.
+/// While most breakers are open, the next probes may restore the capacity, so a long delay must not
+/// be derived from the present capacity.
 fn max_retry_after(upstream: &Upstream) -> Micros {
     let is_mostly_open = upstream.capacity.usable * 2 < upstream.capacity.schedulable;
     if is_mostly_open {
--- a/crates/onyxshed-policy/src/policy/place.rs
+++ b/crates/onyxshed-policy/src/policy/place.rs
@@ -15,7 +15,8 @@
 use crate::span::{as_us, to_micros};
 use crate::upstream::{ScanScope, Upstream};
 
-/// Number of candidates after which the search for an executor ends.
+/// Number of candidates after which the search for an executor ends; the baseline placements search
+/// all executors.
 const CANDIDATES_MAX: usize = 48;
 
 /// Result of the search for executors that can take a task.
@@ -25,7 +26,7 @@
     None,
 }
 
-/// Whether one executor can take a task.
+/// Whether one executor can take a task, and if so as which candidate.
 enum Fit {
     Yes(Candidate),
     Avoided,
@@ -33,7 +34,7 @@
 }
 
 impl Policy {
-    /// Selects an executor for a queued task.
+    /// Selects an executor for a queued task, or returns why the task does not start now.
     pub(super) fn choose(&mut self, now: Mono, name: &UpstreamName, ticket: &Ticket) -> Choice {
         let candidates = match self.find_candidates(now, name, ticket) {
             CandidateSearch::None => return Choice::Full,
@@ -141,8 +142,8 @@
         if gate == Gate::Blocked || (is_probe && !self.can_probe(now, name, ticket, executor)) {
             return Fit::No;
         }
-        // If hardly any other executor is usable, avoiding this one would keep the task from being
-        // the probe that finds out whether the executor has recovered.
+        // If at most one executor is usable, avoiding this one would prevent the task from being
+        // the probe that determines whether the executor has recovered.
         let has_others = self
             .upstreams
             .get(name)
@@ -162,9 +163,9 @@
 
     /// Returns whether a task may probe the executor.
     ///
-    /// A failed probe loses a task that may not run twice, so such a task probes only if no class
-    /// on the upstream has tasks running that may. A slow executor is probed only with a task that
-    /// can still meet its deadline there.
+    /// A failed probe loses a task that may not run twice. Such a task is therefore used as a probe
+    /// only while no class that may run twice has attempts in flight on the upstream. A slow
+    /// executor is probed only with a task that can still meet its deadline there.
     fn can_probe(
         &self,
         now: Mono,
@@ -186,10 +187,10 @@
     /// Returns whether the task should wait for a faster executor.
     ///
     /// A slow executor costs the task the difference in service time. Waiting costs the task, and
-    /// those queued after it, the time that the faster executors need for the queue. The higher the
-    /// utilization of the faster ones, the more later tasks are delayed by a wait; beyond their
-    /// capacity, the slow executors are needed. The wait never exceeds the difference in service
-    /// time. If only one of the two choices meets the deadline, that one is taken.
+    /// the tasks queued after it, the time that the faster executors need for the queue. The higher
+    /// the utilization of the faster executors, the more later tasks are delayed by a wait; beyond
+    /// their capacity, the slow executors are needed. The wait never exceeds the difference in
+    /// service time. If only one of the two choices meets the deadline, that choice is made.
     fn should_wait_for_faster(
         &self,
         now: Mono,
@@ -226,8 +227,8 @@
     }
 }
 
-/// Returns the executors to check: those with a newly free slot, or all members. If there are many,
-/// the scan starts at a rotating offset.
+/// Returns the executors to check, as `upstream.scan` says. If there are more than
+/// `CANDIDATES_MAX`, the guarded placement starts at an offset that changes with every scan.
 fn keys_to_scan(upstream: &mut Upstream, is_guarded: bool) -> Vec<ExecutorKey> {
     let mut keys = match &upstream.scan {
         ScanScope::All => upstream.members.clone(),
@@ -254,7 +255,8 @@
     if has_free_slot { gate } else { Gate::Blocked }
 }
 
-/// Returns the gate of an executor by its free slots alone, for the baseline placements.
+/// Returns the gate of an executor for the baseline placements, which consider only whether the
+/// executor is schedulable and has a slot without an attempt of this host.
 fn baseline_gate(now: Mono, executor: &Executor) -> Gate {
     let has_free_slot = executor.is_schedulable(now) && executor.in_flight < executor.info.slots;
     if has_free_slot {
--- a/crates/onyxshed-policy/src/policy/start.rs
+++ b/crates/onyxshed-policy/src/policy/start.rs
@@ -1,4 +1,5 @@
-//! Selects the next task to start.
+//! Selects the next task to start, in round-robin order over the upstreams that may be able to
+//! start a task.
 
 use onyxshed_core::{ClassName, Millis, Mono, Now, UpstreamName};
 
@@ -48,7 +49,8 @@
         after.or_else(|| self.ready.first()).cloned()
     }
 
-    /// Marks the upstreams ready whose wakeup is due.
+    /// Marks as ready the upstreams whose wakeup is due, so that all of their executors are
+    /// checked.
     fn mark_due_ready(&mut self, now: Mono) {
         while let Some((at, _)) = self.wakeups.first()
             && *at <= now
@@ -94,7 +96,7 @@
         first.map_or(NextStep::Idle, NextStep::WaitUntil)
     }
 
-    /// Tries to start a task on an upstream; `None` if it cannot start any.
+    /// Tries to start a queued task of an upstream; returns `None` if no task can start.
     fn start_from(&mut self, now: Mono, name: &UpstreamName) -> Option<NextStep> {
         self.refresh_upstream(now, name);
         if self.upstreams.get(name)?.scan == ScanScope::Only(Vec::new()) {
@@ -117,7 +119,7 @@
                     return step;
                 }
                 Choice::Avoided => self.postpone_first(now, name, &class),
-                // Another class may be able to use the slot that this one declines.
+                // Another class may use the slot that this class declines.
                 Choice::WaitForFaster => waiting_classes.push(class),
                 Choice::Full => {
                     self.upstreams.get_mut(name)?.scan = ScanScope::Only(Vec::new());
@@ -171,7 +173,7 @@
         })
     }
 
-    /// Removes an executor without a further free slot from the executors to check.
+    /// Removes an executor from the next scan of its upstream if it has no further free slot.
     fn record_filled_slot(
         &mut self,
         now: Mono,
--- a/crates/onyxshed-policy/src/policy/turn.rs
+++ b/crates/onyxshed-policy/src/policy/turn.rs
@@ -9,15 +9,16 @@
 use crate::queue::{ShareUse, Ticket};
 use crate::upstream::Upstream;
 
-/// Delay before the next attempt to place a task that only executors it must avoid could take.
+/// Delay before a task is considered again after every executor with a free slot was one that the
+/// task must avoid.
 const AVOIDED_RETRY_DELAY: Millis = Millis(5);
 
-/// Fraction of an upstream's slots that a class marked as unrunnable may use.
+/// Fraction of an upstream's slots that a class marked as unrunnable may use; at least one slot.
 const UNRUNNABLE_SHARE: f64 = 1.0 / 32.0;
 
 impl Policy {
-    /// Returns the class whose first task is started next, without the classes in
-    /// `waiting_classes`.
+    /// Returns the class whose first task is started next, ignoring the classes in
+    /// `waiting_classes`; `None` if no class may start a task.
     pub(super) fn next_class(
         &self,
         name: &UpstreamName,
@@ -34,7 +35,8 @@
         upstream.queue.next_class(share_use).cloned()
     }
 
-    /// Returns whether a task has too little time left to be started.
+    /// Returns whether a task is to be dropped: it has too little time left, or under overload its
+    /// whole job would miss the deadline.
     pub(super) fn is_too_late_to_start(
         &self,
         now: Mono,
@@ -52,10 +54,11 @@
         has_too_little_time || (is_overloaded && self.would_miss_deadline(now, upstream, ticket))
     }
 
-    /// Returns whether a job of which nothing has started is unlikely to finish in time.
+    /// Returns whether a job of which nothing has started would probably miss its deadline even if
+    /// its tasks were the first in the queue.
     ///
-    /// A job either completes or fails as a whole, so the tasks of one that fails are wasted work.
-    /// Under overload its slots go to a job that can finish.
+    /// A job either completes or fails as a whole, so running some tasks of a job that fails is
+    /// wasted work. Under overload the slots of such a job are given to a job that can finish.
     fn would_miss_deadline(&self, now: Mono, upstream: &Upstream, ticket: &Ticket) -> bool {
         let job = ticket.work.task.submission;
         let is_first_start = ticket.failed_starts == 0 && ticket.failed_on.is_empty();
@@ -107,7 +110,8 @@
     }
 }
 
-/// Returns how the class uses its fair share of the slots.
+/// Compares the slots that the class would use with one more task with its fair share. A class
+/// marked unrunnable is blocked beyond its reduced share.
 fn share_use(class: &Class, fair_share: f64, slots: f64) -> ShareUse {
     let with_one_more = f64::from(class.in_flight) + 1.0;
     let unrunnable_share = (slots * UNRUNNABLE_SHARE).max(1.0);
--- a/crates/onyxshed-policy/src/policy/watch.rs
+++ b/crates/onyxshed-policy/src/policy/watch.rs
@@ -67,7 +67,8 @@
                 .is_schedulable(now)
                 .then_some((is_probing, until, *key))
         });
-        // A probe that is running may take its time; the next one does not wait for its end.
+        // Executors that are not being probed are selected first, so the next probe does not wait
+        // for the end of a running one.
         let Some((_, until, key)) = probes.min() else {
             return;
         };
@@ -84,8 +85,8 @@
         self.record_breaker_change(now, key, change);
     }
 
-    /// Logs a breaker's change, and restarts the concurrency limit of a recovered executor from one
-    /// task.
+    /// Logs a breaker's change and adjusts the probes of related executors. The concurrency limit
+    /// of a recovered executor restarts from one task.
     pub(super) fn record_breaker_change(
         &mut self,
         now: Mono,
@@ -118,9 +119,9 @@
         }
     }
 
-    /// Moves the probes of other executors forward when one has recovered: those of all executors
-    /// if every breaker was open, else those of the same rack. A common cause is likely to be
-    /// removed for all of them at once.
+    /// Moves the probes of other executors forward when one executor has recovered: of all
+    /// executors of the upstream if every breaker was open, else of the dead executors in the same
+    /// rack. The common cause has probably been removed for all of them.
     fn advance_other_probes(&mut self, now: Mono, name: &UpstreamName, key: ExecutorKey) {
         let Some(upstream) = self.upstreams.get(name) else {
             return;
@@ -137,20 +138,21 @@
         }
     }
 
-    /// Opens the breaker of an executor after a single unanswered attempt if its rack is already
-    /// dead.
+    /// Opens the breaker of an executor after a single unanswered attempt if at least
+    /// `DEAD_RACK_MIN` executors of its rack are already dead.
     pub(super) fn trip_in_dead_rack(&mut self, now: Mono, key: ExecutorKey) {
         if self.dead_rack_peers(key).len() >= DEAD_RACK_MIN {
             self.trip(now, key, BreakerReason::Dead);
         }
     }
 
-    /// Delays the probes of dead executors in a rack to that of an executor that is being probed or
-    /// has failed a probe.
+    /// Delays the probes of a dead rack to the next probe of `key`, an executor that is being
+    /// probed or has just been found dead. No effect unless all executors of the rack, and at least
+    /// `DEAD_RACK_MIN`, are dead.
     ///
-    /// A rack tends to fail as a whole, and each probe of each of its executors is a wasted
-    /// message. One probe for all of them suffices while none responds; the first that succeeds
-    /// moves the others' probes forward.
+    /// A rack tends to fail as a whole, and a separate probe of each of its executors would be a
+    /// wasted message. One probe for the rack suffices while no executor responds. The first
+    /// successful probe moves the probes of the other executors forward.
     pub(super) fn align_rack_probes(&mut self, key: ExecutorKey) {
         let probed = self.fleet.get(key).map(|executor| executor.breaker.clone());
         let dead = self.dead_rack_peers(key);
--- a/crates/onyxshed-policy/src/queue.rs
+++ b/crates/onyxshed-policy/src/queue.rs
@@ -1,10 +1,10 @@
 //! Queue of tasks for one upstream.
 //!
 //! Each class has its own queue, ordered by deadline. Among the classes the earliest deadline goes
-//! first, but a class that uses less than its fair share of the upstream's slots has its deadline
-//! advanced to a quarter of the time between queueing and deadline. A class that overloads the
-//! upstream therefore waits behind its own tasks and not in front of those of other classes, and no
-//! weights are needed.
+//! first, but a task of a class that uses less than its fair share of the upstream's slots counts
+//! as due after a quarter of the time between its queueing and its deadline. The tasks of a class
+//! that overloads the upstream therefore delay each other and not those of other classes, and
+//! operators need not configure weights.
 
 use std::collections::BTreeMap;
 
@@ -14,18 +14,18 @@
 use crate::fleet::ExecutorKey;
 use crate::work::{ExpiredTask, QueuedTask};
 
-/// Divisor of the time from queueing to deadline: a class below its fair share counts as due after
-/// this part of it.
+/// Divisor of the time from queueing to deadline: a task of a class below its fair share counts as
+/// due when this fraction of the time, a quarter, has passed.
 const ADVANCE_DIVISOR: u64 = 4;
 
 /// A task with the history of its attempts.
 #[derive(Debug, Clone)]
 pub struct Ticket {
-    /// The task.
+    /// The task, as the dispatch queued it.
     pub work: QueuedTask,
     /// When the task was first queued.
     pub queued_at: Mono,
-    /// Starts so far that were refused or could not be sent.
+    /// Number of starts that were refused or could not be sent.
     pub failed_starts: u32,
     /// Executor of the last start that was refused or could not be sent.
     pub last_failed_start: Option<ExecutorKey>,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns the report of the task as expired.
+    /// Returns the entry that reports the dropped task to the dispatch.
     pub fn to_expired(&self) -> ExpiredTask {
         ExpiredTask {
             task: self.work.task,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Position in a class's queue: by deadline, then in order of arrival.
+/// Position in the queue of a class: by deadline, then in order of insertion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     deadline: Mono,
@@ -71,7 +71,7 @@
     Delayed { class: ClassName, at: (Mono, u64) },
 }
 
-/// Extent of a class's ready tasks.
+/// Number of ready tasks of a class and the range of their deadlines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Depth {
     /// Number of ready tasks.
@@ -82,7 +82,8 @@
     pub last_deadline: Mono,
 }
 
-/// The queue of one upstream.
+/// Queued tasks of one upstream: ready tasks by class, and delayed tasks by the time at which they
+/// become ready.
 #[derive(Debug, Default)]
 pub struct Queue {
     ready: BTreeMap<ClassName, BTreeMap<Rank, Ticket>>,
@@ -109,7 +110,8 @@
         ready + self.delayed_by_class.get(class).copied().unwrap_or(0)
     }
 
-    /// Returns the extent of a class's ready tasks; `None` if there are none.
+    /// Returns the number and the deadlines of the ready tasks of a class; `None` if there are
+    /// none.
     pub fn depth(&self, class: &ClassName) -> Option<Depth> {
         let tickets = self.ready.get(class)?;
         Some(Depth {
@@ -124,7 +126,7 @@
         self.ready.len()
     }
 
-    /// Adds a task; with `not_before` it is delayed until then.
+    /// Adds a task, ready immediately or delayed until `not_before`.
     pub fn push(&mut self, ticket: Ticket, not_before: Option<Mono>) {
         self.last_sequence += 1;
         let task = ticket.work.task;
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Makes the delayed tasks ready that are due.
+    /// Moves the delayed tasks that are due at `now` to the ready tasks.
     pub fn release_delayed(&mut self, now: Mono) {
         while let Some((at, _)) = self.delayed.first_key_value()
             && at.0 <= now
@@ -164,7 +166,7 @@
         self.delayed.first_key_value().map(|(at, _)| at.0)
     }
 
-    /// Returns the class whose first task goes next; `None` if no class has a ready task that may
+    /// Returns the class whose first task starts next; `None` if no class has a ready task that may
     /// start. `share_use` returns how a class uses its fair share.
     pub fn next_class(&self, share_use: impl Fn(&ClassName) -> ShareUse) -> Option<&ClassName> {
         let candidates = self.ready.iter().filter_map(|(class, tickets)| {
@@ -214,8 +216,8 @@
         }
     }
 
-    /// Removes and returns the ready tasks whose deadline is nearer than the `min_time` of their
-    /// class, and the delayed tasks whose deadline has passed.
+    /// Removes and returns the ready tasks whose deadline is at most `min_time` of their class
+    /// away, and the delayed tasks whose deadline has passed.
     pub fn remove_expired(
         &mut self,
         now: Mono,
@@ -260,12 +262,12 @@
     }
 }
 
-/// How a class uses its fair share of an upstream's slots.
+/// How a class would use its fair share of an upstream's slots with one more task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShareUse {
-    /// The class uses less than its share.
+    /// The class stays within its share.
     Below,
-    /// The class uses its share or more.
+    /// The class exceeds its share.
     Reached,
     /// The class may not start a task now.
     Blocked,
--- a/crates/onyxshed-policy/src/running.rs
+++ b/crates/onyxshed-policy/src/running.rs
@@ -1,4 +1,4 @@
-//! Tasks with attempts that have not ended.
+//! Started tasks and their attempts that have not ended.
 
 use onyxshed_core::Mono;
 
@@ -8,22 +8,22 @@
 /// One copy of a task on one executor.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt {
-    /// Key of the executor.
+    /// Executor that the copy was sent to.
     pub key: ExecutorKey,
     /// Whether the attempt probes an executor with an open breaker.
     pub is_probe: bool,
 }
 
-/// A task with the copies that run.
+/// A started task with its copies that have not ended.
 #[derive(Debug)]
 pub struct RunningTask {
-    /// The task.
+    /// The task and the history of its attempts.
     pub ticket: Ticket,
     /// Copies that have not ended.
     pub attempts: Vec<Attempt>,
     /// Whether the task needs no further attempt: it has finished or was withdrawn.
     pub is_over: bool,
-    /// When a hedge is due; `None` if none is planned.
+    /// Time at which a second copy is due; `None` if none is planned.
     pub hedge_at: Option<Mono>,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Removes and returns the copy on one executor.
+    /// Removes and returns the copy on one executor; `None` if no copy runs there.
     pub fn remove_attempt(&mut self, key: ExecutorKey) -> Option<Attempt> {
         let index = self.attempts.iter().position(|a| a.key == key)?;
         Some(self.attempts.swap_remove(index))
--- a/crates/onyxshed-policy/src/span.rs
+++ b/crates/onyxshed-policy/src/span.rs
@@ -12,8 +12,8 @@
     span.0 as f64
 }
 
-/// Converts to whole microseconds; a negative or undefined value becomes zero, one that is too
-/// large the maximum.
+/// Converts to whole microseconds. A negative or undefined value becomes zero, and a value that is
+/// too large becomes the maximum.
 pub fn to_micros(us: f64) -> Micros {
     if us.is_nan() || us <= 0.0 {
         return Micros(0);
--- a/crates/onyxshed-policy/src/upstream.rs
+++ b/crates/onyxshed-policy/src/upstream.rs
@@ -34,7 +34,7 @@
 /// Slowdown of an executor of ordinary speed, assumed for an upstream without usable executors.
 const ORDINARY_SLOWDOWN: f64 = 1.0;
 
-/// Executors that may have become able to take a task since the last scan.
+/// Executors that the next search for a free slot checks; the others had none when last checked.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ScanScope {
     /// Any member of the upstream.
@@ -43,7 +43,7 @@
     Only(Vec<ExecutorKey>),
 }
 
-/// Totals over the usable executors up to a slowdown.
+/// Totals over the usable executors whose slowdown is at most `slowdown`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct CapacityTier {
     slowdown: f64,
@@ -51,16 +51,17 @@
     effective_slots: f64,
 }
 
-/// Totals over the executors that are faster than some other.
+/// Totals over the usable executors that are clearly faster than a given slowdown.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FasterExecutors {
-    /// Slots weighted by speed.
+    /// This host's slots, each divided by the slowdown of its executor.
     pub effective_slots: f64,
-    /// Mean slowdown.
+    /// Mean slowdown, over slots weighted by speed.
     pub slowdown: f64,
 }
 
-/// Capacity of an upstream for this host.
+/// Capacity of an upstream for this host, computed from the slots, speeds and breakers of its
+/// executors.
 #[derive(Debug, Clone, Default)]
 pub struct Capacity {
     tiers: Vec<CapacityTier>,
@@ -144,7 +145,7 @@
 /// Minimum ratio of slowdowns for which waiting for the faster executor can pay off.
 const FASTER_RATIO_MIN: f64 = 1.2;
 
-/// State of one upstream.
+/// Queue, executors, budgets and capacity of one upstream, from the point of view of this host.
 #[derive(Debug)]
 pub struct Upstream {
     /// Queued tasks.
@@ -157,13 +158,13 @@
     pub capacity: Capacity,
     /// Rate of arriving work.
     pub offered_load: OfferedLoad,
-    /// Budget of retries.
+    /// Retry tokens, which finished tasks refill.
     pub retries: Budget,
-    /// Budget of hedges.
+    /// Hedge tokens, which finished tasks refill.
     pub hedges: Budget,
     /// When the upstream is checked again without an event; `None` if no wakeup is scheduled.
     pub wake_at: Option<Mono>,
-    /// Offset at which the next scan of many executors starts.
+    /// Rotation of the last scan that had more executors than one scan checks.
     pub scan_offset: usize,
     capacity_valid_until: Mono,
     mean_us: f64,
@@ -227,16 +228,17 @@
         }
     }
 
-    /// Returns the mean service time on an executor of ordinary speed, in microseconds.
+    /// Returns the mean service time over all classes on an executor of ordinary speed, in
+    /// microseconds.
     pub fn mean_us(&self) -> f64 {
         self.mean_us
     }
 
     /// Returns whether more work arrives than the upstream can do.
     ///
-    /// False while no executor is usable: with a capacity of zero every job would be refused, the
-    /// one that is to probe an executor included, and the recovery of the executors would never be
-    /// detected.
+    /// Returns `false` while no executor is usable. With a capacity of zero every job would be
+    /// refused, including one that is to probe an executor, and the recovery of the executors would
+    /// never be detected.
     pub fn is_overloaded(&self, now: Mono) -> bool {
         self.capacity.usable > 0 && self.offered_load.slots(now) > self.capacity.effective_slots()
     }
--- a/crates/onyxshed-policy/src/work.rs
+++ b/crates/onyxshed-policy/src/work.rs
@@ -1,4 +1,5 @@
-//! Inputs and results of the policy.
+//! Types that the policy and the dispatch exchange: executors and tasks, decisions, and the ends of
+//! attempts.
 
 use onyxshed_core::{
     ClassName, ExecutorName, Micros, Millis, Mono, ResultCode, TaskId, UpstreamName, ZoneName,
@@ -30,13 +31,13 @@
     pub task: TaskId,
     /// Class of the task, which must be configured.
     pub class: ClassName,
-    /// Time by which the job must finish.
+    /// Time by which the task must finish; a queued task that can no longer meet it is dropped.
     pub deadline: Mono,
     /// Whether the task may run more than once.
     pub may_run_twice: bool,
 }
 
-/// Decision on a new job.
+/// Decision whether a new job is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// The job is admitted.
@@ -59,7 +60,7 @@
         task: TaskId,
         /// Executor to send the task to.
         executor: ExecutorName,
-        /// Whether this is a second copy beside one that still runs.
+        /// Whether this is a hedge: a second copy of a task whose first copy still runs.
         is_hedge: bool,
     },
     /// Start nothing now; call again at this time.
@@ -98,7 +99,7 @@
     pub outcome: AttemptOutcome,
     /// Run time of the task as reported by the executor; `None` if it reported none.
     pub service_us: Option<Micros>,
-    /// Load of the executor; `None` if it did not report its load.
+    /// Load that the executor reported with its response; `None` if it reported none.
     pub load: Option<LoadReport>,
 }
 
@@ -107,19 +108,20 @@
 pub enum RetryStep {
     /// The task is queued again.
     Queued,
-    /// Another copy of the task still runs; its end decides.
+    /// Another copy of the task still runs; the end of that copy decides the next step.
     Wait,
     /// The task is over, with this result code.
     GiveUp(ResultCode),
 }
 
-/// A queued task that expired before it was started.
+/// A task that was dropped from the queue because it could no longer meet its deadline.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExpiredTask {
     /// Id of the task.
     pub task: TaskId,
     /// Deadline of the task.
     pub deadline: Mono,
-    /// Result code: [`ResultCode::ExpiredInQueue`], unless an earlier attempt may have started.
+    /// Result code: [`ResultCode::ExpiredInQueue`], or the code of an earlier attempt of the task
+    /// that may have started.
     pub code: ResultCode,
 }
--- a/crates/onyxshed-policy/tests/policy/facade.rs
+++ b/crates/onyxshed-policy/tests/policy/facade.rs
@@ -1,4 +1,4 @@
-//! The policy's public calls, one at a time.
+//! Tests of single calls of the public interface of the policy.
 
 use onyxshed_core::{Millis, ResultCode};
 use onyxshed_policy::{Admission, AttemptOutcome, NextStep, PolicyOptions, RetryStep};
--- a/crates/onyxshed-policy/tests/policy/faults.rs
+++ b/crates/onyxshed-policy/tests/policy/faults.rs
@@ -39,8 +39,8 @@
 }
 
 /// Four seconds into the run one executor, or a rack of four, fails permanently without notice. Its
-/// tasks are lost, fail or are late until the breakers open; the other tasks go elsewhere. Each
-/// class must still meet nearly all deadlines, with few wasted messages.
+/// tasks are lost, fail or are late until the breakers open; later tasks are sent to other
+/// executors. Each class must still meet nearly all deadlines, with few wasted messages.
 #[rstest]
 #[case::slow("slow", Fault::Slow(20.0), 2..3, Some(BreakerReason::Slow))]
 #[case::fails_all("fails_all", Fault::FailsAll, 2..3, Some(BreakerReason::Failing))]
@@ -83,9 +83,9 @@
     insta::assert_snapshot!(format!("fault_{name}"), text);
 }
 
-/// Every task of one class fails on every executor, beside two classes that run well. No executor
-/// is at fault, so no breaker may open. The class must be marked unrunnable, its jobs get that
-/// result code, and the other classes meet their deadlines.
+/// Every task of one class fails on every executor, while two other classes succeed. No executor is
+/// at fault, so no breaker may open. The class must be marked unrunnable, its jobs must get the
+/// result code for that, and the other classes must meet their deadlines.
 #[test]
 fn unrunnable_class_opens_no_breaker() {
     let mut streams = two_classes(0.5, UNTIL_MS);
--- a/crates/onyxshed-policy/tests/policy/figures.rs
+++ b/crates/onyxshed-policy/tests/policy/figures.rs
@@ -1,4 +1,4 @@
-//! The three placements compared on the same arrivals; the figures are kept as snapshots.
+//! Comparison of the three placements on the same arrivals; the results are stored as snapshots.
 
 use std::fmt::Write;
 
@@ -9,10 +9,10 @@
 use crate::model::Model;
 use crate::parts::{ModelExecutor, Stream};
 
-/// Entry hosts that share the fleet.
+/// Number of entry hosts that share the fleet.
 pub const HOSTS: u32 = 3;
 
-/// Seed of the runs whose figures are kept.
+/// Seed of the runs whose results are stored as snapshots.
 pub const SEED: u64 = 11;
 
 /// Returns twelve executors of speeds 1, 2 and 4.
@@ -38,7 +38,7 @@
     ]
 }
 
-/// Runs a model and writes one line per stream.
+/// Runs a model and appends one line of results per stream to `out`.
 pub fn line(out: &mut String, kind: PlacementKind, model: &mut Model) {
     model.run();
     let wasted = model.wasted_share() * 100.0;
@@ -59,7 +59,7 @@
     }
 }
 
-/// Runs the placements on the same arrivals.
+/// Runs each placement on the same arrivals and returns a table of the results.
 pub fn compare(kinds: &[PlacementKind], streams: &[Stream], execs: &[ModelExecutor]) -> String {
     let mut out = String::new();
     for kind in kinds {
--- a/crates/onyxshed-policy/tests/policy/guards.rs
+++ b/crates/onyxshed-policy/tests/policy/guards.rs
@@ -1,4 +1,4 @@
-//! Breakers, unrunnable jobs, budgets and hedges, one at a time.
+//! Tests of single mechanisms: breakers, unrunnable jobs, budgets and hedges.
 
 use onyxshed_core::{Micros, ResultCode, TaskId};
 use onyxshed_policy::{
@@ -85,8 +85,8 @@
     );
 }
 
-/// An executor fails every task at once while the class runs well elsewhere. A failed probe loses a
-/// task that may not run twice, so probes must use tasks of the class that may.
+/// An executor immediately fails every task while the class succeeds on others. A failed probe
+/// loses a task that may not run twice, so probes must use tasks of the class that may.
 #[test]
 fn probes_use_tasks_that_may_run_twice() {
     let once = target("once", "desk", 60_000, false);
@@ -159,8 +159,9 @@
     );
 }
 
-/// No task finishes any more. Refused starts must be retried only while the budget lasts; after
-/// that each task ends at once instead of costing another message.
+/// Executors refuse every start, so no finished task refills the retry budget. Refused starts must
+/// be retried only while the budget lasts; after that each task fails immediately instead of
+/// costing another message.
 #[test]
 fn refused_starts_are_not_retried_without_budget() {
     let once = target("once", "desk", 60_000, false);
@@ -189,9 +190,9 @@
 }
 
 /// A task runs far longer than its class usually does. If the class may run twice, a hedge is sent
-/// when the deadline comes near; after the first copy has finished, the policy names the copy to
-/// stop. With a loose target the hedge must come late, and a class that may not run twice must get
-/// none.
+/// when the deadline is near; after the first copy has finished, `executors_running` returns the
+/// executor of the other copy, which is to be stopped. With a loose target the hedge must be sent
+/// late, and a class that may not run twice must get none.
 #[rstest]
 #[case::tight(true, 600, Some(200..600))]
 #[case::loose(true, 20_000, Some(19_000..20_000))]
@@ -292,7 +293,7 @@
 }
 
 /// A rack of eight executors fails without notice. One probe per pause must serve for all of them,
-/// and the first that succeeds must bring the others back at once.
+/// and the first successful probe must immediately move the probes of the others forward.
 #[test]
 fn dead_rack_is_probed_with_one_task() {
     let class = target("lock", "desk", 2_000, true);
--- a/crates/onyxshed-policy/tests/policy/main.rs
+++ b/crates/onyxshed-policy/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the policy, alone and in a small queueing model in virtual time.
+//! Tests of the policy: single calls, and runs in a queueing model with virtual time.
 
 mod facade;
 mod faults;
--- a/crates/onyxshed-policy/tests/policy/model.rs
+++ b/crates/onyxshed-policy/tests/policy/model.rs
@@ -41,12 +41,13 @@
 pub struct Model {
     pub policies: Vec<Policy>,
     pub tallies: Vec<Tally>,
-    /// Messages of starts and stops sent.
+    /// Number of start and stop messages sent.
     pub sent: u64,
     pub answered: u64,
-    /// Starts that had to wait for a slot at their executor.
+    /// Number of starts that had to wait for a slot at their executor.
     pub queued_at_executor: u64,
-    /// Fraction of the jobs that all arrive at the first entry host.
+    /// Fraction of the jobs that are sent to the first entry host; the others are sent to a random
+    /// host.
     pub skew: f64,
     streams: Vec<Stream>,
     execs: Vec<ModelExecutor>,
@@ -107,14 +108,15 @@
         model
     }
 
-    /// Processes all events.
+    /// Processes events in order of time until none is left.
     pub fn run(&mut self) {
         while let Some(((us, _), event)) = self.events.pop_first() {
             self.handle(us, event);
         }
     }
 
-    /// Returns the ratio of messages that contributed to no answer to answered tasks.
+    /// Returns the number of messages that did not contribute to an answer, divided by the number
+    /// of answered tasks.
     pub fn wasted_share(&self) -> f64 {
         (self.sent - self.answered) as f64 / self.answered.max(1) as f64
     }
@@ -356,7 +358,7 @@
         if end.outcome == AttemptOutcome::Finished {
             self.finish(us, host, end.task);
         } else if let RetryStep::GiveUp(code) = step {
-            // The result that a task failed is an answer too.
+            // A caller that learns that a task failed has received an answer too.
             let is_answer = matches!(code, ResultCode::TaskFailed | ResultCode::NeverRuns);
             let is_running = self.jobs.contains_key(&end.task.submission);
             self.answered += u64::from(is_answer && is_running);
@@ -401,7 +403,7 @@
         }
     }
 
-    /// Ends a job as failed: its other tasks are withdrawn or stopped.
+    /// Ends a failed job: its queued tasks are withdrawn and its running tasks are stopped.
     fn fail_job(&mut self, us: u64, id: TaskId) {
         let Some(job) = self.jobs.remove(&id.submission) else {
             return;
--- a/crates/onyxshed-policy/tests/policy/orders.rs
+++ b/crates/onyxshed-policy/tests/policy/orders.rs
@@ -17,8 +17,8 @@
 }
 
 /// A class floods its upstream with tasks whose deadlines are all earlier than those of another
-/// class. By deadlines alone the other class would wait for all of them; it must get its fair share
-/// instead.
+/// class. If only deadlines counted, the other class would wait for all of them; it must get its
+/// fair share instead.
 #[test]
 fn flooding_class_leaves_the_fair_share_of_another() {
     let flood = target("flood", "desk", 1_000, false);
@@ -35,7 +35,8 @@
     assert_eq!((started.len(), of_other), (8, 4));
 }
 
-/// One upstream is full and has a long queue. A task of another upstream must still start at once.
+/// One upstream is full and has a long queue. A task of another upstream must still start
+/// immediately.
 #[test]
 fn full_upstream_does_not_block_another() {
     let a = target("a", "alpha", 1_000, false);
--- a/crates/onyxshed-policy/tests/policy/overload.rs
+++ b/crates/onyxshed-policy/tests/policy/overload.rs
@@ -1,4 +1,4 @@
-//! More work than the upstream can do.
+//! Tests of overload: more work arrives than the upstream can do.
 
 use onyxshed_policy::PlacementKind;
 
@@ -20,8 +20,9 @@
     hits.zip(works).map(|(hits, work)| hits * work).sum()
 }
 
-/// Twice the capacity arrives permanently. Callers that cannot be served in time must be refused at
-/// once, so that the useful work stays close to that at full load and is not spent on late tasks.
+/// Work of twice the capacity arrives permanently. Jobs that cannot finish in time must be refused
+/// on arrival, so that the useful work stays close to that at full load and is not spent on late
+/// tasks.
 #[test]
 fn goodput_holds_at_twice_the_capacity() {
     let full = model(&two_classes(1.0, 12_000));
@@ -36,8 +37,8 @@
     insta::assert_snapshot!("overload_200_percent", text);
 }
 
-/// Twice the capacity arrives for four seconds and half of it afterwards. Two seconds after the end
-/// of the overload every deadline must be met again.
+/// Work of twice the capacity arrives for six seconds and of half the capacity afterwards. Two
+/// seconds after the end of the overload every deadline must be met again.
 #[test]
 fn deadlines_are_met_after_an_overload() {
     let mut streams = two_classes(2.0, 6_000);
@@ -53,8 +54,8 @@
     }
 }
 
-/// Ten times as many jobs of one class arrive for two seconds. The other class stays within its
-/// fair share and must still meet its deadlines.
+/// One class sends ten times its usual number of jobs, in addition to these, for two seconds. The
+/// other class stays within its fair share and must still meet its deadlines.
 #[test]
 fn burst_of_one_class_leaves_the_other_on_time() {
     let mut streams = two_classes(0.5, 12_000);
--- a/crates/onyxshed-policy/tests/policy/parts.rs
+++ b/crates/onyxshed-policy/tests/policy/parts.rs
@@ -1,4 +1,4 @@
-//! Parts of the queueing model: faults, streams of jobs, executors and result counts.
+//! Parts of the queueing model in `model.rs`: faults, streams of jobs, executors and result counts.
 
 #![expect(
     clippy::cast_possible_truncation,
@@ -18,7 +18,7 @@
     None,
     /// Tasks take this many times as long.
     Slow(f64),
-    /// Every task fails at once.
+    /// Every task fails immediately.
     FailsAll,
     /// The executor accepts tasks and never responds.
     Silent,
@@ -35,7 +35,7 @@
     pub median_ms: f64,
     /// Whether its tasks fail on every executor.
     pub never_runs: bool,
-    /// Tasks per job.
+    /// Number of tasks of each job.
     pub tasks: u16,
     /// Start and end of the stream, in milliseconds.
     pub from_ms: u64,
@@ -66,7 +66,7 @@
     pub fault_ms: (u64, u64),
     pub running: BTreeMap<(usize, TaskId), u64>,
     pub queue: VecDeque<(usize, TaskId)>,
-    /// Tasks that may queue at the executor before it refuses more.
+    /// Maximum number of tasks that wait at the executor; it refuses more.
     pub queue_max: usize,
     pub starts_us: Vec<u64>,
 }
--- a/crates/onyxshed-policy/tests/policy/random.rs
+++ b/crates/onyxshed-policy/tests/policy/random.rs
@@ -235,7 +235,8 @@
         for op in &ops {
             simulation.apply(op);
         }
-        // Tasks that were dropped while searching for one to start are reported by the next call.
+        // Tasks that `next` dropped from the queue are reported only when the expired tasks are
+        // taken.
         simulation.expire_tasks();
         let waiting = simulation
             .states
--- a/crates/onyxshed-pool/examples/decision-cost.rs
+++ b/crates/onyxshed-pool/examples/decision-cost.rs
@@ -1,8 +1,8 @@
 //! Measures the processor time of a pool's decisions per event while jobs are queued.
 //!
-//! Drives a full pool directly. Each event is a submitted job or a report of an ended run, followed by a
-//! load report as each answer carries one. Prints microseconds per event by the numbers of executors and
-//! jobs.
+//! Drives a full pool directly. Each event is a submitted job or a report of an ended run, followed
+//! by a load report, since every answer to an entry host contains one. Prints microseconds per
+//! event by the numbers of executors and jobs.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -125,7 +125,7 @@
 }
 
 fn job(number: u64, tasks: u16, cpu_millis: u32, estimate: Millis) -> JobRequest {
-    /// Long enough that no job is late or rejected.
+    /// Objective and caller's waiting time, long enough that no job is late or rejected.
     const LONG: Millis = Millis(60_000);
     JobRequest {
         peer: OWN,
--- a/crates/onyxshed-pool/src/candidate.rs
+++ b/crates/onyxshed-pool/src/candidate.rs
@@ -1,13 +1,18 @@
-//! The decision of a host to take over a pool that has no owner in the store.
+//! Decision of a host to take over a vacant pool, which is a pool without an owner in the store.
+//!
+//! A host becomes the owner by joining the pool's group in the store. The decision delays this so
+//! that a running owner can rejoin first, and so that large hosts join before small ones.
 
 use onyxshed_core::{Millis, Mono};
 
-/// How long an owner that answers keeps a pool that is vacant in the store. Outages of the store to
-/// single hosts last up to 9 s; executors are replaced over minutes, which is far longer.
+/// How long no host replaces an owner that still answers but is missing in the store. Single hosts
+/// are cut off from the store for up to 9 s. The owner's list of executors is outdated meanwhile,
+/// but executors are replaced over minutes.
 const ACTIVE_OWNER_GRACE: Millis = Millis(10_000);
 
-/// How long no host takes over a pool after the store answers that host again. An owner that was also
-/// cut off from the store rejoins within 350 ms, and the query for it takes up to 100 ms.
+/// How long no host takes over a pool after the store answers that host again. An owner that was
+/// also cut off from the store rejoins within 350 ms, and this host's probe of that owner takes up
+/// to 100 ms.
 const REJOIN_GRACE: Millis = Millis(500);
 
 /// How long a pool stays vacant before a host that has had no contact with an owner takes it over. An
@@ -15,21 +20,22 @@
 /// return: 350 ms between renewals, and 700 ms for a call that is still pending.
 const UNKNOWN_OWNER_GRACE: Millis = Millis(1_200);
 
-/// Maximum random delay before a host joins for a vacant pool, so that two hosts rarely join at once.
+/// Maximum random delay before a host joins for a vacant pool, so that two hosts rarely join at the
+/// same time.
 const JOIN_JITTER_MAX: Millis = Millis(120);
 
 /// Processor share that a host should have to own a pool, in thousandths of a core. An owner of a
 /// hundred executors needs half of it.
 pub(crate) const OWNER_CPU_MILLIS: u32 = 400;
 
-/// Delay before a small host joins, for each time beyond the first that its processor share fits into
-/// [`OWNER_CPU_MILLIS`].
+/// Unit of the delay before a small host joins: a host with half of [`OWNER_CPU_MILLIS`] waits for
+/// this time, and a host with a third of it for twice this time.
 const SMALL_HOST_DELAY: Millis = Millis(200);
 
 /// Next step of a host for a vacant pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CandidateStep {
-    /// The host leaves the pool to its last owner for now.
+    /// The host does not join now, and evaluates the vacancy again later.
     Defer,
     /// The host joins the pool's group after the delay if the pool is still vacant then.
     JoinAfter(Millis),
@@ -40,13 +46,14 @@
 pub enum LastOwner {
     /// The owner answers and needs no replacement.
     Active,
-    /// The owner is gone or needs to be replaced.
+    /// The owner does not answer or reports that it needs to be replaced, or there was none.
     Gone,
-    /// This host has never had contact with an owner of the pool.
+    /// This host has never had contact with an owner of the pool, and could not read from the store
+    /// which host it was.
     Unknown,
 }
 
-/// A host that may take over a vacant pool.
+/// One host's decision about one vacant pool. It is discarded when the pool has an owner again.
 #[derive(Debug)]
 pub struct Candidate {
     cpu_millis: u32,
@@ -54,7 +61,7 @@
 }
 
 impl Candidate {
-    /// Creates a candidate with a processor share in thousandths of a core.
+    /// Creates a candidate for a host with the given processor share, in thousandths of a core.
     pub fn new(cpu_millis: u32) -> Self {
         Candidate {
             cpu_millis,
@@ -62,16 +69,18 @@
         }
     }
 
-    /// Decides what to do about a pool that has no owner in the store. `draw` is a random number from 0 to
-    /// 1, and `store_back_at` is when the store answered this host again after an outage, if one occurred.
+    /// Decides what to do about a pool that has no owner in the store. `draw` is a random number
+    /// from 0 to 1, and `store_back_at` is when the store answered this host again after an outage,
+    /// if one occurred.
     ///
-    /// The membership of an owner may expire while it still serves the pool, cut off from the store. An
-    /// owner that answers has time to rejoin. One that can't rejoin for long is replaced, since it does not
-    /// learn which executors are added and removed.
+    /// The store may drop the membership of an owner that is cut off from the store but still
+    /// serves the pool. An owner that answers has `ACTIVE_OWNER_GRACE` to rejoin. After that it is
+    /// replaced, since it can't read from the store which executors were added and removed.
     ///
-    /// A host that has just started, or that started while its zone was cut off, knows no owner to query.
-    /// When the store answers again, the memberships of running owners have expired, and the owners need a
-    /// moment to rejoin. A host that joined before them would make them lose their jobs.
+    /// A host that has just started, or that started while its zone was cut off from the store,
+    /// knows no owner to query. When the store answers again, the memberships of running owners
+    /// have expired, and the owners need about a second to rejoin. If another host joined first,
+    /// the jobs of these owners would be lost.
     pub fn evaluate_vacancy(
         &mut self,
         now: Mono,
--- a/crates/onyxshed-pool/src/error.rs
+++ b/crates/onyxshed-pool/src/error.rs
@@ -3,7 +3,7 @@
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// Error in parsing a text.
+/// Error in parsing the text form of a value.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// The text does not have the expected form.
@@ -18,5 +18,5 @@
     },
 }
 
-/// Result of parsing a text.
+/// Result of parsing the text form of a value.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-pool/src/evacuation.rs
+++ b/crates/onyxshed-pool/src/evacuation.rs
@@ -76,7 +76,7 @@
         evacuated.map(|(zone, _)| zone)
     }
 
-    /// Returns the newest known record of each zone, for other hosts.
+    /// Returns the newest known record of each zone, to be sent to other hosts.
     pub fn records(&self) -> Vec<EvacuationRecord> {
         let zones = self.zones.iter();
         zones
--- a/crates/onyxshed-pool/src/executor.rs
+++ b/crates/onyxshed-pool/src/executor.rs
@@ -1,4 +1,4 @@
-//! The owner's state of an executor.
+//! State that a pool's owner keeps for each executor: runs, lease, clock offset, health and speed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 pub struct ExecutorFacts {
     /// Address at which the executor accepts orders.
     pub address: SocketAddr,
-    /// Upstream that the executor belongs to.
+    /// Upstream that the executor belongs to; it runs only jobs of this upstream.
     pub upstream: SmolStr,
     /// Resources that are free when nothing runs.
     pub capacity: Resources,
@@ -35,7 +35,7 @@
 pub(crate) enum RunState {
     /// The start order was sent, and the executor has not confirmed that the run executes.
     Ordered {
-        /// Start orders sent so far.
+        /// Number of start orders that were sent for the run, including the first.
         orders_sent: u32,
     },
     /// The executor has confirmed that the run executes.
@@ -57,34 +57,37 @@
     pub demand: Resources,
     pub state: RunState,
     pub ordered_at: Mono,
-    /// Expected run time on this executor.
+    /// Expected run time on this executor, including its slowdown and the cost of remote data.
     pub expected: Micros,
     pub estimate: Micros,
 }
 
-/// Relation of an incarnation to the one that is known.
+/// Relation of the incarnation that sent a message to the one that the owner regards as current.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum IncarnationMatch {
-    /// The current incarnation.
+    /// The current incarnation, or one that can't be distinguished from it because a start time is
+    /// unknown.
     Current,
-    /// An incarnation that is known to have ended.
+    /// An incarnation that a newer one has replaced. Its messages are ignored.
     Past,
-    /// An incarnation that has not been seen before.
+    /// An incarnation with a new start time: the executor has restarted.
     New,
 }
 
-/// Number of past incarnations remembered. Messages are late by seconds at most, and an executor that
-/// restarts more often than this within seconds runs nothing anyway.
+/// Maximum number of past incarnations whose start times are kept. Messages are late by seconds at
+/// most, and an executor that restarts more often than this within seconds runs nothing anyway.
 const PAST_INCARNATIONS_MAX: usize = 8;
 
 /// Progress of the takeover of an executor by this owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// A previous owner that answers may still use the executor; it gets no orders.
+    /// The previous owner still answers and may use the executor, so this owner sends the executor
+    /// no orders.
     Withheld,
-    /// Runs of an earlier owner may execute; no lease is renewed and no run started.
+    /// Runs of an earlier owner may execute on the executor, so this owner renews no lease and
+    /// starts no run.
     Acquiring,
-    /// Every run was started by this owner.
+    /// Every run on the executor was ordered by this owner, which renews its leases.
     Acquired,
 }
 
@@ -96,7 +99,7 @@
     pub failures: u32,
     /// Job of the most recently failed run.
     last_failed_job: Option<JobId>,
-    /// Time until which the executor gets no tasks.
+    /// Time until which the executor gets no tasks; in the past if it is not avoided.
     pub avoided_until: Mono,
 }
 
@@ -122,8 +125,9 @@
         Some(self.record_failure(now, options))
     }
 
-    /// Records a failure that is certainly caused by the executor, and returns how long it is avoided: twice
-    /// as long with each failure, up to `avoid_max_ms`.
+    /// Records a failure and returns how long the executor is avoided: `avoid_ms`, doubled for each
+    /// failure already recorded, up to `avoid_max_ms`. A failure that only the executor can have
+    /// caused is recorded here directly.
     pub fn record_failure(&mut self, now: Mono, options: &PoolOptions) -> Millis {
         let doublings = self.failures.min(8);
         self.failures += 1;
@@ -132,7 +136,8 @@
         span
     }
 
-    /// Removes a failure that was caused by the job. Without failures the executor is no longer avoided.
+    /// Removes one failure, because its task also failed on other executors. The executor is no
+    /// longer avoided once no failure is left.
     pub fn clear_failure(&mut self, now: Mono) {
         self.failures = self.failures.saturating_sub(1);
         if self.failures == 0 {
@@ -141,7 +146,7 @@
     }
 }
 
-/// An executor and its runs.
+/// State of an executor and of the runs that were ordered from it.
 #[derive(Debug)]
 pub(crate) struct Executor {
     pub facts: ExecutorFacts,
@@ -152,15 +157,16 @@
     /// reading of the current incarnation has arrived.
     clock_offset: Option<i128>,
     pub started_at: Option<UnixMs>,
-    /// Start times of past incarnations, the latest last.
+    /// Start times of past incarnations, the most recent last.
     past_incarnations: Vec<UnixMs>,
     pub last_seen: u64,
-    /// When the last report arrived.
+    /// When the last report arrived, or when the executor was added or its zone restored if that
+    /// was later.
     pub last_report_at: Mono,
-    /// When the last completion of a run was reported.
+    /// When the last completion of a run was reported; 0 before the first.
     pub last_completed_at: Mono,
     pub is_unresponsive: bool,
-    /// When the leases of all runs will have expired, unless they are renewed.
+    /// Time on this host's clock at which every lease granted until now has certainly expired.
     pub leases_expire_at: Mono,
     pub slowdown: Slowdown,
     pub health: Health,
@@ -212,12 +218,12 @@
         u64::try_from(end_ms).ok().map(UnixMs)
     }
 
-    /// Records that an order with a lease was sent.
+    /// Extends `leases_expire_at` for an order with a lease that is sent at `now`.
     pub fn record_lease(&mut self, now: Mono, options: &PoolOptions) {
         self.leases_expire_at = self.leases_expire_at.max(now + options.lease_bound());
     }
 
-    /// Returns whether new runs may be started on the executor.
+    /// Returns whether new runs may be started on the executor now.
     pub fn can_accept_tasks(&self, now: Mono, options: &PoolOptions) -> bool {
         let is_avoided = now < self.health.avoided_until;
         // After a failure, the executor is probed with one task before it gets more.
@@ -240,8 +246,9 @@
         !self.facts.is_draining && !self.is_lost(now, options) && is_listed
     }
 
-    /// Returns whether the executor is unresponsive. An executor that is being acquired has
-    /// `takeover_grace_ms`, because a new owner opens connections to all executors at once.
+    /// Returns whether the executor is unresponsive and no longer counts as capacity. An executor
+    /// that is being acquired still counts for `takeover_grace_ms`, because a new owner opens
+    /// connections to all executors at the same time and the first reports may be late.
     fn is_lost(&self, now: Mono, options: &PoolOptions) -> bool {
         let is_in_grace = self.phase == Phase::Acquiring
             && now.since(self.last_report_at) < options.takeover_grace_ms.into();
@@ -301,10 +308,11 @@
         }
     }
 
-    /// Records a restart of the executor and resets its counters, clock offset and health.
+    /// Records a restart of the executor and resets the number of the last processed end, the clock
+    /// offset, the health and the slowdown.
     ///
-    /// The runs stay until a report of the new incarnation shows which of them it has: the new incarnation
-    /// executes orders that were in transit during the restart.
+    /// The runs stay until a report of the new incarnation shows which of them it has: the new
+    /// incarnation executes orders that were in transit during the restart.
     pub fn record_restart(&mut self, started_at: Option<UnixMs>) {
         if let Some(previous) = std::mem::replace(&mut self.started_at, started_at) {
             self.past_incarnations.push(previous);
@@ -320,19 +328,20 @@
         self.slowdown = Slowdown::default();
     }
 
-    /// Removes and returns every run, as when another executor answers at the address.
+    /// Removes and returns every run, because another executor answers at the address.
     pub fn take_runs(&mut self) -> Vec<(TaskId, Run)> {
         let runs = std::mem::take(&mut self.runs);
         self.recompute_free();
         runs.into_iter().collect()
     }
 
-    /// Returns how many tasks of a job run on the executor.
+    /// Returns the number of a job's tasks with a run on the executor, including runs that are
+    /// being stopped.
     pub fn task_count(&self, job: JobId) -> usize {
         self.runs.keys().filter(|task| task.job == job).count()
     }
 
-    /// Returns whether the executor has the label; `None` is always satisfied.
+    /// Returns whether the executor has the label, or `true` if no label is required.
     pub fn has_label(&self, label: Option<&SmolStr>) -> bool {
         label.is_none_or(|label| self.facts.labels.contains(label))
     }
--- a/crates/onyxshed-pool/src/id.rs
+++ b/crates/onyxshed-pool/src/id.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// Identifier of a task.
+/// Identifier of a task. Its text form is the job's id, a dot and the task's index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// Job to which the task belongs.
@@ -62,7 +62,7 @@
 pub struct Percent(u8);
 
 impl Percent {
-    /// 100%.
+    /// 100%, the maximum.
     pub const ALL: Percent = Percent(100);
 
     /// Creates a percentage; values above 100 become 100.
@@ -70,7 +70,7 @@
         Percent(u8::try_from(value).unwrap_or(u8::MAX).min(Percent::ALL.0))
     }
 
-    /// Returns the number of percent.
+    /// Returns the progress in percent, 0 to 100.
     pub fn get(self) -> u8 {
         self.0
     }
@@ -113,7 +113,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingToken(pub u64);
 
-/// Number of lowest token bits that count successors, which are owners selected by their predecessor.
+/// Number of low-order token bits that count successors since the last owner elected by the store.
+/// A successor is an owner that its predecessor selected.
 pub(crate) const SUCCESSOR_BITS: u32 = 4;
 
 impl FencingToken {
@@ -151,11 +152,12 @@
     }
 }
 
-/// Identifier of a session: a period in which an owner has heard from an entry host without
-/// interruption. 0 means no session.
+/// Identifier of a session: a period in which heartbeats of an entry host reach an owner without a
+/// time-out. 0 means no session, as for the owner's own host.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Session(pub u64);
 
-/// Number of a job submission to an owner, counted by the entry host.
+/// Number that an entry host assigns to each submission of a job to an owner, and by which it
+/// matches the outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubmissionNumber(pub u64);
--- a/crates/onyxshed-pool/src/job.rs
+++ b/crates/onyxshed-pool/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs submitted to a pool, and their outcomes.
+//! Jobs as the owner of a pool tracks them: the request, the state of each task and the outcome.
 
 use onyxshed_core::{Micros, Millis, Mono};
 use smol_str::SmolStr;
@@ -28,29 +28,35 @@
     pub estimate: Millis,
     /// Number of failed runs of a task after which the job fails.
     pub attempts_max: u32,
-    /// Factor on the run time of the job's longest task in its target, in thousandths.
+    /// Factor on the run time of the job's longest task, in thousandths. The target of the job is
+    /// this product plus `objective`.
     pub stretch_millis: u32,
-    /// Time that the target allows in addition to the stretched run time.
+    /// Time that the target allows in addition to the longest task's run time times
+    /// `stretch_millis`.
     pub objective: Millis,
-    /// Time since the job arrived at its entry host, including the time with other pools' owners.
+    /// Time since the job arrived at its entry host, including the time for which other pools had
+    /// queued it.
     pub elapsed: Millis,
-    /// Time that the caller still waits.
+    /// Time for which the caller still waits.
     pub time_left: Millis,
     /// Label that an executor must have, if any.
     pub label: Option<SmolStr>,
-    /// Rack that holds the job's data, if it matters.
+    /// Rack that holds the job's data; tasks take longer on executors outside it. `None` if the
+    /// rack has no effect.
     pub data_rack: Option<SmolStr>,
     /// Maximum number of tasks of the job on one executor, if limited.
     pub per_executor_max: Option<u16>,
 }
 
 impl JobRequest {
-    /// Returns the time within which the job should end, according to the caller's estimate.
+    /// Returns the time from arrival within which the job should end, according to the caller's
+    /// estimate.
     pub fn target(&self) -> Micros {
         self.target_for(self.estimate.into())
     }
 
-    /// Returns the time within which the job should end if each task takes `task`.
+    /// Returns the time from arrival within which the job should end if its longest task takes
+    /// `task`.
     fn target_for(&self, task: Micros) -> Micros {
         let stretched_us = task.0 * u64::from(self.stretch_millis) / 1_000;
         Micros(stretched_us + Micros::from(self.objective).0)
@@ -71,7 +77,8 @@
     NoExecutor,
     /// The host does not own the pool or is giving it up.
     NotOwner,
-    /// The session of the entry host has ended; a heartbeat starts a new one.
+    /// The submission names a session of the entry host that has ended. The host gets a new session
+    /// with its next heartbeat.
     OldSession,
     /// Operators have evacuated the pool's zone.
     ZoneEvacuated,
@@ -91,11 +98,11 @@
 /// Why the outcome of a job is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnknownReason {
-    /// The owner of the pool changed.
+    /// The owner stepped down or became unreachable before the job ended.
     OwnerChanged,
-    /// The process of the owner was paused.
+    /// The owner's process was paused for so long that the entry host may have given the job up.
     OwnerPaused,
-    /// The entry host was unresponsive.
+    /// No heartbeat of the entry host reached the owner for `peer_timeout_ms`.
     PeerSilent,
     /// The caller's deadline passed.
     TimeOut,
@@ -131,7 +138,7 @@
 pub enum JobEnd {
     /// Every task is done.
     Completed,
-    /// A task failed as often as permitted.
+    /// Runs of a task failed [`JobRequest::attempts_max`] times.
     Failed,
     /// No task ran. The caller may retry after the given delay.
     NotRun(NotRunReason, Millis),
@@ -154,7 +161,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Task {
     pub state: TaskState,
-    /// Number of runs ordered so far.
+    /// Number of runs ordered for the task, which is also the number of the latest run.
     pub runs: u32,
     /// Executors on which runs failed, one entry per failed run.
     pub failed_on: Vec<ExecutorId>,
@@ -177,7 +184,8 @@
     pub has_started: bool,
     /// Mean over the completed tasks of ln(actual / expected run time), and the number of these tasks.
     pub log_ratio: (f64, u32),
-    /// Estimated run time of a task on an ordinary executor, corrected by the completed tasks.
+    /// Estimated run time of a task on an executor with slowdown factor 1: the caller's estimate,
+    /// corrected by the run times of completed tasks.
     estimate: Micros,
 }
 
@@ -202,27 +210,29 @@
         }
     }
 
-    /// Returns the time within which the job should end, according to the run times of its completed tasks.
+    /// Returns the time from arrival within which the job should end, with the caller's estimate
+    /// corrected by the run times of completed tasks.
     ///
-    /// With the caller's estimate alone, a job whose estimate is far too low would starve half done although
-    /// its answer could still be useful.
+    /// With the caller's estimate alone, a job whose estimate is far too low would starve half done
+    /// although its answer could still be useful.
     pub fn target(&self) -> Micros {
         self.request.target_for(self.estimate())
     }
 
-    /// Returns when the job should end.
+    /// Returns when the job should end: its arrival at the entry host plus [`Job::target`].
     pub fn target_at(&self) -> Mono {
         self.arrived_at + self.target()
     }
 
-    /// Returns until when an answer is useful: until `late_factor` targets have passed or the caller stops
-    /// waiting.
+    /// Returns the time until which an answer is useful: `late_factor` targets after arrival, or
+    /// when the caller stops waiting if that is earlier.
     pub fn useful_until(&self, late_factor: u64) -> Mono {
         let late = Micros(self.target().0 * late_factor);
         self.caller_deadline.min(self.arrived_at + late)
     }
 
-    /// Returns the estimated run time of a task on an ordinary executor, corrected by the completed tasks.
+    /// Returns the estimated run time of a task on an executor with slowdown factor 1, corrected by
+    /// the run times of completed tasks.
     pub fn estimate(&self) -> Micros {
         self.estimate
     }
@@ -270,7 +280,8 @@
         RunNumber(task.runs)
     }
 
-    /// Returns whether a run is the current run of its task.
+    /// Returns whether a run on `executor` is the latest run of its task and the task has not been
+    /// requeued or completed since.
     pub fn is_current_run(&self, index: u16, run: RunNumber, executor: &ExecutorId) -> bool {
         self.tasks.get(usize::from(index)).is_some_and(|task| {
             task.runs == run.0 && task.state == TaskState::Running(executor.clone())
--- a/crates/onyxshed-pool/src/lib.rs
+++ b/crates/onyxshed-pool/src/lib.rs
@@ -1,16 +1,17 @@
 //! Scheduling decisions for a pool of executors, which is owned by one host at a time.
 //!
 //! Entry hosts submit whole jobs to the owner of a pool. The owner queues the jobs, places their
-//! tasks on executors, renews the executors' leases and collects the results of runs. The crate is a
-//! sans-I/O state machine: an event and its time go in, [`Action`]s come out. It reads no clock and
-//! uses no socket, random number or log call.
+//! tasks on executors, renews the executors' leases and collects the results of runs. The crate is
+//! a sans-I/O state machine: an event and its time go in, [`Action`]s come out. It reads no clock
+//! and uses no socket, random number or log call.
 //!
 //! Two runs of a task never execute at the same time. Three rules ensure this:
-//! - a task gets a new run only when its previous run is known to have ended or to have been stopped,
-//!   or when the lease of that run has expired;
+//! - a task gets a new run only when its previous run is known to have ended or to have been
+//!   stopped, or when the lease of that run has expired;
 //! - a new owner renews no lease on an executor while a run that it did not start itself is still
 //!   executing there;
-//! - the runs of an unresponsive entry host are stopped well before its callers resubmit their jobs.
+//! - the runs of the jobs that an unresponsive entry host has submitted are stopped well before its
+//!   callers resubmit these jobs.
 
 pub mod candidate;
 pub mod error;
--- a/crates/onyxshed-pool/src/message.rs
+++ b/crates/onyxshed-pool/src/message.rs
@@ -1,4 +1,7 @@
 //! Inputs and outputs of the pool's state machine: orders, answers, reports and decisions.
+//!
+//! The owner's host sends the orders to executors and passes their answers to the methods of
+//! [`crate::Pool`].
 
 use std::net::SocketAddr;
 
@@ -10,77 +13,81 @@
 };
 use crate::job::JobEnd;
 
-/// Order to start a run.
+/// Order to an executor to start a run of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartOrder {
     /// Task to run.
     pub task: TaskId,
     /// Number of the run.
     pub run: RunNumber,
-    /// Work specification from the job request.
+    /// Work specification of the job, passed to the executor unchanged.
     pub spec: SmolStr,
-    /// When the lease expires, on the executor's clock.
+    /// When the lease expires, on the executor's clock. The executor then stops the run, unless a
+    /// later order has extended the lease.
     pub expires: UnixMs,
-    /// Fencing token of the owner.
+    /// Fencing token of the owner that sends the order.
     pub token: FencingToken,
 }
 
-/// Order to stop a run.
+/// Order to an executor to stop a run, or not to start it if its start order arrives later.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StopOrder {
     /// Task of the run.
     pub task: TaskId,
     /// Number of the run.
     pub run: RunNumber,
-    /// Fencing token of the owner.
+    /// Fencing token of the owner that sends the order.
     pub token: FencingToken,
 }
 
-/// Order to renew the leases of all runs on an executor and to report.
+/// Order to an executor to renew the leases of all its runs and to report its executing and ended
+/// runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HoldOrder {
     /// When the renewed leases expire, on the executor's clock. `None` renews no lease.
     pub expires: Option<UnixMs>,
-    /// Fencing token of the owner.
+    /// Fencing token of the owner that sends the order.
     pub token: FencingToken,
-    /// Number of the last end that the owner has seen. It acknowledges all ends up to this number.
+    /// Highest number of an end ([`FinishedRun::number`]) that the owner has processed, 0 if none.
+    /// The executor no longer lists ends up to this number.
     pub last_seen: u64,
-    /// How long the executor waits for a run to end before it reports.
+    /// Maximum time that the executor waits for a run to end before it reports.
     pub wait: Millis,
-    /// How long the report may take beyond `wait` before it counts as missing.
+    /// How long the report may take beyond `wait` before the executor counts as unresponsive.
     pub answer_within: Millis,
 }
 
 /// Why an executor did not start a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefuseReason {
-    /// The executor has seen a higher token from another owner.
+    /// The executor has received an order with a higher fencing token, so another host owns the
+    /// pool.
     Fenced,
     /// This run or a later run of the task has ended or was stopped on the executor.
     Ended,
     /// The lease had expired when the order arrived.
     Expired,
-    /// The executor lacks free resources.
+    /// The executor lacks the free resources that the task needs.
     NoRoom,
-    /// The executor reports that it is unhealthy.
+    /// The executor rejects orders for now (HTTP status 429 or 503).
     Unhealthy,
-    /// Any other reason.
+    /// The answer has any other status or reason.
     Other,
 }
 
 /// Answer to a start order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// The run executes.
+    /// The executor has started the run, now or on an earlier order.
     Started {
         /// Reading of the executor's clock, if the answer contains one.
         clock: Option<UnixMs>,
     },
-    /// The order did not start the run.
+    /// The executor refused the order. An earlier order may have started the same run.
     Refused(RefuseReason),
-    /// Another incarnation of the executor answered.
+    /// The process that answered has another executor id, and the order had no effect.
     OtherIncarnation,
-    /// The order was not sent.
+    /// The order was not sent, for example because no connection could be opened.
     NotSent,
     /// No answer arrived. The executor may have executed the order or may still do so.
     Unknown,
@@ -89,13 +96,14 @@
 /// Answer to a stop order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopAnswer {
-    /// The executor ends the run, and will not start it if it has not yet done so.
+    /// The executor stops the run, and does not start it if the start order arrives later.
     Accepted,
-    /// The executor has seen a higher token from another owner.
+    /// The executor has received an order with a higher fencing token, so another host owns the
+    /// pool.
     Fenced,
-    /// Another incarnation of the executor answered.
+    /// The process that answered has another executor id, and the order had no effect.
     OtherIncarnation,
-    /// No answer arrived.
+    /// No answer arrived, so it is unknown whether the executor received the order.
     Unknown,
 }
 
@@ -106,7 +114,7 @@
     Done,
     /// The run failed because of the task or the executor.
     Failed,
-    /// The run was stopped or its lease expired.
+    /// The executor stopped the run because of a stop order or because its lease expired.
     Stopped,
 }
 
@@ -124,7 +132,8 @@
 /// An ended run in an executor's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FinishedRun {
-    /// Number of the end, counted by the executor's incarnation.
+    /// Number of this end. The executor counts the ends of all runs, and counts anew after a
+    /// restart.
     pub number: u64,
     /// Task of the run.
     pub task: TaskId,
@@ -139,33 +148,35 @@
 pub struct ExecutorLists {
     /// Reading of the executor's clock.
     pub clock: UnixMs,
-    /// Start time of the reporting incarnation, if known.
+    /// Start time of the reporting incarnation on the executor's clock, if reported.
     pub started_at: Option<UnixMs>,
     /// Executing runs.
     pub running: Vec<RunningRun>,
-    /// Ended runs that have not been acknowledged.
+    /// Ended runs that no hold order has acknowledged yet.
     pub finished: Vec<FinishedRun>,
-    /// Number of the last listed end, including ends of runs that this system did not start.
+    /// Number of the last listed end, including ends of runs that this system did not start. The
+    /// next hold order acknowledges all ends up to this number.
     pub listed_to: u64,
 }
 
-/// Report of an executor.
+/// Content of an executor's answer to a hold order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExecutorReport {
     /// The executing and ended runs.
     Lists(ExecutorLists),
-    /// The executor has seen a higher token from another owner.
+    /// The executor has received an order with a higher fencing token, so another host owns the
+    /// pool.
     Fenced,
-    /// Another incarnation of the executor answered.
+    /// The process that answered has another executor id, and the order had no effect.
     OtherIncarnation,
 }
 
 /// Answer to a hold order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HoldAnswer {
-    /// The executor's report.
+    /// The executor answered in time.
     Report(ExecutorReport),
-    /// No report arrived in time.
+    /// No answer arrived within [`HoldOrder::wait`] plus [`HoldOrder::answer_within`].
     Unknown,
 }
 
@@ -198,7 +209,7 @@
 /// A decision or a change in the state of an executor or host, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// A run was ordered.
+    /// A start order was issued for a new run.
     RunOrdered {
         /// Task of the run.
         task: TaskId,
@@ -206,12 +217,12 @@
         run: RunNumber,
         /// Executor of the run.
         executor: ExecutorId,
-        /// Expected run time.
+        /// Expected run time on this executor.
         expected: Micros,
         /// Time since the job arrived at its entry host.
         waited: Micros,
     },
-    /// A run ended without completing its task.
+    /// A run ended, was lost or never started, and its task was requeued.
     RunEnded {
         /// Task of the run.
         task: TaskId,
@@ -219,10 +230,11 @@
         run: RunNumber,
         /// Executor of the run.
         executor: ExecutorId,
-        /// Why the run ended.
+        /// Why the task was requeued.
         reason: &'static str,
     },
-    /// A run of another owner, or one that is no longer tracked, still executes and is stopped.
+    /// An executor reported a run that this owner did not order or no longer tracks; a stop order
+    /// was issued.
     OrphanStopped {
         /// Task of the run.
         task: TaskId,
@@ -242,9 +254,10 @@
         /// Estimated remaining time of the run.
         remaining: Micros,
     },
-    /// An executor was acquired and can get tasks.
+    /// Every run of earlier owners on the executor has ended, so it can get tasks of this owner.
     ExecutorAcquired(ExecutorId),
-    /// An executor did not answer. Its tasks are requeued when their leases have expired.
+    /// An executor did not answer a hold order in time. Its tasks are requeued when their leases
+    /// have expired.
     ExecutorUnresponsive(ExecutorId),
     /// An unresponsive executor answers again.
     ExecutorRecovered(ExecutorId),
@@ -252,13 +265,14 @@
     ExecutorAvoided(ExecutorId, Millis),
     /// An executor is draining and gets no new tasks.
     ExecutorDraining(ExecutorId),
-    /// An executor that is no longer listed was removed.
+    /// An executor that the platform no longer lists was removed from the pool.
     ExecutorForgotten(ExecutorId),
-    /// An entry host with this number of active jobs became unresponsive.
+    /// No heartbeat of an entry host arrived within `peer_timeout_ms`. Its jobs, whose number is
+    /// given, ended as unknown.
     PeerUnresponsive(PeerIncarnation, usize),
     /// This process was paused for the given time and ended this number of other hosts' jobs.
     Paused(Micros, usize),
-    /// The next owner began to take over.
+    /// The next owner requested the executors of this owner for the first time.
     HandoverBegun {
         /// Number of jobs without a started task, which ended as not run.
         returned_jobs: usize,
@@ -274,7 +288,7 @@
         /// Number of started jobs, which continue in this pool.
         remaining_jobs: usize,
     },
-    /// The zone was restored and gets tasks again.
+    /// Operators have restored the zone, and the pool starts tasks again.
     EvacuationEnded,
     /// This stopping owner selected the host at the address as its successor.
     OwnershipTransferred(SocketAddr),
--- a/crates/onyxshed-pool/src/offered_load.rs
+++ b/crates/onyxshed-pool/src/offered_load.rs
@@ -1,4 +1,7 @@
-//! The rate of work that callers offer to a pool.
+//! Rate at which new work arrives at a pool.
+//!
+//! The owner compares it with the pool's capacity to decide whether slow executors are needed and
+//! which late jobs are shed.
 
 use onyxshed_core::Mono;
 
@@ -8,7 +11,8 @@
 /// Number of buckets; together they cover one second.
 const BUCKETS: usize = 10;
 
-/// Work that arrived within the last second, in thousandths of a core times milliseconds.
+/// Work that arrived within the last second, in thousandths of a core times milliseconds, in
+/// buckets of 100 ms.
 ///
 /// The time before the pool was created counts as idle.
 #[derive(Debug, Default)]
@@ -24,7 +28,8 @@
         self.buckets[bucket_index(self.newest_bucket)] += work;
     }
 
-    /// Returns the offered load in thousandths of a core.
+    /// Returns the work that arrived within the last second, divided by one second, in thousandths
+    /// of a core.
     pub fn cpu_millis(&self, now: Mono) -> u64 {
         let newest = now.0 / BUCKET_US;
         let kept = BUCKETS as u64;
--- a/crates/onyxshed-pool/src/options.rs
+++ b/crates/onyxshed-pool/src/options.rs
@@ -1,19 +1,20 @@
-//! Options of a pool.
+//! Options of a pool's owner, with their defaults and the reasons for them.
 
 use onyxshed_core::Millis;
 
 /// Time-outs, limits and factors that an owner applies to its executors, entry hosts and queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PoolOptions {
-    /// Lease granted with each order; default 600 ms. Long enough to outlast a lost hold order and
-    /// its repetition (150 + 150 + 150 ms), and short enough that a task of one second on an
-    /// unresponsive executor can run elsewhere within its objective.
+    /// Duration of the lease that a start or hold order grants; default 600 ms. Long enough to
+    /// outlast a lost hold order and its repetition (150 + 150 + 150 ms), and short enough that a
+    /// task of one second on an unresponsive executor can run elsewhere within its objective.
     pub lease_ms: Millis,
     /// How long a report may take beyond the wait of its hold order; default 50 ms. Ends listed in a
     /// lost report are known only with the next report.
     pub report_timeout_ms: Millis,
-    /// How long the first report of an executor that is being acquired may take; default 300 ms. A new
-    /// owner opens connections to all executors at once and may be short of processor time.
+    /// How long the first report of an executor that is being acquired may take; default 300 ms. A
+    /// new owner opens connections to all executors at the same time and may be short of processor
+    /// time.
     pub first_report_timeout_ms: Millis,
     /// How long an unresponsive executor that is being acquired still counts as capacity; default
     /// 1,000 ms.
@@ -29,7 +30,8 @@
     pub clock_drift_millis: u64,
     /// Allowance for the transit time of an order in the bound on its lease; default 30 ms.
     pub lease_margin_ms: Millis,
-    /// Maximum number of start orders for a run. If none is answered, the run is stopped; default 3.
+    /// Maximum number of start orders for a run; default 3. If none is answered, the run is
+    /// stopped.
     pub start_orders_max: u32,
     /// Time without a heartbeat after which an entry host is unresponsive; default 600 ms, which is
     /// four heartbeats, and 700 ms less than callers wait before they resubmit a job.
@@ -40,9 +42,9 @@
     /// How long an executor that is no longer listed but still answers is used; default 2,500 ms.
     /// After an outage of the store, entries return within about 2,000 ms.
     pub unlisted_grace_ms: Millis,
-    /// Transit time of a job that is reserved in estimates of its end; default 15 ms.
+    /// Time that is added for transit when the end of a job is estimated; default 15 ms.
     pub transit_ms: Millis,
-    /// Number of targets after which the answer to a job is useless; default 3.
+    /// Multiple of a job's target after which its answer is useless; default 3.
     pub late_factor: u64,
     /// Factor on the expected run time after which a run counts as stuck, in thousandths; default
     /// 3,000. Callers' estimates are often off by half, so a smaller factor would stop healthy runs.
@@ -94,8 +96,8 @@
 }
 
 impl PoolOptions {
-    /// Returns the time after the sending of an order at which its lease has certainly expired, on this
-    /// host's clock.
+    /// Returns the time, measured on this host's clock from the sending of an order, after which
+    /// the order's lease has certainly expired.
     pub fn lease_bound(&self) -> Millis {
         let drift_ms = self.lease_ms.0 * self.clock_drift_millis / 1_000;
         Millis(self.lease_ms.0 + drift_ms + self.lease_margin_ms.0)
--- a/crates/onyxshed-pool/src/peers.rs
+++ b/crates/onyxshed-pool/src/peers.rs
@@ -1,8 +1,8 @@
 //! Sessions of entry hosts with the owner of a pool.
 //!
-//! Callers of an unresponsive entry host resubmit their jobs elsewhere, so the owner stops that host's
-//! runs after a time-out. With the host's next heartbeat a new session begins, and submissions of the
-//! old session that were delayed in transit are rejected.
+//! Callers of an unresponsive entry host resubmit their jobs elsewhere, so after a time-out without
+//! heartbeats the owner stops the runs of that host's jobs. With the host's next heartbeat a new
+//! session begins, and submissions of the old session that were delayed in transit are rejected.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     last_session: u64,
 }
 
-/// Time without contact after which a peer is removed.
+/// Time without contact after which an entry host (peer) is removed.
 const FORGET_AFTER: Millis = Millis(60_000);
 
 impl PeerSessions {
@@ -64,7 +64,8 @@
         })
     }
 
-    /// Marks the peers without contact for `timeout` as unresponsive and returns those newly marked.
+    /// Marks the peers without contact for `timeout` as unresponsive and returns those newly
+    /// marked. Also removes the peers without contact for `FORGET_AFTER`.
     pub fn mark_unresponsive(&mut self, now: Mono, timeout: Millis) -> Vec<PeerIncarnation> {
         self.peers
             .retain(|_, peer| now.since(peer.last_contact_at) < FORGET_AFTER.into());
@@ -78,7 +79,7 @@
         unresponsive
     }
 
-    /// Ends every session, as after a pause of this process.
+    /// Ends every session, so that submissions made before a pause of this process are rejected.
     pub fn end_all_sessions(&mut self) {
         for peer in self.peers.values_mut() {
             peer.is_unresponsive = true;
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -35,7 +35,10 @@
 use evacuation::ZoneStatus;
 use handover::{HandoverStage, Predecessor};
 
-/// A pool of executors and its queue, as known to its owner.
+/// State of a pool of executors and its queue, as known to its owner.
+///
+/// The owner's host passes events with their times to the methods and carries out the returned
+/// actions in order.
 pub struct Pool {
     options: PoolOptions,
     token: FencingToken,
@@ -53,12 +56,12 @@
     full_speed_capacity: Resources,
     /// Whether the list of executors has been read, from the store or from the previous owner.
     has_read_executors: bool,
-    /// Whether this owner has stepped down; it sends no more orders then.
+    /// Whether this owner has stepped down; after that, it sends no orders.
     has_stepped_down: bool,
     predecessor: Predecessor,
     /// Jobs whose tasks were requeued since the last placement.
     requeued: Vec<JobId>,
-    /// Time since which no usable executor can run a job, for each stalled job.
+    /// For each stalled job, the time since which no usable executor can run its tasks.
     stalled_since: BTreeMap<JobId, Mono>,
     actions: Vec<Action>,
 }
@@ -186,7 +189,7 @@
                     self.log(Decision::ExecutorDraining(id.clone()));
                 }
             }
-            // The executor already belongs to the next owner.
+            // This executor was released to the next owner.
             None if self.stage == HandoverStage::Releasing => {}
             None => self.add_executor(now, id.clone(), facts),
         }
@@ -225,7 +228,8 @@
         self.take_actions()
     }
 
-    /// Handles that another executor answers at the address of `id`: none of its runs executes any more.
+    /// Handles an answer from another executor at the address of `id`: no run that was ordered from
+    /// `id` executes any more, so the tasks are requeued.
     fn apply_replacement(&mut self, now: Mono, id: &ExecutorId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
@@ -244,7 +248,8 @@
         self.place_after_report(now, id);
     }
 
-    /// Requeues a task whose run is known to have ended without success.
+    /// Requeues a task whose run has ended without success or can't execute any more. Does nothing
+    /// if the run is not the current run of the task.
     fn requeue_run(
         &mut self,
         task: TaskId,
@@ -307,8 +312,8 @@
         ));
     }
 
-    /// Sends a hold order after `pause`: it renews the lease on the executor's runs and requests the next
-    /// report.
+    /// Sends a hold order after `pause`, which requests the next report. If the executor is
+    /// acquired, responsive and not idle, the order also renews the leases of its runs.
     fn send_hold(&mut self, now: Mono, id: &ExecutorId, pause: Millis) {
         let token = self.token;
         let options = &self.options;
@@ -344,7 +349,8 @@
         self.actions.push(Action::Hold(id.clone(), order, pause));
     }
 
-    /// Ends the jobs of which no task has started as not run, and returns how many these were.
+    /// Ends every job of which no task has started with the outcome "not run", and returns their
+    /// number.
     fn return_unstarted_jobs(&mut self, reason: NotRunReason) -> usize {
         let unstarted = self.jobs.iter().filter(|(_, job)| !job.has_started);
         let unstarted: Vec<JobId> = unstarted.map(|(id, _)| *id).collect();
--- a/crates/onyxshed-pool/src/pool/admission.rs
+++ b/crates/onyxshed-pool/src/pool/admission.rs
@@ -18,7 +18,7 @@
 /// Minimum retry delay suggested to a rejected caller: the duration of a typical task.
 const RETRY_AFTER_MIN: Millis = Millis(100);
 
-/// Maximum retry delay suggested to a rejected caller: a burst has passed by then.
+/// Maximum retry delay suggested to a rejected caller; a burst of jobs is over by then.
 pub(super) const RETRY_AFTER_MAX: Millis = Millis(5_000);
 
 /// Backlog, as the time that the pool takes to process it, up to which no late job is shed. With a
@@ -36,7 +36,8 @@
 }
 
 impl Backlog {
-    /// Returns the total work of the jobs that go before a job of `work`.
+    /// Returns the total work of the jobs that go before a job with the waiting work `work`: those
+    /// with at most as much.
     fn work_ahead_of(&self, work: u64) -> u64 {
         self.waiting_work
             .iter()
@@ -86,7 +87,8 @@
         self.take_actions()
     }
 
-    /// Cancels a job on behalf of its entry host. A submission that has been superseded cancels nothing.
+    /// Cancels a job on behalf of its entry host. Does nothing if the submission has been
+    /// superseded or the job has ended.
     pub fn cancel(
         &mut self,
         now: Mono,
@@ -138,18 +140,19 @@
     /// Returns the answer to a job that arrives while the zone is evacuated.
     fn evacuation_rejection(&self, now: Mono, job: JobId) -> JobEnd {
         // Runs of an earlier submission are still being stopped here. After "not run", another pool
-        // could start the same tasks at once.
+        // could start the same tasks while these runs still execute.
         match self.has_runs_of(job) {
             true => JobEnd::Unknown(UnknownReason::ZoneEvacuated),
             false => JobEnd::NotRun(NotRunReason::ZoneEvacuated, self.retry_after(now)),
         }
     }
 
-    /// Returns whether a job that arrives now can end while its answer is useful, given the jobs that go
-    /// before it.
+    /// Returns whether a job that arrives now can end while its answer is useful, given the jobs
+    /// that go before it.
     ///
-    /// The expected wait counts jobs that will be shed before their turn. It therefore shows which jobs
-    /// expire, but not which jobs miss their targets.
+    /// The expected wait includes jobs that will be shed before their turn and may thus be too
+    /// long. It suffices to reject jobs that would expire, but not jobs that would only miss their
+    /// targets.
     fn is_feasible(&self, now: Mono, job: &Job) -> bool {
         let starts_at = now + self.expected_wait(now, &job.request);
         self.feasibility(starts_at, job) != Feasibility::Expired
@@ -171,8 +174,9 @@
 
     /// Returns whether a late job is shed because it can't start while its answer is useful.
     ///
-    /// The backlog ahead of the job drains at the rate that the offered load leaves free. An overloaded
-    /// pool never reaches its late jobs; a pool that was blocked for a moment does.
+    /// The backlog ahead of the job is processed by the part of the capacity that the offered load
+    /// leaves free. An overloaded pool never starts its late jobs; a pool that was blocked only
+    /// briefly does.
     fn is_shed(&self, now: Mono, job: &Job, backlog: &Backlog) -> bool {
         let useful_until = job.useful_until(self.options.late_factor);
         let start_by = Mono(useful_until.0.saturating_sub(job.estimate().0));
@@ -196,8 +200,8 @@
 
     /// Returns how long a job would wait behind the jobs that go before it.
     ///
-    /// The queue is ordered by work, so only started jobs and jobs with no more work count. The whole pool
-    /// processes them.
+    /// The queue is ordered by work, so only jobs that have started and jobs with at most as much
+    /// waiting work count. They are assumed to be processed by the whole pool.
     fn expected_wait(&self, now: Mono, request: &JobRequest) -> Micros {
         let work = request.work();
         let ahead: u64 = self
@@ -220,7 +224,8 @@
         capacity
     }
 
-    /// Returns the retry delay for a rejected caller: the time that the pool takes to process its queue.
+    /// Returns the retry delay for a rejected caller: the time that the pool takes to process its
+    /// queue, limited to [`RETRY_AFTER_MIN`] to [`RETRY_AFTER_MAX`].
     pub(super) fn retry_after(&self, now: Mono) -> Millis {
         let waiting: u64 = self.jobs.values().map(Job::waiting_work).sum();
         let capacity = u64::from(self.usable_capacity(now).cpu_millis.max(1));
--- a/crates/onyxshed-pool/src/pool/fit.rs
+++ b/crates/onyxshed-pool/src/pool/fit.rs
@@ -1,9 +1,9 @@
 //! Selection of the executor for a task.
 //!
-//! A job ends with its last task, so each task goes to the executor that is expected to finish it first
-//! and, among equals, to the one with the least free processor left over (best fit). A slow executor
-//! gets a task only if the task can still end in time there, as long as the other executors can handle
-//! the offered load.
+//! A job ends with its last task, so each task goes to the executor with the shortest expected run
+//! time and, among equals, to the executor on which the least processor would remain free (best
+//! fit). A slow executor gets a task only if the task can still end in time there, as long as the
+//! other executors can handle the offered load.
 
 use onyxshed_core::{Micros, Mono};
 
@@ -15,8 +15,8 @@
 use crate::resources::Resources;
 use crate::speed::scaled;
 
-/// Score of an executor for a task, less is better: the expected run time there, then the processor
-/// left over in thousandths of a core.
+/// Score of an executor for a task, where less is better: the expected run time there, then the
+/// processor that would remain free, in thousandths of a core.
 pub(super) type Fit = (Micros, u32);
 
 /// An executor that accepts tasks, with its free resources and its slowdown.
@@ -169,8 +169,8 @@
         self.full_speed_capacity = capacity;
     }
 
-    /// Returns the factor by which the tasks of a job take longer on an executor outside the rack that
-    /// holds their data, or 1.
+    /// Returns the factor on the run time of a job's tasks on an executor: `remote_millis` / 1,000
+    /// if the job's data is in another rack or the executor's rack is unknown, otherwise 1.
     fn remote_factor(&self, executor: &Executor, job: &Job) -> f64 {
         let data_rack = job.request.data_rack.as_ref();
         let is_remote = data_rack.is_some() && data_rack != executor.facts.rack.as_ref();
--- a/crates/onyxshed-pool/src/pool/handover.rs
+++ b/crates/onyxshed-pool/src/pool/handover.rs
@@ -27,7 +27,7 @@
     Draining,
     /// The owner admits no new jobs.
     Closed,
-    /// The next owner acquires each executor as it becomes idle.
+    /// The next owner has requested the executors and acquires each of them when it becomes idle.
     Releasing,
 }
 
@@ -60,17 +60,17 @@
         self.stage = self.stage.max(HandoverStage::Draining);
     }
 
-    /// Sets whether this owner has to select a successor among the hosts that offer themselves, because the
-    /// store can't.
+    /// Sets whether this owner has to select a successor among the hosts that offer themselves,
+    /// because the store has not elected the next owner.
     pub fn set_successor_needed(&mut self, is_needed: bool) {
         self.successor_selection.set_needed(is_needed);
     }
 
-    /// Selects a successor if one is needed, and returns the transfer for the host `incarnation`, from which a
-    /// heartbeat just arrived. Returns `None` if that host is not the successor.
+    /// Selects a successor if one is needed, and returns the transfer for the host `incarnation`,
+    /// from which a heartbeat just arrived. Returns `None` if that host is not the successor.
     ///
-    /// `members` are the names in the pool's group of this owner and of the owners before it that the store
-    /// may still know.
+    /// `members` are the member names, in the pool's group in the store, of this owner and of the
+    /// earlier owners that the store may still regard as the owner.
     pub fn transfer_ownership(
         &mut self,
         now: Mono,
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Returns whether the next owner is taking over.
+    /// Returns whether the next owner has requested the executors ([`Pool::release`]).
     pub fn is_releasing(&self) -> bool {
         self.stage == HandoverStage::Releasing
     }
@@ -119,7 +119,8 @@
             });
         }
         self.place(now);
-        // Waiting tasks of started jobs take free executors before the next owner does.
+        // Waiting tasks of started jobs may need the idle executors, so these are released only
+        // when no started job has waiting tasks.
         if self.jobs.values().all(|job| job.waiting == 0) {
             self.executors
                 .retain(|_, executor| !executor.runs.is_empty());
@@ -134,7 +135,8 @@
         self.predecessor = Predecessor::Unknown;
     }
 
-    /// Applies the set of executors that the previous owner still uses, and takes over the others.
+    /// Applies the set of executors that the previous owner still uses, and begins to acquire the
+    /// others. An empty set ends the handover.
     pub fn apply_predecessor_executors(
         &mut self,
         now: Mono,
--- a/crates/onyxshed-pool/src/pool/orders.rs
+++ b/crates/onyxshed-pool/src/pool/orders.rs
@@ -1,4 +1,4 @@
-//! Answers to start and stop orders.
+//! Handling of the executors' answers to start and stop orders.
 
 use onyxshed_core::{Millis, Mono};
 
@@ -7,8 +7,8 @@
 use crate::id::{ExecutorId, JobId, RunNumber, TaskId};
 use crate::message::{Action, Decision, RefuseReason, StartAnswer, StartOrder, StopAnswer};
 
-/// How long an executor that refused a task for lack of resources gets no further task. A full executor ends
-/// its next run within about that time.
+/// How long an executor gets no further task after it refused a task for lack of resources or could
+/// not be reached. A full executor ends its next run within about that time.
 const FULL_BACKOFF: Millis = Millis(15);
 
 /// What happens to a run after the answer to its start order.
@@ -20,9 +20,9 @@
     /// The state of the run is unknown: the same order is sent again, which has no effect if the executor
     /// already has the run.
     Resend,
-    /// The state of the run is unknown, and the run is stopped.
+    /// The state of the run is unknown: no further start order is sent, and the run is stopped.
     Stop,
-    /// The refusal counts as a failed run on this executor.
+    /// The executor refused the run for an unknown reason: this counts as a failed run.
     Failed,
 }
 
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Resends the start order of a run. It has no effect if the executor already has the run.
+    /// Resends the start order of a run with a new lease. If the executor already has the run, the
+    /// order only extends the lease.
     fn resend_start(&mut self, now: Mono, id: &ExecutorId, task: TaskId, number: RunNumber) {
         let lease = self.options.lease_ms;
         let Some(job) = self.jobs.get(&task.job) else {
@@ -162,7 +163,8 @@
         self.actions.push(Action::Start(id.clone(), order));
     }
 
-    /// Sends an order to stop a run. The run stays until a report shows that it has ended.
+    /// Sends an order to stop a run. The run remains tracked until a report shows that it has ended
+    /// or its lease has expired.
     pub(super) fn stop_run(&mut self, id: &ExecutorId, task: TaskId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
@@ -200,8 +202,8 @@
 
     /// Returns whether an executor has been released to the next owner.
     ///
-    /// Nothing of this owner runs there. If an answer that arrives after the release is a refusal, this
-    /// owner must not step down because of it and lose its jobs on other executors.
+    /// No run of this owner executes on a released executor. If a late answer from it is a refusal,
+    /// this owner must not step down, because it would lose its jobs on other executors.
     fn has_released(&self, id: &ExecutorId) -> bool {
         self.is_releasing() && !self.executors.contains_key(id)
     }
@@ -247,7 +249,7 @@
         actions
     }
 
-    /// Records a failed run of a job against an executor's health.
+    /// Records a failed run of a job in an executor's health.
     pub(super) fn record_run_failure(&mut self, now: Mono, id: &ExecutorId, job: JobId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
@@ -257,7 +259,7 @@
         }
     }
 
-    /// Records a failure that no job can have caused against an executor's health.
+    /// Records a failure that no job can have caused, such as a stuck run, in an executor's health.
     pub(super) fn record_failure(&mut self, now: Mono, id: &ExecutorId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
--- a/crates/onyxshed-pool/src/pool/place.rs
+++ b/crates/onyxshed-pool/src/pool/place.rs
@@ -39,10 +39,10 @@
 }
 
 impl Pool {
-    /// Starts every waiting task that can start.
+    /// Starts the waiting tasks of all jobs, in queue order, on the available executors.
     ///
-    /// Ranks each job that may fit on some executor. For events that concern a single executor or job,
-    /// [`Pool::place_after_report`] and [`Pool::place_job`] are cheaper.
+    /// Ranks each job that may fit on some executor. For events that concern a single executor or
+    /// job, [`Pool::place_after_report`] and [`Pool::place_job`] are cheaper.
     pub(super) fn place(&mut self, now: Mono) {
         self.requeued.clear();
         if !self.can_place() {
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Starts the tasks that a report of an executor has made possible: tasks on that executor, and the
-    /// tasks of requeued jobs.
+    /// Starts the tasks that can start because of an executor's report: tasks on that executor, and
+    /// tasks that the report has requeued, on any executor.
     pub(super) fn place_after_report(&mut self, now: Mono, id: &ExecutorId) {
         let requeued = std::mem::take(&mut self.requeued);
         self.place_on_executor(now, id);
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Starts the waiting tasks of a job that can start.
+    /// Starts as many waiting tasks of a job as the available executors can run.
     pub(super) fn place_job(&mut self, now: Mono, id: JobId) {
         let job = self.jobs.get(&id).filter(|job| job.waiting > 0);
         let Some(demand) = job.map(|job| job.request.demand.cpu_millis) else {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Starts the tasks that can start on an executor, in queue order.
+    /// Starts waiting tasks on an executor, in queue order, until it accepts no more.
     fn place_on_executor(&mut self, now: Mono, id: &ExecutorId) {
         while self.can_place()
             && let Some(candidate) = self.available_executor(now, id)
@@ -153,7 +153,7 @@
     /// Returns the best outcome that a job can reach if its waiting tasks start now.
     pub(super) fn feasibility(&self, now: Mono, job: &Job) -> Feasibility {
         let end_at = now + job.estimate() + Micros::from(self.options.transit_ms);
-        // A caller's deadline may precede its target.
+        // The caller may stop waiting before the target is over, so expiry is checked first.
         if end_at > job.useful_until(self.options.late_factor) {
             Feasibility::Expired
         } else if end_at > job.target_at() {
--- a/crates/onyxshed-pool/src/pool/progress.rs
+++ b/crates/onyxshed-pool/src/pool/progress.rs
@@ -1,9 +1,10 @@
-//! Detection of slow executors by the progress of their runs, and the move of runs to other executors.
+//! Detection of slow executors by the progress of their runs, and the move of runs to other
+//! executors.
 //!
-//! The end of a run shows that an executor has become slow only when the job is already late. Reports
-//! contain the progress of each run, so a slow executor is detected while the run executes. Such a run
-//! is stopped if a new run elsewhere serves the caller better; its task is requeued once the executor
-//! lists the run as ended.
+//! The run time of a completed run shows too late that an executor has become slow: the job is
+//! already late then. Reports contain the progress of each run, so a slow executor is detected
+//! while the run executes. Such a run is stopped if a new run elsewhere serves the caller better;
+//! its task is requeued once the executor lists the run as ended.
 
 use onyxshed_core::{Micros, Millis, Mono};
 
@@ -12,11 +13,11 @@
 use crate::id::{ExecutorId, Percent, RunNumber, TaskId};
 use crate::message::{Decision, RunningRun};
 
-/// Minimum age of a run before its progress is used. Executors round progress down, so earlier values
-/// mean little.
+/// Minimum age of a run before its progress is used. Executors round progress down to whole
+/// percent, so the forecast for a younger run would be inaccurate.
 const PROGRESS_MIN_AGE: Micros = Micros(40_000);
 
-/// Maximum number of stopped runs of a task before it is no longer moved off a slow executor.
+/// Number of stopped runs of a task from which on the task is no longer moved off a slow executor.
 const MOVES_MAX: u32 = 2;
 
 /// Time from a stop order until the run is known to have ended.
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Returns whether a new run elsewhere would meet a limit of the job, its target or the end of its
-    /// usefulness, that this run misses.
+    /// Returns whether a new run on an executor that is not slow would end within the job's target,
+    /// or while the job's answer is useful, and the current run would not.
     fn is_better_elsewhere(&self, now: Mono, forecast: &Forecast) -> bool {
         let task = forecast.task;
         let Some(job) = self.jobs.get(&task.job) else {
--- a/crates/onyxshed-pool/src/pool/reports.rs
+++ b/crates/onyxshed-pool/src/pool/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of executors: the answers to hold orders.
+//! Handling of the executors' reports, which are their answers to hold orders.
 
 use onyxshed_core::{Millis, Mono};
 
@@ -74,7 +74,7 @@
         executor.started_at = started_at.or(executor.started_at);
         executor.observe_clock(now, lists.clock);
         // Acknowledges every listed end, known or not. An end that stays listed would make the
-        // executor answer each hold order at once instead of waiting for the next end.
+        // executor answer each hold order immediately instead of waiting for the next end.
         executor.last_seen = executor.last_seen.max(lists.listed_to);
         executor.last_report_at = now;
         let was_unresponsive = std::mem::take(&mut executor.is_unresponsive);
@@ -204,7 +204,8 @@
                 RunState::Ordered { .. } if is_running => {
                     run.state = RunState::Running { since: now };
                 }
-                // The run executed before the report was requested and is in neither list.
+                // The run executed before the report was requested, but is reported neither as
+                // executing nor as ended.
                 RunState::Running { since } if !is_running && since < sent_at => {
                     gone.push((*task, run.number));
                 }
@@ -248,7 +249,8 @@
         }
     }
 
-    /// Marks an executor that did not answer as unresponsive, and returns whether this is a change.
+    /// Marks an executor that did not answer as unresponsive, and returns whether it was responsive
+    /// before.
     fn mark_unresponsive(&mut self, id: &ExecutorId) -> bool {
         let Some(executor) = self.executors.get_mut(id) else {
             return false;
--- a/crates/onyxshed-pool/src/pool/stalled.rs
+++ b/crates/onyxshed-pool/src/pool/stalled.rs
@@ -13,12 +13,13 @@
 use crate::id::{ExecutorId, JobId};
 use crate::job::{Job, JobEnd, NotRunReason, TaskState, UnknownReason};
 
-/// How long a job may be stalled before it ends. A shorter time would end jobs because of a single late
-/// report, which makes its executor unresponsive for a moment.
+/// How long a job may be stalled before it ends. A shorter time would end jobs because of a single
+/// late report, which marks its executor as unresponsive until the next report.
 const STALLED_GRACE: Millis = Millis(100);
 
 impl Pool {
-    /// Ends the jobs that have been stalled for [`STALLED_GRACE`].
+    /// Ends the jobs that have been stalled for [`STALLED_GRACE`]: no usable executor can run their
+    /// tasks, and they have tasks that need a new or a responsive executor.
     pub(super) fn end_stalled_jobs(&mut self, now: Mono) {
         let before = std::mem::take(&mut self.stalled_since);
         let stalled = self
@@ -44,8 +45,8 @@
         self.end_job(id, end);
     }
 
-    /// Returns whether a job depends on an executor that it lacks: it has waiting tasks, or a run on an
-    /// unresponsive executor.
+    /// Returns whether a job has waiting tasks, or a run on an executor that is unresponsive or was
+    /// removed.
     fn awaits_executor(&self, job: &Job) -> bool {
         let is_unresponsive = |id: &ExecutorId| {
             let executor = self.executors.get(id);
--- a/crates/onyxshed-pool/src/pool/watch.rs
+++ b/crates/onyxshed-pool/src/pool/watch.rs
@@ -15,7 +15,9 @@
 const STUCK_DOUBLINGS_MAX: u32 = 6;
 
 impl Pool {
-    /// Processes everything that is due. The host calls this every few hundredths of a second.
+    /// Applies the time-outs that have passed, sheds late jobs and starts waiting tasks. The host
+    /// calls this every few hundredths of a second; a gap of `pause_ms` counts as a pause of the
+    /// process.
     pub fn tick(&mut self, now: Mono) -> Vec<Action> {
         self.detect_pause(now);
         self.last_tick_at = now;
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Requeues the tasks of unresponsive executors whose leases have expired.
+    /// Requeues the tasks on unresponsive executors on which every lease has expired.
     fn requeue_expired_runs(&mut self, now: Mono) {
         let mut expired = Vec::new();
         for (id, executor) in &mut self.executors {
--- a/crates/onyxshed-pool/src/pool_selector.rs
+++ b/crates/onyxshed-pool/src/pool_selector.rs
@@ -1,8 +1,8 @@
 //! Selection of the pool to which an entry host submits a job.
 //!
-//! A job goes to the home pool of its entry host, unless another pool can start it clearly earlier. A
-//! job in another zone costs traffic between zones and two more milliseconds; waiting costs the caller's
-//! objective.
+//! A job goes to the home pool of its entry host, unless another pool can start it clearly earlier.
+//! Running a job in another zone costs traffic between zones and two more milliseconds; waiting
+//! uses up the time that the caller's objective allows.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 use crate::shard_layout::PoolId;
 use onyxshed_core::Millis;
 
-/// Load report of a pool's owner.
+/// Load report of a pool's owner, sent in each answer to an entry host.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PoolLoad {
     /// Processor capacity of all executors that accept tasks, in thousandths of a core.
@@ -30,15 +30,16 @@
     pub successor: Option<SocketAddr>,
 }
 
-/// Advantage in waiting time from which another zone's pool is preferred. This is ten times the round
-/// trip, so that small differences between reports half a heartbeat old move no jobs.
+/// Advantage in waiting time from which another zone's pool is preferred. This is ten times the
+/// round trip between zones. Load reports are half a heartbeat old, so smaller differences between
+/// them must not move jobs.
 const REMOTE_ZONE_MARGIN: Millis = Millis(20);
 
 /// Advantage in waiting time from which another pool of the host's own zone is preferred. The load
 /// reports of a pool to which the host submits no jobs are infrequent.
 const SAME_ZONE_MARGIN: Millis = Millis(10);
 
-/// Latest load reports of the pools, adjusted for the jobs submitted since.
+/// Latest load report of each pool, adjusted for the jobs that this entry host has submitted since.
 #[derive(Debug, Default)]
 pub struct PoolSelector {
     loads: BTreeMap<PoolId, PoolLoad>,
@@ -55,7 +56,7 @@
         self.loads.remove(pool);
     }
 
-    /// Returns whether any pool has executors that accept tasks.
+    /// Returns whether any pool reports executors that accept tasks.
     pub fn has_capacity(&self) -> bool {
         let mut loads = self.loads.values();
         loads.any(|load| load.capacity_cpu_millis > 0)
@@ -84,11 +85,11 @@
         load.waiting_work += (u64::from(tasks) - fitting_tasks) * task_cpu_millis * estimate.0;
     }
 
-    /// Returns the pools in the order in which the job should be submitted to them. Closed pools and pools
-    /// in evacuated zones are left out.
+    /// Returns the pools in the order in which a job should be submitted to them. Closed pools and
+    /// pools in evacuated zones are left out.
     ///
-    /// Among pools with the same wait, the one with the most free processor comes first, so that the callers
-    /// of an evacuated zone spread over the other zones.
+    /// Among pools with the same wait, the one with the most free processor comes first, so that
+    /// the callers of an evacuated zone spread over the other zones.
     pub fn rank_pools(
         &self,
         home: &PoolId,
--- a/crates/onyxshed-pool/src/resources.rs
+++ b/crates/onyxshed-pool/src/resources.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// An amount of processor, memory and accelerators.
+/// Processor, memory and accelerators that a task needs or an executor has.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resources {
     /// Processor, in thousandths of a core.
--- a/crates/onyxshed-pool/src/shard_layout.rs
+++ b/crates/onyxshed-pool/src/shard_layout.rs
@@ -1,8 +1,12 @@
 //! Sharding of a zone's executors into pools.
 //!
 //! The owner of a pool starts each of its runs, and one host's processor can serve a few hundred
-//! executors at most. A zone has a single pool as long as that suffices, since jobs wait less in a larger
-//! pool.
+//! executors at most. A zone has a single pool as long as that suffices, since jobs wait less in a
+//! larger pool.
+//!
+//! The hosts that may own a pool form a group in the store. The group's generation is a number that
+//! the store increases with each change of the group. A fencing token consists of, from the highest
+//! bits, the layout's version, the generation, the pool's index and the number of successors.
 
 use std::fmt;
 use std::str::FromStr;
@@ -19,14 +23,16 @@
 /// Target number of executors per pool in a zone with several pools.
 const POOL_EXECUTORS_TARGET: usize = 128;
 
-/// Maximum number of pools of a zone. The store permits 100 topics in total, and each pool takes one.
+/// Maximum number of pools of a zone. The store permits 100 topics in total, and each pool uses
+/// one.
 const POOLS_MAX: usize = 16;
 
-/// Number of token bits for the pool's index, below the bits of the group's generation.
+/// Number of token bits for the pool's index, below the bits of the generation.
 const INDEX_BITS: u32 = 4;
 
-/// Number of token bits for the generation and all bits below it; the bits above hold the layout's
-/// version. The platform's numbers are exact up to 53 bits: 17 for versions and 28 for generations.
+/// Number of token bits for the generation, the pool's index and the number of successors. The bits
+/// above contain the layout's version. The platform's numbers are exact up to 53 bits, which leaves
+/// 17 for versions and 28 for generations.
 const GENERATION_BITS: u32 = 36;
 
 /// Identifier of a pool: a shard of a zone's executors.
@@ -84,8 +90,8 @@
 impl ShardLayout {
     /// Returns the new layout for a number of executors, or `None` if the current layout is kept.
     ///
-    /// The layout changes only when pools have grown by two fifths or shrunk to a third, because every job
-    /// of the zone is lost in a change.
+    /// The layout changes only when pools have grown by two fifths or shrunk to a third, because a
+    /// change makes the owners of the zone's pools step down and lose every job.
     pub fn resharded(self, executors: usize) -> Option<ShardLayout> {
         let target_pools = match executors {
             0..=POOL_EXECUTORS_MAX => 1,
@@ -113,11 +119,13 @@
         self.index_of(&ExecutorId(host.into()))
     }
 
-    /// Returns the fencing token of an owner, made from the generation of its pool's group.
+    /// Returns the fencing token of an owner that the store elected in `generation` of the group of
+    /// `pool`.
     ///
-    /// The generations of different groups can't be compared. An executor moves to another pool only by a
-    /// new layout, whose higher version makes every token higher than before. Tokens of different pools are
-    /// never equal, so if two owners both use an executor, it fences one of them off.
+    /// The generations of different groups can't be compared. An executor moves to another pool
+    /// only when the layout changes, and the higher version of the new layout makes each of its
+    /// tokens higher than all earlier ones. Tokens of different pools are never equal, so if two
+    /// owners both use an executor, it fences one of them off.
     pub fn token(self, pool: &PoolId, generation: u64) -> FencingToken {
         let index = u64::from(pool.index) & ((1 << INDEX_BITS) - 1);
         let low = ((generation << INDEX_BITS) | index) << SUCCESSOR_BITS;
--- a/crates/onyxshed-pool/src/speed.rs
+++ b/crates/onyxshed-pool/src/speed.rs
@@ -1,29 +1,31 @@
 //! Estimation of an executor's slowdown from its runs.
 //!
-//! Each completed run gives the ratio of its run time to its estimate. The estimates are off by half in
-//! either direction, so the logarithms of the ratios are averaged.
+//! The slowdown is the factor by which runs on an executor take longer than estimated. Each
+//! completed run is a sample: its run time divided by its estimate. The estimates are off by half
+//! in either direction, so the logarithms of the samples are averaged.
 
 use onyxshed_core::{Micros, Mono};
 
-/// Weight of the newest ratio. A few runs suffice to show that an executor has become slow, and callers'
-/// wrong estimates even out.
+/// Weight of the newest sample. With this weight, a few runs show that an executor has become slow,
+/// and callers' wrong estimates average out.
 const ALPHA: f64 = 0.2;
 
-/// Weight of a ratio that shows a change of the executor's speed.
+/// Weight of a sample that shows that the executor has become slow or has recovered.
 const CHANGED_ALPHA: f64 = 0.7;
 
 /// Logarithm of the slowdown above which an executor is slow: a factor of three.
 const SLOW_LOG_RATIO: f64 = 1.1;
 
-/// Logarithm of the ratio above which an unfinished run shows that its executor has become slow: a
-/// factor of five, since the estimate of a single run may be far too low.
+/// Logarithm of the factor by which the sample of an unfinished run must exceed the current
+/// slowdown, or 1 if that is higher, to show that the executor has become slow. The factor is five,
+/// since the estimate of a single run may be far too low.
 const UNFINISHED_LOG_RATIO: f64 = 1.6;
 
 /// Half-life of the estimate, in seconds. A slow executor gets no long tasks and could not show that it
 /// has recovered; the decay lets it get tasks again.
 const HALF_LIFE_S: f64 = 6.0;
 
-/// Bound on ratios: they are clamped to 1/20 to 20.
+/// Bound on samples: they are clamped to the range from 1/20 to 20.
 const RATIO_MAX: f64 = 20.0;
 
 /// Exponentially decaying estimate of an executor's slowdown.
@@ -49,8 +51,8 @@
         self.updated_at = now;
     }
 
-    /// Updates the estimate by the least total time of an unfinished run, if that time shows that the
-    /// executor has become slow.
+    /// Updates the estimate by an unfinished run whose total run time will be at least `least`, if
+    /// that time shows that the executor has become slow.
     pub fn observe_unfinished(&mut self, now: Mono, least: Micros, estimate: Micros) {
         let sample = log_ratio(least, estimate);
         let current = self.decayed_log_ratio(now);
@@ -66,7 +68,8 @@
         self.decayed_log_ratio(now) > SLOW_LOG_RATIO
     }
 
-    /// Returns the factor on run times: 1 for an ordinary executor, 2 if runs take twice as long.
+    /// Returns the factor on run times: 1 if runs take as long as estimated, 2 if they take twice
+    /// as long.
     pub fn factor(&self, now: Mono) -> f64 {
         self.decayed_log_ratio(now).exp()
     }
--- a/crates/onyxshed-pool/src/successor.rs
+++ b/crates/onyxshed-pool/src/successor.rs
@@ -1,11 +1,12 @@
 //! Selection of a successor by a stopping owner when the store can't elect the next owner.
 //!
-//! An owner may be stopped while no host can join its group in the store. Hosts that could own the pool
-//! say so in their heartbeats; the owner selects one of them and transfers the pool in the answer to that
-//! host's next heartbeat.
+//! Hosts become owners by joining the pool's group in the store. An owner may be stopped while the
+//! store is unavailable and no host can join. Hosts that could own the pool say so in their
+//! heartbeats; the owner selects one of them and transfers the pool in the answer to that host's
+//! next heartbeat.
 //!
-//! Each owner selects at most one successor, whose token is the owner's token plus one. So no two hosts
-//! have the same token, and an owner that the store elects later has a higher one.
+//! Each owner selects at most one successor, whose token is the owner's token plus one. So no two
+//! hosts have the same token, and an owner that the store elects later has a higher one.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,7 +18,8 @@
 use crate::executor::ExecutorFacts;
 use crate::id::{ExecutorId, FencingToken, PeerIncarnation};
 
-/// Time after a heartbeat in which its host can be selected: four heartbeats of 150 ms.
+/// Time after a heartbeat during which its sender can be selected: four heartbeat intervals of 150
+/// ms.
 const OFFER_TTL: Millis = Millis(600);
 
 /// Offer of a host to own the pool.
@@ -34,8 +36,8 @@
 pub struct OwnershipTransfer {
     /// Fencing token of the successor.
     pub token: FencingToken,
-    /// Names in the pool's group of the earlier owners that the store may still regard as the owner: the
-    /// last one that it elected, and every successor since.
+    /// Member names, in the pool's group in the store, of the owners that the store may still
+    /// regard as the owner: the last owner that it elected, and every successor since.
     pub past_members: Vec<SmolStr>,
     /// The listed executors of the pool, which the successor can't read from the store.
     pub executors: Vec<(ExecutorId, ExecutorFacts)>,
@@ -83,7 +85,8 @@
         }
     }
 
-    /// Sets whether a successor is needed. A successor that was already selected stays selected.
+    /// Sets whether a successor is needed, because this owner is stopping and the store has not
+    /// elected the next owner. A successor that was already selected stays selected.
     pub fn set_needed(&mut self, is_needed: bool) {
         self.is_needed = is_needed;
     }
@@ -107,8 +110,8 @@
         Some(address)
     }
 
-    /// Returns whether a host is the successor. The transfer is repeated with each of its heartbeats, since
-    /// an answer may be lost.
+    /// Returns whether a host is the selected successor. The transfer is repeated with each of its
+    /// heartbeats, since an answer may be lost.
     pub fn is_successor(&self, incarnation: PeerIncarnation) -> bool {
         self.successor
             .is_some_and(|successor| successor.incarnation == incarnation)
--- a/crates/onyxshed-pool/src/summary.rs
+++ b/crates/onyxshed-pool/src/summary.rs
@@ -1,4 +1,5 @@
-//! One-line summary of a job's outcome in the log, which is parsed back to explain the outcome.
+//! One-line summary of a job's outcome. Entry hosts log it, and the command-line tool parses it to
+//! explain the outcome.
 
 use std::fmt;
 use std::str::FromStr;
@@ -25,9 +26,10 @@
     pub estimate: Millis,
     /// Resources that each task needs.
     pub demand: Resources,
-    /// Pool to which the job was submitted last.
+    /// Pool to which the job was submitted last, or `none` if it was submitted to no pool.
     pub pool: SmolStr,
-    /// Version of the manifest in force.
+    /// Version of the manifest, which contains the routes and their objectives, that applied to the
+    /// job.
     pub manifest: u64,
 }
 
--- a/crates/onyxshed-pool/tests/pool/calls.rs
+++ b/crates/onyxshed-pool/tests/pool/calls.rs
@@ -77,8 +77,8 @@
     assert_eq!((next.task, next.run.0), (order.task, 2));
 }
 
-/// A hold order gets no answer. The executor gets no tasks until its next report, so the order is repeated
-/// almost at once; later orders to an unresponsive executor follow every 50 ms.
+/// A hold order gets no answer. The executor gets no tasks until its next report, so the next order
+/// is sent after only 5 ms; later orders to an unresponsive executor follow every 50 ms.
 #[test]
 fn missing_report_is_requested_again_at_once() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
@@ -192,8 +192,9 @@
     );
 }
 
-/// An executor that fails every task at once looks idle. After the first failure it gets one task at a
-/// time; after a failure of another job it gets none for a second, and then a single one again.
+/// An executor that fails every task immediately looks idle. After the first failure it gets one
+/// task at a time; after a failure of another job it gets no task for one second, and then one task
+/// at a time again.
 #[test]
 fn failing_executor_gets_one_task_then_is_avoided() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
@@ -228,8 +229,8 @@
     assert_eq!(harness.take_starts().len(), 1);
 }
 
-/// Callers' estimates are far off. A task that takes ten times its estimate on an executor that completes
-/// other runs must not be stopped, or repeated restarts would take until its caller's deadline.
+/// Callers' estimates are far off. A task that takes ten times its estimate on an executor that
+/// completes other runs must not be stopped, or it would be restarted until its caller's deadline.
 #[test]
 fn long_run_is_kept_while_executor_completes_others() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
@@ -324,9 +325,9 @@
     assert_ne!(elsewhere, name);
 }
 
-/// A resubmitted job reuses the run numbers of its earlier submission, and an executor that ran one of them
-/// refuses the number. The task must restart with the next number at once; otherwise the run counts as
-/// executing and its executor as stuck.
+/// A resubmitted job reuses the run numbers of its earlier submission, and an executor that ran one
+/// of them refuses the number. The task must restart immediately with the next number; otherwise
+/// the refused run would count as executing and then as stuck.
 #[test]
 fn used_run_number_is_skipped() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
--- a/crates/onyxshed-pool/tests/pool/candidate.rs
+++ b/crates/onyxshed-pool/tests/pool/candidate.rs
@@ -26,7 +26,7 @@
     );
 }
 
-/// Waiting gains nothing when the owner is gone.
+/// The last owner is gone and can't rejoin, so the host joins without a grace period.
 #[test]
 fn gone_owner_is_replaced_at_once() {
     let mut candidate = Candidate::new(400);
@@ -38,8 +38,8 @@
 }
 
 /// A host restarts while its zone is cut off from the store, so it knows no owner. When the store
-/// answers again, the owner's membership has expired. A host that joined at once would take the pool from
-/// an owner that serves it, and every job would be lost.
+/// answers again, the owner's membership has expired. A host that joined immediately would take the
+/// pool from an owner that serves it, and every job would be lost.
 #[test]
 fn owner_has_time_to_rejoin_after_store_outage() {
     let mut candidate = Candidate::new(400);
--- a/crates/onyxshed-pool/tests/pool/evacuation.rs
+++ b/crates/onyxshed-pool/tests/pool/evacuation.rs
@@ -22,7 +22,7 @@
     harness.actions.extend(actions);
 }
 
-/// A late record must not undo a newer one.
+/// A record that arrives late must not override a newer record of the same zone.
 #[rstest]
 #[case(&[3, 7, 9])]
 #[case(&[9, 7, 3])]
@@ -36,7 +36,7 @@
     assert!(known.contains("a"));
 }
 
-/// A zone must not stay evacuated because its restore record was dropped from the history.
+/// A zone must not stay evacuated because its restore record was dropped from the log.
 #[test]
 fn zone_missing_from_newer_snapshot_is_restored() {
     let mut known = Evacuations::default();
@@ -46,7 +46,7 @@
     assert_eq!(changes, [restored, EvacuationChange::Evacuated("b".into())]);
 }
 
-/// A read of an older state must not restore an evacuated zone.
+/// A snapshot older than the evacuation record must not restore the zone.
 #[test]
 fn older_snapshot_restores_nothing() {
     let mut known = Evacuations::default();
@@ -69,7 +69,8 @@
     assert_eq!(other.evacuated_zones().collect::<Vec<_>>(), ["a"]);
 }
 
-/// Callers must not wait or lose their answers because their jobs were queued in the zone.
+/// Jobs that are queued in an evacuated zone must end as not run immediately, so that other zones'
+/// pools can run them.
 #[test]
 fn evacuation_returns_unstarted_jobs_at_once() {
     let mut harness = Harness::with_executors(&[("a", 32)]);
--- a/crates/onyxshed-pool/tests/pool/fixture.rs
+++ b/crates/onyxshed-pool/tests/pool/fixture.rs
@@ -238,7 +238,8 @@
         matching
     }
 
-    /// Submits a job, and confirms the start of its last started task to the pool.
+    /// Submits a job, and answers the last start order with "started". Returns that order and the
+    /// name of its executor.
     pub fn submit_and_start(&mut self, ms: u64, job: JobRequest) -> (String, StartOrder) {
         self.submit(ms, job);
         let (name, order) = self.take_starts().pop().expect("a start order");
--- a/crates/onyxshed-pool/tests/pool/handover.rs
+++ b/crates/onyxshed-pool/tests/pool/handover.rs
@@ -18,9 +18,9 @@
     held
 }
 
-/// When an owner is stopped, running jobs end there and are answered. Queued jobs end as not run, so that
-/// their entry hosts submit them to the next owner. Idle executors are released at once, the others when
-/// their last run has ended.
+/// When an owner is stopped, running jobs end there and are answered. Queued jobs end as not run,
+/// so that their entry hosts submit them to the next owner. Idle executors are released
+/// immediately, the others when their last run has ended.
 #[test]
 fn release_completes_started_jobs_and_returns_the_others() {
     let mut harness = Harness::with_executors(&[("a", 64), ("b", 64)]);
@@ -79,9 +79,9 @@
     assert_eq!(harness.pool.job_count(), 1);
 }
 
-/// The next owner must send no order to an executor that the previous owner still uses, because the higher
-/// token would fence the previous owner off and its runs would be lost. A released executor is used at
-/// once.
+/// The next owner must send no order to an executor that the previous owner still uses, because the
+/// higher token would fence the previous owner off and its runs would be lost. The next owner
+/// acquires a released executor immediately.
 #[test]
 fn next_owner_uses_executor_only_after_release() {
     let pool = Pool::new(at_ms(0), FencingToken(8), OWN, PoolOptions::default());
--- a/crates/onyxshed-pool/tests/pool/hosts.rs
+++ b/crates/onyxshed-pool/tests/pool/hosts.rs
@@ -37,8 +37,8 @@
     );
 }
 
-/// An entry host is paused with a submission in its socket, and resumes when the resubmitted job runs
-/// elsewhere. The delayed submission names the old session and must be rejected.
+/// An entry host is paused with a submission in its socket, and resumes while the resubmitted job
+/// runs elsewhere. The delayed submission names the old session and must be rejected.
 #[test]
 fn submission_of_old_session_is_rejected() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
@@ -144,8 +144,8 @@
     assert_eq!(harness.take_starts().len(), 1);
 }
 
-/// A job that can't end while its answer is useful is rejected at once, with the time in which the queue is
-/// processed as the retry delay, and never runs.
+/// A job that can't end while its answer is useful is rejected immediately and never runs. The
+/// retry delay is the time in which the pool processes its queue.
 #[test]
 fn job_that_cannot_end_in_time_is_rejected_at_once() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
--- a/crates/onyxshed-pool/tests/pool/load.rs
+++ b/crates/onyxshed-pool/tests/pool/load.rs
@@ -1,8 +1,9 @@
-//! Simulates loads on one pool and checks the share of jobs in time for each class.
+//! Simulates loads on one pool and checks, for each class of jobs, the share that completes within
+//! its objective.
 //!
-//! The pool is a zone of the users' smaller deployments: 16 executors of three speeds and two sizes. The
-//! classes are the users' as well: jobs of many short tasks, jobs of a few long tasks, and pairs of medium
-//! tasks, with estimates off by half in either direction.
+//! The pool corresponds to a zone of the users' smaller deployments: 16 executors of three speeds
+//! and two sizes. The classes are those of the users' jobs: jobs of many short tasks, jobs of a few
+//! long tasks, and pairs of medium tasks, with estimates off by half in either direction.
 
 use onyxshed_core::{Millis, Mono};
 use onyxshed_pool::{JobEnd, JobRequest, Resources};
@@ -100,7 +101,7 @@
 }
 
 impl Load {
-    /// Creates a load without faults whose callers wait for long.
+    /// Creates a load without faults, whose callers wait for 8 s.
     fn without_faults(jobs_per_s: u64) -> Self {
         Load {
             jobs_per_s,
@@ -170,7 +171,7 @@
     })
 }
 
-/// Returns the mean over some seeds, for each class.
+/// Returns the mean over the seeds from 0 up to `seeds` (exclusive), for each class.
 fn mean_of(seeds: u32, shares: impl Fn(u64) -> [f64; 3]) -> [f64; 3] {
     let mut sum = [0.0; 3];
     for seed in 0..seeds {
@@ -182,34 +183,36 @@
     sum
 }
 
-/// At 45% of the pool's capacity, nearly every job is in time: 1.00, 0.91 and 1.00 by class. Long tasks
-/// miss their objectives if their estimates are far too low.
+/// At 45% of the pool's capacity, nearly every job is in time; the shares are 1.00, 0.91 and 1.00
+/// by class. Long tasks miss their objectives if their estimates are far too low.
 #[test]
 fn half_load_serves_nearly_all_jobs_in_time() {
     let [short, long, pairs] = mean_shares(25);
     assert!(short > 0.97 && long > 0.85 && pairs > 0.97);
 }
 
-/// At 70% of the pool's capacity, about the users' usual load: 0.93, 0.84 and 0.99.
+/// At 70% of the pool's capacity, about the users' usual load, the shares of jobs in time are 0.93,
+/// 0.84 and 0.99 by class.
 #[test]
 fn usual_load_serves_most_jobs_in_time() {
     let [short, long, pairs] = mean_shares(38);
     assert!(short > 0.87 && long > 0.80 && pairs > 0.94);
 }
 
-/// At 1.4 times the pool's capacity, every class is served: 0.51, 0.32 and 0.86. With late jobs behind all
-/// others and targets by the callers' estimates alone, the shares are 0.47, 0.31 and 0.82; with started
-/// jobs first even if they are late, 0.18, 0.32 and 0.52.
+/// At 1.4 times the pool's capacity, every class is served; the shares of jobs in time are 0.51,
+/// 0.32 and 0.86. With late jobs behind all others and targets by the callers' estimates alone, the
+/// shares are 0.47, 0.31 and 0.82; with started jobs first even if they are late, 0.18, 0.32 and
+/// 0.52.
 #[test]
 fn overload_starves_no_class() {
     let [short, long, pairs] = mean_shares(76);
     assert!(short > 0.48 && long > 0.22 && pairs > 0.78);
 }
 
-/// Three orders in a hundred get no answer and are executed seconds later. Short jobs are then late,
-/// because each of their eight tasks may wait for its order to be resent. With time-outs of 100 ms for
-/// orders and 120 ms for reports, 0.63, 0.91 and 0.95 of the classes are in time; with 40 and 50 ms, 0.75,
-/// 0.92 and 0.98 (mean of ten seeds).
+/// Three orders in a hundred get no answer and are executed seconds later. Short jobs are then
+/// late, because each of their eight tasks may wait for its order to be resent. With time-outs of
+/// 100 ms for orders and 120 ms for reports, the shares of jobs in time are 0.63, 0.91 and 0.95 by
+/// class; with 40 and 50 ms, they are 0.75, 0.92 and 0.98 (mean of ten seeds).
 #[test]
 fn short_timeouts_resend_lost_orders_in_time() {
     let message_faults = MessageFaults {
--- a/crates/onyxshed-pool/tests/pool/lost.rs
+++ b/crates/onyxshed-pool/tests/pool/lost.rs
@@ -27,7 +27,7 @@
     assert!(harness.take_ends().contains(&(JobId(2), not_run)));
 }
 
-/// Callers must learn that a job is lost before their deadlines.
+/// A started job that has lost its executor must end as unknown before its caller's deadline.
 #[test]
 fn started_job_ends_as_unknown_when_executors_are_lost() {
     let mut harness = harness_without_executors();
--- a/crates/onyxshed-pool/tests/pool/search.rs
+++ b/crates/onyxshed-pool/tests/pool/search.rs
@@ -14,13 +14,14 @@
 const ENTRIES: usize = 3;
 const JOBS: u64 = 220;
 
-/// No fault is injected after this time; callers may resubmit jobs for a while longer.
+/// No fault is injected after this time; callers may resubmit jobs after it.
 const FAULTS_END: Mono = Mono(14_000_000);
 
 /// Every job has an answer by this time.
 const END: Mono = Mono(60_000_000);
 
-/// Number of seeds in a block; the environment variable `POOL_SEARCH_SEEDS` sets another number.
+/// Number of seeds that one case of a search simulates; the environment variable
+/// `POOL_SEARCH_SEEDS` sets another number.
 fn seeds_per_block() -> u64 {
     const SEEDS: u64 = 40;
     let variable = std::env::var("POOL_SEARCH_SEEDS");
--- a/crates/onyxshed-pool/tests/pool/shard_layout.rs
+++ b/crates/onyxshed-pool/tests/pool/shard_layout.rs
@@ -34,8 +34,9 @@
     assert_eq!(three.resharded(600).map(|found| found.pools), Some(5));
 }
 
-/// An executor moves to a pool whose group has a lower generation. The token of its new owner must still
-/// be higher, or the executor would refuse that owner forever.
+/// An executor moves to a pool whose group in the store has a lower generation than that of its
+/// former pool. The token of its new owner must still be higher, or the executor would refuse that
+/// owner forever.
 #[test]
 fn new_layout_raises_tokens() {
     let old = ShardLayout {
--- a/crates/onyxshed-pool/tests/pool/simulation.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation.rs
@@ -30,7 +30,7 @@
 /// Maximum number of submissions of a job by its caller.
 const SUBMISSIONS_MAX: u32 = 4;
 
-/// Time-outs for answers.
+/// How long an owner waits for the answer to an order before it counts as missing.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeouts {
     /// For start and stop orders.
@@ -40,7 +40,7 @@
 }
 
 impl Timeouts {
-    /// The hosts' time-outs.
+    /// Time-outs that hosts use in operation.
     pub const HOST: Timeouts = Timeouts {
         order: Millis(40),
         report: Millis(50),
@@ -128,7 +128,7 @@
     pub started: bool,
 }
 
-/// Faults of messages and their end.
+/// Faults of orders and their answers, injected until a given time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MessageFaults {
     /// Share of orders that get no answer and are executed 2 to 12 s later.
--- a/crates/onyxshed-pool/tests/pool/simulation/faults.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/faults.rs
@@ -20,15 +20,15 @@
     PauseEntry(usize, Millis),
     /// An entry host is killed and restarts.
     KillEntry(usize),
-    /// An executor is unreachable for a while, and its runs continue.
+    /// An executor is unreachable for the given time, and its runs continue.
     IsolateExecutor(ExecutorId, Millis),
     /// An executor crashes and restarts.
     CrashExecutor(ExecutorId),
-    /// An executor fails all runs for a while.
+    /// An executor fails all runs for the given time.
     FailAll(ExecutorId, Millis),
-    /// Runs on an executor make no progress for a while.
+    /// Runs that start on an executor within the given time never end.
     Hang(ExecutorId, Millis),
-    /// An executor takes longer by a factor for a while, also for its current runs.
+    /// Runs on an executor, including current ones, take longer by a factor for the given time.
     Slow(ExecutorId, f64, Millis),
     /// The end of [`Fault::Slow`].
     RestoreSpeed(ExecutorId, f64),
@@ -52,7 +52,7 @@
         match fault {
             Fault::KillOwner => {
                 self.owners[owner].is_stopped = true;
-                // Connections break at once, so every entry host detects the loss.
+                // Connections break immediately, so every entry host detects the loss.
                 for entry in 0..self.entries.len() {
                     self.drop_link(entry, owner);
                 }
--- a/crates/onyxshed-pool/tests/pool/slow.rs
+++ b/crates/onyxshed-pool/tests/pool/slow.rs
@@ -9,7 +9,7 @@
 use crate::load::{executors, random_job};
 use crate::simulation::{Fault, Simulation, Timeouts};
 
-/// Size of the pool as a multiple of the pool in the plain load tests.
+/// Size of the pool as a multiple of the pool in the tests of module `load`.
 const POOL_FACTOR: usize = 3;
 
 const BEGIN_MS: u64 = 2_000;
@@ -78,7 +78,7 @@
     simulation
 }
 
-/// Slow executors must not get tasks while ordinary executors have free resources.
+/// Slow executors must not get tasks while other executors have free resources.
 #[test]
 fn slow_third_of_executors_keeps_most_jobs_in_time() {
     let baseline = served(60, None);
@@ -98,7 +98,8 @@
     (harness, order.task)
 }
 
-/// A short task must not be late on a slow executor when an ordinary one is free a moment later.
+/// A short task must not be late on a slow executor when an executor of normal speed becomes free
+/// shortly afterwards.
 #[test]
 fn short_task_waits_for_full_speed_executor() {
     let (mut harness, _) = harness_with_slow_executor();
--- a/crates/onyxshed-pool/tests/pool/successor.rs
+++ b/crates/onyxshed-pool/tests/pool/successor.rs
@@ -13,7 +13,7 @@
 
 const OTHER: PeerIncarnation = PeerIncarnation(3);
 
-/// The owner's name in its pool's group.
+/// Member name of the owner in the pool's group in the store.
 const MEMBER: &str = "10.0.0.1:7000/1";
 
 fn offer(host: u8, cpu_millis: u32) -> SuccessorOffer {
@@ -52,9 +52,9 @@
     harness
 }
 
-/// An owner is stopped while the store is unavailable, so no host can join its group and callers would be
-/// rejected until the store is back. The pool and its list of executors are transferred to the host with the
-/// largest processor share, again with each heartbeat.
+/// An owner is stopped while the store is unavailable, so no host can join the pool's group in the
+/// store, and callers would be rejected until the store is back. The pool and its list of executors
+/// are transferred to the host with the largest processor share, again with each heartbeat.
 #[test]
 fn best_host_becomes_successor() {
     let mut harness = stopping_owner();
@@ -110,8 +110,8 @@
     assert_eq!(transfer, None);
 }
 
-/// Entry hosts get the successor's address only once it is taking over the pool. Before that, it would
-/// answer that it owns nothing.
+/// Entry hosts get the successor's address only once it is taking over the pool. Before that, the
+/// successor would answer that it does not own the pool.
 #[test]
 fn successor_address_is_reported_once_it_takes_over() {
     let mut harness = stopping_owner();
@@ -152,8 +152,8 @@
     assert!(token < layout.token(&pool, 6));
 }
 
-/// An owner that could not read the list of executors can't run any job. Other hosts must not leave the pool
-/// to it because it answers.
+/// An owner that could not read the list of executors can't run any job. Its load report must say
+/// that it needs to be replaced, or other hosts would leave the pool to it because it answers.
 #[test]
 fn owner_without_executor_list_needs_replacement() {
     let mut harness = Harness::with_executors(&[]);
--- a/crates/onyxshed-proof/src/caller.rs
+++ b/crates/onyxshed-proof/src/caller.rs
@@ -95,9 +95,9 @@
     }
 }
 
-/// Returns how long to wait before the same job is submitted again, `None` if it must not be. A job
-/// may be submitted again after "not run", and after "unknown" because submissions are deduplicated
-/// by their id.
+/// Returns how long to wait before the same job is submitted again, or `None` if it may not be
+/// submitted again. It may be after "not run", and after "unknown" because submissions are
+/// deduplicated by their id.
 fn resubmit_delay(result: &CallResult) -> Option<Duration> {
     let CallResult::Answer(_, answer) = result else {
         return None;
--- a/crates/onyxshed-proof/src/cluster.rs
+++ b/crates/onyxshed-proof/src/cluster.rs
@@ -64,7 +64,8 @@
         Ok(cluster)
     }
 
-    /// Replaces the platform's host list with the hosts and executors of the cluster that are listed.
+    /// Replaces the platform's host list with the entry hosts and executors whose `is_listed` is
+    /// set.
     pub async fn publish_hosts(&self) -> Result<()> {
         let hosts = HostSet {
             executors: self
@@ -89,12 +90,13 @@
         Ok(())
     }
 
-    /// Returns the address of the platform itself, without the proxy.
+    /// Returns the address at which the platform's stand-in listens; calls to it bypass the proxy.
     pub fn platform_address(&self) -> Result<SocketAddr> {
         self.platform.address("http")
     }
 
-    /// Returns the executor with this name.
+    /// Returns the executor with this name. Fails if there is none; the error lists the known
+    /// names.
     pub fn executor(&mut self, name: &str) -> Result<&mut ExecutorUnit> {
         let allowed = names(&self.executors);
         self.executors
@@ -102,7 +104,8 @@
             .ok_or_else(|| unknown_name("executor", name, allowed))
     }
 
-    /// Returns the entry host with this name.
+    /// Returns the entry host with this name. Fails if there is none; the error lists the known
+    /// names.
     pub fn host(&mut self, name: &str) -> Result<&mut EntryHostUnit> {
         let allowed = names(&self.hosts);
         self.hosts
--- a/crates/onyxshed-proof/src/cluster/executors.rs
+++ b/crates/onyxshed-proof/src/cluster/executors.rs
@@ -1,4 +1,4 @@
-//! Executors of a cluster.
+//! The executors of a cluster, the faults that they inject, and the task starts that they recorded.
 
 use std::net::SocketAddr;
 
@@ -34,8 +34,8 @@
         self.is_listed.then(|| self.host.clone())
     }
 
-    /// Returns all task starts in order. They are read from the executor's log, which is available
-    /// after the process was killed.
+    /// Returns all task starts in order. They are read from the executor's log, which can still be
+    /// read after the process was killed.
     pub fn starts(&self) -> Vec<StartRecord> {
         let log = self.process.log();
         let records = log.lines().map(serde_json::from_str);
--- a/crates/onyxshed-proof/src/cluster/topology.rs
+++ b/crates/onyxshed-proof/src/cluster/topology.rs
@@ -11,9 +11,9 @@
 pub struct Topology {
     /// The zones' names.
     pub zones: Vec<SmolStr>,
-    /// Entry hosts in each zone.
+    /// Number of entry hosts in each zone.
     pub entry_hosts: u32,
-    /// Executors in each zone.
+    /// Number of executors in each zone.
     pub executors: u32,
 }
 
@@ -31,14 +31,14 @@
     pub retention_ms: Millis,
     /// Delay until readers see a change of the host list. Default 0.
     pub host_list_lag_ms: Millis,
-    /// Settings of every entry process; they are added to the names and addresses.
+    /// Settings of every entry process besides its name and addresses.
     pub entry_settings: Map<String, Value>,
-    /// Settings of every control process; they are added to the names and addresses.
+    /// Settings of every control process besides its name and addresses.
     pub control_settings: Map<String, Value>,
 }
 
-/// Interval of heartbeats. It is shorter than the default, so that peers discover each other soon
-/// after they start.
+/// Interval of heartbeats, in milliseconds. It is shorter than the default, so that peers discover
+/// each other soon after they start.
 const HEARTBEAT_MS: u64 = 100;
 
 impl Default for ClusterOptions {
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Sets the time without heartbeats after which a peer counts as gone. The time until it is
-    /// suspected and the heartbeat interval are derived from it.
+    /// Sets the time without heartbeats after which a peer counts as gone. A peer is suspected
+    /// after half of that time, and the heartbeat interval is a tenth of it, but at least 10 ms.
     pub fn set_gone_after(&mut self, timeout: Millis) {
         const HEARTBEATS: u64 = 10;
         let settings = &mut self.control_settings;
--- a/crates/onyxshed-proof/src/remote.rs
+++ b/crates/onyxshed-proof/src/remote.rs
@@ -62,7 +62,7 @@
     call(address, method, path, body).await
 }
 
-/// Waits a moment before a condition is checked again.
+/// Waits 10 ms before a condition is checked again.
 pub async fn pause() {
     Timer::after(POLL_INTERVAL).await;
 }
--- a/crates/onyxshed-proof/src/scenario/checks.rs
+++ b/crates/onyxshed-proof/src/scenario/checks.rs
@@ -1,4 +1,4 @@
-//! Waiting for conditions and checking expectations.
+//! Executes the statements `wait until` and `expect` of a scenario.
 
 use std::time::Instant;
 
@@ -255,14 +255,15 @@
         Ok(())
     }
 
-    /// Returns the revision in force at each entry process that was not killed.
+    /// Returns the host and the revision in force of each entry process in the scope that was not
+    /// killed; the revision is `None` if the process has no configuration.
     async fn revisions(&mut self, scope: &HostScope) -> Result<Vec<(SmolStr, Option<Revision>)>> {
         let statuses = self.statuses(scope).await?;
         let revision_of = |(host, status): (SmolStr, Status)| (host, status.config_revision);
         Ok(statuses.into_iter().map(revision_of).collect())
     }
 
-    /// Returns the status of each entry process that was not killed.
+    /// Returns the host and the status of each entry process in the scope that was not killed.
     async fn statuses(&mut self, scope: &HostScope) -> Result<Vec<(SmolStr, Status)>> {
         let cluster = self.cluster()?;
         let hosts = match scope {
--- a/crates/onyxshed-proof/src/scenario/expectation.rs
+++ b/crates/onyxshed-proof/src/scenario/expectation.rs
@@ -13,7 +13,8 @@
     if input.starts_with(|c: char| c.is_ascii_digit()) {
         return count_condition(input);
     }
-    // The first three words are those of `JOBS_WORDS`, in the same order.
+    // The first three words are `JOBS_WORDS` in the same order, so that their indexes can be passed
+    // to `jobs_after_keyword`.
     match one_of(
         input,
         &[
--- a/crates/onyxshed-proof/src/scenario/grammar.rs
+++ b/crates/onyxshed-proof/src/scenario/grammar.rs
@@ -186,7 +186,7 @@
     })
 }
 
-/// Parses the result of a publication after `and`, if the change is not accepted.
+/// Parses the words after `and` in a publication whose change is not accepted.
 fn publish_result(input: &mut &str) -> ModalResult<PublishResult> {
     match one_of(input, &["lose", "reach", "learn"])? {
         0 => expect_words(input, "the race").map(|()| PublishResult::Raced),
@@ -360,7 +360,7 @@
     Ok(Step::Network(Mode::Delay { delay_ms }, edge))
 }
 
-/// Parses `off answers after 10 bytes on …`.
+/// Parses `off answers after 10 bytes on …`, the rest of a `break` statement.
 fn break_off(input: &mut &str) -> ModalResult<Step> {
     expect_words(input, "off answers after")?;
     let bytes = number(input)?;
@@ -466,7 +466,7 @@
     Ok(count)
 }
 
-/// Parses `a1 is listed` or `a1 is no longer listed`.
+/// Parses `a1 is listed` or `a1 is no longer listed`, the rest of a `host` statement.
 fn list_host(input: &mut &str) -> ModalResult<Step> {
     let host = name(input)?;
     expect_words(input, "is")?;
--- a/crates/onyxshed-proof/src/scenario/language.rs
+++ b/crates/onyxshed-proof/src/scenario/language.rs
@@ -199,7 +199,7 @@
     ReadsLog(HostScope),
     /// The entry process knows at least one executor.
     KnowsExecutors(HostScope),
-    /// The entry process counts every other host whose entry process was not killed as live.
+    /// The entry process counts as live every other host whose entry process was not killed.
     KnowsPeers(HostScope),
     /// The platform has accepted at least this many appends to a stream.
     Appended(u64, SmolStr),
@@ -315,7 +315,7 @@
 /// An expectation of `expect`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Expectation {
-    /// The number of starts of every task of the jobs is allowed.
+    /// Every task of the jobs started as often as the count allows.
     EveryTask(Jobs, StartCount),
     /// No task of the jobs started.
     NoTask(Jobs),
--- a/crates/onyxshed-proof/src/scenario/scenario_run.rs
+++ b/crates/onyxshed-proof/src/scenario/scenario_run.rs
@@ -49,8 +49,9 @@
         self.requests.iter().filter(is_meant)
     }
 
-    /// Returns the mark that an honest caller sets on the next copy of the submission, given the
-    /// results of all earlier requests.
+    /// Returns the mark for the next copy of the submission that the protocol for callers requires:
+    /// `First` if there was no request, `Unmarked` if all earlier requests were answered "not run",
+    /// and `Again` otherwise.
     pub fn next_copy_mark(&self) -> CopyMark {
         let is_not_run = |request: &Request| {
             let exchange = request.exchange.borrow();
@@ -135,7 +136,8 @@
             .collect()
     }
 
-    /// Asks an entry host for its incarnation, and binds the id of a job that is submitted later to it.
+    /// Fetches the incarnation of an entry host, and binds the id of the job `name`, which is
+    /// submitted later, to that incarnation.
     pub async fn bind(&mut self, name: SmolStr, host: &str) -> Result<()> {
         let address = self.cluster()?.host(host)?.caller_address()?;
         let path = format!("{JOBS_PATH}/{}", SubmissionId::unbound(Ulid::generate()));
@@ -156,7 +158,8 @@
         Ok(())
     }
 
-    /// Returns the submission to send for a job. Creates the job if the content is new.
+    /// Returns the submission to send for the job `name`. New content creates the job, and replaces
+    /// an earlier job of that name.
     pub fn submission(&mut self, name: &SmolStr, content: &Content) -> Result<Submission> {
         match content {
             Content::Same => Ok(self.job(name)?.submission.clone()),
@@ -184,7 +187,8 @@
         }
     }
 
-    /// Starts a request for a job. Its result is stored in the job when it is received.
+    /// Spawns a request and adds it to the requests of the job `name`; its result is stored there
+    /// once it is received.
     pub fn send_request<F>(
         &mut self,
         name: &SmolStr,
@@ -219,7 +223,7 @@
         Ok(Starts::new(self.cluster()?.starts()))
     }
 
-    /// Checks the answers of every job against the recorded starts.
+    /// Checks the answers of every job against the recorded starts, if the cluster was started.
     pub fn check_invariants(&mut self) -> Result<()> {
         if self.cluster.is_none() {
             return Ok(());
--- a/crates/onyxshed-proof/src/scenario/steps.rs
+++ b/crates/onyxshed-proof/src/scenario/steps.rs
@@ -1,4 +1,5 @@
-//! Execution of statements.
+//! Executes the statements of a scenario, except for `wait until` and `expect`, which `verdicts`
+//! executes.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
--- a/crates/onyxshed-proof/src/truth.rs
+++ b/crates/onyxshed-proof/src/truth.rs
@@ -22,7 +22,7 @@
     pub result: Option<TimedCallResult>,
 }
 
-/// The facts about a job that its caller knows.
+/// The facts about a job that its caller knows, against which answers are checked.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobFacts {
     /// The submission id of the job.
--- a/crates/onyxshed-proof/src/zone.rs
+++ b/crates/onyxshed-proof/src/zone.rs
@@ -1,5 +1,5 @@
-//! Helpers for tests that are not written as scenarios. They run one zone of real processes with two
-//! classes, and panic if a step fails.
+//! Helpers for tests that are not written as scenarios. They start one zone of real processes,
+//! publish two classes and submit jobs, and panic if a step fails.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -75,7 +75,8 @@
     }
 }
 
-/// Submits a valid job, again if it is not run, and checks that its answer is complete.
+/// Submits a valid job, again after a "not run" or "unknown" answer, and checks that its final
+/// answer is complete.
 pub async fn run_one_job(address: SocketAddr, class: &str) {
     let payload = Ulid::generate().to_string().into_bytes();
     let timed_result = submit(address, job(class, &payload), ResubmitPolicy::UntilRun).await;
--- a/crates/onyxshed-proof/tests/callers_page.rs
+++ b/crates/onyxshed-proof/tests/callers_page.rs
@@ -26,7 +26,8 @@
 #[derive(Debug, PartialEq, Eq)]
 struct Block {
     is_request: bool,
-    /// Connects an answer that does not directly follow its request to this request; otherwise empty.
+    /// Word that is shared by a request and an answer that does not directly follow this request;
+    /// empty for other blocks.
     tag: String,
     text: String,
 }
@@ -112,7 +113,8 @@
     assert_eq!(mask_retry_after(found), mask_retry_after(expected));
 }
 
-/// Waits until a task of a request that is not answered yet has finished.
+/// Waits until a task of the job that `request` submits, whose answer is still outstanding, has
+/// finished.
 fn wait_for_first_result(cluster: &mut Cluster, request: &str) {
     let is_task_finished = |event: &Event| {
         let id = event.submission.map(|id| id.ulid.to_string());
--- a/crates/onyxshed-proof/tests/doors.rs
+++ b/crates/onyxshed-proof/tests/doors.rs
@@ -39,7 +39,7 @@
     cluster_options
 }
 
-/// Returns the address of a process of an entry host for a purpose.
+/// Returns the address on which a process of an entry host listens for a purpose, such as `peer`.
 fn address(
     cluster: &mut Cluster,
     host: &str,
--- a/crates/onyxshed-proof/tests/support/cases.rs
+++ b/crates/onyxshed-proof/tests/support/cases.rs
@@ -66,7 +66,7 @@
     ]
 }
 
-/// Returns requests with chunked bodies, with `Expect: 100-continue`, and two requests at once.
+/// Returns requests with chunked bodies or `Expect: 100-continue`, and two requests sent together.
 pub fn transfers() -> Vec<Case> {
     let chunked = |rest: &str| {
         let valid = valid_body();
--- a/crates/onyxshed-proto/src/error.rs
+++ b/crates/onyxshed-proto/src/error.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Returns the numbered code of the error.
+    /// Returns the numbered code of the error, which is always [`ResultCode::BadMessage`].
     pub fn code(&self) -> ResultCode {
         ResultCode::BadMessage
     }
--- a/crates/onyxshed-proto/src/gossip.rs
+++ b/crates/onyxshed-proto/src/gossip.rs
@@ -21,7 +21,7 @@
     builder.set_hlc(hlc.to_string().as_str());
 }
 
-/// Reads a gossip message and the sender's clock stamp.
+/// Reads a gossip message and the sender's clock stamp. Returns an error if any value is invalid.
 pub fn read(reader: gossip::Reader<'_>) -> Result<(Gossip, Hlc)> {
     let list = reader.get_others()?;
     check_length("others", list.len())?;
--- a/crates/onyxshed-proto/src/handover.rs
+++ b/crates/onyxshed-proto/src/handover.rs
@@ -23,7 +23,7 @@
     builder.set_is_complete(from.is_complete);
 }
 
-/// Reads a handover from a message.
+/// Reads a handover from a message. Returns an error if any value in it is invalid.
 pub fn read(reader: handover::Reader<'_>) -> Result<Handover> {
     let list = reader.get_recent_changes()?;
     check_length("recentChanges", list.len())?;
--- a/crates/onyxshed-proto/src/pool.rs
+++ b/crates/onyxshed-proto/src/pool.rs
@@ -20,7 +20,8 @@
 pub use peer_state::{PeerState, read_peer_state, write_peer_state};
 pub use transfer::{read_offer, read_transfer, write_offer, write_transfer};
 
-/// Writes the load of a pool as its owner computed it.
+/// Writes the load of a pool as its owner computed it. The schema's names for `needs_replacement`
+/// and `is_closed` are `isLeaving` and `isClosing`.
 pub fn write_load(load: &PoolLoad, mut to: pool_load::Builder<'_>) {
     to.set_capacity_cpu_millis(load.capacity_cpu_millis);
     to.set_free_cpu_millis(load.free_cpu_millis);
@@ -55,7 +56,8 @@
     parsed.map_err(|_| capnp::Error::failed("an address can't be read".to_owned()))
 }
 
-/// Writes the ids of the executors that an owner still uses.
+/// Writes the reply to a release request: the ids of the executors that the pool's previous owner
+/// still uses; empty if there are none.
 pub fn write_held_executors(
     executors: &[ExecutorId],
     to: pool_port::release_results::Builder<'_>,
@@ -68,7 +70,8 @@
     Ok(())
 }
 
-/// Reads the ids of the executors that an owner still uses.
+/// Reads the reply to a release request: the ids of the executors that the pool's previous owner
+/// still uses; empty if there are none.
 pub fn read_held_executors(
     from: pool_port::release_results::Reader<'_>,
 ) -> capnp::Result<BTreeSet<ExecutorId>> {
--- a/crates/onyxshed-proto/src/pool/peer_state.rs
+++ b/crates/onyxshed-proto/src/pool/peer_state.rs
@@ -18,11 +18,11 @@
     pub owners: Vec<(PoolId, SocketAddr)>,
     /// Shard layouts of availability zones, by the zone's name.
     pub shard_layouts: Vec<(SmolStr, ShardLayout)>,
-    /// Evacuation records of availability zones.
+    /// Newest evacuation record that the host knows of each availability zone.
     pub evacuations: Vec<EvacuationRecord>,
 }
 
-/// Writes a host's state of the deployment.
+/// Writes the state to a message. Returns an error if a list is too long for a message.
 pub fn write_peer_state(state: &PeerState, mut to: peer_state::Builder<'_>) -> capnp::Result<()> {
     to.set_manifest(&state.manifest);
     let mut owners = to.reborrow().init_owners(length(&state.owners)?);
@@ -42,7 +42,8 @@
     Ok(())
 }
 
-/// Reads a host's state of the deployment.
+/// Reads the state from a message. Returns an error if a pool, an address or a shard layout in it
+/// is malformed.
 pub fn read_peer_state(from: peer_state::Reader<'_>) -> capnp::Result<PeerState> {
     let malformed = |kind: &str| capnp::Error::failed(format!("a {kind} can't be read"));
     let owners = from.get_owners()?;
--- a/crates/onyxshed-proto/src/rpc.rs
+++ b/crates/onyxshed-proto/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Serving and calling the interfaces over TCP.
+//! Serves and calls the RPC interfaces of the schemas over TCP.
 //!
 //! The size of a message is checked before it is read. A message that states a size above the limit ends
 //! the connection, so that a faulty or hostile peer costs a connection but no memory.
--- a/crates/onyxshed-proto/src/snapshot.rs
+++ b/crates/onyxshed-proto/src/snapshot.rs
@@ -35,7 +35,7 @@
     pub zone_hosts: u32,
     /// Number of live entry hosts in all availability zones, including the receiver.
     pub live_hosts: u32,
-    /// Clock stamp of the sender.
+    /// Stamp of the sender's hybrid logical clock.
     pub hlc: Hlc,
 }
 
--- a/crates/onyxshed-proto/src/status.rs
+++ b/crates/onyxshed-proto/src/status.rs
@@ -9,7 +9,7 @@
 use crate::onyxshed_capnp::entry_status;
 use crate::text::parse;
 
-/// Status of an entry process.
+/// Status that an entry process returns to its control process in reply to a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryStatus {
     /// Host of the entry process.
@@ -20,13 +20,13 @@
     pub peer_address: SocketAddr,
     /// Revision of the configuration in force; `None` until one has been received.
     pub config_revision: Option<Revision>,
-    /// Load of the entry process.
+    /// Numbers of running and queued tasks of the entry process.
     pub load: LoadDigest,
     /// Whether the entry process is draining.
     pub is_draining: bool,
     /// Start time of this incarnation, on the host's own wall clock.
     pub started_at_ms: UnixMs,
-    /// Clock stamp of the entry process.
+    /// Stamp of the entry process's hybrid logical clock.
     pub hlc: Hlc,
 }
 
@@ -44,7 +44,7 @@
     builder.set_hlc(from.hlc.to_string().as_str());
 }
 
-/// Reads a status from a message.
+/// Reads a status from a message. Returns an error if any value in it is invalid.
 pub fn read(reader: entry_status::Reader<'_>) -> Result<EntryStatus> {
     let revision = Revision(reader.get_config_revision());
     Ok(EntryStatus {
--- a/crates/onyxshed-proto/tests/decoders.rs
+++ b/crates/onyxshed-proto/tests/decoders.rs
@@ -220,7 +220,8 @@
     #[test]
     fn arbitrary_bytes_decode_or_return_error(bytes in vec(any::<u8>(), 0..400)) {
         decode_all(&bytes);
-        // The same bytes behind a valid frame, so that the content of the message is decoded too.
+        // The same bytes after a valid frame header, so that the content of the message is decoded
+        // too.
         let words = u32::try_from(bytes.len() / 8).unwrap();
         let framed = [&0_u32.to_le_bytes(), &words.to_le_bytes(), &bytes[..]].concat();
         decode_all(&framed);
--- a/crates/onyxshed-settings/src/address.rs
+++ b/crates/onyxshed-settings/src/address.rs
@@ -53,7 +53,8 @@
     faults
 }
 
-/// Returns whether two fields can't both have their address.
+/// Returns whether two addresses can't be used at the same time: they have the same port, and the
+/// same IP address or one that is unspecified.
 fn conflicts(first: &ConfiguredAddress, second: &ConfiguredAddress) -> bool {
     // The same list of seeds may be used on every host, so it may contain the host's own address.
     let is_own_seed = (first.role == Role::Seed) != (second.role == Role::Seed);
--- a/crates/onyxshed-settings/src/check.rs
+++ b/crates/onyxshed-settings/src/check.rs
@@ -19,7 +19,8 @@
 /// Longest excerpt of the file that a fault repeats, in characters.
 const EXCERPT_CHARS: usize = 40;
 
-/// The state of a check: the faults found so far and the fields seen.
+/// State of a check: the faults found, the addresses given, and the position and the text of each
+/// field that is present.
 pub(crate) struct Checker<'t> {
     text: &'t str,
     faults: Vec<Fault>,
@@ -37,15 +38,15 @@
         }
     }
 
-    /// Finishes the check and returns every fault found.
+    /// Checks the addresses against each other and returns every fault found.
     pub(crate) fn into_faults(mut self) -> Vec<Fault> {
         self.faults
             .extend(address::duplicates(&self.configured_addresses));
         self.faults
     }
 
-    /// Adds a fault about the value of a field, at the field's position, or at the start of the
-    /// file if the field is absent.
+    /// Adds a fault about the value of a field. Its position is that of the field, or the start of
+    /// the file if the field is absent.
     pub(crate) fn fault_at_field(&mut self, field: &'static str, allowed: SmolStr) {
         let whole_file = (
             Position { line: 1, column: 1 },
--- a/crates/onyxshed-settings/src/kind.rs
+++ b/crates/onyxshed-settings/src/kind.rs
@@ -92,7 +92,7 @@
     fn cross_check(&self) -> Vec<CrossFault>;
 }
 
-/// Returns a fault unless the rule holds.
+/// Returns a fault of `field` if `holds` is false.
 pub(crate) fn require(
     holds: bool,
     field: &'static str,
--- a/crates/onyxshed-settings/src/kind/control.rs
+++ b/crates/onyxshed-settings/src/kind/control.rs
@@ -25,17 +25,21 @@
     pub peer_advertised_address: Option<SocketAddr>,
     /// Address of the HTTP service for operators.
     pub admin_address: SocketAddr,
-    /// Address of the platform's service.
+    /// Address of the platform's service: log and list of hosts.
     pub platform_address: SocketAddr,
-    /// Peer addresses of some other control processes.
+    /// Peer addresses of some other control processes, used to find the rest while the platform
+    /// can't be reached.
     pub peers: Vec<SocketAddr>,
     /// Interval between heartbeats to peers, in milliseconds.
     pub heartbeat_ms: Millis,
-    /// Time without contact after which a peer is suspected, in milliseconds.
+    /// Time without contact after which a peer is suspected, in milliseconds; at least twice
+    /// `heartbeat_ms`.
     pub suspect_after_ms: Millis,
-    /// Time without contact after which a peer is declared gone, in milliseconds.
+    /// Time without contact after which a peer's incarnation is declared gone, in milliseconds;
+    /// more than `suspect_after_ms`.
     pub gone_after_ms: Millis,
-    /// How long the platform's log keeps records, in milliseconds.
+    /// How long the platform's log keeps records, in milliseconds; must equal the platform's own
+    /// setting.
     pub platform_retention_ms: Millis,
     /// Format and level of the log.
     pub log: LogSettings,
--- a/crates/onyxshed-settings/src/kind/entry.rs
+++ b/crates/onyxshed-settings/src/kind/entry.rs
@@ -40,7 +40,7 @@
     pub control_address: SocketAddr,
     /// Address of the HTTP service for operators.
     pub admin_address: SocketAddr,
-    /// Address of the platform's service.
+    /// Address of the platform's service: log and list of hosts.
     pub platform_address: SocketAddr,
     /// Format and level of the log.
     pub log: LogSettings,
@@ -48,33 +48,35 @@
     pub drain_timeout_ms: Millis,
     /// Largest age of a submission id that is accepted, in milliseconds.
     pub horizon_ms: Millis,
-    /// Largest difference between wall clocks, in milliseconds.
+    /// Largest difference between the wall clocks of two hosts or callers, in milliseconds.
     pub skew_ms: Millis,
-    /// How long the platform's log keeps records, in milliseconds.
+    /// How long the platform's log keeps records, in milliseconds; must equal the platform's own
+    /// setting.
     pub platform_retention_ms: Millis,
-    /// Appends per second that all entry hosts together may make.
+    /// Appends per second that all entry hosts together may make for claims.
     pub log_appends_per_s: RatePerS,
-    /// Longest time to wait for a claim, in milliseconds.
+    /// How long a submission waits for its claim to be read back from the log before it is
+    /// abandoned, in milliseconds.
     pub claim_patience_ms: Millis,
-    /// How long leases extend past the deadlines of jobs, in milliseconds.
+    /// How long a task's lease extends past its job's deadline, in milliseconds.
     pub lease_slack_ms: Millis,
     /// Largest number of open caller connections.
     pub connections_max: usize,
     /// Largest request body of a caller.
     pub body_max_bytes: Bytes,
-    /// Largest number of jobs kept, running or answered.
+    /// Largest number of jobs kept, running and answered together.
     pub jobs_max: usize,
-    /// Memory for the results of answered jobs.
+    /// Memory for the results of answered jobs; the oldest results are dropped first.
     pub answers_max_bytes: Bytes,
-    /// Largest result of one task.
+    /// Largest result of one task; a larger result fails its job.
     pub result_max_bytes: Bytes,
-    /// Largest number of connections to one executor.
+    /// Largest number of connections that this entry host keeps open to one executor.
     pub connections_per_executor: usize,
     /// Largest number of events kept in the time line.
     pub timeline_events_max: usize,
     /// The rule by which executors are selected for tasks.
     pub placement: Placement,
-    /// Time limit for a request's head, in milliseconds.
+    /// Time limit for a request's head, from its first byte, in milliseconds.
     pub head_timeout_ms: Millis,
     /// Time limit for a request's body, in milliseconds.
     pub body_timeout_ms: Millis,
--- a/crates/onyxshed-settings/src/kind/operator.rs
+++ b/crates/onyxshed-settings/src/kind/operator.rs
@@ -23,7 +23,7 @@
 pub struct OperatorSettings {
     /// Address of the platform's service.
     pub platform_address: SocketAddr,
-    /// All processes that the command line queries.
+    /// All processes that the commands `status` and `timeline` query.
     pub processes: Vec<ProcessAddress>,
 }
 
--- a/crates/onyxshed-settings/src/page.rs
+++ b/crates/onyxshed-settings/src/page.rs
@@ -22,7 +22,7 @@
 may have the same one (but a list of peers may contain the process's own).
 ";
 
-/// Returns the whole page.
+/// Returns the whole text of docs/SETTINGS.md.
 pub fn page() -> String {
     let mut page = HEAD.to_owned();
     for kind in SettingsKind::ALL {
