--- a/crates/onyxshed-settings/src/suggest.rs
+++ b/crates/onyxshed-settings/src/suggest.rs
@@ -2,7 +2,8 @@
 
 use crate::field::Field;
 
-/// Unit suffixes that people use, including those of the settings' own names.
+/// Unit suffixes that are removed before names are compared, including those of the settings' own
+/// names.
 const UNIT_SUFFIXES: &[&str] = &[
     "_ms", "_msec", "_millis", "_us", "_ns", "_s", "_sec", "_secs", "_seconds", "_min", "_minutes",
     "_h", "_bytes", "_b", "_kb", "_kib", "_mb", "_mib", "_gb", "_per_s", "_per_min",
--- a/crates/onyxshed-settings/tests/files.rs
+++ b/crates/onyxshed-settings/tests/files.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// Inserts fields into the sample, before its own.
+/// Reads the sample for an entry process with `fields` inserted before the sample's own fields.
 fn entry_with(fields: &str) -> String {
     entry(&sample(SettingsKind::Entry).replacen("{\n", &format!("{{\n{fields}\n"), 1))
 }
@@ -103,9 +103,9 @@
 
 #[test]
 fn two_fields_with_one_address_are_rejected() {
-    // Two listeners on one address: the second would fail to open at start, after the first already
-    // serves. 0.0.0.0 takes the port on every IP address, so it conflicts with any. Port 0 never
-    // conflicts.
+    // Two fields have the same address: the second listener would fail to open at start, when the
+    // first already serves. 0.0.0.0 uses the port on every IP address, so it conflicts with any
+    // address of that port. Port 0 never conflicts.
     let text = sample(SettingsKind::Entry)
         .replace("127.0.0.1:7000", "0.0.0.0:7001")
         .replace("127.0.0.1:7002", "127.0.0.1:0")
--- a/crates/onyxshed-soak/src/callers.rs
+++ b/crates/onyxshed-soak/src/callers.rs
@@ -19,7 +19,7 @@
 /// The delay before a job whose outcome is unknown is submitted again.
 const RESEND_DELAY: Duration = Duration::from_millis(1_300);
 
-/// The greatest number of times that a job is submitted.
+/// The greatest number of times that a job is submitted, including the first.
 const SENDS_MAX: u32 = 6;
 
 /// The timeout of one request.
@@ -41,7 +41,7 @@
     Unknown,
 }
 
-/// A job that a caller submitted, and the answers.
+/// A job that a caller submitted, and the answers to its submissions.
 #[derive(Debug, Clone)]
 pub struct SubmittedJob {
     /// The id of the job.
@@ -50,7 +50,7 @@
     pub tasks: u16,
     /// The answer to each submission, in order.
     pub answers: Vec<Answer>,
-    /// The number of its requests whose connection broke before an answer arrived.
+    /// The number of submissions of the job whose connection broke before an answer arrived.
     pub cut_off: u32,
     /// The time from the first submission to the last answer.
     pub elapsed: Duration,
@@ -59,7 +59,8 @@
 /// The finished jobs of all callers of one phase.
 pub type SubmittedJobs = Rc<RefCell<Vec<SubmittedJob>>>;
 
-/// Submits jobs one after the other until a time; draws the jobs, the pauses and the hosts from the seed.
+/// Submits jobs one after another until the time `until`. The seed determines the jobs, the pauses
+/// and the hosts.
 pub async fn run_caller(hosts: Vec<SocketAddr>, seed: u64, until: Instant, jobs: SubmittedJobs) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut caller = Caller {
@@ -91,7 +92,7 @@
         let job = format_smolstr!("{:016x}", rng.random::<u64>());
         let tasks = rng.random_range(1..5_u16);
         let ms = [20, 60, 200, 500][rng.random_range(0..4)];
-        // One job in forty fails in every run.
+        // The tasks of one job in forty fail in every run.
         let spec = match rng.random_range(0..40) {
             0 => format!("{ms} fail"),
             _ => format!("{ms}"),
@@ -151,8 +152,9 @@
         let reply = match reply {
             Ok(reply) => reply,
             Err(error) => {
-                // The proxy accepts connections for a host that has ended and not started again, and closes
-                // them: a break counts only on a connection on which a host has answered before.
+                // While a host has ended and has not started again, the proxy accepts connections
+                // for it and closes them. A break therefore counts only on a connection on which
+                // the host has answered before.
                 let has_host_answered = self.requests_on_connection > 1;
                 let is_broken =
                     error.sent == onyxshed_http::SendState::MaybeSent && !error.is_timeout;
--- a/crates/onyxshed-soak/src/checks.rs
+++ b/crates/onyxshed-soak/src/checks.rs
@@ -8,7 +8,8 @@
 use crate::callers::{Answer, SubmittedJob};
 use crate::fleet::zone_of;
 
-/// The difference by rounding between two processes' readings of the same clock, in milliseconds.
+/// The greatest difference between two processes' readings of the same clock that rounding causes,
+/// in milliseconds.
 const ROUNDING_MS: u64 = 2;
 
 /// A run with its start and end, in milliseconds since the Unix epoch; a run without a recorded end may still
@@ -21,8 +22,9 @@
     to_ms: Option<u64>,
 }
 
-/// Returns the violations of two promises: at most one run of a task at a time, and true answers to callers.
-/// Each line names the promise and the task or job.
+/// Returns the violations of two promises: at most one run of a task at a time, and true answers to
+/// callers. Each line names the promise and the task or job. `killed_ms` contains the times at
+/// which each executor was killed.
 pub fn find_violations(
     jobs: &[SubmittedJob],
     records: &[(SmolStr, RunRecord)],
@@ -40,9 +42,9 @@
     violations
 }
 
-/// The time after the confirmation of a zone's evacuation from which on no task may start there, for hosts
-/// that reach the store: the grace for jobs in progress (1,000 ms), and as much for a restarted host to learn
-/// of the evacuation.
+/// How long after the confirmation of a zone's evacuation tasks may still start in the zone, if its
+/// hosts reach the store: the grace for jobs in progress (1,000 ms), and as much for a restarted
+/// host to learn of the evacuation.
 const EVACUATED_WITHIN_MS: u64 = 2_000;
 
 /// The times during which zones were evacuated.
@@ -62,7 +64,7 @@
 impl EvacuationSpans {
     /// Records that the evacuation of a zone was confirmed.
     pub fn begin(&mut self, zone: &SmolStr, at_ms: u64) {
-        // Another evacuation of a zone that is evacuated has no effect.
+        // Evacuating a zone that is already evacuated has no effect.
         if self.open_span(zone).is_none() {
             self.spans.push(EvacuationSpan {
                 zone: zone.clone(),
@@ -93,7 +95,8 @@
     }
 }
 
-/// Returns the starts of tasks in zones that were evacuated.
+/// Returns a line for each task that started in an evacuated zone later than `EVACUATED_WITHIN_MS`
+/// permits.
 pub fn find_starts_in_evacuated_zones(
     records: &[(SmolStr, RunRecord)],
     evacuations: &EvacuationSpans,
@@ -112,8 +115,8 @@
         .collect()
 }
 
-/// Returns the jobs with requests whose connection broke before an answer arrived, which must not happen
-/// where hosts are only stopped, reloaded and given new manifests.
+/// Returns a line for each job with a request whose connection broke before an answer arrived. This
+/// must not happen in a soak in which hosts are only stopped, reloaded and given new manifests.
 pub fn find_cut_off_requests(jobs: &[SubmittedJob]) -> Vec<String> {
     let cut_off = jobs.iter().filter(|job| job.cut_off > 0);
     cut_off
@@ -203,7 +206,8 @@
             "a job that is answered \"not run\" must not run: {job_id} was started"
         ));
     }
-    // An executor that is killed loses the records of its last moments.
+    // A killed executor loses its most recent records, so finished tasks are counted only if no
+    // executor was killed.
     if submitted_job.answers.last() == Some(&Answer::Completed) && killed_ms.is_empty() {
         let done: BTreeSet<&SmolStr> = records
             .iter()
--- a/crates/onyxshed-soak/src/fleet.rs
+++ b/crates/onyxshed-soak/src/fleet.rs
@@ -24,7 +24,7 @@
 /// The time within which all hosts have to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The time after which the platform kills a host that was asked to stop.
+/// The time after which a host that was asked to stop is killed, as the platform does.
 pub const STOP_GRACE: Duration = Duration::from_secs(6);
 
 /// The host header of the only route in the manifest.
@@ -100,7 +100,8 @@
     proxy: Process,
     hosts: BTreeMap<SmolStr, Host>,
     executors: BTreeMap<SmolStr, Executor>,
-    /// The records that were read from executors so far, among them those of executors killed since.
+    /// The records read from executors since the last call of [`Fleet::take_records`], which
+    /// include those of executors killed since then.
     collected_records: Vec<(SmolStr, RunRecord)>,
     folder: TempDir,
 }
@@ -117,7 +118,8 @@
 /// The port on which hosts accept connections of other hosts.
 const PEER_PORT: u16 = 8_166;
 
-/// The number of hosts that the settings of each host name, as on the platform.
+/// The greatest number of hosts that the settings of a host name as peers to contact first; the
+/// platform also names only a few.
 const SEEDS_MAX: usize = 3;
 
 impl Fleet {
@@ -253,12 +255,12 @@
         action(process)
     }
 
-    /// Returns the names of all hosts, in order.
+    /// Returns the names of all hosts, in alphabetical order.
     pub fn host_names(&self) -> Vec<SmolStr> {
         self.hosts.keys().cloned().collect()
     }
 
-    /// Returns the ids of all executors, in order.
+    /// Returns the ids of all executors, in alphabetical order.
     pub fn executor_ids(&self) -> Vec<SmolStr> {
         self.executors.keys().cloned().collect()
     }
--- a/crates/onyxshed-soak/src/fleet/executors.rs
+++ b/crates/onyxshed-soak/src/fleet/executors.rs
@@ -16,15 +16,16 @@
 const SPEED_TIMEOUT: Duration = Duration::from_millis(200);
 
 impl Fleet {
-    /// Sets the factor by which an executor is faster than an ordinary one; no effect if it is not running.
+    /// Sets the speed of an executor, by which the times in the specs of tasks are divided; no
+    /// effect if it is not running.
     pub async fn set_executor_speed(&self, id: &SmolStr, speed: f64) -> Result<()> {
         let Some(address) = self.executors.get(id).and_then(|executor| executor.address) else {
             return Ok(());
         };
         let body = serde_json::to_vec(&speed).expect("a number serializes to JSON");
         let path = "control/speed";
-        // An error is ignored: a frozen executor reads the request from its socket when it is thawed, and a
-        // killed one starts again at its ordinary speed.
+        // An error is ignored: a frozen executor reads the request from its socket when it is
+        // thawed, and a killed one starts again at the speed in its arguments.
         let _ = call_once(address, Method::Post, path, body, SPEED_TIMEOUT).await;
         Ok(())
     }
--- a/crates/onyxshed-soak/src/run.rs
+++ b/crates/onyxshed-soak/src/run.rs
@@ -19,11 +19,12 @@
 use crate::faults::{Fault, FaultMix, Planned, draw_plan};
 use crate::fleet::{Fleet, FleetOptions, STOP_GRACE, unmet};
 
-/// The time that the hosts have to recover after the last fault, before the jobs without faults are
-/// submitted.
+/// How long the hosts can recover after the last fault, before callers submit the jobs of the phase
+/// without faults.
 const RECOVERY_TIME: Duration = Duration::from_millis(6_000);
 
-/// The share of the jobs submitted after the faults that have to be served, in percent.
+/// The smallest percentage of the jobs submitted after the faults whose first answer has to be
+/// [`Answer::Completed`] or [`Answer::Failed`].
 const SERVED_MIN_PERCENT: usize = 90;
 
 /// The options of one soak.
@@ -33,7 +34,7 @@
     pub seed: u64,
     /// The processes to start.
     pub fleet: FleetOptions,
-    /// The number of callers at a time.
+    /// The number of callers that submit jobs concurrently.
     pub callers: usize,
     /// The time during which faults are injected.
     pub length: Duration,
@@ -69,7 +70,8 @@
     pub faults: Vec<Planned>,
     /// The promises that were broken, one line for each violation.
     pub violations: Vec<String>,
-    /// The folder of the logs, which is kept if there are violations.
+    /// The folder of the settings and logs; `None` if there are no violations, since the folder is
+    /// then removed.
     pub logs: Option<String>,
 }
 
@@ -193,8 +195,8 @@
 enum Repair {
     StartHost(SmolStr),
     ThawHost(SmolStr),
-    /// Starts a host again once its process has ended: the host, the id of the process that was asked to
-    /// stop, and the time at which that is killed.
+    /// Starts a host again once its process has ended: the host, the id of the process that was
+    /// asked to stop, and the time at which this process is killed if it still runs.
     RestartStopped(SmolStr, u32, Instant),
     StartExecutor(SmolStr),
     ThawExecutor(SmolStr),
--- a/crates/onyxshed-soak/tests/hosts/callers.rs
+++ b/crates/onyxshed-soak/tests/hosts/callers.rs
@@ -17,8 +17,8 @@
     wait_until_host_ends, wait_until_job_completes,
 };
 
-/// Jobs that must be stored are not supported yet: such a job is refused at once with a `retry-after` header,
-/// and no task of it starts.
+/// Jobs that must be stored are not supported yet: such a job is refused immediately with a
+/// `retry-after` header, and no task of it starts.
 #[test]
 fn job_that_must_be_stored_is_refused_and_never_runs() {
     block_on(async {
@@ -80,8 +80,8 @@
     });
 }
 
-/// Every host is asked to stop while it has a job in progress on an open connection. Each caller gets its
-/// whole answer, and no host ends before it has sent it.
+/// Every host is asked to stop while it has a job in progress on an open connection. Each caller
+/// receives its whole answer, and no host ends before it has sent the answer.
 #[test]
 fn planned_stop_cuts_off_no_job() {
     block_on(async {
@@ -153,9 +153,9 @@
     });
 }
 
-/// A host is killed and starts again, and its callers connect at once, as all do after a power failure. For
-/// 20 to 200 ms the host knows neither the manifest nor an owner, and it refused them; the callers have to
-/// wait until it does and be served.
+/// A host is killed and starts again, and its callers connect immediately, as all do after a power
+/// failure. For 20 to 200 ms the host knows neither the manifest nor an owner, and in that time it
+/// refused its callers. Callers must wait until the host knows both, and then be served.
 #[test]
 fn callers_that_connect_while_a_host_starts_are_served() {
     block_on(async {
@@ -180,7 +180,7 @@
         fleet.start_host(&name).expect("the host starts");
         let address = fleet.caller_addresses()[0];
         let body = job_body(10, 1);
-        // While no host process listens, the proxy accepts connections and closes them at once.
+        // While no host process listens, the proxy accepts connections and closes them immediately.
         let reply = wait_until("the host answers on a connection", async || {
             let mut connection = Connection::open(address, ClientOptions::default())
                 .await
@@ -200,8 +200,9 @@
     });
 }
 
-/// A host starts while the store is unreachable. It gets the manifest and the owner of the pool from another
-/// host; without them its callers would be refused until the store is back.
+/// A host starts while the store is unreachable. It receives the manifest and the owner of the pool
+/// from another host; without them its callers would be refused until the store can be reached
+/// again.
 #[test]
 fn host_that_starts_without_the_store_serves_callers() {
     block_on(async {
--- a/crates/onyxshed-soak/tests/hosts/evacuation.rs
+++ b/crates/onyxshed-soak/tests/hosts/evacuation.rs
@@ -38,7 +38,7 @@
     submit(host, id).await.map(|reply| reply.status)
 }
 
-/// Starts two zones, evacuates the first one, and waits until every host has logged it.
+/// Starts two zones, evacuates the first, and waits until every host has logged the evacuation.
 async fn start_with_evacuated_zone() -> Fleet {
     let fleet = Fleet::start(&two_zones()).await.expect("the fleet starts");
     evacuate_first_zone(&fleet).await;
@@ -58,7 +58,7 @@
     wait_until_logged(fleet, &fleet.host_names(), &["PoolLinkUp", "PoolOwned"], 2).await;
 }
 
-/// Waits until the log of each of the hosts contains the words `count` times in all.
+/// Waits until the log of each of the hosts contains the words `count` times in total.
 async fn wait_until_logged(fleet: &Fleet, hosts: &[SmolStr], words: &[&str], count: usize) {
     let started_at = Instant::now();
     let word_count = |host| {
--- a/crates/onyxshed-soak/tests/hosts/owners.rs
+++ b/crates/onyxshed-soak/tests/hosts/owners.rs
@@ -44,10 +44,10 @@
     });
 }
 
-/// The owner of a pool is cut off from the store and continues to serve after its membership has expired.
-/// Another host starts, has no contact with an owner yet and sees a vacant pool in the store. If it took the
-/// pool, all jobs of the owner would be lost; it finds the owner in the records of the store and forwards its
-/// callers' jobs to it.
+/// The owner of a pool is cut off from the store and continues to serve after its membership has
+/// expired. Another host starts, has no contact with an owner yet and reads in the store that the
+/// pool has no owner. If it acquired the pool, all jobs of the owner would be lost. Instead it
+/// finds the owner in the records of the store and forwards its callers' jobs to that owner.
 #[test]
 fn starting_host_finds_owner_whose_membership_has_expired() {
     block_on(async {
@@ -74,10 +74,11 @@
     });
 }
 
-/// A pool's owner is stopped while no host reaches the store, so that no host can join the pool's group. The
-/// owner appoints the other host as its successor, which serves the zone's callers; without it they would be
-/// refused until the store is back. When the store answers again, the successor becomes the owner there as
-/// well, although the stopped host has been restarted and finds its own old name in the store.
+/// A pool's owner is stopped while no host reaches the store, so that no host can join the pool's
+/// group. The owner appoints the other host as its successor, which serves the zone's callers;
+/// without a successor they would be refused until the store can be reached again. When the store
+/// answers again, the successor becomes the owner in the store as well, although the stopped host
+/// has been restarted and finds its own old name there.
 #[test]
 fn owner_that_stops_without_the_store_appoints_a_successor() {
     block_on(async {
@@ -124,10 +125,11 @@
     });
 }
 
-/// Both hosts are stopped and started one after the other while the store is unreachable: the pool goes to a
-/// successor, and from it to the next one, while the store keeps the membership of the first owner. When the
-/// store answers again, the last successor has to end that membership; a successor that mistook it for that
-/// of another owner released the pool with its jobs in progress.
+/// Both hosts are stopped and started one after the other while the store is unreachable: the pool
+/// is transferred to a successor, and from there to the next one, while the store keeps the
+/// membership of the first owner. When the store answers again, the last successor has to end that
+/// membership. A successor that mistook it for the membership of another owner released the pool
+/// with its jobs in progress.
 #[test]
 fn second_successor_is_the_owner_when_the_store_is_back() {
     block_on(async {
@@ -206,7 +208,7 @@
 /// back into use.
 #[test]
 fn late_renewal_reuses_no_closed_connection() {
-    /// The time after which the next job renews the session first.
+    /// The idle time after which the session is renewed before the next job is sent.
     const IDLE_TIME: Duration = Duration::from_millis(400);
     /// The time after which the link's heartbeat has timed out, but the renewal has not.
     const HEARTBEAT_TIMED_OUT: Duration = Duration::from_millis(240);
--- a/crates/onyxshed-soak/tests/hosts/support.rs
+++ b/crates/onyxshed-soak/tests/hosts/support.rs
@@ -107,8 +107,8 @@
     .await;
 }
 
-/// Returns the index of the host that owns the pool of a zone with two executors, once it holds both: an
-/// owner that is cut off earlier can serve no caller.
+/// Waits until the owner of the pool of a zone with two executors holds both executors, and returns
+/// the owner's index. An owner that is cut off before that can serve no caller.
 pub async fn wait_for_owner(fleet: &Fleet) -> usize {
     let names = fleet.host_names();
     let owner = names
--- a/crates/onyxshed-soak/tests/seeds.rs
+++ b/crates/onyxshed-soak/tests/seeds.rs
@@ -38,9 +38,9 @@
     require_no_violations(&report).expect("no promise is broken");
 }
 
-/// A job that fails in every run put all three executors of a zone out of use for up to a second, and jobs
-/// that would miss their deadline by then were refused at once: 35 of 39 and 36 of 42 callers were served
-/// after all faults had ended.
+/// A job that fails in every run put all three executors of a zone out of use for up to a second,
+/// and jobs that would miss their deadline by then were refused immediately: with these seeds, 35
+/// of 39 and 36 of 42 callers were served after all faults had ended.
 #[rstest]
 #[case(903)]
 #[case(904)]
@@ -61,8 +61,9 @@
     run_without_violations(&options);
 }
 
-/// Executors take up to ten times as long for a while, also for runs in progress. Hosts refuse or abandon
-/// jobs by their estimates of the executors' speed; the answers to callers have to be true nevertheless.
+/// Executors temporarily run tasks up to ten times slower, including runs in progress. Hosts refuse
+/// or abandon jobs by their estimates of the executors' speed; the answers to callers have to be
+/// true nevertheless.
 #[test]
 fn slow_executors_make_no_answer_false() {
     let options = SoakOptions {
--- a/crates/onyxshed-standins/src/faults/control.rs
+++ b/crates/onyxshed-standins/src/faults/control.rs
@@ -65,7 +65,7 @@
         Ok(address)
     }
 
-    /// Returns the handler of the commands.
+    /// Returns the HTTP handler of the commands under `/control/`.
     pub fn handler(&self) -> Handler {
         let proxy = self.clone();
         Rc::new(move |call| {
--- a/crates/onyxshed-standins/src/faults/pump.rs
+++ b/crates/onyxshed-standins/src/faults/pump.rs
@@ -1,4 +1,4 @@
-//! Forwards the bytes of one direction of a connection as the mode of its route says.
+//! Forwards the bytes of one direction of a connection according to the mode of its route.
 
 use std::io;
 use std::net::Shutdown;
@@ -110,7 +110,7 @@
 /// Forwards the end of one direction; returns whether to close the whole connection.
 fn handle_end_of_stream(link: &Link, direction: Direction, to: &TcpStream) -> bool {
     if link.route.mode().discards(direction) || link.is_stalled(direction) {
-        // The end of the stream is discarded as bytes are: the other end does not notice it.
+        // The end of the stream is discarded like bytes, so the receiver does not detect it.
         link.record_lost_bytes(direction);
         return false;
     }
--- a/crates/onyxshed-standins/src/faults/route.rs
+++ b/crates/onyxshed-standins/src/faults/route.rs
@@ -68,7 +68,8 @@
         self.changed.notify();
     }
 
-    /// Returns the mode.
+    /// Returns the mode in force. It is `Pass` after [`Mode::StallExisting`], which affects only
+    /// the connections that are open when it is set.
     pub fn mode(&self) -> Mode {
         self.mode.get()
     }
--- a/crates/onyxshed-standins/src/fleet/executor.rs
+++ b/crates/onyxshed-standins/src/fleet/executor.rs
@@ -33,13 +33,14 @@
 const CONFLICT: u16 = 409;
 const MISDIRECTED: u16 = 421;
 
-/// The interval between two entries of the executor in the store.
+/// The interval between two writes of the executor's entry in the store.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The timeout of the request that writes an entry.
 const PUT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The interval at which the lease is checked.
+/// The interval at which the executor checks whether the lease that the orders of the pool's owner
+/// renew has expired.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The longest time that a run waits before it takes a change of the executor's speed into account.
@@ -76,11 +77,11 @@
     pub zone: SmolStr,
     /// The CPU capacity in thousandths of a core.
     pub cpu_millis: u32,
-    /// The factor by which the executor is faster than an ordinary one.
+    /// The speed, by which the times in the specs of tasks are divided.
     pub speed: f64,
     /// The time by which the clock is ahead, in milliseconds.
     pub clock_ahead_ms: u64,
-    /// The rate by which the clock is slow, in thousandths.
+    /// The part of the elapsed time by which the clock is slow, in thousandths.
     pub clock_slow_millis: u64,
     /// The address of the store.
     pub store: SocketAddr,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Returns the handler of all requests.
+    /// Returns the HTTP handler of the owner's orders and of the commands under `/control/`.
     pub fn handler(&self) -> Handler {
         let executor = self.clone();
         Rc::new(move |call| {
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Stops all runs when the lease expires, until dropped.
+    /// Checks the lease at an interval until dropped, and stops all runs when it has expired.
     pub async fn watch_leases(self) {
         loop {
             Timer::after(LEASE_CHECK_INTERVAL).await;
--- a/crates/onyxshed-standins/src/fleet/groups.rs
+++ b/crates/onyxshed-standins/src/fleet/groups.rs
@@ -14,7 +14,8 @@
     ttl: Duration,
 }
 
-/// The members of one group and the partitions that they hold.
+/// The members of one group and the partitions that they hold. A new generation begins, with the
+/// next number, whenever a member joins, leaves or expires, or all members are removed.
 #[derive(Debug, Default)]
 pub struct Group {
     generation: u64,
@@ -26,11 +27,12 @@
 }
 
 impl Group {
-    /// Joins a member or renews its membership; returns the generation and the partitions that the member
-    /// holds.
+    /// Joins a member or renews its membership; returns the generation and the partitions that the
+    /// member holds.
     ///
-    /// A member releases a moving partition with its next join, even if the partition is assigned to it again
-    /// by then, and gets an assigned partition without a holder with a join that names the newest generation.
+    /// A member releases a moving partition with its next join, even if the partition is assigned
+    /// to it again by then. It gets an assigned partition without a holder with its first join, or
+    /// with a later join that names the newest generation.
     pub fn join(
         &mut self,
         now: Instant,
@@ -103,8 +105,8 @@
         self.members.keys().nth(partition % count.max(1))
     }
 
-    /// Begins a generation: releases the partitions of members that are gone, and marks those that have to
-    /// move.
+    /// Begins a generation: releases the partitions whose holders are no longer members, and marks
+    /// as moving those that are assigned to another member than their holder.
     fn begin_generation(&mut self) {
         self.generation += 1;
         for partition in 0..PARTITIONS {
--- a/crates/onyxshed-standins/src/fleet/store.rs
+++ b/crates/onyxshed-standins/src/fleet/store.rs
@@ -99,7 +99,7 @@
         FleetStore::default()
     }
 
-    /// Returns the handler of all requests.
+    /// Returns the HTTP handler of the store's interface and of the commands under `/control/`.
     pub fn handler(&self) -> Handler {
         let store = self.clone();
         Rc::new(move |call| {
--- a/crates/onyxshed-standins/src/platform/service.rs
+++ b/crates/onyxshed-standins/src/platform/service.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the handler of all requests.
+    /// Returns the HTTP handler of the platform's interface and of the commands under `/control/`.
     pub fn handler(&self) -> Handler {
         let platform = self.clone();
         Rc::new(move |call| {
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Applies the faults in force to a call; returns `None` if the call is to be served.
+    /// Applies the faults in force to a call: waits for the delay, and returns the response that a
+    /// fault requires, or `None` if the call is to be served.
     async fn apply_faults(&self) -> Option<ServerAction> {
         let faults = self.state.borrow().faults.clone();
         match faults.down {
--- a/crates/onyxshed-standins/src/platform/state.rs
+++ b/crates/onyxshed-standins/src/platform/state.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// The way in which an outage shows to callers.
+/// What callers observe during an outage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
--- a/crates/onyxshed-standins/src/serve.rs
+++ b/crates/onyxshed-standins/src/serve.rs
@@ -17,7 +17,7 @@
 
 use crate::error::{ListenSnafu, Result};
 
-/// The way in which a stand-in handles a request.
+/// The response to a request: a reply, or a connection that is closed on purpose.
 #[derive(Debug)]
 pub enum ServerAction {
     /// Sends the reply.
@@ -34,7 +34,7 @@
 /// A function that handles the requests of all connections.
 pub type Handler = Rc<dyn Fn(Call) -> ActionFuture>;
 
-/// Binds a listener to an address; port 0 takes a free port.
+/// Binds a listener to an address; with port 0, the system selects a free port.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address)
         .await
--- a/crates/onyxshed-standins/src/upstream/service.rs
+++ b/crates/onyxshed-standins/src/upstream/service.rs
@@ -1,5 +1,5 @@
-//! The HTTP interface of the executor: starts, stops and queries tasks, and takes a test's commands under
-//! `/control/`.
+//! The HTTP interface of the executor: starts, stops and queries tasks, and executes the commands
+//! of tests under `/control/`.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -43,8 +43,8 @@
     usage: RefCell<(Instant, Usage)>,
 }
 
-/// The end of a start or stop request: the state to report, the body of the reply and the time that the task
-/// was in service.
+/// The outcome of a start or stop request: the state to report, the body of the reply, and how long
+/// the task was in service.
 struct TaskEnd {
     state: TaskState,
     body: Vec<u8>,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns the handler of all requests.
+    /// Returns the HTTP handler of the executor's interface and of the commands under `/control/`.
     pub fn handler(&self) -> Handler {
         let executor = self.clone();
         Rc::new(move |call| {
@@ -345,7 +345,8 @@
     })
 }
 
-/// Returns the HTTP status for the end of a task. Callers go by the state header, not by this status.
+/// Returns the HTTP status for the state of an ended task. Entry hosts read the state header, not
+/// this status.
 fn status_of(state: TaskState) -> u16 {
     match state {
         TaskState::Finished => OK,
--- a/crates/onyxshed-standins/src/upstream/tasks.rs
+++ b/crates/onyxshed-standins/src/upstream/tasks.rs
@@ -51,7 +51,7 @@
     SlotGranted,
     /// The task waits in the queue; the receiver yields the reason when it stops waiting.
     Wait(Receiver<WakeReason>),
-    /// The task will not run: the start is fenced or the queue is full.
+    /// The task will not run: an earlier stop has fenced the start, or the queue is full.
     Refused,
 }
 
@@ -60,7 +60,8 @@
 pub struct Attempt {
     /// The incarnation of the host that sent the request.
     pub starter: Incarnation,
-    /// The number of the start among those of the starter; a stop fences the starts up to its number.
+    /// The number of the start among those of the starter. A stop carries the number of the start
+    /// that it stops, and fences all starts up to that number.
     pub number: u64,
 }
 
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Returns the status of a task.
+    /// Returns the status of a task; a queued task counts as running.
     pub fn status(&self, task: TaskId) -> TaskStatus {
         match self.phases.get(&task) {
             None => TaskStatus::NotSeen,
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Returns the numbers of running and queued tasks.
+    /// Returns a report with the numbers of running and queued tasks and the given `is_draining`.
     pub fn load(&self, is_draining: bool) -> LoadReport {
         LoadReport {
             running: self.running,
--- a/crates/onyxshed-state/examples/slopes.rs
+++ b/crates/onyxshed-state/examples/slopes.rs
@@ -1,7 +1,8 @@
 //! Measures the cost of a claim, a configuration record and a member in memory, time and bytes.
 //!
 //! `cargo run --release -p onyxshed-state --example slopes` prints the tables of docs/CAPACITY.md.
-//! Memory is the growth of the resident set over enough copies that a page is small against it.
+//! Memory is the growth of the resident set while many copies are made, so that rounding to whole
+//! pages does not matter.
 
 use std::hint::black_box;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -21,7 +22,7 @@
 };
 use ulid::Ulid;
 
-/// Total number of records in all copies when the memory of one record is measured.
+/// Number of records in all copies together when the memory of one record is measured.
 const RECORDS: usize = 400_000;
 
 /// Claims in a batch, about as many as a busy host sends.
@@ -202,7 +203,8 @@
     )
 }
 
-/// Runs all members for [`ROUNDS`] rounds and returns the time spent and the bytes sent.
+/// Runs all members for [`ROUNDS`] rounds, and returns the time spent in their tables and the
+/// number of bytes sent.
 fn run_rounds(tables: &mut [MemberTable], from: u64) -> (Duration, usize) {
     let (mut spent, mut bytes) = (Duration::ZERO, 0);
     for round in from..from + ROUNDS {
--- a/crates/onyxshed-state/src/append.rs
+++ b/crates/onyxshed-state/src/append.rs
@@ -1,4 +1,5 @@
-//! The ways an append to the platform's log can fail, as far as the caller can know.
+//! Failures of an append to the platform's log, distinguished by whether the caller may append the
+//! record again.
 
 /// Why an append returned no offset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/onyxshed-state/src/claim.rs
+++ b/crates/onyxshed-state/src/claim.rs
@@ -1,11 +1,11 @@
-//! Decides which host may start a submission: the one whose claim is first in log order.
+//! Decides which host may start a submission: the host whose claim is first in log order.
 //!
 //! The dispatcher asks a [`ClaimBook`] before it starts a submission and passes it every record of
-//! the `claims` stream. A host that wants to start an unbound submission queues a claim. Claims are
-//! appended in batches, one append per batch, at a rate that keeps all hosts together below the
-//! log's limit. A claim counts only once it has been read back: every earlier record has been read
-//! by then, so the first claim is known. A bound submission needs no claim, because only the
-//! incarnation named in its id may start it.
+//! the `claims` stream. A submission is bound if its id names an incarnation; only that incarnation
+//! may start it, so it needs no claim. A host that wants to start an unbound submission queues a
+//! claim. Claims are appended in batches, one append per batch, at a rate that keeps all hosts
+//! together below the log's limit. A claim counts only once it has been read back: every earlier
+//! record has been read by then, so the first claim is known.
 //!
 //! The book also remembers which submissions this host was allowed to start, so that a resubmission
 //! that arrives after the job's answer was dropped is not started again. The claim of a job that
@@ -125,7 +125,8 @@
     /// holds the submission.
     ///
     /// Only for classes whose tasks may run twice, and only when `gone` is considered permanently
-    /// gone. The log accepts only one replacement of `gone`.
+    /// gone. If several hosts replace `gone`, only the first of their claims in the log has an
+    /// effect.
     pub fn take_over(
         &mut self,
         now: Now,
@@ -163,9 +164,9 @@
 
     /// Returns whether a task of a submission that this book allowed to start may still be started.
     ///
-    /// False once the id is older than the horizon, in case the holder was frozen: other hosts
-    /// forget the claim two skews after the horizon, and eventually the log discards it too. Also
-    /// false once the submission was released or another host took it over.
+    /// False once the id is older than the horizon: if this host was frozen, other hosts may have
+    /// forgotten the claim, which they do two skews after the horizon, and eventually the log
+    /// discards it too. Also false once the submission was released or another host took it over.
     pub fn may_start(&self, now: Now, id: SubmissionId) -> bool {
         let is_ours = match id.bound_to {
             Some(holder) => {
@@ -176,7 +177,7 @@
         is_ours && self.latest_time(now).since(id.time()) <= self.options.horizon_ms
     }
 
-    /// Decides whether a batch is to be appended now.
+    /// Returns the next batch if it is to be appended now, otherwise when to call again.
     pub fn next_batch(&mut self, now: Now) -> BatchStep {
         let deadline = self.queue.next_deadline();
         let wait = |at: Option<_>| at.map_or(BatchStep::Idle, BatchStep::WaitUntil);
@@ -288,7 +289,8 @@
         }
     }
 
-    /// Records that the log can't be reached, and fails every pending claim at once.
+    /// Records that the log can't be reached, and immediately fails every pending claim. No claim
+    /// is queued until [`Self::mark_caught_up`] finds that the log has been read to its end.
     pub fn mark_log_unreachable(&mut self) -> Vec<ClaimResult> {
         self.is_caught_up = false;
         self.queue
@@ -307,7 +309,9 @@
         self.latest_wall.since(now.wall)
     }
 
-    /// Drops entries older than the horizon; the cost is proportional to the number dropped.
+    /// Drops claims whose ids are past the horizon on every host's clock, and claimants from which
+    /// no batch was read for twice that time. The cost of dropping claims is proportional to the
+    /// number dropped.
     pub fn expire(&mut self, now: Now) {
         self.observe_clock(now);
         let claim_max_age_ms = self.options.claim_max_age_ms();
--- a/crates/onyxshed-state/src/claim/batch.rs
+++ b/crates/onyxshed-state/src/claim/batch.rs
@@ -12,7 +12,8 @@
 use super::queue::ClaimQueue;
 use super::table::{ClaimState, ClaimTable};
 
-/// The releases to send and the batch whose append has not finished.
+/// Queue of the releases to send, and the batch whose append has not finished. At most one batch is
+/// appended at a time.
 #[derive(Debug)]
 pub(crate) struct Outbox {
     incarnation: Incarnation,
--- a/crates/onyxshed-state/src/claim/pace.rs
+++ b/crates/onyxshed-state/src/claim/pace.rs
@@ -1,8 +1,8 @@
 //! Token bucket that limits this host's appends of claim batches.
 //!
-//! An append is made at once while a token is available and waits for the next token otherwise, so
-//! claims are only coalesced under load. In any second at most the host's share is spent: the burst
-//! that the bucket holds is subtracted from its refill rate.
+//! An append is made immediately while a token is available and waits for the next token otherwise,
+//! so claims are only coalesced under load. In any second at most the host's share is spent: the
+//! burst that the bucket holds is subtracted from its refill rate.
 
 use onyxshed_core::{Mono, RatePerS};
 
@@ -18,7 +18,7 @@
 /// share allows only one append without a wait.
 const FULL_BURST_MIN_MILLI_PER_S: u64 = 4_000;
 
-/// Token bucket for the appends of one host.
+/// Token bucket for the appends of one host; one append uses one token.
 #[derive(Debug, Clone)]
 pub(crate) struct TokenBucket {
     refill_milli_per_s: u64,
--- a/crates/onyxshed-state/src/claim/queue.rs
+++ b/crates/onyxshed-state/src/claim/queue.rs
@@ -32,7 +32,7 @@
         self.pending.len()
     }
 
-    /// Returns the pending claim on an id.
+    /// Returns the pending claim on an id, or `None` if no job waits for one.
     pub(crate) fn get(&self, id: Ulid) -> Option<&PendingClaim> {
         self.pending.get(&id)
     }
@@ -102,7 +102,7 @@
         overdue
     }
 
-    /// Returns the earliest deadline of a pending claim.
+    /// Returns the earliest deadline of a pending claim, or `None` if no claim is pending.
     pub(crate) fn next_deadline(&mut self) -> Option<Mono> {
         while let Some((deadline, id)) = self.deadlines.front() {
             if self
--- a/crates/onyxshed-state/src/claim/request.rs
+++ b/crates/onyxshed-state/src/claim/request.rs
@@ -1,4 +1,5 @@
-//! Decides whether this host may start a submission that arrives.
+//! Decides whether this host may start a submission that arrives, from its id, the claims in the
+//! log and the pending claims.
 
 use onyxshed_core::{Incarnation, Now, SubmissionId, UnixMs};
 use onyxshed_wire::ContentHash;
@@ -15,12 +16,14 @@
         self.decide(now, id, content, None)
     }
 
-    /// Returns whether an id is recent enough for its tasks to be started without a claim.
+    /// Returns whether the time of an id is acceptable: neither past the horizon, nor so old that a
+    /// claim on it may have been forgotten, nor ahead of the clock by more than the skew.
     pub fn is_within_horizon(&self, now: Now, id: SubmissionId) -> bool {
         self.check_time(now, id.time()).is_none()
     }
 
-    /// Decides, and applies the decision: marks the submission as started or queues its claim.
+    /// Decides whether this host may start the submission of `claim`, and marks it as started or
+    /// queues the claim accordingly.
     pub(super) fn request_claim(&mut self, now: Now, claim: Claim) -> ClaimStep {
         self.observe_clock(now);
         let id = claim.submission;
--- a/crates/onyxshed-state/src/claim/table.rs
+++ b/crates/onyxshed-state/src/claim/table.rs
@@ -25,7 +25,7 @@
     ReleaseSent,
 }
 
-/// A claim in force.
+/// The claim that decides which incarnation may start an unbound submission.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HeldClaim {
     /// The incarnation that holds the claim.
@@ -36,7 +36,7 @@
     pub(crate) state: ClaimState,
 }
 
-/// Batch number and time at which an incarnation was last seen as a claimant.
+/// Number of the last batch that was read from an incarnation, and the time at which it was read.
 #[derive(Debug, Clone, Copy)]
 struct Claimant {
     last_batch: u64,
@@ -96,7 +96,7 @@
         self.evicted
     }
 
-    /// Returns the claim in force on an unbound id.
+    /// Returns the claim in force on an unbound id, or `None` if no claim on it is remembered.
     pub(crate) fn get(&self, id: Ulid) -> Option<HeldClaim> {
         self.held.get(&id).copied()
     }
@@ -127,7 +127,8 @@
             .is_none_or(|sent| batch > *sent)
     }
 
-    /// Returns whether claims on ids of that time may have been forgotten.
+    /// Returns whether claims on ids of `time` may have been forgotten, so that such ids are
+    /// rejected.
     pub(crate) fn is_forgotten(&self, time: UnixMs) -> bool {
         time < self.forgotten_before
     }
@@ -137,7 +138,7 @@
     /// A batch whose answer was lost can reach the log after a later batch of the same claimant. If
     /// it still counted, it could release a submission that the claimant has claimed again since,
     /// and two hosts could start the submission. All readers see both batches in the same order and
-    /// drop the same one.
+    /// ignore the same batch.
     pub(crate) fn admit_batch(&mut self, by: Incarnation, batch: u64, now: UnixMs) -> bool {
         let claimant = self.claimants.entry(by).or_insert(Claimant {
             last_batch: 0,
@@ -153,7 +154,8 @@
         true
     }
 
-    /// Applies a claim of `by` and returns its effect. A claim that takes the id gets `state`.
+    /// Applies a claim of `by` and returns its effect. If the claim is recorded, its state on this
+    /// host is `state`.
     pub(crate) fn apply_claim(
         &mut self,
         by: Incarnation,
@@ -195,12 +197,14 @@
         }
     }
 
-    /// Returns the hash of the content that a bound id was started with.
+    /// Returns the hash of the content that a bound id was started with, or `None` if it was not
+    /// started.
     pub(crate) fn bound_content(&self, id: Ulid) -> Option<ContentHash> {
         self.bound.get(&id).copied()
     }
 
-    /// Records that a bound id was started.
+    /// Records that a bound id was started, and with which content, so that a resubmission of it is
+    /// not started again.
     pub(crate) fn record_bound_start(&mut self, id: Ulid, content: ContentHash) {
         self.bound.insert(id, content);
         self.evict_excess();
--- a/crates/onyxshed-state/src/config.rs
+++ b/crates/onyxshed-state/src/config.rs
@@ -11,7 +11,7 @@
 //! within the records that this fold has read.
 //!
 //! If every process lost records, they continue from the best configuration that any of them has in
-//! memory. Such a fold is *tentative* and is superseded by one that is not.
+//! memory. Such a fold is *tentative* and is superseded by a fold that is not tentative.
 //!
 //! A configuration from a peer may be ahead of the records read here. It is in force beside the
 //! fold, which continues by itself and is in force again once it has reached that revision.
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// Number of changes accepted so far.
+    /// Number of accepted changes that led to this configuration.
     pub revision: Revision,
     /// Target of every class.
     pub classes: BTreeMap<ClassName, ClassTarget>,
@@ -58,7 +58,7 @@
 pub enum FoldOutcome {
     /// The configuration moved to this revision.
     Accepted(Revision),
-    /// The change was based on another revision than the one in force and was rejected.
+    /// The change was rejected, because it was based on another revision than the one in force.
     Raced {
         /// The revision that the change was based on.
         based_on: Revision,
@@ -71,7 +71,7 @@
     Nothing,
 }
 
-/// Options of the fold.
+/// Options of a [`ConfigFold`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigOptions {
     /// How long the log retains a record. Default 30 min.
@@ -109,7 +109,9 @@
     change: ConfigChange,
 }
 
-/// Changes that a partial fold has read since records were lost.
+/// Changes that a partial fold has read since records were lost. `from` is the offset from which on
+/// every change is in the backlog, and `since` the time from which the delay until the fold is
+/// published is counted.
 #[derive(Debug, Clone)]
 struct PartialFold {
     from: Offset,
@@ -204,7 +206,8 @@
         self.apply_at(record.offset, record.at_ms, &record.data)
     }
 
-    /// Records that, as read at `at`, the log starts at `oldest`: records before it are lost.
+    /// Records that the log starts at `oldest`, as observed at `at`: the records before it that
+    /// this fold has not read are lost.
     pub fn skip_to(&mut self, oldest: Offset, at: UnixMs) {
         if oldest <= self.next {
             return;
--- a/crates/onyxshed-state/src/config/handover.rs
+++ b/crates/onyxshed-state/src/config/handover.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Handover {
-    /// The configuration.
+    /// Configuration with which the receiver continues.
     pub config: Config,
     /// Offset up to which the configuration accounts for every record, if it is complete.
     pub folded_to: Offset,
--- a/crates/onyxshed-state/src/config/outcome.rs
+++ b/crates/onyxshed-state/src/config/outcome.rs
@@ -1,4 +1,5 @@
-//! Outcomes of recent changes by their ids.
+//! Remembers the outcomes of recent changes by their ids, so that a repeated change is ignored and
+//! an operator's command can report the result of its change.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,12 +14,12 @@
 /// Number of rejected changes that are remembered by id.
 const REJECTED_MAX: usize = 1_024;
 
-/// Outcome of a change.
+/// Outcome of a change, as far as the log has been read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeOutcome {
     /// The change was accepted and created this revision.
     Accepted(Revision),
-    /// The change was based on another revision than the one in force and was rejected.
+    /// The change was rejected, because it was based on another revision than the one in force.
     Raced {
         /// The revision that the change was based on.
         based_on: Revision,
@@ -31,7 +32,8 @@
     NotSeen,
 }
 
-/// Ids of the last accepted changes, oldest first; the last one created the current revision.
+/// Ids of the last [`RECENT_CHANGES`] accepted changes, oldest first. The last id is that of the
+/// change that created the current revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct RecentChanges(VecDeque<ChangeId>);
 
--- a/crates/onyxshed-state/src/config/parts.rs
+++ b/crates/onyxshed-state/src/config/parts.rs
@@ -1,8 +1,8 @@
 //! Splits snapshots that are too large for one record into parts, and joins the parts again.
 //!
 //! All processes split a revision by the same rule, so parts published by different processes fit
-//! together; a fingerprint of the whole snapshot tells apart parts that don't. If a part is lost,
-//! the snapshot stays incomplete until the next snapshot replaces it.
+//! together; a fingerprint of the whole snapshot distinguishes parts of different snapshots. If a
+//! part is lost, the snapshot stays incomplete until the next snapshot replaces it.
 
 use std::collections::BTreeMap;
 
@@ -30,7 +30,8 @@
     pub(super) published_at: UnixMs,
 }
 
-/// Parts read so far of the current snapshot.
+/// Parts that have been read of the newest snapshot. `key` identifies that snapshot by its
+/// revision, its number of parts and its fingerprint.
 #[derive(Debug, Clone, Default)]
 pub(super) struct SnapshotParts {
     key: (Revision, u16, ContentHash),
@@ -38,13 +39,13 @@
 }
 
 impl SnapshotParts {
-    /// Drops the parts read so far.
+    /// Drops all parts that have been read.
     pub(super) fn clear(&mut self) {
         self.received.clear();
     }
 
-    /// Adds a part and returns the snapshot once all its parts have been read. A part of another
-    /// snapshot drops the parts read so far.
+    /// Adds a part and returns the snapshot once all its parts have been read. If the part belongs
+    /// to another snapshot, the parts of the previous snapshot are dropped.
     pub(super) fn add(&mut self, at: UnixMs, part: ConfigSnapshot) -> Option<CompleteSnapshot> {
         let key = (part.revision, part.parts, part.fingerprint);
         if key != self.key {
--- a/crates/onyxshed-state/src/config/proposal.rs
+++ b/crates/onyxshed-state/src/config/proposal.rs
@@ -28,7 +28,7 @@
     state: S,
 }
 
-/// What the fold shows about a change that was sent.
+/// Result of looking up a sent change in a fold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposalStatus {
     /// The change was accepted and created this revision.
@@ -44,7 +44,7 @@
     Invalid,
     /// The change is not in the log up to the given end and may be appended again.
     Repeat(Proposal<Ready>),
-    /// Not known yet; more of the log has to be read.
+    /// The fold does not show the result yet; more of the log has to be read.
     Undecided(Proposal<Sent>),
 }
 
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Returns the change.
+    /// Returns the change that the operator proposed, with its id and base revision.
     pub fn change(&self) -> &ConfigChange {
         &self.change
     }
@@ -95,7 +95,7 @@
     }
 }
 
-/// State of a change after an append was tried.
+/// Next step of a proposal after an append was tried.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AppendStep {
     /// The change is provably not in the log and may be appended again.
@@ -105,7 +105,7 @@
 }
 
 impl Proposal<Sent> {
-    /// Returns the change.
+    /// Returns the change that the operator proposed, with its id and base revision.
     pub fn change(&self) -> &ConfigChange {
         &self.change
     }
--- a/crates/onyxshed-state/src/config/republish.rs
+++ b/crates/onyxshed-state/src/config/republish.rs
@@ -1,9 +1,10 @@
 //! Decides when to publish the configuration again, before its records expire.
 //!
-//! Each process decides for itself, at a time of its own after half of the retention. The first
-//! snapshot postpones those of all other processes by another half of the retention. Two processes
-//! that publish at the same time do no harm, because a snapshot changes nothing for processes that
-//! have read the log.
+//! Each process decides for itself. A complete fold is published when the oldest record that a
+//! process starting late needs is between four and five eighths of the retention old; each process
+//! has its own time within that range. The first snapshot postpones those of all other processes by
+//! another half of the retention. Two processes that publish at the same time do no harm, because a
+//! snapshot changes nothing for processes that have read the log.
 
 use onyxshed_core::{Millis, UnixMs};
 use onyxshed_wire::record::ConfigRecord;
@@ -14,8 +15,7 @@
 /// Eighths of the retention after which a complete fold is published.
 const COMPLETE_DUE_EIGHTHS: u64 = 4;
 
-/// Eighths of the retention after which a partial fold is published, which is later than any
-/// complete one.
+/// Eighths of the retention after which a partial fold is published: later than any complete fold.
 const PARTIAL_DUE_EIGHTHS: u64 = 6;
 
 /// Processes spread their publications over this fraction of the retention.
@@ -41,8 +41,8 @@
     ///
     /// A partial fold is published only if no complete fold was published for three quarters of the
     /// retention. By then any process that had a complete fold and could reach the log would have
-    /// published it, so the configurations in memory are the best that exist. If a complete fold is
-    /// published later nevertheless, it supersedes the tentative one.
+    /// published it, so the configurations in memory are the best that exist. A complete fold that
+    /// is published later nevertheless supersedes the tentative fold.
     pub fn republish(&mut self, now: UnixMs, seed: u64) -> RepublishStep {
         let Some(since) = self.needed_since() else {
             return RepublishStep::Nothing;
--- a/crates/onyxshed-state/src/config/snapshot.rs
+++ b/crates/onyxshed-state/src/config/snapshot.rs
@@ -2,9 +2,9 @@
 //!
 //! A complete fold needs no snapshot: it only records that earlier records are no longer needed,
 //! and counts a snapshot that contradicts it. A partial fold continues from a snapshot. If
-//! processes had to continue from memory, several histories may coexist. The higher revision wins;
-//! of equal revisions the history that is not based on memory wins, so all processes agree again at
-//! the next snapshot.
+//! processes had to continue from the configurations in memory, several histories of changes may
+//! coexist. The history with the higher revision wins; of equal revisions, the history that is not
+//! based on memory wins, so all processes agree again at the next snapshot.
 
 use std::cmp::Ordering;
 
@@ -61,8 +61,9 @@
 
     /// Replaces this fold's history by another one.
     ///
-    /// Changes read after the end of the other fold would have to be decided again on top of it,
-    /// and they were not kept. In that case the fold becomes partial until the next snapshot.
+    /// Changes that this fold has read after the end of the other fold would have to be decided
+    /// again on top of the other fold, and they were not kept. In that case this fold becomes
+    /// partial until the next snapshot.
     pub(super) fn switch_to(
         &mut self,
         handover: &Handover,
--- a/crates/onyxshed-state/src/member.rs
+++ b/crates/onyxshed-state/src/member.rs
@@ -24,9 +24,11 @@
 /// State of a peer from this host's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// The counter of the peer advanced recently.
+    /// The counter of the peer has advanced within [`MemberOptions::suspect_ms`], scaled to the
+    /// number of peers.
     Live,
-    /// The counter of the peer has not advanced for a while.
+    /// The counter of the peer has not advanced within the scaled [`MemberOptions::suspect_ms`],
+    /// and the peer is not gone.
     Suspect,
     /// The incarnation is considered permanently gone and will not be admitted again.
     Gone,
@@ -47,7 +49,7 @@
     pub state: MemberState,
 }
 
-/// Load of an entry host.
+/// Numbers of running and queued tasks on an entry host, sent with each of its heartbeats.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadDigest {
     /// Number of tasks that are running on upstreams.
@@ -73,7 +75,7 @@
     pub peer_address: SocketAddr,
     /// Number of the heartbeat; higher numbers are newer.
     pub counter: u64,
-    /// Load of the host.
+    /// Numbers of running and queued tasks on the host.
     pub load: LoadDigest,
     /// Configuration revision in force on the host.
     pub config_revision: Revision,
@@ -86,13 +88,14 @@
 pub enum MembershipEvent {
     /// An incarnation became known.
     Joined(Incarnation),
-    /// An incarnation is suspected: its counter has not advanced for a while.
+    /// An incarnation is suspected: its counter has not advanced within the scaled
+    /// [`MemberOptions::suspect_ms`].
     Suspected(Incarnation),
     /// The counter of a suspected incarnation advanced.
     Refuted(Incarnation),
     /// An incarnation is considered permanently gone.
     Gone(Incarnation),
-    /// This process did not run for that long, because it was frozen or starved.
+    /// This process did not run for this time, because it was frozen or starved.
     Paused(Millis),
     /// A peer considers this incarnation permanently gone: it must accept no more work and restart.
     DeclaredGone,
@@ -108,7 +111,7 @@
     times_sent: u32,
 }
 
-/// The platform's list of hosts.
+/// The last list of hosts from the platform, as passed to [`MemberTable::apply_host_list`].
 #[derive(Debug, Clone)]
 struct ListedHosts {
     hosts: BTreeMap<HostName, EntryHost>,
@@ -124,7 +127,7 @@
     seed: u64,
     seeds: Vec<SocketAddr>,
     peers: BTreeMap<Incarnation, Peer>,
-    /// Incarnations considered permanently gone, with the time since when.
+    /// Incarnations considered permanently gone, with the time at which each was declared gone.
     gone: BTreeMap<Incarnation, Mono>,
     host_list: Option<ListedHosts>,
     round: u64,
@@ -207,8 +210,8 @@
             .map(|heartbeat| heartbeat.peer_address)
     }
 
-    /// Returns the number of live hosts in this zone that accept work, this host included. Slots
-    /// are shared between them.
+    /// Returns the number of live hosts in this zone that accept work, this host included. The
+    /// slots for tasks are divided among them.
     pub fn live_hosts_in_zone(&self) -> usize {
         let is_sharing = |peer: &&Peer| {
             let is_live = peer.state == MemberState::Live;
@@ -218,7 +221,7 @@
     }
 
     /// Returns the number of hosts that may append to the log, this host included. The append
-    /// budget is shared between them. Suspected hosts count, because they may consider themselves
+    /// budget is divided among them. Suspected hosts count, because they may consider themselves
     /// live.
     pub fn known_hosts(&self) -> usize {
         let known = self.peers.len();
--- a/crates/onyxshed-state/src/member/gossip.rs
+++ b/crates/onyxshed-state/src/member/gossip.rs
@@ -1,4 +1,5 @@
-//! Gossip between control processes: selects receivers, builds messages and applies received ones.
+//! Gossip between the control processes of entry hosts: selects receivers, builds messages and
+//! applies received messages.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,7 +11,7 @@
 
 use super::{Heartbeat, MemberState, MemberTable, MembershipEvent, Peer};
 
-/// A message between control processes; the answer has the same form.
+/// A message between control processes: a request, or the answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
     /// Heartbeat of the sender.
@@ -40,10 +41,11 @@
 }
 
 impl MemberTable {
-    /// Counts a heartbeat and returns the messages of a round.
+    /// Increments the counter of this host's heartbeat and returns the messages of a round.
     ///
-    /// Receivers are peers in this zone and in other zones, in turn, and every few rounds one of
-    /// the configured addresses, so that a partition heals without intervention.
+    /// Receivers are `zone_fanout` peers in this zone in each round, and a peer in another zone
+    /// every `other_zone_every` rounds. A configured address is added every `seed_every` rounds,
+    /// and when there is no other receiver, so that a partition heals without intervention.
     pub fn start_round(&mut self, now: Now) -> Vec<OutgoingGossip> {
         self.detect_pause(now);
         self.own.counter += 1;
@@ -65,7 +67,7 @@
         targets.into_iter().map(to_message).collect()
     }
 
-    /// Applies a message, or the answer to one.
+    /// Applies a request or an answer from another control process.
     pub fn apply_gossip(&mut self, now: Now, gossip: &Gossip) -> GossipOutcome {
         self.detect_pause(now);
         let sender = gossip.from.incarnation;
@@ -84,7 +86,8 @@
         }
     }
 
-    /// Applies a heartbeat, which `is_direct` if its own host sent it.
+    /// Applies a heartbeat. `is_direct` is true if the host that the heartbeat describes has sent
+    /// the message itself.
     fn apply_heartbeat(&mut self, now: Now, heartbeat: &Heartbeat, is_direct: bool) {
         let incarnation = heartbeat.incarnation;
         if incarnation == self.own.incarnation || self.is_gone(incarnation) {
@@ -154,8 +157,9 @@
     /// Builds the message for `to`: the heartbeats of live peers that were forwarded least since
     /// they changed.
     ///
-    /// Ties are broken at random, so that no peer is left out because of its position. Heartbeats
-    /// in `known`, which `to` has just sent itself, are left out.
+    /// Equally often forwarded heartbeats are included in random order, so that no peer is left out
+    /// because of its position. Heartbeats in `known`, which `to` has just sent itself, are left
+    /// out unless a newer one is known.
     fn build_gossip(&mut self, to: SocketAddr, known: &[Heartbeat]) -> Gossip {
         let max = self.options.digest_max;
         let known: BTreeMap<_, _> = known.iter().map(|b| (b.incarnation, b.counter)).collect();
@@ -182,8 +186,8 @@
         }
     }
 
-    /// Returns the addresses of known peers and listed hosts, either those in this host's zone or
-    /// those in all other zones.
+    /// Returns the addresses of known peers and of listed hosts without a heartbeat, either those
+    /// in this host's zone or those in all other zones.
     fn contacts(&self, is_own_zone: bool) -> Vec<SocketAddr> {
         let is_wanted = |zone: &ZoneName| (*zone == self.own.zone) == is_own_zone;
         let from_peers = self.peers.values().map(|peer| &peer.heartbeat);
@@ -207,8 +211,9 @@
         seeds.filter(|seed| !is_reached(seed)).collect()
     }
 
-    /// Returns `count` addresses, starting with the one whose turn it is. Every address is returned
-    /// once before any is repeated, in an order that is shuffled again for each pass.
+    /// Returns `count` addresses, starting at position `turn`; fewer if `addresses` is shorter.
+    /// Every address is returned once before any is repeated, in an order that is shuffled again
+    /// for each pass.
     fn pick(&self, mut addresses: Vec<SocketAddr>, turn: u64, count: u64) -> Vec<SocketAddr> {
         addresses.sort_unstable();
         addresses.dedup();
--- a/crates/onyxshed-state/src/member/liveness.rs
+++ b/crates/onyxshed-state/src/member/liveness.rs
@@ -6,7 +6,7 @@
 
 use super::{Heartbeat, MemberState, MemberTable, MembershipEvent};
 
-/// State transition of a peer.
+/// What [`MemberTable::tick`] does with a peer: keep its state, suspect it, or remove it as gone.
 enum Transition {
     Keep,
     Suspect,
@@ -33,8 +33,8 @@
 
     /// Continues with a new incarnation of this host, whose former one is gone.
     ///
-    /// The known peers are kept. In a new table the former incarnation, which still holds claims,
-    /// would be unknown.
+    /// The known peers are kept. A new table would not know that the former incarnation, which
+    /// still holds claims, is gone.
     pub fn restart(&mut self, now: Now, own: Heartbeat) -> Vec<MembershipEvent> {
         let former = std::mem::replace(&mut self.own, own);
         if former.incarnation != self.own.incarnation {
@@ -44,12 +44,13 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Detects that this process has not run for a while.
+    /// Detects that this process has not run for longer than
+    /// [`MemberOptions::pause_ms`](super::MemberOptions::pause_ms).
     ///
-    /// Otherwise a process that thaws would consider all its peers unresponsive, although it was
-    /// the process itself that received nothing. So the time of the last heartbeat of each peer is
-    /// moved by the length of the pause. The wall clock is checked too, because some systems stop
-    /// the monotonic clock while they are suspended.
+    /// Without this, a process that thaws would consider all its peers unresponsive, although the
+    /// process itself has received nothing. So the time of the last heartbeat of each peer is moved
+    /// by the length of the pause. The wall clock is checked too, because some systems stop the
+    /// monotonic clock while they are suspended.
     pub(super) fn detect_pause(&mut self, now: Now) {
         let Some(last_run) = self.last_run.replace(now) else {
             return;
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Determines the state transition of a peer from the time since its counter last advanced and
-    /// the platform's list.
+    /// Determines the transition of a peer from the time since its counter last advanced, and from
+    /// the platform's list once that time exceeds `gone_ms`.
     fn next_transition(&self, now: Now, incarnation: Incarnation) -> Transition {
         let Some(peer) = self.peers.get(&incarnation) else {
             return Transition::Keep;
--- a/crates/onyxshed-state/src/member/options.rs
+++ b/crates/onyxshed-state/src/member/options.rs
@@ -1,25 +1,27 @@
-//! Times and limits of the membership.
+//! Options of the membership state machine.
 
 use onyxshed_core::Millis;
 
-/// Times and limits of the membership.
+/// Time limits of the membership state machine, and limits on its messages and its table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberOptions {
-    /// How long a peer's counter may not advance before the peer is suspected, for as many peers as
-    /// one message holds. With twice as many peers it is twice as long, and so on. Default 6 s.
+    /// Time without an advance of a peer's counter after which the peer is suspected. Applies to as
+    /// many peers as one message holds; with twice as many peers the time is twice as long, and so
+    /// on. Default 6 s.
     pub suspect_ms: Millis,
-    /// How long a peer's counter may not advance before the platform's list decides whether the
-    /// peer is gone. It grows with the number of peers like `suspect_ms`. Default 15 s.
+    /// Time without an advance of a peer's counter after which the platform's list decides whether
+    /// the peer is gone. It grows with the number of peers like `suspect_ms`. Default 15 s.
     pub gone_ms: Millis,
-    /// How long this process may not run before a pause is reported. Default 2 s.
+    /// A pause is reported if this process has not run for longer than this time. Default 2 s.
     pub pause_ms: Millis,
-    /// How long an incarnation that is gone is remembered. Default 20 min, twice the claim horizon.
+    /// How long an incarnation that is gone is remembered, so that it is not admitted again.
+    /// Default 20 min, twice the claim horizon.
     pub keep_gone_ms: Millis,
-    /// Number of peers in the same zone that get a message in each round. Default 1.
+    /// Number of peers in the same zone to which a message is sent in each round. Default 1.
     pub zone_fanout: usize,
-    /// Interval, in rounds, at which a peer in another zone gets a message. Default 1.
+    /// Interval, in rounds, at which a message is sent to a peer in another zone. Default 1.
     pub other_zone_every: u64,
-    /// Interval, in rounds, at which a configured address gets a message. Default 8.
+    /// Interval, in rounds, at which a message is sent to a configured address. Default 8.
     pub seed_every: u64,
     /// Maximum number of heartbeats forwarded in a message. Default 12.
     pub digest_max: usize,
--- a/crates/onyxshed-state/tests/claim_pace.rs
+++ b/crates/onyxshed-state/tests/claim_pace.rs
@@ -15,7 +15,8 @@
 use rstest::rstest;
 use ulid::Ulid;
 
-/// Measurements of one second of load.
+/// Batches appended by all hosts within one second, the claims in them, and the longest time from a
+/// submission to the append of its claim.
 #[derive(Debug)]
 struct Second {
     appends: u32,
@@ -23,8 +24,8 @@
     longest_wait_ms: u64,
 }
 
-/// Runs `hosts` hosts for two seconds, each with `per_s` submissions per second, and measures the
-/// second one.
+/// Runs `hosts` hosts for two seconds, each with `per_s` submissions per second, and returns the
+/// measurements of the last second.
 fn run_two_seconds(hosts: usize, per_s: u64) -> Second {
     let options = ClaimOptions::default();
     let mut books: Vec<ClaimBook> = (1..=hosts as u64)
@@ -67,8 +68,8 @@
     Some(batch)
 }
 
-/// Load grows by factors of 4 and 16. All hosts together stay within the log's budget; claims wait
-/// for a host's share of it and are batched into one record instead.
+/// The load grows by factors of 4 and 16. All hosts together stay within the log's budget; claims
+/// wait until their host's share allows the next append, and are then appended in one batch.
 #[rstest]
 #[case::light(8, 20)]
 #[case::load_1x(8, 100)]
--- a/crates/onyxshed-state/tests/claim_search.rs
+++ b/crates/onyxshed-state/tests/claim_search.rs
@@ -24,14 +24,15 @@
 const CASES: u32 = 12_000;
 const SEED: u64 = 4;
 
-/// Number of hosts and submissions. With few submissions, hosts come into conflict sooner.
+/// Number of hosts and of submissions in a run. With few submissions, hosts come into conflict
+/// sooner.
 #[derive(Debug, Clone, Copy)]
 struct Shape {
     hosts: usize,
     ids: usize,
 }
 
-/// One step of a run. Host and submission indexes are already reduced to the number there is.
+/// One step of a run. `host` and `id` are valid indexes into the hosts and ids of the simulation.
 #[derive(Debug, Clone)]
 enum Op {
     Submit {
@@ -191,14 +192,15 @@
     failed: BTreeSet<Incarnation>,
     ids: Vec<Ulid>,
     next_number: u64,
-    /// Jobs that started a task, and the incarnation that each ran on, by submission.
+    /// For each submission, the jobs that started a task, with the incarnation on which each job
+    /// ran.
     starts: BTreeMap<SubmissionId, BTreeMap<u64, Incarnation>>,
-    /// Failed holders that a take-over was to replace, by submission.
+    /// For each submission, the failed holders that a take-over was to replace.
     replaced: BTreeMap<SubmissionId, BTreeSet<Incarnation>>,
     tally: Tally,
 }
 
-/// Counters that show whether the search reaches the interesting cases.
+/// Number of times that the search has reached each case that it is meant to test.
 #[derive(Debug, Clone, Copy, Default)]
 struct Tally {
     starts: u64,
@@ -253,8 +255,8 @@
         }
     }
 
-    /// Returns whether the tasks of `id` may run twice, which is the case for ids with an even
-    /// number.
+    /// Returns whether the tasks of `id` may run twice: they may if the random part of the id is
+    /// even.
     fn may_run_twice(&self, id: &SubmissionId) -> bool {
         id.ulid.random().is_multiple_of(2)
     }
@@ -285,7 +287,7 @@
         }
     }
 
-    /// Advances the time and replaces ids that have been rejected for long by new ones.
+    /// Advances the time, and replaces each id that is too old to be accepted with a new id.
     fn advance(&mut self, ms: u64) {
         self.ms += ms;
         let mut number = u128::from(self.number());
@@ -372,7 +374,8 @@
         Offset(self.log.len() as u64 - 1)
     }
 
-    /// Reads some records, the last `back` of them again, and none that has expired.
+    /// Reads up to `count` new records on a host, after reading the `back` records before them
+    /// again. Expired records are not read.
     fn read(&mut self, host: usize, back: u64, count: u64) {
         let now = self.now(host);
         let oldest_ms = self.ms - options().retention_ms.0.min(self.ms);
--- a/crates/onyxshed-state/tests/claim_traps.rs
+++ b/crates/onyxshed-state/tests/claim_traps.rs
@@ -62,9 +62,9 @@
     results.iter().map(|result| result.outcome).collect()
 }
 
-/// The caller sends to both hosts at once, and both append a claim before either has read the log.
-/// Each host decides only when it reads its own claim back, and by then has read the other's if
-/// that one was first.
+/// The caller sends a submission to two hosts at the same time, and both append a claim before
+/// either has read the log. Each host decides only when it reads its own claim back. By then it has
+/// read the other host's claim too if that claim is first in the log.
 #[test]
 fn two_claims_in_one_interval_have_one_winner() {
     let (mut log, mut a, mut b) = hosts();
@@ -147,7 +147,7 @@
 }
 
 /// The log rejects the append. The claim is sent again while the job waits. When the log becomes
-/// unreachable, every pending claim fails at once and no new one is queued.
+/// unreachable, every pending claim fails immediately and no new claim is queued.
 #[test]
 fn rejected_append_is_retried_until_log_is_unreachable() {
     let (log, mut a, _) = hosts();
@@ -174,7 +174,8 @@
 }
 
 /// The holder is frozen between its claim and its first start, and thaws past the horizon. Other
-/// hosts have forgotten the claim or soon will, so the holder must not start on it.
+/// hosts have forgotten the claim or will soon forget it, so the holder must not start the
+/// submission.
 #[rstest]
 #[case::at_the_horizon(HORIZON_MS, true)]
 #[case::past_it(HORIZON_MS + 1, false)]
@@ -184,8 +185,8 @@
     assert_eq!(a.may_start(at(age_ms), id(0)), may_start);
 }
 
-/// A process thaws past the horizon and checks ids before any event has brought the new time. It
-/// must use the time passed in, not the latest time that it has stored.
+/// A process thaws past the horizon and checks ids before it has processed any event with the new
+/// time. It must use the time passed in, not the latest time that it has stored.
 #[test]
 fn thawed_process_checks_ids_by_new_time() {
     let (_, a, _) = hosts();
@@ -196,8 +197,8 @@
     assert!(!a.is_within_horizon(after, id(0)));
 }
 
-/// The queue of pending claims is full. A further claim is rejected at once, and `peek` agrees with
-/// `request_start`; otherwise the caller would wait for an outcome that never comes.
+/// The queue of pending claims is full. A further claim is rejected immediately, and `peek` agrees
+/// with `request_start`; otherwise the caller would wait for an outcome that is never returned.
 #[test]
 fn full_queue_rejects_at_once() {
     let options = ClaimOptions {
@@ -230,8 +231,8 @@
     assert_eq!(a.request_start(slowest, id(0), CONTENT), ClaimStep::TooOld);
 }
 
-/// The wall clock steps back after a claim was forgotten. By that clock the id would be young again
-/// and look unclaimed.
+/// The wall clock steps back after a claim was forgotten. By the stepped-back clock the id is
+/// recent enough to be accepted and looks unclaimed.
 #[test]
 fn stepped_back_clock_does_not_reopen_forgotten_id() {
     let (mut log, mut a, _) = hosts();
@@ -352,8 +353,8 @@
     win(&mut log, &mut b, at(910), id(0));
 }
 
-/// A reader gets old records again, as from an answer that was out of date. They change nothing,
-/// and reading continues at the same offset.
+/// A reader receives old records again, for example in an answer that was out of date. They change
+/// nothing, and reading continues at the same offset.
 #[test]
 fn record_read_twice_changes_nothing() {
     let (mut log, mut a, _) = hosts();
@@ -363,7 +364,8 @@
     assert_eq!((a.next(), a.counts().stale_batches), (Offset(2), 0));
 }
 
-/// Only the holder's release has an effect; a host that lost the race has no claim to release.
+/// Only the holder's release has an effect; a host whose claim was not the first has no claim to
+/// release.
 #[test]
 fn release_by_non_holder_is_ignored() {
     let (mut log, mut a, mut b) = hosts();
@@ -379,8 +381,9 @@
     );
 }
 
-/// The holder's host fails and its class may run twice. Two hosts take the submission over; the
-/// first one in the log wins. The former holder may no longer start it, even if it was only frozen.
+/// The holder's host fails, and the class of the submission allows tasks to run twice. Two hosts
+/// take the submission over; the host whose claim is first in the log wins. The former holder may
+/// no longer start the submission, even if its host was only frozen.
 #[test]
 fn only_first_take_over_succeeds() {
     let (mut log, mut a, mut b) = hosts();
@@ -409,9 +412,9 @@
     assert_eq!(c.take_over(at(40), id(0), CONTENT, A), ClaimStep::HeldBy(B));
 }
 
-/// The holder fails after the first of several tasks. Its claim stays in the log, so no other host
-/// starts the rest: the result is unknown, but no task runs twice. The host's next incarnation is a
-/// different holder.
+/// The holder fails after it has started the first of several tasks. Its claim stays in the log, so
+/// no other host starts the remaining tasks: the result is unknown, but no task runs twice. The
+/// next incarnation of the failed host is a different holder.
 #[test]
 fn claim_outlives_failed_holder() {
     let (mut log, mut a, _) = hosts();
@@ -511,8 +514,9 @@
     );
 }
 
-/// More claims are read than the book can hold. It forgets the oldest and from then on rejects ids
-/// as old as those, instead of treating a forgotten submission as unclaimed.
+/// More claims are read than the book can hold. It forgets the claims on the oldest ids and from
+/// then on rejects ids that are at least as old, instead of treating a forgotten submission as
+/// unclaimed.
 #[test]
 fn full_book_rejects_forgotten_ids() {
     let options = ClaimOptions {
--- a/crates/onyxshed-state/tests/config_fold.rs
+++ b/crates/onyxshed-state/tests/config_fold.rs
@@ -104,8 +104,9 @@
     );
 }
 
-/// A change is appended after a snapshot was built and before it is appended. A host that starts
-/// after the first records expired reads the change before the snapshot, and must still apply it.
+/// A change is appended after a snapshot was built and before that snapshot is appended. A host
+/// that starts after the first records expired reads the change before the snapshot, and must still
+/// apply it.
 #[test]
 fn late_start_applies_change_before_older_snapshot() {
     let mut log = log_of(2);
@@ -121,9 +122,9 @@
     assert_eq!(revision(&late), 4);
 }
 
-/// As above, but the accepted change has expired too and only the one that lost to it is left.
-/// Taken alone the remaining change looks valid. The snapshot comes into force, but no change is
-/// decided on top of it.
+/// As above, but the accepted change has expired too, and only a change that was rejected in its
+/// favour is left. Taken alone, the rejected change looks valid. The snapshot comes into force, but
+/// no change is decided on top of it.
 #[test]
 fn raced_change_is_not_accepted_when_accepted_one_expired() {
     let mut log = log_of(2);
@@ -146,9 +147,9 @@
     );
 }
 
-/// A wrong or an old snapshot is appended. A host that has read the log ignores it, and counts it if
-/// it is wrong. The host moves neither to another configuration of the same revision nor to a lower
-/// revision.
+/// A wrong or an old snapshot is appended. A host that has read the log ignores it, and counts it
+/// if it is wrong. The host moves neither to another configuration of the same revision nor to a
+/// lower revision.
 #[rstest]
 #[case::other_content(2, 200, 1)]
 #[case::ahead_of_the_log(7, 100, 1)]
@@ -228,7 +229,7 @@
 
 /// A change was appended, the answer was lost, and the records expired before they were read. The
 /// change stays undecided, and is not appended again, until a complete fold decides it. Once the
-/// change ids of that time are forgotten, it stays undecided for good.
+/// change ids of that time are forgotten, it stays undecided permanently.
 #[test]
 fn change_in_lost_records_stays_undecided() {
     let mut log = log_of(2);
@@ -279,8 +280,8 @@
     );
 }
 
-/// A host starts while the platform's log is down. It gets the configuration from peers, moves only
-/// to higher revisions, and continues from the log when the log is available again.
+/// A host starts while the platform's log is down. It receives the configuration from peers, moves
+/// only to higher revisions, and continues from the log when the log is available again.
 #[test]
 fn host_started_in_outage_adopts_from_peers() {
     let log = log_of(3);
@@ -304,8 +305,8 @@
     assert_eq!(decoded, peer.handover());
 }
 
-/// Two processes are due to publish. The first one's snapshot postpones the other's, and the next
-/// publication is due well before the required records expire.
+/// Two processes are due to publish. The snapshot of the first postpones that of the second, and
+/// the next publication is due well before the required records expire.
 #[test]
 fn configuration_is_republished_once_before_expiry() {
     let mut log = log_of(2);
@@ -336,9 +337,10 @@
     );
 }
 
-/// Every host lost records in an outage longer than the retention; they hold revisions 2 and 3 of
-/// one history. No fold is complete, so after a long wait both publish. All hosts, whichever
-/// snapshot they read first, reach the higher revision and accept changes again.
+/// Every host lost records in an outage longer than the retention; the hosts have revisions 2 and 3
+/// of one history in memory. No fold is complete, so after three quarters of the retention both
+/// publish. All hosts, whichever snapshot they read first, reach the higher revision and accept
+/// changes again.
 #[rstest]
 #[case::lower_first([2, 3])]
 #[case::higher_first([3, 2])]
@@ -372,8 +374,8 @@
 }
 
 /// One process has read every record, has a higher revision than the others, and is frozen for so
-/// long that the others continue from memory. When it runs again, its history supersedes theirs,
-/// even one with as many changes, and all agree again.
+/// long that the others continue from the configurations in memory. When it runs again, its history
+/// supersedes theirs, even if they have accepted as many changes, and all processes agree again.
 #[rstest]
 #[case::others_are_behind(0)]
 #[case::others_caught_up(2)]
@@ -432,8 +434,9 @@
     assert_eq!((revision(&frozen), frozen.config()), (5, other.config()));
 }
 
-/// Two processes hold different configurations of one revision in memory, after two losses in a
-/// row. Both publish, and all processes reach the same one, whichever they held or read first.
+/// After two losses of records in a row, two processes have different configurations of the same
+/// revision in memory. Both publish, and all processes reach the same configuration, whichever they
+/// had or read first.
 #[test]
 fn tentative_folds_of_one_revision_converge() {
     let mut log = log_of(4);
@@ -452,9 +455,9 @@
     assert_eq!(reader(&log).config(), folds[0].config());
 }
 
-/// A superseded history has decided a change that comes before the other history's snapshot and
-/// after the end of its fold. How the other history decided it is unknown here, so the fold is
-/// partial until a peer's handover.
+/// A history that another history supersedes has decided a change that is in the log after the end
+/// of the other history's fold and before its snapshot. How the other history decided that change
+/// is unknown to this fold, so the fold is partial until it receives a handover from a peer.
 #[test]
 fn change_between_histories_makes_fold_partial() {
     let mut log = log_of(3);
@@ -492,9 +495,9 @@
     assert_eq!((late.is_complete(), late.next()), (false, Offset(3)));
 }
 
-/// Every process was replaced while the log had lost every record, so no process holds a
-/// configuration. After a long wait the fleet starts from an empty one instead of rejecting changes
-/// for ever.
+/// Every process was replaced while the log had lost every record, so no process has a
+/// configuration. After at least three quarters of the retention the processes start from an empty
+/// configuration instead of rejecting all changes permanently.
 #[test]
 fn fleet_without_records_accepts_changes_again() {
     let mut log = log_of(4);
@@ -510,8 +513,9 @@
     assert_eq!((revision(&started), revision(&reader(&log))), (1, 1));
 }
 
-/// The configuration is larger than a record. It is published in parts, which two publishers
-/// interleave and a late reader joins. Without the first part the snapshot stays incomplete.
+/// The configuration is larger than a record and is published in parts. The parts of two publishers
+/// are interleaved in the log, and a reader that starts late assembles them. Without the first part
+/// the snapshot stays incomplete.
 #[test]
 fn large_configuration_is_split_into_parts() {
     let mut log = log_of(2_000);
@@ -585,8 +589,8 @@
     }
 }
 
-/// Two operators change the same revision and both appends are answered. The second is reported as
-/// raced, and only once its record was read back.
+/// Two operators base a change on the same revision, and both appends are answered. The second
+/// change is reported as raced, and only once its record was read back.
 #[test]
 fn second_of_two_changes_is_reported_raced() {
     let mut log = log_of(1);
--- a/crates/onyxshed-state/tests/config_search.rs
+++ b/crates/onyxshed-state/tests/config_search.rs
@@ -93,20 +93,20 @@
     log: Log,
     late: Vec<ConfigChange>,
     folds: [ConfigFold; HOSTS],
-    /// Highest revision that was in force in the current run of each process.
+    /// For each process, the highest revision that was in force on it since its last restart.
     highest: [u64; HOSTS],
     sent: [Vec<(Proposal<Sent>, Offset)>; HOSTS],
     number: u64,
     /// Reference fold that reads every record when it is appended.
     reference: ConfigFold,
     reference_by_revision: BTreeMap<u64, Config>,
-    /// The reference's revision before each offset.
+    /// For each offset, the revision of the reference before it read the record there.
     reference_revisions: Vec<u64>,
     reported_rejected: BTreeSet<ChangeId>,
     tally: Tally,
 }
 
-/// Counters that show whether the search reaches the interesting cases.
+/// Number of times that the search has reached each case that it is meant to test.
 #[derive(Debug, Clone, Copy, Default)]
 struct Tally {
     accepted: u64,
@@ -368,9 +368,9 @@
 /// unread, and processes restart and exchange configurations.
 ///
 /// After every step no process has moved to a lower revision, and processes that lost no record and
-/// have read equally far agree. While one of them keeps reading and publishing, each holds exactly
-/// what the whole log yields: no accepted change is lost, and no operator gets a wrong result. Once
-/// the faults end, all agree.
+/// have read equally far agree. While one process keeps reading and publishing, every process has
+/// exactly the configuration that results from the whole log: no accepted change is lost, and no
+/// operator receives a wrong result. Once the faults end, all processes agree.
 #[rstest]
 #[case::one_process_keeps_up(true)]
 #[case::all_may_fall_behind(false)]
--- a/crates/onyxshed-state/tests/member.rs
+++ b/crates/onyxshed-state/tests/member.rs
@@ -26,7 +26,8 @@
     }
 }
 
-/// Runs `table` until `ms` without any received message and returns the events.
+/// Calls `tick` on `table` once a second from `from_ms` to `ms`, without any received message, and
+/// returns the events.
 fn idle(table: &mut MemberTable, from_ms: u64, ms: u64) -> Vec<MembershipEvent> {
     (from_ms..=ms)
         .step_by(1_000)
@@ -142,8 +143,8 @@
     assert!(table.is_gone(PEER) && table.members().len() == 1);
 }
 
-/// The host's wall clock stepped back across its restart, so its new incarnation looks older. It is
-/// admitted once the former one is suspected, rather than never.
+/// The host's wall clock stepped back across its restart, so its new incarnation looks older. The
+/// new incarnation is admitted once the former one is suspected, instead of never.
 #[test]
 fn restart_with_stepped_back_clock_is_admitted() {
     let mut table = table();
@@ -186,7 +187,7 @@
     assert_eq!(table.state(PEER), Some(MemberState::Live));
 }
 
-/// A process thaws after its peers have declared it gone. The first answer that it gets reports
+/// A process thaws after its peers have declared it gone. The first answer that it receives reports
 /// this, before the process has done any work for them.
 #[test]
 fn thawed_process_is_informed_that_it_is_gone() {
@@ -283,8 +284,9 @@
     assert_eq!(known, [1, 2, 3]);
 }
 
-/// Slots are shared between the zone's live hosts that accept work. The log's budget is shared
-/// between all hosts that may append, including suspected hosts and hosts that are only listed.
+/// The slots are divided among the zone's live hosts that accept work. The log's append budget is
+/// divided among all hosts that may append, including suspected hosts and hosts that are only
+/// listed.
 #[test]
 fn host_counts_for_slots_and_log_budget() {
     let mut table = table();
@@ -333,7 +335,8 @@
 
 /// Two zones can't reach each other but both reach the third: no host is suspected, because
 /// heartbeats are forwarded. A zone that is cut off from all others suspects their hosts and is
-/// suspected by them, keeps its own hosts live, and is live for the others again without a restart.
+/// suspected by them, and keeps its own hosts live. When the cut ends, its hosts are live for the
+/// others again without a restart.
 #[test]
 fn partitioned_zones_recover_without_restart() {
     let mut network = Network::new(8);
--- a/crates/onyxshed-state/tests/support/claims.rs
+++ b/crates/onyxshed-state/tests/support/claims.rs
@@ -21,7 +21,8 @@
     SubmissionId::unbound(Ulid::from_parts(10_000_000 + ms, 1))
 }
 
-/// Returns the book of a host that has read an empty log.
+/// Returns the claim book of a host with incarnation `number`, which has read an empty log to its
+/// end.
 pub fn host(number: u64, options: ClaimOptions) -> ClaimBook {
     let mut book = ClaimBook::new(Incarnation(number), options);
     book.mark_caught_up(Offset(0));
--- a/crates/onyxshed-state/tests/support/members.rs
+++ b/crates/onyxshed-state/tests/support/members.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns a list of the hosts in service as of `age_ms` ago.
+/// Returns the platform's list of the hosts in service, which was current `age_ms` ago.
 pub fn list(hosts: &[u16], age_ms: u64) -> HostList {
     let entry = |n: &u16| EntryHost {
         name: heartbeat(*n).host,
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Runs from `from_s` to `to_s`, in seconds; each host has its own offset within the second.
+    /// Runs the network from `from_s` to `to_s`, in seconds; each host sends at its own offset
+    /// within the second.
     pub fn run(&mut self, from_s: u64, to_s: u64) {
         for second in from_s..to_s {
             for n in self.tables.keys().copied().collect::<Vec<_>>() {
--- a/crates/onyxshed-telemetry/src/admin.rs
+++ b/crates/onyxshed-telemetry/src/admin.rs
@@ -25,7 +25,7 @@
 use crate::telemetry::Telemetry;
 use crate::timeline::Filter;
 
-/// How often metrics are updated.
+/// How often the metrics that are not counted event by event are updated.
 const UPKEEP_PERIOD: Duration = Duration::from_secs(5);
 
 /// Limits of the admin server: few connections, small requests.
--- a/crates/onyxshed-telemetry/src/budget.rs
+++ b/crates/onyxshed-telemetry/src/budget.rs
@@ -1,20 +1,21 @@
 //! Limits the number of lines written to the log per second.
 //!
-//! If thousands of requests a second fail or are rejected and each writes a line, logging takes CPU
-//! time from requests that could be served, and the log collector is flooded. Lines about failures
-//! and changes of belief have a budget of their own, so that a flood of ordinary lines leaves room
-//! for them. Dropped lines are counted, and their number is logged.
+//! If thousands of requests a second fail or are rejected and each writes a line, logging uses CPU
+//! time that could serve requests, and the log collector is flooded. Warnings and errors have a
+//! budget of their own, so that a flood of debug and info lines leaves room for them. Dropped lines
+//! are counted, and their number is logged.
 
 use onyxshed_core::event::Level;
 
-/// Lines per second for debug and info events: three times what a host writes under its heaviest
-/// load.
+/// Maximum number of lines per second for debug and info events: three times the number that a host
+/// writes under its heaviest load.
 pub const INFO_LINES_PER_S: u32 = 600;
 
-/// Lines per second for warnings and errors: failures and changes of belief.
+/// Maximum number of lines per second for warnings and errors, which report failures and suspected
+/// or unreachable processes.
 pub const WARN_LINES_PER_S: u32 = 300;
 
-/// The lines used up within the current second.
+/// Counters of the lines written in the current second and of the dropped lines not yet reported.
 #[derive(Debug, Default)]
 pub struct Budget {
     second: u64,
@@ -35,7 +36,8 @@
 }
 
 impl Budget {
-    /// Decides about a line. `second` is the time in whole seconds since an arbitrary start.
+    /// Decides whether a line is written, and counts it. `second` is the time in whole seconds
+    /// since an arbitrary start.
     pub fn decide(&mut self, second: u64, level: Level) -> LineDecision {
         let is_new_second = second != self.second;
         if is_new_second {
@@ -54,8 +56,7 @@
         *used += 1;
         match std::mem::take(&mut self.dropped) {
             0 => LineDecision::Write,
-            // Reported immediately in a new second, otherwise with the first line of the next
-            // second.
+            // The number of dropped lines is reported once, with the first line of the next second.
             count if is_new_second => LineDecision::WriteAfterDropped(count),
             count => {
                 self.dropped = count;
--- a/crates/onyxshed-telemetry/src/error.rs
+++ b/crates/onyxshed-telemetry/src/error.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns the numbered result code.
+    /// Returns the numbered result code, which is always [`ResultCode::ServiceFailed`].
     pub fn code(&self) -> ResultCode {
         ResultCode::ServiceFailed
     }
--- a/crates/onyxshed-telemetry/src/telemetry.rs
+++ b/crates/onyxshed-telemetry/src/telemetry.rs
@@ -106,7 +106,7 @@
         &self.log
     }
 
-    /// Returns the current status.
+    /// Returns the current status, with which `GET /v1/status` is answered.
     pub fn status(&self) -> Status {
         let source = self.status_source.borrow();
         let parts = source.as_ref().map(|source| source()).unwrap_or_default();
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Returns the events that match a filter.
+    /// Returns the events that match a filter, with which `GET /v1/timeline` is answered.
     pub fn timeline(&self, filter: &Filter) -> TimelinePage {
         let timeline = self.timeline.borrow();
         let matches = timeline.find(filter);
--- a/crates/onyxshed-telemetry/src/timeline.rs
+++ b/crates/onyxshed-telemetry/src/timeline.rs
@@ -6,7 +6,8 @@
 use onyxshed_core::{ClassName, Event, SubmissionId, UnixMs};
 use smol_str::SmolStr;
 
-/// Longest party or detail kept, in bytes; longer texts are truncated.
+/// Largest length of the `party` and the `detail` of a kept event, in bytes; longer texts are
+/// truncated.
 ///
 /// An upstream's long error text in every event would otherwise make the memory of the ring
 /// unbounded, although the number of events is bounded.
--- a/crates/onyxshed-wire/src/admin.rs
+++ b/crates/onyxshed-wire/src/admin.rs
@@ -10,22 +10,23 @@
 
 use crate::error::{Error, Result};
 
-/// Path of the liveness check.
+/// Path of the liveness check, which is answered with 200 as long as the process serves requests.
 pub const HEALTH_PATH: &str = "/healthz";
 
-/// Path of the readiness check.
+/// Path of the readiness check, which is answered with 200 if the process is ready, and otherwise
+/// with 503 and the reason.
 pub const READY_PATH: &str = "/readyz";
 
-/// Path of the metrics.
+/// Path of the metrics in the Prometheus text format.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Path of the status.
+/// Path of the status, which is answered with a [`Status`].
 pub const STATUS_PATH: &str = "/v1/status";
 
 /// Path of the timeline. Its query accepts `submission`, `class`, `party`, `since_ms` and `limit`.
 pub const TIMELINE_PATH: &str = "/v1/timeline";
 
-/// Path that drains the process.
+/// Path to which a `POST` request drains the process.
 pub const DRAIN_PATH: &str = "/v1/drain";
 
 /// Maximum size of an answer, in bytes. A full timeline page of events with long texts is smaller.
@@ -40,7 +41,7 @@
     pub version: SmolStr,
     /// Host on which the process runs.
     pub host: SmolStr,
-    /// Incarnation of the process.
+    /// Incarnation of the process, drawn at random at each start.
     pub boot: Incarnation,
     /// Time since the process started, in milliseconds.
     pub uptime_ms: Millis,
@@ -64,7 +65,7 @@
     pub process: SmolStr,
     /// Host on which the process runs.
     pub host: SmolStr,
-    /// Incarnation of the process.
+    /// Incarnation of the process, drawn at random at each start.
     pub boot: Incarnation,
     /// Start time of this incarnation; it holds no earlier events.
     pub started_ms: UnixMs,
--- a/crates/onyxshed-wire/src/caller.rs
+++ b/crates/onyxshed-wire/src/caller.rs
@@ -53,8 +53,8 @@
     pub submission: SubmissionId,
     /// Class of work of the job.
     pub class: ClassName,
-    /// Time from the submission's arrival to its deadline, in milliseconds, if it is earlier than the
-    /// class's target.
+    /// Time from the submission's arrival to the caller's deadline, in milliseconds; absent if the
+    /// caller states none. It can only shorten the deadlines that follow from the class's target.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<Millis>,
     /// The caller's statement on other copies of this submission.
@@ -110,7 +110,8 @@
     /// suggested.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<Millis>,
-    /// Incarnation of the entry host. Submissions whose ids are bound to it need no claim in the log.
+    /// Incarnation of an entry host, usually the one that answers. A submission whose id is bound
+    /// to it needs no claim in the log.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub bind_to: Option<Incarnation>,
 }
--- a/crates/onyxshed-wire/src/record.rs
+++ b/crates/onyxshed-wire/src/record.rs
@@ -57,19 +57,20 @@
     /// Index of this part, from 0.
     #[serde(default)]
     pub part: u16,
-    /// Number of parts.
+    /// Number of parts of the snapshot; 1 if it was not split.
     #[serde(default = "one")]
     pub parts: u16,
-    /// Whether the snapshot was made from the state that a process remembered after the log had lost
-    /// records.
+    /// Whether the publisher made the snapshot from its own state after the log had lost records,
+    /// so that changes may be missing.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub is_salvage: bool,
     /// Fingerprint of the whole snapshot; parts of different snapshots are not combined.
     pub fingerprint: ContentHash,
     /// Classes in this part, in order of name.
     pub classes: Vec<ClassTarget>,
-    /// Ids of the changes accepted recently, from the oldest to the newest. They show whether a change
-    /// was accepted whose append answer was lost, even after the change itself has expired.
+    /// Ids of the changes accepted recently, from the oldest to the newest. If the reply to the
+    /// append of a change was lost, its id in this list shows that the change was accepted, even
+    /// after the log has dropped the change.
     pub recent_changes: Vec<ChangeId>,
 }
 
@@ -83,17 +84,19 @@
     SnapshotV1(ConfigSnapshot),
 }
 
-/// A host's claim on a submission.
+/// Claim of an entry host to be the only host that runs the job of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
     /// Submission that is claimed.
     #[serde(rename = "s")]
     pub submission: SubmissionId,
-    /// Fingerprint of the submission's content, by which all hosts reject other content under its id.
+    /// Fingerprint of the submission's content. All hosts reject a submission with the same id and
+    /// another fingerprint.
     #[serde(rename = "c")]
     pub content: ContentHash,
-    /// Holder that this claim replaces; present only for classes whose tasks may run twice.
+    /// Incarnation whose claim this claim replaces, because that incarnation is permanently gone;
+    /// present only for classes whose tasks may run twice.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub replaces: Option<Incarnation>,
 }
@@ -104,12 +107,13 @@
 pub struct ClaimBatch {
     /// Incarnation of the host that claims.
     pub by: Incarnation,
-    /// Number of the batch, counted by the claimant, which recognizes its own batch by it after the
-    /// answer to an append was lost.
+    /// Number of the batch, counted by the claiming host. If the reply to the append was lost, the
+    /// host recognizes its batch in the log by this number.
     pub batch: u64,
     /// Claims of the batch.
     pub claims: Vec<Claim>,
-    /// Submissions that the claimant holds, has not started and will not start.
+    /// Submissions whose claims the claiming host releases: it has started none of their tasks and
+    /// will start none.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub releases: Vec<SubmissionId>,
 }
--- a/crates/onyxshed-wire/src/upstream.rs
+++ b/crates/onyxshed-wire/src/upstream.rs
@@ -19,7 +19,8 @@
 /// Path of the load report.
 pub const USAGE_PATH: &str = "/v1/usage";
 
-/// Request header: duration of the lease, in milliseconds; the executor may run the task for so long.
+/// Request header: duration of the lease, in milliseconds; the executor may run the task for that
+/// long.
 pub const LEASE_HEADER: &str = "onyxshed-lease-ms";
 
 /// Request header: the task's class of work.
@@ -160,7 +161,7 @@
 pub struct StartRequest {
     /// Task to start.
     pub task: TaskId,
-    /// Duration of the lease: the executor may run the task for so long.
+    /// Duration of the lease: the executor may run the task for that long.
     pub lease_ms: Millis,
     /// The task's class of work.
     pub class: SmolStr,
@@ -170,7 +171,7 @@
     pub attempt: u64,
 }
 
-/// Returns the path of a task.
+/// Returns the path under which a task is started, stopped and queried.
 pub fn task_path(task: &TaskId) -> String {
     format!("{TASKS_PATH}/{task}")
 }
--- a/crates/onyxshed-wire/tests/decoders.rs
+++ b/crates/onyxshed-wire/tests/decoders.rs
@@ -200,7 +200,8 @@
         prop_assert_eq!(id.to_string().parse::<SubmissionId>().unwrap(), id);
         let task = TaskId { submission: id, index };
         prop_assert_eq!(task.to_string().parse::<TaskId>().unwrap(), task);
-        // With two texts for one id, a caller would see two submissions where onyxshed sees one.
+        // If one id had two texts, a caller would regard them as two submissions, but onyxshed as
+        // one.
         if let Ok(read) = text.parse::<SubmissionId>() {
             prop_assert_eq!(read.to_string(), text);
         }
