--- a/crates/onyxshed-cli/src/args.rs
+++ b/crates/onyxshed-cli/src/args.rs
@@ -105,7 +105,7 @@
     Logs(Vec<PathBuf>),
 }
 
-/// Source, filters and length of a time line.
+/// A filtered time line of events, from the processes or from log files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimelineArgs {
     /// Source of the events.
--- a/crates/onyxshed-cli/src/trace/cause.rs
+++ b/crates/onyxshed-cli/src/trace/cause.rs
@@ -9,8 +9,7 @@
 use super::select::RequestTrace;
 use crate::logs::LogLine;
 
-/// How late a job may end relative to its target and still count as in time, in thousandths of the
-/// target. The log contains only the caller's estimate, which is off by a few hundredths at best.
+/// Longest duration of a job that still counts as in time, in thousandths of its target. The log contains only the caller's estimate, which is off by a few hundredths at best.
 const IN_TIME_MILLIS: u64 = 1_050;
 
 /// The cause of an answer.
--- a/crates/onyxshed-cli/tests/processes.rs
+++ b/crates/onyxshed-cli/tests/processes.rs
@@ -97,7 +97,7 @@
             .expect("the binary runs")
     }
 
-    /// Drains the process by command and waits until it has ended.
+    /// Drains the process with the `drain` command and waits until it has ended.
     fn end(self) {
         let drained = self.run(&["drain", "entry-1", "--timeout", "60s"]);
         assert_eq!(text(&drained), "entry-1 has drained and ended\n");
--- a/crates/onyxshed-control/src/peers.rs
+++ b/crates/onyxshed-control/src/peers.rs
@@ -1,7 +1,8 @@
 //! Exchanges gossip about the members with the control processes of other hosts.
 //!
-//! Heartbeats report on the entry process, not on this process: they are sent only while the entry
-//! process answers, so that peers suspect a stopped or frozen entry process within a second.
+//! This process sends heartbeats only while its entry process answers, so the heartbeats of a
+//! stopped or frozen entry process cease within a second. Peers suspect it after
+//! `suspect_after_ms`.
 
 mod calls;
 mod port;
--- a/crates/onyxshed-control/src/shared_state.rs
+++ b/crates/onyxshed-control/src/shared_state.rs
@@ -53,13 +53,15 @@
         self.state.borrow().fold.next()
     }
 
-    /// Returns the revision in force, or `None` until the end of the stream was read once.
+    /// Returns the revision in force, or `None` until the stream was read to its end with a usable
+    /// result, or a peer's configuration was adopted.
     pub fn revision(&self) -> Option<Revision> {
         let state = self.state.borrow();
         state.has_config.then(|| state.fold.config().revision)
     }
 
-    /// Returns the configuration in force, or `None` until the end of the stream was read once.
+    /// Returns the configuration in force, or `None` until the stream was read to its end with a
+    /// usable result, or a peer's configuration was adopted.
     pub fn config(&self) -> Option<Config> {
         let state = self.state.borrow();
         state.has_config.then(|| state.fold.config().clone())
--- a/crates/onyxshed-core/src/outcome.rs
+++ b/crates/onyxshed-core/src/outcome.rs
@@ -7,7 +7,7 @@
 
 use crate::error::{Error, Result};
 
-/// Final outcome of a request; every answered request has exactly one.
+/// Final outcome of a request; every final answer has exactly one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, SerializeDisplay, DeserializeFromStr)]
 pub enum Outcome {
     /// Every task finished, and the answer contains every result.
@@ -16,7 +16,8 @@
     Failed,
     /// It is proven that no task of this submission was started.
     ///
-    /// This is the only outcome after which the caller can safely submit the work again.
+    /// Only after this outcome can the caller submit the work under a new id without the risk that a
+    /// task runs twice.
     NotRun,
     /// It is not known whether a task ran.
     Unknown,
--- a/crates/onyxshed-dispatch/src/options.rs
+++ b/crates/onyxshed-dispatch/src/options.rs
@@ -24,8 +24,7 @@
     ///
     /// Because of the slack, clock differences and transit time do not cut a task short.
     pub lease_slack_ms: Millis,
-    /// Time after which a refused caller is told to retry if the policy returned no estimate.
-    /// Default 1 s.
+    /// Retry delay sent with an answer when no better estimate is known. Default 1 s.
     pub retry_after_ms: Millis,
     /// Options of the claim book.
     pub claims: ClaimOptions,
--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -43,12 +43,11 @@
 /// round trip and a pause of a host at its CPU limit.
 const DEADLINE_MARGIN: Millis = Millis(60);
 
-/// How long after its start a host delays requests until the manifest and an owner with executors
-/// are known: after a power failure both are known 60 to 300 ms after the start.
+/// How long after its start a host delays requests until it knows the manifest and can reach an
+/// executor through an owner: after a power failure this takes 60 to 300 ms from the start.
 const STARTUP_WAIT_MAX: Duration = Duration::from_millis(400);
 
-/// Interval at which a starting host checks whether it knows the manifest and an owner with
-/// executors.
+/// Interval at which a starting host checks whether it knows the manifest and can reach an executor.
 const STARTUP_POLL: Duration = Duration::from_millis(10);
 
 /// Retry-after time while this host knows no manifest or no pool to submit a job to; about the time
@@ -164,7 +163,7 @@
     /// Waits until this host can serve requests, for at most [`STARTUP_WAIT_MAX`] after its start.
     ///
     /// After a power failure callers connect as soon as the process listens, shortly before it
-    /// knows the manifest and an owner. The wait counts towards the job's target time.
+    /// knows the manifest and can reach an executor. The wait counts towards the job's target time.
     async fn wait_for_startup(&self) {
         // Completes when the channel is closed; no value is ever sent.
         let _ = self.startup_over.recv().await;
@@ -266,7 +265,7 @@
         ))
     }
 
-    /// Rejects a request from which no job could be created, and logs the rejection.
+    /// Rejects a request before a job is created from it, and logs the rejection.
     fn reject_request(
         &self,
         call: &Call,
--- a/crates/onyxshed-host/src/engine.rs
+++ b/crates/onyxshed-host/src/engine.rs
@@ -125,7 +125,7 @@
     }
 
     /// Becomes the owner of a pool. If `last_owner_answers`, the previous owner may still use some
-    /// of the pool's executors, which are left to it until it releases them.
+    /// of the pool's executors, which are left to it until the handover ends.
     pub fn acquire_pool(
         self: &Rc<Self>,
         token: FencingToken,
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -341,8 +341,8 @@
         self.links.set_owner(pool, None);
     }
 
-    /// Writes an owner record, from which hosts that start later find this owner while the group in
-    /// the store has no members.
+    /// Writes an owner record, from which hosts that start later find this owner while the store
+    /// shows no holder of the pool's partition.
     pub(super) async fn write_owner_record(&mut self, pool: &PoolId) {
         if let Err(error) = last_owner::write(&mut self.store, pool, &self.member).await {
             self.watch.record_failure(&error);
--- a/crates/onyxshed-kernel/src/clock.rs
+++ b/crates/onyxshed-kernel/src/clock.rs
@@ -1,5 +1,7 @@
-//! The monotonic clock, the wall clock and the hybrid logical clock of the process. No other module
-//! reads the system's clocks.
+//! The monotonic clock, the wall clock and the hybrid logical clock of the process.
+//!
+//! Services take the time of decisions and the stamps of events from here; only timeouts of single
+//! operations use [`Instant`] directly.
 
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/onyxshed-load/src/sim/policies.rs
+++ b/crates/onyxshed-load/src/sim/policies.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Decides whether to admit a job.
+    /// Applies the policy's admission; the baselines accept every job.
     pub fn admit(
         &mut self,
         now: Now,
--- a/crates/onyxshed-load/src/sim/summary.rs
+++ b/crates/onyxshed-load/src/sim/summary.rs
@@ -33,7 +33,7 @@
 pub struct Cell {
     /// Name of the scenario.
     pub scenario: String,
-    /// The policy under which the scenario was run.
+    /// Policy under which the scenario was run.
     pub rival: PolicyKind,
     /// Results by class.
     pub classes: Vec<ClassCell>,
--- a/crates/onyxshed-platform/tests/client.rs
+++ b/crates/onyxshed-platform/tests/client.rs
@@ -90,6 +90,7 @@
     assert!(error.may_have_taken_effect(), "{error}");
 }
 
+/// A fold that applied such a page would skip or reorder records.
 #[rstest]
 #[case::out_of_order(r#"{"oldest":0,"next":9,"records":[{"offset":4,"at_ms":1,"data":"a"},{"offset":3,"at_ms":1,"data":"b"}]}"#)]
 #[case::with_a_gap(r#"{"oldest":0,"next":9,"records":[{"offset":3,"at_ms":1,"data":"a"},{"offset":5,"at_ms":1,"data":"b"}]}"#)]
--- a/crates/onyxshed-policy/src/decision.rs
+++ b/crates/onyxshed-policy/src/decision.rs
@@ -46,6 +46,9 @@
 }
 
 /// Messages that did not contribute to an answer, by kind.
+///
+/// The kinds overlap: a probe that is refused, unsent or stopped is counted in that kind and among
+/// the failed probes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WastedMessages {
     /// Starts that the executor refused.
--- a/crates/onyxshed-policy/src/estimate.rs
+++ b/crates/onyxshed-policy/src/estimate.rs
@@ -2,7 +2,7 @@
 //!
 //! Tasks declare no run times. Each class keeps two decaying histograms: the measured times, whose
 //! median is the reference for an executor's speed, and the times divided by the executor's
-//! slowdown, which estimate how long a task takes on an executor of ordinary speed.
+//! slowdown, which estimate how long a task takes on an executor of ordinary speed (slowdown 1).
 
 use onyxshed_core::{Micros, Millis, Mono};
 
--- a/crates/onyxshed-policy/src/faults.rs
+++ b/crates/onyxshed-policy/src/faults.rs
@@ -47,7 +47,7 @@
     is_unrunnable: bool,
 }
 
-/// Change of a class's unrunnable mark.
+/// Change of a class: it became unrunnable, or runnable again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClassChange {
     /// The class is now marked unrunnable.
--- a/crates/onyxshed-policy/src/placement.rs
+++ b/crates/onyxshed-policy/src/placement.rs
@@ -22,9 +22,10 @@
     /// Least expected finish by learned speeds, with limits and breakers.
     #[default]
     LeastFinish,
-    /// Each executor in turn, up to its slots; a baseline without limits and breakers.
+    /// Each executor in turn that has a free slot; a baseline without learned limits and breakers.
     RoundRobin,
-    /// Fewest attempts of this host in flight; a baseline without limits and breakers.
+    /// Fewest attempts of this host in flight, among the executors that have a free slot; a baseline
+    /// without learned limits and breakers.
     LeastOutstanding,
 }
 
--- a/crates/onyxshed-policy/src/work.rs
+++ b/crates/onyxshed-policy/src/work.rs
@@ -114,12 +114,13 @@
     GiveUp(ResultCode),
 }
 
-/// A task that was dropped from the queue because it could no longer meet its deadline.
+/// A queued task that was dropped, because it could no longer meet its deadline or its class is
+/// unknown. An earlier attempt of the task may have started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExpiredTask {
     /// Id of the task.
     pub task: TaskId,
-    /// Deadline of the task.
+    /// Deadline with which the task was queued.
     pub deadline: Mono,
     /// Result code: [`ResultCode::ExpiredInQueue`], or the code of an earlier attempt of the task
     /// that may have started.
--- a/crates/onyxshed-pool/src/executor.rs
+++ b/crates/onyxshed-pool/src/executor.rs
@@ -126,8 +126,9 @@
     }
 
     /// Records a failure and returns how long the executor is avoided: `avoid_ms`, doubled for each
-    /// failure already recorded, up to `avoid_max_ms`. A failure that only the executor can have
-    /// caused is recorded here directly.
+    /// failure already recorded, up to `avoid_max_ms`. A failure that is attributed to the
+    /// executor whatever its job is, such as a stuck run or a refusal as unhealthy, is recorded here
+    /// directly.
     pub fn record_failure(&mut self, now: Mono, options: &PoolOptions) -> Millis {
         let doublings = self.failures.min(8);
         self.failures += 1;
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -248,8 +248,8 @@
         self.place_after_report(now, id);
     }
 
-    /// Requeues a task whose run has ended without success or can't execute any more. Does nothing
-    /// if the run is not the current run of the task.
+    /// Requeues a task whose run is known not to execute any more, or never to have started. Does
+    /// nothing if the run is not the current run of the task.
     fn requeue_run(
         &mut self,
         task: TaskId,
--- a/crates/onyxshed-pool/src/pool/orders.rs
+++ b/crates/onyxshed-pool/src/pool/orders.rs
@@ -259,7 +259,8 @@
         }
     }
 
-    /// Records a failure that no job can have caused, such as a stuck run, in an executor's health.
+    /// Records a failure that is attributed to the executor whatever its job is, such as a stuck
+    /// run, in the executor's health.
     pub(super) fn record_failure(&mut self, now: Mono, id: &ExecutorId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
--- a/crates/onyxshed-pool/src/pool/watch.rs
+++ b/crates/onyxshed-pool/src/pool/watch.rs
@@ -33,7 +33,8 @@
         self.take_actions()
     }
 
-    /// Detects whether this process was paused. Called before an answer, a submission or a tick is processed.
+    /// Detects whether this process was paused. Called before an answer, a submission, a
+    /// cancellation, a release or a tick is processed.
     pub(super) fn detect_pause(&mut self, now: Mono) {
         let paused_for = now.since(self.last_tick_at);
         if paused_for >= self.options.pause_ms.into() {
--- a/crates/onyxshed-pool/src/shard_layout.rs
+++ b/crates/onyxshed-pool/src/shard_layout.rs
@@ -27,7 +27,8 @@
 /// one.
 const POOLS_MAX: usize = 16;
 
-/// Number of token bits for the pool's index, below the bits of the generation.
+/// Number of token bits for the pool's index, between the bits of the generation of the pool's group
+/// in the store and the successor bits.
 const INDEX_BITS: u32 = 4;
 
 /// Number of token bits for the generation, the pool's index and the number of successors. The bits
--- a/crates/onyxshed-pool/tests/pool/simulation.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation.rs
@@ -1,8 +1,10 @@
 //! Simulation of owners, entry hosts, executors and callers in virtual time, with faults.
 //!
-//! Each message takes about a millisecond; orders may lose their answers and be executed seconds later.
+//! Each message takes about a millisecond. An order may be executed seconds late without an answer,
+//! or on time with its answer lost.
+//!
 //! The simulation checks at each start that no other run of the task executes on an executor that is up,
-//! and at the end that jobs answered with "not run" have not run.
+//! and at the end that no job has run of which every submission was answered with "not run".
 
 mod callers;
 mod executors;
@@ -315,8 +317,8 @@
         }
     }
 
-    /// Checks at the end that every job has an answer, that jobs answered with "not run" have not run, and
-    /// that no run executes any more.
+    /// Checks at the end that every job has an answer, that no job has run of which every submission
+    /// was answered with "not run", and that no run executes any more.
     pub fn check_answers(&self) {
         for (job, call) in &self.calls {
             let (_, end) = call.ended.unwrap_or_else(|| panic!("{job} has no answer"));
--- a/crates/onyxshed-pool/tests/pool/simulation/owners.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/owners.rs
@@ -19,7 +19,8 @@
         self.add_owner(None);
     }
 
-    /// Adds a new owner, which takes over from the owner `last` if one is given.
+    /// Adds a new owner. `last` is the previous owner if it still answers; the new owner then waits
+    /// for it to release its executors.
     pub(super) fn add_owner(&mut self, last: Option<OwnerIndex>) {
         self.token += 1;
         let token = FencingToken(self.token);
--- a/crates/onyxshed-pool/tests/pool/taking.rs
+++ b/crates/onyxshed-pool/tests/pool/taking.rs
@@ -53,7 +53,8 @@
     assert!(matches!(ends[..], [(_, JobEnd::NotRun(..))]), "{ends:?}");
 }
 
-/// An owner short of processor time must not treat late first reports as missing.
+/// An owner short of processor time must not drop connections because first reports are late, so
+/// first reports have a longer time-out.
 #[test]
 fn first_report_has_longer_timeout_than_renewal() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
--- a/crates/onyxshed-proof/src/process.rs
+++ b/crates/onyxshed-proof/src/process.rs
@@ -1,4 +1,5 @@
-//! One process of a test: starts it, sends it signals, and kills it when it is dropped.
+//! One process of a test: starts it, sends it signals, and kills this one process (by its id, never
+//! by name) when it is dropped.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
--- a/crates/onyxshed-proof/src/scenario/language.rs
+++ b/crates/onyxshed-proof/src/scenario/language.rs
@@ -111,7 +111,8 @@
     /// The change was accepted.
     #[default]
     Accepted,
-    /// Another change that is based on the same revision came first in the log.
+    /// The change was not accepted because the revision that it is based on is not in force any
+    /// more.
     Raced,
     /// The platform can't be reached and nothing was sent.
     Unreachable,
--- a/crates/onyxshed-soak/src/fleet/executors.rs
+++ b/crates/onyxshed-soak/src/fleet/executors.rs
@@ -65,7 +65,7 @@
         self.start_executor(&id).await
     }
 
-    /// Starts an executor and sets the target of its route.
+    /// Starts an executor, which must not be running, and sets the target of its route.
     pub async fn start_executor(&mut self, id: &SmolStr) -> Result<()> {
         let folder = self.folder.path().to_owned();
         let Some(executor) = self.executors.get_mut(id) else {
--- a/crates/onyxshed-soak/tests/seeds.rs
+++ b/crates/onyxshed-soak/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! Short soaks of fixed seeds, and the seeds that have failed before.
+//! Short soaks of fixed seeds, and every seed that has ever failed.
 
 use std::time::Duration;
 
--- a/crates/onyxshed-state/src/claim/options.rs
+++ b/crates/onyxshed-state/src/claim/options.rs
@@ -7,7 +7,7 @@
 /// Limits of the claim book.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimOptions {
-    /// Age from which ids are rejected; must be less than half of the log's retention. Default 10
+    /// Ids older than this are rejected; must be less than half of the log's retention. Default 10
     /// min.
     pub horizon_ms: Millis,
     /// Largest difference between any two clocks, of hosts or of the platform. Default 2 s.
--- a/crates/onyxshed-state/src/claim/step.rs
+++ b/crates/onyxshed-state/src/claim/step.rs
@@ -58,7 +58,8 @@
     Append(ClaimBatch),
     /// Call again at that time, after [`ClaimBook::tick`](super::ClaimBook::tick).
     WaitUntil(Mono),
-    /// There is nothing to append and no deadline; an append may be in progress.
+    /// Nothing can be appended now and there is no deadline: nothing is queued, an append is in
+    /// progress, or the log has not been read to its end.
     Idle,
 }
 
--- a/crates/onyxshed-state/src/config.rs
+++ b/crates/onyxshed-state/src/config.rs
@@ -95,7 +95,7 @@
     pub invalid: u64,
     /// Changes that were based on another revision than the one in force.
     pub raced: u64,
-    /// Snapshots that contradict this fold's own records.
+    /// Snapshots and peers' handovers that were ignored because they contradict this fold.
     pub contradictions: u64,
     /// Number of times that records were lost before they were read.
     pub gaps: u64,
--- a/crates/onyxshed-state/src/config/handover.rs
+++ b/crates/onyxshed-state/src/config/handover.rs
@@ -12,7 +12,7 @@
 pub struct Handover {
     /// Configuration with which the receiver continues.
     pub config: Config,
-    /// Offset up to which the configuration accounts for every record, if it is complete.
+    /// The configuration accounts for every record before this offset, if it is complete.
     pub folded_to: Offset,
     /// Ids of the last accepted changes, oldest first.
     pub recent_changes: Vec<ChangeId>,
--- a/crates/onyxshed-state/src/member.rs
+++ b/crates/onyxshed-state/src/member.rs
@@ -243,7 +243,7 @@
         });
     }
 
-    /// Returns the hosts on the platform's list of which no heartbeat has arrived.
+    /// Returns the hosts on the platform's list of which no incarnation is a known peer.
     fn listed_without_heartbeat(&self) -> impl Iterator<Item = &EntryHost> {
         let has_no_heartbeat = |host: &&EntryHost| {
             host.name != self.own.host
--- a/crates/onyxshed-state/tests/member.rs
+++ b/crates/onyxshed-state/tests/member.rs
@@ -114,7 +114,8 @@
 }
 
 /// A host restarts. Its former incarnation is permanently gone: heartbeats of it that peers still
-/// forward are ignored.
+/// forward are ignored. Claims of the former incarnation can therefore be treated as those of a gone
+/// holder.
 #[test]
 fn new_incarnation_replaces_former() {
     let mut table = table();
--- a/crates/onyxshed-wire/src/record.rs
+++ b/crates/onyxshed-wire/src/record.rs
@@ -60,8 +60,8 @@
     /// Number of parts of the snapshot; 1 if it was not split.
     #[serde(default = "one")]
     pub parts: u16,
-    /// Whether the publisher made the snapshot from its own state after the log had lost records,
-    /// so that changes may be missing.
+    /// Whether the snapshot is based on a configuration that a process kept in memory after records
+    /// had expired before it read them, so that changes may be missing.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub is_salvage: bool,
     /// Fingerprint of the whole snapshot; parts of different snapshots are not combined.
