--- a/crates/onyxshed-cli/src/args.rs
+++ b/crates/onyxshed-cli/src/args.rs
@@ -111,7 +111,7 @@
     /// Source of the events.
     pub source: EventSource,
     /// Whether to show only events that concern no single request, job or submission (`--beliefs`).
-    pub beliefs_only: bool,
+    pub general_events_only: bool,
     /// Shows only events of this submission, if given.
     pub submission: Option<SubmissionId>,
     /// Shows only events of this class, if given.
@@ -221,7 +221,7 @@
     };
     Ok(Action::Timeline(TimelineArgs {
         source,
-        beliefs_only: args.get_flag("beliefs"),
+        general_events_only: args.get_flag("beliefs"),
         upstream,
         submission: args.get_one("submission").copied(),
         class: args.get_one("class").cloned(),
--- a/crates/onyxshed-cli/src/timeline.rs
+++ b/crates/onyxshed-cli/src/timeline.rs
@@ -34,7 +34,7 @@
             (merged, true)
         }
     };
-    if args.beliefs_only {
+    if args.general_events_only {
         merged.retain_process_events();
     }
     Ok(CommandOutput {
--- a/crates/onyxshed-cli/src/trace/cause.rs
+++ b/crates/onyxshed-cli/src/trace/cause.rs
@@ -10,7 +10,7 @@
 use crate::logs::LogLine;
 
 /// Longest duration of a job that still counts as in time, in thousandths of its target. The log contains only the caller's estimate, which is off by a few hundredths at best.
-const IN_TIME_MILLIS: u64 = 1_050;
+const IN_TIME_MAX_PER_MILLE: u64 = 1_050;
 
 /// The cause of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -84,7 +84,7 @@
 }
 
 fn completed(trace: &RequestTrace<'_>, summary: &JobSummary) -> Cause {
-    if summary.took.0 * 1_000 <= summary.target.0 * IN_TIME_MILLIS {
+    if summary.took.0 * 1_000 <= summary.target.0 * IN_TIME_MAX_PER_MILLE {
         return Cause::InTime;
     }
     let lost = lost_runs(trace);
--- a/crates/onyxshed-cli/tests/timeline.rs
+++ b/crates/onyxshed-cli/tests/timeline.rs
@@ -56,7 +56,7 @@
             processes: Vec::new(),
             timeout_ms: Millis(1),
         }),
-        beliefs_only: false,
+        general_events_only: false,
         submission,
         class: None,
         party: None,
@@ -197,7 +197,7 @@
     std::fs::write(&second, stamped(20, lost)).expect("a file");
     let args = TimelineArgs {
         source: EventSource::Logs(vec![first, second]),
-        beliefs_only: true,
+        general_events_only: true,
         ..args(None, 40)
     };
     let output = async_io::block_on(onyxshed_cli::timeline::run(&args, Format::Human));
--- a/crates/onyxshed-dispatch/tests/search.rs
+++ b/crates/onyxshed-dispatch/tests/search.rs
@@ -48,7 +48,7 @@
 #[test]
 fn late_and_lost_messages_never_start_a_task_twice() {
     search(&SimulationOptions {
-        faults: false,
+        has_faults: false,
         ..SimulationOptions::default()
     });
 }
@@ -65,7 +65,7 @@
 #[test]
 fn bound_ids_never_start_a_task_twice() {
     search(&SimulationOptions {
-        bound: true,
+        are_ids_bound_to_host: true,
         ..SimulationOptions::default()
     });
 }
--- a/crates/onyxshed-dispatch/tests/search/simulation.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation.rs
@@ -37,16 +37,16 @@
 #[derive(Debug, Clone)]
 pub struct SimulationOptions {
     /// Whether hosts crash and freeze and the log becomes unreachable.
-    pub faults: bool,
+    pub has_faults: bool,
     /// Whether ids are bound to the host that they are first sent to.
-    pub bound: bool,
+    pub are_ids_bound_to_host: bool,
 }
 
 impl Default for SimulationOptions {
     fn default() -> Self {
         SimulationOptions {
-            faults: true,
-            bound: false,
+            has_faults: true,
+            are_ids_bound_to_host: false,
         }
     }
 }
@@ -110,7 +110,7 @@
         id: SubmissionId,
         copy: u32,
         /// Whether no other copy was in progress when the request was sent.
-        is_alone: bool,
+        is_only_copy_in_progress: bool,
     },
     Peer {
         from: Incarnation,
@@ -185,12 +185,12 @@
             12..20 => self.submit_copy(),
             20..23 => self.cancel(),
             23..35 => self.tick(),
-            35..38 if self.options.faults => self.crash(),
-            38..42 if self.options.faults => self.freeze(),
-            42..45 if self.options.faults => self.is_log_down = !self.is_log_down,
+            35..38 if self.options.has_faults => self.crash(),
+            38..42 if self.options.has_faults => self.freeze(),
+            42..45 if self.options.has_faults => self.is_log_down = !self.is_log_down,
             _ => self.deliver_one(),
         }
-        self.thaw();
+        self.apply_queued_inputs();
         self.check();
     }
 
@@ -199,7 +199,7 @@
         self.is_log_down = false;
         for _ in 0..20_000 {
             self.now_ms += 5;
-            self.thaw();
+            self.apply_queued_inputs();
             self.tick();
             self.deliver_one();
             if self
@@ -307,7 +307,7 @@
         }
     }
 
-    pub(super) fn thaw(&mut self) {
+    pub(super) fn apply_queued_inputs(&mut self) {
         for index in 0..self.hosts.len() {
             while self.hosts[index].frozen_until_ms <= self.now_ms {
                 let Some(input) = self.hosts[index].inbox.pop_front() else {
--- a/crates/onyxshed-dispatch/tests/search/simulation/callers.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation/callers.rs
@@ -7,7 +7,10 @@
         let index = self.rng.random_range(0..HOSTS);
         let unique = u128::from(self.next_request) << 8;
         let ulid = ulid::Ulid::from_parts(self.now_ms, unique);
-        let bound_to = self.options.bound.then(|| self.hosts[index].incarnation);
+        let bound_to = self
+            .options
+            .are_ids_bound_to_host
+            .then(|| self.hosts[index].incarnation);
         let id = SubmissionId { ulid, bound_to };
         let tasks = (0..self.rng.random_range(1..4_u8))
             .map(|task| vec![task])
@@ -40,11 +43,18 @@
 
     pub(super) fn send(&mut self, index: usize, submission: Submission) {
         let id = submission.submission;
-        let is_alone = !self.is_in_progress(id);
+        let is_only_copy_in_progress = !self.is_in_progress(id);
         let copy = self.copies.entry(id).or_default();
         *copy += 1;
         let copy = *copy;
-        let request = self.request(index, Requester::Caller { id, copy, is_alone });
+        let request = self.request(
+            index,
+            Requester::Caller {
+                id,
+                copy,
+                is_only_copy_in_progress,
+            },
+        );
 
         self.trace
             .push(format!("submit {} to {index}", submission.submission));
@@ -71,9 +81,16 @@
             return;
         };
         let index = self.rng.random_range(0..HOSTS);
-        let is_alone = !self.is_in_progress(id);
+        let is_only_copy_in_progress = !self.is_in_progress(id);
         let copy = self.copies[&id];
-        let request = self.request(index, Requester::Caller { id, copy, is_alone });
+        let request = self.request(
+            index,
+            Requester::Caller {
+                id,
+                copy,
+                is_only_copy_in_progress,
+            },
+        );
 
         self.trace.push(format!("cancel {id} at {index}"));
         self.deliver_input(
--- a/crates/onyxshed-dispatch/tests/search/simulation/checks.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation/checks.rs
@@ -17,8 +17,16 @@
                     answer,
                 });
             }
-            Requester::Caller { id, copy, is_alone } => {
-                self.check_answer(id, is_alone && self.copies[&id] == copy, &answer);
+            Requester::Caller {
+                id,
+                copy,
+                is_only_copy_in_progress,
+            } => {
+                self.check_answer(
+                    id,
+                    is_only_copy_in_progress && self.copies[&id] == copy,
+                    &answer,
+                );
             }
         }
     }
--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -31,13 +31,13 @@
 
 /// How long a stopping host continues to serve before it waits for the last reply: the balancer
 /// polls readiness once a second and stops sending callers after two failed polls.
-const DRAIN_NOTICE: Duration = Duration::from_millis(2_200);
+const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2_200);
 
 /// Interval at which a stopping host checks whether the last reply has been written.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
 /// Time limit of a request whose deadline header is missing or is not a number.
-const DEADLINE_DEFAULT: Millis = Millis(5_000);
+const TIME_LIMIT_DEFAULT: Millis = Millis(5_000);
 
 /// Time reserved before the caller's deadline so that the reply arrives in time: covers a network
 /// round trip and a pause of a host at its CPU limit.
@@ -202,12 +202,12 @@
             Ok(Submission::Unsupported(kind)) => return self.reject_unsupported(&context, kind),
             Err(error) => return self.reject_request(call, 400, &format_smolstr!("{error}"), None),
         };
-        let deadline = self.limit_to_drain_deadline(requested_time_limit(call));
-        let job = self.job_request(route, &context, simple, deadline);
+        let time_limit = self.limit_to_drain_deadline(requested_time_limit(call));
+        let job = self.job_request(route, &context, simple, time_limit);
         let disconnect_guard = DisconnectGuard::arm(&self.kernel, &context);
         let elapsed = boot_clock::now().since(arrived);
         let timeout = Duration::from(job.time_left).saturating_sub(elapsed.into());
-        let outcome = with_timeout(timeout, self.dispatch(&job, arrived));
+        let outcome = with_timeout(timeout, self.submit_to_pools(&job, arrived));
         let (end, pool) = match outcome.or(self.wait_for_drain_expiry()).await {
             Some(outcome) => outcome,
             None => (
@@ -242,14 +242,14 @@
 
     /// Limits the time of a job to the remaining drain time of a stopping host, so that a job which
     /// cannot end by then is rejected instead of aborted.
-    fn limit_to_drain_deadline(&self, deadline: Millis) -> Millis {
+    fn limit_to_drain_deadline(&self, time_limit: Millis) -> Millis {
         let Some(drain_deadline) = self.drain_deadline.get() else {
-            return deadline;
+            return time_limit;
         };
         let remaining = drain_deadline
             .saturating_duration_since(Instant::now())
             .as_millis();
-        deadline.min(Millis(u64::try_from(remaining).unwrap_or(u64::MAX)))
+        time_limit.min(Millis(u64::try_from(remaining).unwrap_or(u64::MAX)))
     }
 
     /// Waits for the end of the drain, and returns the outcome of a job that is unfinished then.
@@ -294,7 +294,7 @@
         route: &Route,
         context: &SubmissionContext,
         simple: SimpleJob,
-        deadline: Millis,
+        time_limit: Millis,
     ) -> JobRequest {
         JobRequest {
             peer: self.links.incarnation(),
@@ -310,7 +310,7 @@
             stretch_millis: route.stretch_millis,
             objective: route.objective_ms,
             elapsed: Millis(0),
-            time_left: Millis(deadline.0.saturating_sub(DEADLINE_MARGIN.0)),
+            time_left: Millis(time_limit.0.saturating_sub(DEADLINE_MARGIN.0)),
             label: simple.label,
             data_rack: simple.data_rack,
             per_executor_max: simple.per_executor_max,
@@ -319,7 +319,7 @@
 
     /// Submits a job to the pools in the order of [`Links::rank_pools`] until a pool does not
     /// reject it. Returns the job's end and the pool that was tried last.
-    async fn dispatch(&self, job: &JobRequest, arrived: Mono) -> (JobEnd, SmolStr) {
+    async fn submit_to_pools(&self, job: &JobRequest, arrived: Mono) -> (JobEnd, SmolStr) {
         let mut last = (
             JobEnd::NotRun(self.links.no_pool_reason(), NO_POOL_RETRY_AFTER),
             SmolStr::new_static("none"),
@@ -377,7 +377,7 @@
     let header = call.header(DEADLINE_HEADER);
     header
         .and_then(|text| text.parse().ok())
-        .map_or(DEADLINE_DEFAULT, Millis)
+        .map_or(TIME_LIMIT_DEFAULT, Millis)
 }
 
 /// Service that accepts requests of callers.
@@ -453,7 +453,7 @@
             };
             let drain_deadline = Instant::now() + self.options.drain_timeout;
             callers.drain_deadline.set(Some(drain_deadline));
-            Timer::after(DRAIN_NOTICE).await;
+            Timer::after(BALANCER_NOTICE_TIME).await;
             while callers.is_busy() {
                 if Instant::now() >= drain_deadline {
                     callers.drain_expired_sender.close();
--- a/crates/onyxshed-host/src/engine.rs
+++ b/crates/onyxshed-host/src/engine.rs
@@ -376,14 +376,14 @@
     }
 
     /// Adds or updates an executor as the platform lists it.
-    pub fn list_executor(self: &Rc<Self>, id: ExecutorId, facts: ExecutorFacts) {
+    pub fn record_listed_executor(self: &Rc<Self>, id: ExecutorId, facts: ExecutorFacts) {
         self.update_connections(&id, &facts);
-        self.dispatch_event(|pool| pool.list_executor(boot_clock::now(), id, facts));
+        self.dispatch_event(|pool| pool.record_listed_executor(boot_clock::now(), id, facts));
     }
 
     /// Removes an executor that the platform no longer lists.
-    pub fn unlist_executor(self: &Rc<Self>, id: &ExecutorId) {
-        self.dispatch_event(|pool| pool.unlist_executor(boot_clock::now(), id));
+    pub fn record_unlisted_executor(self: &Rc<Self>, id: &ExecutorId) {
+        self.dispatch_event(|pool| pool.record_unlisted_executor(boot_clock::now(), id));
     }
 
     fn update_connections(&self, id: &ExecutorId, facts: &ExecutorFacts) {
--- a/crates/onyxshed-host/src/executors.rs
+++ b/crates/onyxshed-host/src/executors.rs
@@ -164,7 +164,7 @@
         }
         for (id, facts) in executors {
             self.pool_executors.insert(id.0.clone());
-            self.engine.list_executor(id, facts);
+            self.engine.record_listed_executor(id, facts);
         }
         self.engine.mark_executors_read();
     }
@@ -206,7 +206,7 @@
             return;
         }
         self.pool_executors.insert(record.key.clone());
-        self.engine.list_executor(id, facts_of(entry));
+        self.engine.record_listed_executor(id, facts_of(entry));
     }
 
     /// Logs an entry that cannot be parsed, once until it can be parsed again.
@@ -221,7 +221,8 @@
     fn remove_unlisted(&mut self, id: &SmolStr) {
         self.zone_executors.remove(id);
         if self.pool_executors.remove(id) {
-            self.engine.unlist_executor(&ExecutorId(id.clone()));
+            self.engine
+                .record_unlisted_executor(&ExecutorId(id.clone()));
         }
     }
 }
--- a/crates/onyxshed-platform/tests/client.rs
+++ b/crates/onyxshed-platform/tests/client.rs
@@ -95,7 +95,7 @@
 #[case::out_of_order(r#"{"oldest":0,"next":9,"records":[{"offset":4,"at_ms":1,"data":"a"},{"offset":3,"at_ms":1,"data":"b"}]}"#)]
 #[case::with_a_gap(r#"{"oldest":0,"next":9,"records":[{"offset":3,"at_ms":1,"data":"a"},{"offset":5,"at_ms":1,"data":"b"}]}"#)]
 #[case::not_a_page(r#"{"offset":1}"#)]
-fn page_with_offsets_out_of_sequence_is_rejected(#[case] body: &'static str) {
+fn malformed_page_is_rejected(#[case] body: &'static str) {
     let handler: Handler =
         Rc::new(move |_| Box::pin(async move { ServerAction::Reply(Reply::bytes(200, body)) }));
     with_handler(handler, async |mut client| {
--- a/crates/onyxshed-pool/examples/decision-cost.rs
+++ b/crates/onyxshed-pool/examples/decision-cost.rs
@@ -51,7 +51,9 @@
         };
         for number in 0..executors {
             let id = ExecutorId(format!("i-{number:010x}").into());
-            harness.pool.list_executor(now, id.clone(), facts(number));
+            harness
+                .pool
+                .record_listed_executor(now, id.clone(), facts(number));
             harness.report(&id, Vec::new(), Vec::new());
         }
         harness
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -46,7 +46,7 @@
     own_incarnation: PeerIncarnation,
     executors: Executors,
     jobs: BTreeMap<JobId, Job>,
-    offered: OfferedLoad,
+    offered_load: OfferedLoad,
     peers: PeerSessions,
     last_tick_at: Mono,
     stage: HandoverStage,
@@ -80,7 +80,7 @@
             own_incarnation,
             executors: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            offered: OfferedLoad::default(),
+            offered_load: OfferedLoad::default(),
             peers: PeerSessions::default(),
             last_tick_at: now,
             stage: HandoverStage::Serving,
@@ -166,7 +166,7 @@
     }
 
     /// Adds or updates an executor that the platform lists. Entries of past incarnations are ignored.
-    pub fn list_executor(
+    pub fn record_listed_executor(
         &mut self,
         now: Mono,
         id: ExecutorId,
@@ -209,7 +209,7 @@
     }
 
     /// Records that the platform no longer lists an executor.
-    pub fn unlist_executor(&mut self, now: Mono, id: &ExecutorId) -> Vec<Action> {
+    pub fn record_unlisted_executor(&mut self, now: Mono, id: &ExecutorId) -> Vec<Action> {
         if let Some(executor) = self.executors.get_mut(id) {
             executor.unlisted_at.get_or_insert(now);
         }
--- a/crates/onyxshed-pool/src/pool/admission.rs
+++ b/crates/onyxshed-pool/src/pool/admission.rs
@@ -79,7 +79,7 @@
                 });
             }
             None => {
-                self.offered.record(now, new_job.request.work());
+                self.offered_load.record(now, new_job.request.work());
                 self.jobs.insert(id, new_job);
                 self.place_job(now, id);
             }
@@ -168,7 +168,7 @@
         Backlog {
             waiting_work: amounts,
             capacity,
-            spare: capacity.saturating_sub(self.offered.cpu_millis(now)),
+            spare: capacity.saturating_sub(self.offered_load.cpu_millis(now)),
         }
     }
 
--- a/crates/onyxshed-pool/src/pool/fit.rs
+++ b/crates/onyxshed-pool/src/pool/fit.rs
@@ -148,7 +148,7 @@
     /// there is no such limit, because the job has expired anyway or the offered load exceeds the capacity
     /// of the other executors.
     fn slow_deadline(&self, now: Mono, job: &Job) -> Option<Mono> {
-        if self.offered.cpu_millis(now) >= u64::from(self.full_speed_capacity.cpu_millis) {
+        if self.offered_load.cpu_millis(now) >= u64::from(self.full_speed_capacity.cpu_millis) {
             return None;
         }
         match self.feasibility(now, job) {
--- a/crates/onyxshed-pool/tests/pool/calls.rs
+++ b/crates/onyxshed-pool/tests/pool/calls.rs
@@ -132,7 +132,9 @@
         job: JobId(5),
         index: 0,
     };
-    let listed = harness.pool.list_executor(at_ms(0), id("x1"), facts(64));
+    let listed = harness
+        .pool
+        .record_listed_executor(at_ms(0), id("x1"), facts(64));
     harness.actions.extend(listed);
     harness.report(1, "x1", &[(orphan, 3)], &[]);
     assert_eq!(harness.take_stops().len(), 1);
@@ -179,9 +181,9 @@
     let mut harness = Harness::with_executors(&[("x1", 64), ("x2", 64)]);
     let (first, order) = harness.submit_and_start(1, job(9, 1, 100));
     harness.report(50, &first, &[], &[(1, order.task, 1, RunEnd::Failed)]);
-    let (second, resent) = harness.take_starts().pop().expect("a second start order");
+    let (second, retry) = harness.take_starts().pop().expect("a second start order");
     assert_ne!(first, second);
-    harness.answer_start(51, &second, &resent, &started());
+    harness.answer_start(51, &second, &retry, &started());
     harness.report(99, &second, &[], &[(1, order.task, 2, RunEnd::Failed)]);
     assert_eq!(harness.take_ends(), [(JobId(9), JobEnd::Failed)]);
     harness.submit(100, job(10, 4, 100));
@@ -302,7 +304,9 @@
     let (name, order) = harness.submit_and_start(1, job(9, 1, 100));
     let mut leaving = facts(64);
     leaving.is_draining = true;
-    let listed = harness.pool.list_executor(at_ms(10), id(&name), leaving);
+    let listed = harness
+        .pool
+        .record_listed_executor(at_ms(10), id(&name), leaving);
     harness.actions.extend(listed);
     harness.submit(11, job(10, 1, 100));
     assert!(harness.take_starts().is_empty());
@@ -335,8 +339,8 @@
     let (name, order) = harness.take_starts().pop().expect("a start order");
     let ended = StartAnswer::Refused(RefuseReason::Ended);
     harness.answer_start(3, &name, &order, &ended);
-    let (_, resent) = harness.take_starts().pop().expect("another start order");
-    assert_eq!((resent.task, resent.run.0), (order.task, 2));
+    let (_, next) = harness.take_starts().pop().expect("another start order");
+    assert_eq!((next.task, next.run.0), (order.task, 2));
 }
 
 /// The answer to a start order is lost, and the repeated order is refused because the run has ended. The
--- a/crates/onyxshed-pool/tests/pool/fixture.rs
+++ b/crates/onyxshed-pool/tests/pool/fixture.rs
@@ -115,11 +115,11 @@
             actions: Vec::new(),
         };
         for (name, cores) in executors {
-            harness.actions.extend(
-                harness
-                    .pool
-                    .list_executor(at_ms(0), id(name), facts(*cores)),
-            );
+            harness.actions.extend(harness.pool.record_listed_executor(
+                at_ms(0),
+                id(name),
+                facts(*cores),
+            ));
             harness.report(0, name, &[], &[]);
         }
         harness.actions.clear();
--- a/crates/onyxshed-pool/tests/pool/handover.rs
+++ b/crates/onyxshed-pool/tests/pool/handover.rs
@@ -91,7 +91,9 @@
     };
     harness.pool.await_predecessor();
     for name in ["a", "b"] {
-        let actions = harness.pool.list_executor(at_ms(0), id(name), facts(64));
+        let actions = harness
+            .pool
+            .record_listed_executor(at_ms(0), id(name), facts(64));
         harness.actions.extend(actions);
     }
     assert_eq!(harness.take_holds().len(), 0);
--- a/crates/onyxshed-pool/tests/pool/lost.rs
+++ b/crates/onyxshed-pool/tests/pool/lost.rs
@@ -45,7 +45,9 @@
         is_draining: true,
         ..facts(32)
     };
-    let actions = harness.pool.list_executor(at_ms(10), id("a"), draining);
+    let actions = harness
+        .pool
+        .record_listed_executor(at_ms(10), id("a"), draining);
     harness.actions.extend(actions);
     harness.advance(10, 400);
     assert_eq!(harness.take_ends(), []);
--- a/crates/onyxshed-pool/tests/pool/simulation/owners.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/owners.rs
@@ -49,7 +49,9 @@
             .map(|(id, executor)| (id.clone(), facts_of(executor)))
             .collect();
         for (id, facts) in listed {
-            let actions = self.owners[owner].pool.list_executor(self.now, id, facts);
+            let actions = self.owners[owner]
+                .pool
+                .record_listed_executor(self.now, id, facts);
             self.apply_actions(owner, actions);
         }
         self.schedule_after(TICK, Event::Tick(owner));
--- a/crates/onyxshed-pool/tests/pool/taking.rs
+++ b/crates/onyxshed-pool/tests/pool/taking.rs
@@ -12,7 +12,9 @@
 fn harness_with_acquired(acquired: usize) -> Harness {
     let mut harness = Harness::with_executors(&[]);
     for name in EXECUTORS {
-        let listed = harness.pool.list_executor(at_ms(0), id(name), facts(64));
+        let listed = harness
+            .pool
+            .record_listed_executor(at_ms(0), id(name), facts(64));
         harness.actions.extend(listed);
     }
     for (index, name) in EXECUTORS.into_iter().enumerate() {
@@ -58,7 +60,9 @@
 #[test]
 fn first_report_has_longer_timeout_than_renewal() {
     let mut harness = Harness::with_executors(&[("x1", 64)]);
-    let listed = harness.pool.list_executor(at_ms(0), id("x2"), facts(64));
+    let listed = harness
+        .pool
+        .record_listed_executor(at_ms(0), id("x2"), facts(64));
     harness.actions.extend(listed);
     let first = harness
         .take_holds()
--- a/crates/onyxshed-soak/src/fleet.rs
+++ b/crates/onyxshed-soak/src/fleet.rs
@@ -120,7 +120,7 @@
 
 /// The greatest number of hosts that the settings of a host name as peers to contact first; the
 /// platform also names only a few.
-const SEEDS_MAX: usize = 3;
+const CONFIGURED_PEERS_MAX: usize = 3;
 
 impl Fleet {
     /// Starts all processes and waits until every host is ready.
@@ -168,7 +168,8 @@
         }
         // The platform names a few hosts of the whole deployment to each host.
         let advertised_addresses = planned_hosts.iter().map(|(.., advertised)| *advertised);
-        let seeds: Vec<SocketAddr> = advertised_addresses.take(SEEDS_MAX).collect();
+        let configured_peers: Vec<SocketAddr> =
+            advertised_addresses.take(CONFIGURED_PEERS_MAX).collect();
         for (zone, name, ip, advertised) in planned_hosts {
             let host = NewHost {
                 name,
@@ -176,13 +177,20 @@
                 ip,
                 advertised,
             };
-            fleet.add_host(host, options.zones, &seeds).await?;
+            fleet
+                .add_host(host, options.zones, &configured_peers)
+                .await?;
         }
         fleet.wait_ready().await?;
         Ok(fleet)
     }
 
-    async fn add_host(&mut self, host: NewHost, zones: usize, seeds: &[SocketAddr]) -> Result<()> {
+    async fn add_host(
+        &mut self,
+        host: NewHost,
+        zones: usize,
+        configured_peers: &[SocketAddr],
+    ) -> Result<()> {
         let NewHost {
             name,
             zone,
@@ -201,7 +209,7 @@
             "node_name": name, "ip": ip, "zone": format!("z{zone}"), "zones": zones,
             "listen_addrs": {"front": address_at(8_161), "ready": address_at(8_167),
                 "control": address_at(PEER_PORT)},
-            "port_range": [7_720, 7_735], "seeds": seeds,
+            "port_range": [7_720, 7_735], "seeds": configured_peers,
             "limits": {"cpu_share": 0.25, "cpu_cores": 1, "memory_mb": 260},
             "heartbeat_ms": 500,
             "bounds": {"hold_max_ms": 1000, "grace_s": STOP_GRACE.as_secs(), "resend_ms": 1300},
--- a/crates/onyxshed-state/tests/config_fold.rs
+++ b/crates/onyxshed-state/tests/config_fold.rs
@@ -36,7 +36,7 @@
     }
 }
 
-fn reader(log: &Log) -> ConfigFold {
+fn fold_of(log: &Log) -> ConfigFold {
     let mut fold = ConfigFold::default();
     apply_log(log, &mut fold, 0);
     fold
@@ -110,15 +110,15 @@
 #[test]
 fn late_start_applies_change_before_older_snapshot() {
     let mut log = log_of(2);
-    let mut publisher = reader(&log);
+    let mut publisher = fold_of(&log);
     log.append(5_000, &change(put(10, 2, "between", 100)));
     log.append(5_001, &change(put(11, 2, "raced", 100)));
     publish(&mut log, &mut publisher, RETENTION_MS);
     log.append(6_000, &change(put(12, 3, "after", 100)));
     log.oldest = 2;
-    let late = reader(&log);
+    let late = fold_of(&log);
     assert!(late.is_complete());
-    assert_eq!(late.config(), reader(&Log { oldest: 0, ..log }).config());
+    assert_eq!(late.config(), fold_of(&Log { oldest: 0, ..log }).config());
     assert_eq!(revision(&late), 4);
 }
 
@@ -128,17 +128,17 @@
 #[test]
 fn raced_change_is_not_accepted_when_accepted_one_expired() {
     let mut log = log_of(2);
-    let mut publisher = reader(&log);
+    let mut publisher = fold_of(&log);
     log.append(5_000, &change(put(10, 2, "winner", 100)));
     log.append(5_001, &change(put(11, 2, "loser", 100)));
     publish(&mut log, &mut publisher, RETENTION_MS);
     log.oldest = 3;
-    let mut late = reader(&log);
+    let mut late = fold_of(&log);
     assert_eq!((late.is_complete(), revision(&late)), (false, 2));
     let loser: ClassName = "loser".parse().expect("the name is valid");
     assert!(!late.config().classes.contains_key(&loser));
     log.oldest = 0;
-    late.adopt_handover(reader(&log).handover());
+    late.adopt_handover(fold_of(&log).handover());
     assert_eq!((late.is_complete(), revision(&late)), (true, 3));
     let outcome = late.find_change(ChangeId(Ulid(11)));
     assert!(
@@ -160,14 +160,14 @@
     for n in 0..count {
         other_log.append(0, &change(put(n, n, &format!("class-{n}"), span_ms)));
     }
-    let mut publisher = reader(&other_log);
+    let mut publisher = fold_of(&other_log);
     publish(&mut other_log, &mut publisher, RETENTION_MS);
     let snapshot = &other_log
         .records
         .last()
         .expect("a snapshot was published")
         .data;
-    let mut fold = reader(&log_of(2));
+    let mut fold = fold_of(&log_of(2));
     let before = fold.config().clone();
     fold.apply(Offset(2), snapshot);
     fold.apply(Offset(3), &snapshot.replace("class-0", "class-x"));
@@ -181,31 +181,40 @@
 #[rstest]
 #[case::by_a_peer(true)]
 #[case::by_a_snapshot(false)]
-fn gap_keeps_configuration_in_force(#[case] is_by_peer: bool) {
+fn gap_keeps_configuration_in_force(#[case] is_completed_by_peer: bool) {
     let mut log = log_of(3);
-    let mut cut_off = reader(&log);
-    let mut other = cut_off.clone();
+    let mut fold_with_gap = fold_of(&log);
+    let mut other = fold_with_gap.clone();
     log.append(4_000, &change(put(10, 3, "unread", 100)));
     log.append(4_001, &change(put(11, 4, "kept", 100)));
     log.oldest = 4;
-    apply_log(&log, &mut cut_off, 5_000);
-    assert_eq!((cut_off.is_complete(), revision(&cut_off)), (false, 3));
+    apply_log(&log, &mut fold_with_gap, 5_000);
+    assert_eq!(
+        (fold_with_gap.is_complete(), revision(&fold_with_gap)),
+        (false, 3)
+    );
     let draft = put(12, 3, "more", 100);
-    assert_eq!(Proposal::prepare(draft, &cut_off), Err(Error::Incomplete));
+    assert_eq!(
+        Proposal::prepare(draft, &fold_with_gap),
+        Err(Error::Incomplete)
+    );
     for record in &log.records {
         other.apply_record(record);
     }
-    if is_by_peer {
+    if is_completed_by_peer {
         assert_eq!(
-            cut_off.adopt_handover(other.handover()),
+            fold_with_gap.adopt_handover(other.handover()),
             FoldOutcome::Accepted(Revision(5))
         );
     } else {
         publish(&mut log, &mut other, RETENTION_MS);
-        apply_log(&log, &mut cut_off, 6_000);
+        apply_log(&log, &mut fold_with_gap, 6_000);
     }
-    assert_eq!((cut_off.is_complete(), revision(&cut_off)), (true, 5));
-    assert_eq!(cut_off.config(), other.config());
+    assert_eq!(
+        (fold_with_gap.is_complete(), revision(&fold_with_gap)),
+        (true, 5)
+    );
+    assert_eq!(fold_with_gap.config(), other.config());
 }
 
 /// A host that lost records reads a snapshot that ends after the gap but has a lower revision than
@@ -213,8 +222,8 @@
 #[test]
 fn snapshot_after_gap_does_not_lower_revision() {
     let mut log = log_of(3);
-    let mut cut_off = reader(&log);
-    let mut wrong_publisher = reader(&log_of(1));
+    let mut fold_with_gap = fold_of(&log);
+    let mut wrong_publisher = fold_of(&log_of(1));
     for offset in 1..5 {
         wrong_publisher.apply(Offset(offset), "unreadable");
     }
@@ -222,9 +231,12 @@
     log.append(0, &change(put(11, 4, "unread", 100)));
     log.oldest = 5;
     publish(&mut log, &mut wrong_publisher, RETENTION_MS);
-    apply_log(&log, &mut cut_off, 5_000);
-    assert_eq!((cut_off.is_complete(), revision(&cut_off)), (false, 3));
-    assert_eq!(cut_off.counts().contradictions, 1);
+    apply_log(&log, &mut fold_with_gap, 5_000);
+    assert_eq!(
+        (fold_with_gap.is_complete(), revision(&fold_with_gap)),
+        (false, 3)
+    );
+    assert_eq!(fold_with_gap.counts().contradictions, 1);
 }
 
 /// A change was appended, the answer was lost, and the records expired before they were read. The
@@ -233,7 +245,7 @@
 #[test]
 fn change_in_lost_records_stays_undecided() {
     let mut log = log_of(2);
-    let mut fold = reader(&log);
+    let mut fold = fold_of(&log);
     let ready = Proposal::prepare(put(900, 2, "locks", 100), &fold).expect("the change is valid");
     log.append(0, &change(ready.change().clone()));
     let AppendStep::Sent(sent) = ready.apply_append_result(Err(AppendFailure::AnswerLost)) else {
@@ -266,7 +278,7 @@
 #[case::ends_among_the_kept(200, true)]
 fn dropped_backlog_changes_count_as_lost(#[case] read_by_peer: u64, #[case] is_contiguous: bool) {
     let log = log_of(4_200);
-    let peer = reader(&log_of(read_by_peer));
+    let peer = fold_of(&log_of(read_by_peer));
     let mut late = ConfigFold::default();
     late.skip_to(Offset(10), UnixMs(0));
     for record in &log.records[10..] {
@@ -285,13 +297,13 @@
 #[test]
 fn host_started_in_outage_adopts_from_peers() {
     let log = log_of(3);
-    let peer = reader(&log);
+    let peer = fold_of(&log);
     let mut started = ConfigFold::default();
     assert_eq!(
         started.adopt(peer.config().clone()),
         FoldOutcome::Accepted(Revision(3))
     );
-    let older = reader(&log_of(2)).config().clone();
+    let older = fold_of(&log_of(2)).config().clone();
     assert_eq!(started.adopt(older), FoldOutcome::Nothing);
     assert_eq!(started.adopt(Config::default()), FoldOutcome::Nothing);
     assert_eq!(started.config(), peer.config());
@@ -310,7 +322,7 @@
 #[test]
 fn configuration_is_republished_once_before_expiry() {
     let mut log = log_of(2);
-    let (mut a, mut b) = (reader(&log), reader(&log));
+    let (mut a, mut b) = (fold_of(&log), fold_of(&log));
     let due = |fold: &mut ConfigFold, now: u64, seed| match fold.republish(UnixMs(now), seed) {
         RepublishStep::WaitUntil(due) => due.0,
         other => panic!("{other:?}"),
@@ -323,7 +335,7 @@
         apply_log(&log, fold, first);
         assert!(due(fold, first.max(second), 2) >= first.max(second) + RETENTION_MS / 2);
     }
-    let mut unread = reader(&log_of(2));
+    let mut unread = fold_of(&log_of(2));
     publish(&mut log, &mut unread, first);
     let again = due(&mut unread, first + 1, 1);
     assert_eq!(
@@ -346,7 +358,7 @@
 #[case::higher_first([3, 2])]
 fn partial_folds_are_published_when_none_is_complete(#[case] revisions: [u64; 2]) {
     let mut log = log_of(4);
-    let mut folds = revisions.map(|count| reader(&log_of(count)));
+    let mut folds = revisions.map(|count| fold_of(&log_of(count)));
     log.oldest = 4;
     for fold in &mut folds {
         apply_log(&log, fold, 10_000);
@@ -365,7 +377,7 @@
     for fold in [&mut a, &mut b] {
         apply_log(&log, fold, 20_000);
     }
-    let late = reader(&log);
+    let late = fold_of(&log);
     for fold in [&a, &b, &late] {
         assert_eq!((fold.is_complete(), revision(fold)), (true, 4));
         assert_eq!(fold.config(), late.config());
@@ -381,8 +393,8 @@
 #[case::others_caught_up(2)]
 fn tentative_fold_is_superseded_by_complete_history(#[case] changes_since: u64) {
     let mut log = log_of(4);
-    let mut frozen = reader(&log);
-    let mut other = reader(&log_of(2));
+    let mut frozen = fold_of(&log);
+    let mut other = fold_of(&log_of(2));
     log.oldest = 4;
     apply_log(&log, &mut other, 10_000);
     publish(&mut log, &mut other, 10_000 + RETENTION_MS);
@@ -412,8 +424,8 @@
 #[test]
 fn complete_history_is_superseded_by_higher_revision() {
     let mut log = log_of(4);
-    let mut frozen = reader(&log);
-    let mut other = reader(&log_of(2));
+    let mut frozen = fold_of(&log);
+    let mut other = fold_of(&log_of(2));
     log.oldest = 4;
     apply_log(&log, &mut other, 10_000);
     publish(&mut log, &mut other, 10_000 + RETENTION_MS);
@@ -443,7 +455,7 @@
     let mut folds = [100, 200].map(|span_ms| {
         let mut own = Log::default();
         own.append(0, &change(put(1, 0, "locks", span_ms)));
-        reader(&own)
+        fold_of(&own)
     });
     log.oldest = 4;
     folds.iter_mut().for_each(|fold| apply_log(&log, fold, 0));
@@ -452,7 +464,7 @@
     }
     folds.iter_mut().for_each(|fold| apply_log(&log, fold, 0));
     assert_eq!(folds[0].config(), folds[1].config());
-    assert_eq!(reader(&log).config(), folds[0].config());
+    assert_eq!(fold_of(&log).config(), folds[0].config());
 }
 
 /// A history that another history supersedes has decided a change that is in the log after the end
@@ -461,8 +473,8 @@
 #[test]
 fn change_between_histories_makes_fold_partial() {
     let mut log = log_of(3);
-    let mut winner = reader(&log);
-    let mut other = reader(&log_of(1));
+    let mut winner = fold_of(&log);
+    let mut other = fold_of(&log_of(1));
     log.oldest = 3;
     apply_log(&log, &mut other, 0);
     publish(&mut log, &mut other, RETENTION_MS);
@@ -484,7 +496,7 @@
 #[test]
 fn snapshot_ahead_of_its_offset_is_ignored() {
     let mut other_log = log_of(2);
-    let mut publisher = reader(&other_log);
+    let mut publisher = fold_of(&other_log);
     publish(&mut other_log, &mut publisher, RETENTION_MS);
     let data = other_log.records[2]
         .data
@@ -502,7 +514,7 @@
 fn fleet_without_records_accepts_changes_again() {
     let mut log = log_of(4);
     log.oldest = 4;
-    let mut started = reader(&log);
+    let mut started = fold_of(&log);
     assert_eq!(
         Proposal::prepare(put(9, 0, "locks", 100), &started),
         Err(Error::Incomplete)
@@ -510,7 +522,7 @@
     publish(&mut log, &mut started, RETENTION_MS);
     log.append(0, &change(put(9, 0, "locks", 100)));
     apply_log(&log, &mut started, 0);
-    assert_eq!((revision(&started), revision(&reader(&log))), (1, 1));
+    assert_eq!((revision(&started), revision(&fold_of(&log))), (1, 1));
 }
 
 /// The configuration is larger than a record and is published in parts. The parts of two publishers
@@ -519,7 +531,7 @@
 #[test]
 fn large_configuration_is_split_into_parts() {
     let mut log = log_of(2_000);
-    let mut publishers = [reader(&log), reader(&log)];
+    let mut publishers = [fold_of(&log), fold_of(&log)];
     let mut parts = Log::default();
     let count = publish(&mut parts, &mut publishers[0], RETENTION_MS * 2);
     assert_eq!(count, 3);
@@ -532,11 +544,11 @@
         }
     }
     log.oldest = start;
-    let late = reader(&log);
+    let late = fold_of(&log);
     assert!(late.is_complete());
     assert_eq!(late.config(), publishers[1].config());
     log.oldest = start + 2;
-    assert!(!reader(&log).is_complete(), "the first part expired");
+    assert!(!fold_of(&log).is_complete(), "the first part expired");
 }
 
 /// A change that every fold would ignore is rejected before anything is appended.
@@ -545,7 +557,7 @@
 #[case::stale(put(9, 1, "locks", 100))]
 fn invalid_change_is_rejected_before_append(#[case] draft: ConfigChange) {
     let rejection =
-        Proposal::prepare(draft, &reader(&log_of(2))).expect_err("the change is rejected");
+        Proposal::prepare(draft, &fold_of(&log_of(2))).expect_err("the change is rejected");
     let code = rejection.code().number();
     assert!([5008, 5009].contains(&code), "{rejection}");
 }
@@ -558,7 +570,7 @@
 #[case::lost_for_good(false)]
 fn change_with_lost_answer_is_looked_up(#[case] was_appended: bool) {
     let mut log = log_of(2);
-    let mut fold = reader(&log);
+    let mut fold = fold_of(&log);
     let ready = Proposal::prepare(put(9, 2, "locks", 100), &fold).expect("the change is valid");
     let record = ConfigRecord::decode(&ready.record()).expect("an encoded value decodes");
     if was_appended {
@@ -594,7 +606,7 @@
 #[test]
 fn second_of_two_changes_is_reported_raced() {
     let mut log = log_of(1);
-    let mut fold = reader(&log);
+    let mut fold = fold_of(&log);
     let sent = [20, 21].map(|number| {
         let ready = Proposal::prepare(put(number, 1, "locks", number), &fold).expect("valid");
         let offset = log.append(0, &change(ready.change().clone()));
