--- a/crates/onyxshed-cli/src/args.rs
+++ b/crates/onyxshed-cli/src/args.rs
@@ -27,14 +27,14 @@
     Publish(Publish),
     /// Shows the targets of classes.
     Show {
-        /// The platform whose log holds the configuration.
+        /// The platform whose log contains the configuration.
         platform: PlatformArgs,
         /// Shows only this class, if given.
         class: Option<ClassName>,
     },
     /// Shows the changes on the log.
     History {
-        /// The platform whose log holds the configuration.
+        /// The platform whose log contains the configuration.
         platform: PlatformArgs,
         /// Shows only changes of this class, if given.
         class: Option<ClassName>,
@@ -99,7 +99,7 @@
 /// Source of the events of a time line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EventSource {
-    /// The events that these processes hold in memory.
+    /// The events that these processes keep in memory.
     Processes(ProcessArgs),
     /// Paths of the log files of all hosts.
     Logs(Vec<PathBuf>),
--- a/crates/onyxshed-cli/src/error.rs
+++ b/crates/onyxshed-cli/src/error.rs
@@ -53,7 +53,7 @@
         /// The last failure before the command ended.
         reason: SmolStr,
     },
-    /// The log no longer holds every record that makes up the configuration.
+    /// The log does not contain every record that makes up the configuration.
     #[snafu(display(
         "the log has lost records of the configuration and holds no snapshot of it yet; a control process will publish one, try again later"
     ))]
--- a/crates/onyxshed-cli/src/target/log.rs
+++ b/crates/onyxshed-cli/src/target/log.rs
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Reads the whole stream. Fails if the records that the log still holds do not make up the
+    /// Reads the whole stream. Fails if the records that the log still contains do not make up the
     /// configuration.
     pub async fn read_all(&mut self) -> Result<()> {
         self.read_to_end(Millis(0)).await?;
--- a/crates/onyxshed-cli/src/target/show.rs
+++ b/crates/onyxshed-cli/src/target/show.rs
@@ -87,7 +87,7 @@
     )
 }
 
-/// Shows the changes that the log still holds, optionally only those of one class or with one id.
+/// Shows the changes that the log still contains, optionally only those of one class or with one id.
 pub async fn history(
     platform: PlatformArgs,
     class: Option<ClassName>,
--- a/crates/onyxshed-cli/tests/publish.rs
+++ b/crates/onyxshed-cli/tests/publish.rs
@@ -216,7 +216,7 @@
 
 #[test]
 fn expired_records_are_not_read_as_an_empty_configuration() {
-    // The log lost its first record and holds no snapshot. Reading on would show revision 0 and let
+    // The log lost its first record and contains no snapshot. Reading on would show revision 0 and let
     // the operator publish a change based on a configuration that is in force nowhere.
     standin::with_platform(async |standin| {
         assert_eq!(revision(publish(standin, put(2_000), 60_000).await), 1);
--- a/crates/onyxshed-dispatch/src/dispatch/pump.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/pump.rs
@@ -30,7 +30,7 @@
         .min();
     }
 
-    /// Starts the tasks that the policy selects; returns the time at which to ask the policy again.
+    /// Starts the tasks that the policy selects; returns the time at which to call the policy again.
     fn start_tasks(&mut self, now: Now) -> Option<Mono> {
         loop {
             match self.policy.next(now) {
--- a/crates/onyxshed-dispatch/tests/search/simulation.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation.rs
@@ -136,7 +136,7 @@
     copies: BTreeMap<SubmissionId, u32>,
 
     requesters: BTreeMap<(Incarnation, RequestId), Requester>,
-    /// Submissions whose caller was told that no copy of them ran.
+    /// Submissions whose caller received the answer that no copy of them ran.
     not_run: BTreeSet<SubmissionId>,
     next_request: u64,
     next_incarnation: u64,
--- a/crates/onyxshed-host/src/manifest.rs
+++ b/crates/onyxshed-host/src/manifest.rs
@@ -51,7 +51,7 @@
         self.text.borrow().clone()
     }
 
-    /// Applies a record of the operators' topic, if it holds a manifest. A version that is not
+    /// Applies a record of the operators' topic, if it contains a manifest. A version that is not
     /// higher is ignored: the store may temporarily return an older state, and the manifest in
     /// effect is never reverted.
     fn apply_record(&self, record: &KeyedRecord) {
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -290,7 +290,7 @@
                 self.links.set_owner(pool, address);
                 self.links.probe_owner(pool, PROBE_TIMEOUT).await;
             }
-            // Falls back to the owner that the links know.
+            // Falls back to the owner that is recorded in the links.
             Err(error) => self.watch.record_failure(&error),
         }
         self.links.link_to(pool)
--- a/crates/onyxshed-host/src/process.rs
+++ b/crates/onyxshed-host/src/process.rs
@@ -1,5 +1,5 @@
 //! Startup of the host process: parses the command line, loads the settings and runs the services
-//! until the process is told to stop.
+//! until the process is requested to stop.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/onyxshed-http/src/server.rs
+++ b/crates/onyxshed-http/src/server.rs
@@ -297,7 +297,7 @@
 /// If a burst fills the queue while the process is busy, the system silently drops the next
 /// caller's SYN, and the caller sends it again a second later, when its objective has been missed.
 /// With a backlog of 128, the 130th connection of a burst was still not established after 900 ms
-/// on loopback. This value holds half of a second's burst on a host of ordinary size.
+/// on loopback. This value suffices for half of a second's burst on a host of ordinary size.
 const LISTEN_BACKLOG: i32 = 1_024;
 
 /// Connections beyond the limit that still get a rejection reply; any further ones are closed
--- a/crates/onyxshed-load/src/claims.rs
+++ b/crates/onyxshed-load/src/claims.rs
@@ -45,7 +45,7 @@
     pub is_platform_down: bool,
     /// Number of jobs sent.
     pub sent: u32,
-    /// Number of answers by result code; 0 stands for an answer without a code.
+    /// Number of answers by result code; 0 is the key of answers without a code.
     pub codes: BTreeMap<u16, u32>,
     /// Response times of complete jobs, in milliseconds.
     pub complete_ms: Percentiles,
--- a/crates/onyxshed-load/src/sim/simulation/host.rs
+++ b/crates/onyxshed-load/src/sim/simulation/host.rs
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Ends a job before it is complete: its answer is sent at once, its queued tasks are withdrawn
+    /// Ends a job before it is complete: its answer is sent immediately, its queued tasks are withdrawn
     /// and its running attempts are stopped.
     pub(super) fn end_job(&mut self, job: usize, code: ResultCode) {
         self.record_job_end(job, Some(code));
--- a/crates/onyxshed-load/src/sim/simulation/parts.rs
+++ b/crates/onyxshed-load/src/sim/simulation/parts.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// Returns the id of a job's task. The random part of the ULID holds the job's index.
+/// Returns the id of a job's task. The random part of the ULID contains the job's index.
 pub(super) fn task_id(job: usize, at_us: u64, index: usize) -> TaskId {
     let time_ms = WALL_START.0 + at_us / 1_000;
     TaskId {
--- a/crates/onyxshed-policy/src/fleet.rs
+++ b/crates/onyxshed-policy/src/fleet.rs
@@ -26,7 +26,7 @@
     /// immediately because no attempt was in flight on them.
     pub fn set(&mut self, infos: &[ExecutorInfo]) -> Vec<ExecutorId> {
         // Only executors missing from the list are marked as removed. One that is listed again has
-        // not restarted, so its report that it is draining still holds.
+        // not restarted, so its report that it is draining is still valid.
         let named: BTreeSet<&ExecutorName> = infos.iter().map(|info| &info.name).collect();
         self.iter_mut()
             .filter(|executor| !named.contains(&executor.info.name))
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -67,7 +67,7 @@
 }
 
 impl Pool {
-    /// Creates the state of a new owner, which holds `token` and knows no executors or jobs yet.
+    /// Creates the state of a new owner with the fencing token `token`, without executors or jobs.
     pub fn new(
         now: Mono,
         token: FencingToken,
--- a/crates/onyxshed-pool/src/successor.rs
+++ b/crates/onyxshed-pool/src/successor.rs
@@ -1,8 +1,8 @@
 //! Selection of a successor by a stopping owner when the store can't elect the next owner.
 //!
 //! Hosts become owners by joining the pool's group in the store. An owner may be stopped while the
-//! store is unavailable and no host can join. Hosts that could own the pool say so in their
-//! heartbeats; the owner selects one of them and transfers the pool in the answer to that host's
+//! store is unavailable and no host can join. Hosts that could own the pool announce this in
+//! their heartbeats; the owner selects one of them and transfers the pool in the answer to that host's
 //! next heartbeat.
 //!
 //! Each owner selects at most one successor, whose token is the owner's token plus one. So no two
--- a/crates/onyxshed-proof/tests/doors.rs
+++ b/crates/onyxshed-proof/tests/doors.rs
@@ -157,8 +157,8 @@
 
 #[test]
 fn caller_is_rejected_with_retry_delay_when_all_connections_are_busy() {
-    // Requests in flight use all allowed connections. The next caller is immediately told that nothing
-    // was run and when to retry; the earlier callers get their answers.
+    // Requests in flight use all allowed connections. The next caller immediately receives the
+    // reply that nothing was run and when to retry; the earlier callers get their answers.
     let mut cluster = block_on(zone::start(1, cluster_options()));
     let caller_address = zone::caller_address(&mut cluster, "a1");
     block_on(zone::run_one_job(caller_address, zone::MAY_RUN_TWICE));
--- a/crates/onyxshed-proto/src/error.rs
+++ b/crates/onyxshed-proto/src/error.rs
@@ -13,7 +13,7 @@
         /// Message of the Cap'n Proto library.
         reason: SmolStr,
     },
-    /// A field holds a value that its type does not allow.
+    /// A field contains a value that its type does not allow.
     #[snafu(display("field {field}: {reason}"))]
     Field {
         /// Name of the field.
--- a/crates/onyxshed-proto/src/pool/peer_state.rs
+++ b/crates/onyxshed-proto/src/pool/peer_state.rs
@@ -12,7 +12,7 @@
 /// State of the deployment as a host knows it, for a host that has just started.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PeerState {
-    /// The operators' manifest as the store holds it; empty if unknown.
+    /// The operators' manifest as stored; empty if unknown.
     pub manifest: Vec<u8>,
     /// Pools, and the addresses on which their owners accept connections of other hosts.
     pub owners: Vec<(PoolId, SocketAddr)>,
--- a/crates/onyxshed-state/src/config.rs
+++ b/crates/onyxshed-state/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration as a fold of the platform's log.
 //!
 //! Every process applies the records of the `config` stream in order, so all processes that have
-//! read the same records hold the same configuration. A process only ever moves to a higher
+//! read the same records have the same configuration. A process only ever moves to a higher
 //! revision, from a record, a snapshot or a peer.
 //!
 //! A fold is *complete* if it accounts for every record before the offset that it reads next. It is
--- a/crates/onyxshed-state/src/member/options.rs
+++ b/crates/onyxshed-state/src/member/options.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberOptions {
     /// Time without an advance of a peer's counter after which the peer is suspected. Applies to as
-    /// many peers as one message holds; with twice as many peers the time is twice as long, and so
+    /// many peers as one message contains; with twice as many peers the time is twice as long, and so
     /// on. Default 6 s.
     pub suspect_ms: Millis,
     /// Time without an advance of a peer's counter after which the platform's list decides whether
@@ -46,7 +46,7 @@
 }
 
 impl MemberOptions {
-    /// Returns `span` scaled to a table of `peers` peers. A message holds a limited number of
+    /// Returns `span` scaled to a table of `peers` peers. A message contains a limited number of
     /// heartbeats, so the more peers there are, the longer each takes to be forwarded again.
     pub(super) fn scaled(&self, span: Millis, peers: usize) -> Millis {
         let messages = peers.div_ceil(self.digest_max.max(1)).max(1);
--- a/crates/onyxshed-state/tests/claim_traps.rs
+++ b/crates/onyxshed-state/tests/claim_traps.rs
@@ -308,7 +308,7 @@
     assert_eq!(b.counts().stale_batches, 1);
 }
 
-/// The log holds two claims of one host, because the first one's answer was lost. The host wins by
+/// The log contains two claims of one host, because the first one's answer was lost. The host wins by
 /// the first, abandons the job and sends a release before it has read the second. Reading the
 /// second must not make the host the holder again: the release follows it, and another host claims
 /// after that.
@@ -514,7 +514,7 @@
     );
 }
 
-/// More claims are read than the book can hold. It forgets the claims on the oldest ids and from
+/// More claims are read than the book can store. It forgets the claims on the oldest ids and from
 /// then on rejects ids that are at least as old, instead of treating a forgotten submission as
 /// unclaimed.
 #[test]
--- a/crates/onyxshed-state/tests/member.rs
+++ b/crates/onyxshed-state/tests/member.rs
@@ -65,7 +65,7 @@
     );
 }
 
-/// With more peers than one message holds, each heartbeat is forwarded less often, so peers are
+/// With more peers than one message contains, each heartbeat is forwarded less often, so peers are
 /// suspected later.
 #[rstest]
 #[case::one_message(12, 6_001)]
