--- a/crates/onyxshed-host/src/decisions.rs
+++ b/crates/onyxshed-host/src/decisions.rs
@@ -102,8 +102,8 @@
 }
 
 /// Creates the log event for the start of a handover or an evacuation, when a pool stops accepting
-/// jobs. `handed_back` and `kept` are the numbers of jobs returned to their entry hosts and of jobs
-/// that this host still completes.
+/// jobs. `returned_jobs` is the number of jobs returned to their entry hosts, `remaining_jobs` the
+/// number of jobs that this host still completes.
 fn drain_event(
     kind: EventKind,
     token: FencingToken,
--- a/crates/onyxshed-policy/src/executor/limit.rs
+++ b/crates/onyxshed-policy/src/executor/limit.rs
@@ -33,8 +33,8 @@
         self.value.clamp(1.0, f64::from(slots.max(1))).floor()
     }
 
-    /// Records a finished task that ran beside `in_flight` other tasks of this host. `worsening` is
-    /// the ratio of the recent to the long-run slowdown of the executor.
+    /// Records a finished task that ran beside `in_flight` other tasks of this host. `slowdown_increase`
+    /// is the ratio of the recent to the long-run slowdown of the executor.
     pub fn record_finished(&mut self, slots: u32, in_flight: u32, slowdown_increase: f64) {
         if slowdown_increase > WORSENED_RATIO_MIN {
             // The limit shrinks by one factor per round, so each task of the round applies its part
--- a/crates/onyxshed-policy/src/policy/intake.rs
+++ b/crates/onyxshed-policy/src/policy/intake.rs
@@ -24,7 +24,7 @@
 /// Retry-after if the class is not configured: about the time in which a new configuration arrives.
 const UNKNOWN_CLASS_RETRY_AFTER: Micros = Micros(5_000_000);
 
-/// Minimum interval between two scans for expired tasks. The dispatch asks for expired tasks on
+/// Minimum interval between two scans for expired tasks. The dispatch requests the expired tasks on
 /// every input, and a scan visits every queue.
 const EXPIRY_SCAN_INTERVAL: Millis = Millis(1);
 
--- a/crates/onyxshed-policy/src/policy/place.rs
+++ b/crates/onyxshed-policy/src/policy/place.rs
@@ -227,7 +227,7 @@
     }
 }
 
-/// Returns the executors to check, as `upstream.scan` says. If there are more than
+/// Returns the executors to check, as selected by `upstream.scan`. If there are more than
 /// `CANDIDATES_MAX`, the guarded placement starts at an offset that changes with every scan.
 fn keys_to_scan(upstream: &mut Upstream, is_guarded: bool) -> Vec<ExecutorKey> {
     let mut keys = match &upstream.scan {
--- a/crates/onyxshed-policy/src/work.rs
+++ b/crates/onyxshed-policy/src/work.rs
@@ -120,7 +120,8 @@
 pub struct ExpiredTask {
     /// Id of the task.
     pub task: TaskId,
-    /// Deadline with which the task was queued.
+    /// Deadline with which the task was queued; after a requeue this can be later than the job's first
+    /// deadline.
     pub deadline: Mono,
     /// Result code: [`ResultCode::ExpiredInQueue`], or the code of an earlier attempt of the task
     /// that may have started.
--- a/crates/onyxshed-proof/src/scenario/steps.rs
+++ b/crates/onyxshed-proof/src/scenario/steps.rs
@@ -1,4 +1,4 @@
-//! Executes the statements of a scenario, except for `wait until` and `expect`, which `verdicts`
+//! Executes the statements of a scenario, except for `wait until` and `expect`, which `checks`
 //! executes.
 
 use std::future::Future;
--- a/crates/onyxshed-state/src/claim.rs
+++ b/crates/onyxshed-state/src/claim.rs
@@ -1,6 +1,6 @@
 //! Decides which host may start a submission: the host whose claim is first in log order.
 //!
-//! The dispatcher asks a [`ClaimBook`] before it starts a submission and passes it every record of
+//! The dispatcher queries a [`ClaimBook`] before it starts a submission and passes it every record of
 //! the `claims` stream. A submission is bound if its id names an incarnation; only that incarnation
 //! may start it, so it needs no claim. A host that wants to start an unbound submission queues a
 //! claim. Claims are appended in batches, one append per batch, at a rate that keeps all hosts
--- a/crates/onyxshed-wire/src/admin.rs
+++ b/crates/onyxshed-wire/src/admin.rs
@@ -67,7 +67,7 @@
     pub host: SmolStr,
     /// Incarnation of the process, drawn at random at each start.
     pub boot: Incarnation,
-    /// Start time of this incarnation; it holds no earlier events.
+    /// Start time of this incarnation, which has no earlier events.
     pub started_ms: UnixMs,
     /// Number of events that were dropped to make room for newer ones.
     pub dropped: u64,
