--- a/crates/onyxshed-kernel/src/clock.rs
+++ b/crates/onyxshed-kernel/src/clock.rs
@@ -1,7 +1,9 @@
 //! The monotonic clock, the wall clock and the hybrid logical clock of the process.
 //!
-//! Services take the time of decisions and the stamps of events from here; only timeouts of single
-//! operations use [`Instant`] directly.
+//! Services take the time of decisions and the stamps of events from here; only timeouts and
+//! durations of single operations use [`Instant`] directly. `onyxshed-host` takes the time of
+//! decisions from a clock of its own, which includes the time during which the machine was
+//! suspended.
 
 use std::cell::RefCell;
 use std::rc::Rc;
