--- a/crates/onyxshed-cli/src/args.rs
+++ b/crates/onyxshed-cli/src/args.rs
@@ -27,14 +27,14 @@
     Publish(Publish),
     /// Shows the targets of classes.
     Show {
-        /// The platform whose log holds the configuration.
+        /// The platform whose log contains the configuration.
         platform: PlatformArgs,
         /// Shows only this class, if given.
         class: Option<ClassName>,
     },
     /// Shows the changes on the log.
     History {
-        /// The platform whose log holds the configuration.
+        /// The platform whose log contains the configuration.
         platform: PlatformArgs,
         /// Shows only changes of this class, if given.
         class: Option<ClassName>,
@@ -99,19 +99,19 @@
 /// Source of the events of a time line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EventSource {
-    /// The events that these processes hold in memory.
+    /// The events that these processes keep in memory.
     Processes(ProcessArgs),
     /// Paths of the log files of all hosts.
     Logs(Vec<PathBuf>),
 }
 
-/// Source, filters and length of a time line.
+/// A filtered time line of events, from the processes or from log files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimelineArgs {
     /// Source of the events.
     pub source: EventSource,
     /// Whether to show only events that concern no single request, job or submission (`--beliefs`).
-    pub beliefs_only: bool,
+    pub general_events_only: bool,
     /// Shows only events of this submission, if given.
     pub submission: Option<SubmissionId>,
     /// Shows only events of this class, if given.
@@ -221,7 +221,7 @@
     };
     Ok(Action::Timeline(TimelineArgs {
         source,
-        beliefs_only: args.get_flag("beliefs"),
+        general_events_only: args.get_flag("beliefs"),
         upstream,
         submission: args.get_one("submission").copied(),
         class: args.get_one("class").cloned(),
--- a/crates/onyxshed-cli/src/trace/cause.rs
+++ b/crates/onyxshed-cli/src/trace/cause.rs
@@ -9,9 +9,8 @@
 use super::select::RequestTrace;
 use crate::logs::LogLine;
 
-/// How late a job may end relative to its target and still count as in time, in thousandths of the
-/// target. The log contains only the caller's estimate, which is off by a few hundredths at best.
-const IN_TIME_MILLIS: u64 = 1_050;
+/// Longest duration of a job that still counts as in time, in thousandths of its target. The log contains only the caller's estimate, which is off by a few hundredths at best.
+const IN_TIME_MAX_PER_MILLE: u64 = 1_050;
 
 /// The cause of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -85,7 +84,7 @@
 }
 
 fn completed(trace: &RequestTrace<'_>, summary: &JobSummary) -> Cause {
-    if summary.took.0 * 1_000 <= summary.target.0 * IN_TIME_MILLIS {
+    if summary.took.0 * 1_000 <= summary.target.0 * IN_TIME_MAX_PER_MILLE {
         return Cause::InTime;
     }
     let lost = lost_runs(trace);
--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -31,24 +31,23 @@
 
 /// How long a stopping host continues to serve before it waits for the last reply: the balancer
 /// polls readiness once a second and stops sending callers after two failed polls.
-const DRAIN_NOTICE: Duration = Duration::from_millis(2_200);
+const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2_200);
 
 /// Interval at which a stopping host checks whether the last reply has been written.
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
 /// Time limit of a request whose deadline header is missing or is not a number.
-const DEADLINE_DEFAULT: Millis = Millis(5_000);
+const TIME_LIMIT_DEFAULT: Millis = Millis(5_000);
 
 /// Time reserved before the caller's deadline so that the reply arrives in time: covers a network
 /// round trip and a pause of a host at its CPU limit.
 const DEADLINE_MARGIN: Millis = Millis(60);
 
-/// How long after its start a host delays requests until the manifest and an owner with executors
-/// are known: after a power failure both are known 60 to 300 ms after the start.
+/// How long after its start a host delays requests until it knows the manifest and can reach an
+/// executor through an owner: after a power failure this takes 60 to 300 ms from the start.
 const STARTUP_WAIT_MAX: Duration = Duration::from_millis(400);
 
-/// Interval at which a starting host checks whether it knows the manifest and an owner with
-/// executors.
+/// Interval at which a starting host checks whether it knows the manifest and can reach an executor.
 const STARTUP_POLL: Duration = Duration::from_millis(10);
 
 /// Retry-after time while this host knows no manifest or no pool to submit a job to; about the time
@@ -164,7 +163,7 @@
     /// Waits until this host can serve requests, for at most [`STARTUP_WAIT_MAX`] after its start.
     ///
     /// After a power failure callers connect as soon as the process listens, shortly before it
-    /// knows the manifest and an owner. The wait counts towards the job's target time.
+    /// knows the manifest and can reach an executor. The wait counts towards the job's target time.
     async fn wait_for_startup(&self) {
         // Completes when the channel is closed; no value is ever sent.
         let _ = self.startup_over.recv().await;
@@ -203,12 +202,12 @@
             Ok(Submission::Unsupported(kind)) => return self.reject_unsupported(&context, kind),
             Err(error) => return self.reject_request(call, 400, &format_smolstr!("{error}"), None),
         };
-        let deadline = self.limit_to_drain_deadline(requested_time_limit(call));
-        let job = self.job_request(route, &context, simple, deadline);
+        let time_limit = self.limit_to_drain_deadline(requested_time_limit(call));
+        let job = self.job_request(route, &context, simple, time_limit);
         let disconnect_guard = DisconnectGuard::arm(&self.kernel, &context);
         let elapsed = boot_clock::now().since(arrived);
         let timeout = Duration::from(job.time_left).saturating_sub(elapsed.into());
-        let outcome = with_timeout(timeout, self.dispatch(&job, arrived));
+        let outcome = with_timeout(timeout, self.submit_to_pools(&job, arrived));
         let (end, pool) = match outcome.or(self.wait_for_drain_expiry()).await {
             Some(outcome) => outcome,
             None => (
@@ -243,14 +242,14 @@
 
     /// Limits the time of a job to the remaining drain time of a stopping host, so that a job which
     /// cannot end by then is rejected instead of aborted.
-    fn limit_to_drain_deadline(&self, deadline: Millis) -> Millis {
+    fn limit_to_drain_deadline(&self, time_limit: Millis) -> Millis {
         let Some(drain_deadline) = self.drain_deadline.get() else {
-            return deadline;
+            return time_limit;
         };
         let remaining = drain_deadline
             .saturating_duration_since(Instant::now())
             .as_millis();
-        deadline.min(Millis(u64::try_from(remaining).unwrap_or(u64::MAX)))
+        time_limit.min(Millis(u64::try_from(remaining).unwrap_or(u64::MAX)))
     }
 
     /// Waits for the end of the drain, and returns the outcome of a job that is unfinished then.
@@ -266,7 +265,7 @@
         ))
     }
 
-    /// Rejects a request from which no job could be created, and logs the rejection.
+    /// Rejects a request before a job is created from it, and logs the rejection.
     fn reject_request(
         &self,
         call: &Call,
@@ -295,7 +294,7 @@
         route: &Route,
         context: &SubmissionContext,
         simple: SimpleJob,
-        deadline: Millis,
+        time_limit: Millis,
     ) -> JobRequest {
         JobRequest {
             peer: self.links.incarnation(),
@@ -311,7 +310,7 @@
             stretch_millis: route.stretch_millis,
             objective: route.objective_ms,
             elapsed: Millis(0),
-            time_left: Millis(deadline.0.saturating_sub(DEADLINE_MARGIN.0)),
+            time_left: Millis(time_limit.0.saturating_sub(DEADLINE_MARGIN.0)),
             label: simple.label,
             data_rack: simple.data_rack,
             per_executor_max: simple.per_executor_max,
@@ -320,7 +319,7 @@
 
     /// Submits a job to the pools in the order of [`Links::rank_pools`] until a pool does not
     /// reject it. Returns the job's end and the pool that was tried last.
-    async fn dispatch(&self, job: &JobRequest, arrived: Mono) -> (JobEnd, SmolStr) {
+    async fn submit_to_pools(&self, job: &JobRequest, arrived: Mono) -> (JobEnd, SmolStr) {
         let mut last = (
             JobEnd::NotRun(self.links.no_pool_reason(), NO_POOL_RETRY_AFTER),
             SmolStr::new_static("none"),
@@ -378,7 +377,7 @@
     let header = call.header(DEADLINE_HEADER);
     header
         .and_then(|text| text.parse().ok())
-        .map_or(DEADLINE_DEFAULT, Millis)
+        .map_or(TIME_LIMIT_DEFAULT, Millis)
 }
 
 /// Service that accepts requests of callers.
@@ -454,7 +453,7 @@
             };
             let drain_deadline = Instant::now() + self.options.drain_timeout;
             callers.drain_deadline.set(Some(drain_deadline));
-            Timer::after(DRAIN_NOTICE).await;
+            Timer::after(BALANCER_NOTICE_TIME).await;
             while callers.is_busy() {
                 if Instant::now() >= drain_deadline {
                     callers.drain_expired_sender.close();
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -290,7 +290,7 @@
                 self.links.set_owner(pool, address);
                 self.links.probe_owner(pool, PROBE_TIMEOUT).await;
             }
-            // Falls back to the owner that the links know.
+            // Falls back to the owner that is recorded in the links.
             Err(error) => self.watch.record_failure(&error),
         }
         self.links.link_to(pool)
@@ -341,8 +341,8 @@
         self.links.set_owner(pool, None);
     }
 
-    /// Writes an owner record, from which hosts that start later find this owner while the group in
-    /// the store has no members.
+    /// Writes an owner record, from which hosts that start later find this owner while the store
+    /// shows no holder of the pool's partition.
     pub(super) async fn write_owner_record(&mut self, pool: &PoolId) {
         if let Err(error) = last_owner::write(&mut self.store, pool, &self.member).await {
             self.watch.record_failure(&error);
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -46,7 +46,7 @@
     own_incarnation: PeerIncarnation,
     executors: Executors,
     jobs: BTreeMap<JobId, Job>,
-    offered: OfferedLoad,
+    offered_load: OfferedLoad,
     peers: PeerSessions,
     last_tick_at: Mono,
     stage: HandoverStage,
@@ -67,7 +67,7 @@
 }
 
 impl Pool {
-    /// Creates the state of a new owner, which holds `token` and knows no executors or jobs yet.
+    /// Creates the state of a new owner with the fencing token `token`, without executors or jobs.
     pub fn new(
         now: Mono,
         token: FencingToken,
@@ -80,7 +80,7 @@
             own_incarnation,
             executors: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            offered: OfferedLoad::default(),
+            offered_load: OfferedLoad::default(),
             peers: PeerSessions::default(),
             last_tick_at: now,
             stage: HandoverStage::Serving,
@@ -166,7 +166,7 @@
     }
 
     /// Adds or updates an executor that the platform lists. Entries of past incarnations are ignored.
-    pub fn list_executor(
+    pub fn record_listed_executor(
         &mut self,
         now: Mono,
         id: ExecutorId,
@@ -209,7 +209,7 @@
     }
 
     /// Records that the platform no longer lists an executor.
-    pub fn unlist_executor(&mut self, now: Mono, id: &ExecutorId) -> Vec<Action> {
+    pub fn record_unlisted_executor(&mut self, now: Mono, id: &ExecutorId) -> Vec<Action> {
         if let Some(executor) = self.executors.get_mut(id) {
             executor.unlisted_at.get_or_insert(now);
         }
@@ -248,8 +248,8 @@
         self.place_after_report(now, id);
     }
 
-    /// Requeues a task whose run has ended without success or can't execute any more. Does nothing
-    /// if the run is not the current run of the task.
+    /// Requeues a task whose run is known not to execute any more, or never to have started. Does
+    /// nothing if the run is not the current run of the task.
     fn requeue_run(
         &mut self,
         task: TaskId,
--- a/crates/onyxshed-pool/tests/pool/simulation/owners.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/owners.rs
@@ -19,7 +19,8 @@
         self.add_owner(None);
     }
 
-    /// Adds a new owner, which takes over from the owner `last` if one is given.
+    /// Adds a new owner. `last` is the previous owner if it still answers; the new owner then waits
+    /// for it to release its executors.
     pub(super) fn add_owner(&mut self, last: Option<OwnerIndex>) {
         self.token += 1;
         let token = FencingToken(self.token);
@@ -48,7 +49,9 @@
             .map(|(id, executor)| (id.clone(), facts_of(executor)))
             .collect();
         for (id, facts) in listed {
-            let actions = self.owners[owner].pool.list_executor(self.now, id, facts);
+            let actions = self.owners[owner]
+                .pool
+                .record_listed_executor(self.now, id, facts);
             self.apply_actions(owner, actions);
         }
         self.schedule_after(TICK, Event::Tick(owner));
--- a/crates/onyxshed-state/src/config.rs
+++ b/crates/onyxshed-state/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration as a fold of the platform's log.
 //!
 //! Every process applies the records of the `config` stream in order, so all processes that have
-//! read the same records hold the same configuration. A process only ever moves to a higher
+//! read the same records have the same configuration. A process only ever moves to a higher
 //! revision, from a record, a snapshot or a peer.
 //!
 //! A fold is *complete* if it accounts for every record before the offset that it reads next. It is
@@ -95,7 +95,7 @@
     pub invalid: u64,
     /// Changes that were based on another revision than the one in force.
     pub raced: u64,
-    /// Snapshots that contradict this fold's own records.
+    /// Snapshots and peers' handovers that were ignored because they contradict this fold.
     pub contradictions: u64,
     /// Number of times that records were lost before they were read.
     pub gaps: u64,
