--- a/crates/onyxshed-cli/src/args.rs
+++ b/crates/onyxshed-cli/src/args.rs
@@ -127,7 +127,8 @@
     pub lines: usize,
 }
 
-/// Tries to build the action from the parsed command line, and loads the settings that it names.
+/// Builds the action from the parsed command line, and loads the settings that it names. Returns an
+/// error if an argument or the settings are invalid.
 pub fn action(matches: &ArgMatches) -> Result<Action> {
     match matches.subcommand() {
         Some(("check", args)) => check(args),
--- a/crates/onyxshed-cli/src/catalogue.rs
+++ b/crates/onyxshed-cli/src/catalogue.rs
@@ -105,7 +105,7 @@
     })
 }
 
-/// Renders docs/RESULT-CODES.md.
+/// Returns the text of docs/RESULT-CODES.md.
 pub fn codes_page() -> String {
     let mut page = CODES_HEAD.to_owned();
     for (thousands, title) in CODE_GROUPS {
@@ -132,7 +132,7 @@
     page
 }
 
-/// Renders docs/EVENTS.md.
+/// Returns the text of docs/EVENTS.md.
 pub fn events_page() -> String {
     let mut page = EVENTS_HEAD.to_owned();
     for (hundreds, title) in EVENT_GROUPS {
--- a/crates/onyxshed-cli/src/check.rs
+++ b/crates/onyxshed-cli/src/check.rs
@@ -16,7 +16,7 @@
     is_valid: bool,
 }
 
-/// Tries to load the file; the error lists every fault.
+/// Checks a file by loading it. The error lists every fault.
 pub fn run(file: &Path, kind: SettingsKind, format: Format) -> Result<String> {
     match kind {
         SettingsKind::Entry => load::<EntrySettings>(file).map(drop),
--- a/crates/onyxshed-cli/src/error.rs
+++ b/crates/onyxshed-cli/src/error.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Returns the numbered result code.
+    /// Returns the numbered result code, which also determines the exit code.
     pub fn code(&self) -> ResultCode {
         match self {
             Error::Usage { .. } | Error::Log { .. } => ResultCode::Usage,
--- a/crates/onyxshed-cli/src/exit.rs
+++ b/crates/onyxshed-cli/src/exit.rs
@@ -12,7 +12,8 @@
   4  not known or not finished in time: ask again with the command that the error names
   5  answered in part: some process did not answer";
 
-/// Returns the exit code for a result code.
+/// Returns the exit code of a command that failed, or whose output is incomplete, with the result
+/// code `code`; see [`EXIT_HELP`].
 pub fn exit_number(code: ResultCode) -> u8 {
     match code {
         ResultCode::Usage
--- a/crates/onyxshed-cli/src/logs.rs
+++ b/crates/onyxshed-cli/src/logs.rs
@@ -28,7 +28,8 @@
     pub unreadable: usize,
 }
 
-/// Tries to read log files and orders their lines.
+/// Reads log files and orders their lines by their clocks. Returns an error if a file can't be
+/// read.
 pub fn read_logs(files: &[PathBuf]) -> Result<Logs> {
     let mut logs = Logs::default();
     for file in files {
--- a/crates/onyxshed-cli/src/query.rs
+++ b/crates/onyxshed-cli/src/query.rs
@@ -14,7 +14,7 @@
 /// The decoded answer of a process, or the reason why there is none.
 pub type ProcessAnswer<T> = Result<T, SmolStr>;
 
-/// A process and its answer.
+/// The result of querying one process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProcessReply<T> {
     /// Name of the process in the settings.
--- a/crates/onyxshed-cli/src/span.rs
+++ b/crates/onyxshed-cli/src/span.rs
@@ -2,11 +2,11 @@
 
 use onyxshed_core::Millis;
 
-/// Units and their milliseconds. `ms` comes before `s` and `m`, because it also ends in `s`; the first
-/// match counts.
+/// Units with their lengths in milliseconds. The first unit with which a text ends is used, so `ms`
+/// precedes `s`.
 const UNITS: &[(&str, u64)] = &[("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
 
-/// Tries to parse a duration.
+/// Parses a duration. The error describes the expected format.
 pub fn parse(text: &str) -> Result<Millis, String> {
     let bad = || {
         format!(
@@ -21,7 +21,7 @@
     number.checked_mul(factor).map(Millis).ok_or_else(bad)
 }
 
-/// Formats a duration exactly, with the largest unit that gives a whole number.
+/// Formats a duration exactly, in the largest unit of which it is a whole multiple.
 pub fn display(span: Millis) -> String {
     let mut largest_first = UNITS.iter().rev();
     let whole = largest_first.find(|(_, factor)| span.0 > 0 && span.0.is_multiple_of(*factor));
@@ -31,7 +31,7 @@
     }
 }
 
-/// Formats a duration with its largest unit, rounded down.
+/// Formats a duration in the largest unit that is not longer than it, rounded down.
 pub fn display_rounded(span: Millis) -> String {
     let mut largest_first = UNITS.iter().rev();
     let largest = largest_first.find(|(_, factor)| span.0 >= *factor);
--- a/crates/onyxshed-cli/src/status.rs
+++ b/crates/onyxshed-cli/src/status.rs
@@ -20,7 +20,8 @@
     no_answer: Option<&'a SmolStr>,
 }
 
-/// Queries every process and shows their status.
+/// Queries every process and formats their status. The output is marked as incomplete if a process
+/// did not answer.
 pub async fn run(args: &ProcessArgs, format: Format) -> CommandOutput {
     let replies = query_status(&args.processes, args.timeout_ms.into()).await;
     let is_complete = replies.iter().all(|reply| reply.answer.is_ok());
--- a/crates/onyxshed-cli/src/target/log.rs
+++ b/crates/onyxshed-cli/src/target/log.rs
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Returns the fold of the records read so far.
+    /// Returns the configuration folded from the records that this client has read.
     pub fn fold(&self) -> &ConfigFold {
         &self.fold
     }
 
-    /// Returns every change read so far, in the order of the log, with its outcome.
+    /// Returns every change that this client has read, in the order of the log, with its outcome.
     pub fn changes(&self) -> Vec<LoggedChange> {
         let mut changes = self.changes.clone();
         for entry in &mut changes {
@@ -83,7 +83,7 @@
         changes
     }
 
-    /// Returns whether the time limit has passed.
+    /// Returns whether the command's time limit has passed.
     pub fn is_late(&self) -> bool {
         Instant::now() >= self.deadline
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Appends a record.
+    /// Appends a record to the `config` stream and returns its offset.
     pub async fn append(&mut self, record: String) -> onyxshed_platform::Result<Offset> {
         self.client.append(CONFIG_STREAM, record.into_bytes()).await
     }
--- a/crates/onyxshed-cli/src/target/publish.rs
+++ b/crates/onyxshed-cli/src/target/publish.rs
@@ -92,7 +92,8 @@
     })
 }
 
-/// Tries to prepare a change. Every fault that can be detected here fails before anything is sent.
+/// Prepares a change with a new id, based on `based_on` or, if that is `None`, on the revision that
+/// `log` has read. Returns an error for a fault that can be detected before anything is sent.
 pub fn prepare(
     log: &ConfigLog,
     body: ChangeBody,
--- a/crates/onyxshed-cli/src/timeline/merge.rs
+++ b/crates/onyxshed-cli/src/timeline/merge.rs
@@ -38,7 +38,7 @@
     Unreadable(usize),
 }
 
-/// A gap in the time line.
+/// A process of which events may be missing from the time line, and the reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Gap {
     /// Name of the process in the settings, or `the logs` for unreadable lines of log files.
@@ -56,7 +56,8 @@
     pub events: Vec<Entry>,
 }
 
-/// Merges the answers of processes.
+/// Merges the events of all answers, ordered by their clocks. Records a gap for each reason why
+/// events of a process may be missing, such as the lack of an answer.
 pub fn merge(replies: Vec<ProcessReply<TimelinePage>>) -> Timeline {
     let mut merged = Timeline::default();
     for reply in replies {
@@ -71,7 +72,7 @@
     merged
 }
 
-/// Merges the lines of log files.
+/// Converts the lines of log files to a time line; lines without an event become a gap.
 pub fn merge_logs(logs: Logs) -> Timeline {
     let mut merged = Timeline::default();
     if logs.unreadable > 0 {
--- a/crates/onyxshed-cli/src/trace/select.rs
+++ b/crates/onyxshed-cli/src/trace/select.rs
@@ -69,7 +69,8 @@
     }
 }
 
-/// Returns when the request arrived, computed from the duration in its answer if there is one.
+/// Returns when the request arrived: the time of its answer less the duration that the answer
+/// states, or the time of the first line if that is earlier or there is no such duration.
 fn arrived_at(first: &LogLine, answers: &[(&LogLine, Option<JobSummary>)]) -> UnixMs {
     let computed = answers.first().and_then(|(line, summary)| {
         let took = summary.as_ref()?.took;
--- a/crates/onyxshed-control/src/host_follower.rs
+++ b/crates/onyxshed-control/src/host_follower.rs
@@ -19,7 +19,8 @@
 /// bytes per executor (docs/CAPACITY.md).
 const READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The service that polls the list.
+/// The service that reads the list every second. It applies the list to the member table and passes
+/// the executors of `zone` to the shared state.
 pub struct HostFollower {
     platform_address: SocketAddr,
     zone: onyxshed_core::ZoneName,
--- a/crates/onyxshed-control/src/peers.rs
+++ b/crates/onyxshed-control/src/peers.rs
@@ -236,7 +236,7 @@
 }
 
 impl PeerService {
-    /// Creates the service.
+    /// Creates the service; the address for peers is opened when it starts.
     pub fn new(options: PeerOptions) -> Self {
         PeerService { options }
     }
--- a/crates/onyxshed-control/src/peers/port.rs
+++ b/crates/onyxshed-control/src/peers/port.rs
@@ -14,7 +14,7 @@
 }
 
 impl Port {
-    /// Creates the implementation on top of `peers`.
+    /// Creates the implementation, which uses the member table and the shared state of `peers`.
     pub fn new(peers: Rc<Peers>) -> Self {
         Port { peers }
     }
--- a/crates/onyxshed-control/src/process.rs
+++ b/crates/onyxshed-control/src/process.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Creates the services of the process.
+/// Creates the services of the process; the kernel sorts them by their dependencies.
 fn services(context: &ServiceContext, settings: &ControlSettings) -> Vec<Box<dyn Service>> {
     let kernel = &context.kernel;
     let telemetry = context.telemetry.clone();
@@ -85,7 +85,8 @@
     }
 }
 
-/// Registers the status source: the configuration's offset and what the entry process last reported.
+/// Registers the function that supplies the process's own part of the status: the configuration's
+/// revision and next offset, and the incarnation and revision that the entry process last reported.
 fn register_status_source(kernel: &Kernel, telemetry: &Telemetry, shared_state: &Rc<SharedState>) {
     let (kernel, shared_state) = (kernel.clone(), shared_state.clone());
     telemetry.set_status_source(Box::new(move || {
--- a/crates/onyxshed-control/src/republisher.rs
+++ b/crates/onyxshed-control/src/republisher.rs
@@ -25,7 +25,7 @@
 }
 
 impl Republisher {
-    /// Creates the service.
+    /// Creates the service, which appends to the stream of the platform at `platform_address`.
     pub fn new(platform_address: SocketAddr, options: PlatformOptions) -> Self {
         Republisher {
             platform_address,
--- a/crates/onyxshed-control/src/shared_state.rs
+++ b/crates/onyxshed-control/src/shared_state.rs
@@ -146,7 +146,7 @@
         self.kernel.emit(event);
     }
 
-    /// Replaces the list of executors.
+    /// Replaces the list of executors, and signals a change if the new list differs.
     pub fn set_executors(&self, executors: Vec<ExecutorEntry>) {
         let has_changed = self.state.borrow().executors.as_ref() != Some(&executors);
         if has_changed {
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Replaces the members, with the number of live hosts in this zone and of known hosts in all zones.
+    /// Replaces the members and the numbers of hosts. `zone_hosts` counts the live hosts in this
+    /// zone, `live_hosts` the known hosts in all zones, including those that are not live.
     pub fn set_members(
         &self,
         members: Vec<Member>,
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Waits for a change of the state since the last call returned.
+    /// Waits until the state has changed since the last call returned.
     pub async fn wait_for_change(&self) {
         let _ = self.change_signal.1.recv().await;
     }
@@ -209,7 +210,7 @@
 }
 
 impl SharedStateService {
-    /// Creates the service.
+    /// Creates the service for `shared_state`, which it registers when it starts.
     pub fn new(shared_state: Rc<SharedState>) -> Self {
         SharedStateService { shared_state }
     }
--- a/crates/onyxshed-core/src/code.rs
+++ b/crates/onyxshed-core/src/code.rs
@@ -104,7 +104,7 @@
 }
 
 impl ResultCode {
-    /// Returns the number of the code.
+    /// Returns the four-digit number of the code.
     pub fn number(self) -> u16 {
         self as u16
     }
--- a/crates/onyxshed-core/src/error.rs
+++ b/crates/onyxshed-core/src/error.rs
@@ -6,12 +6,13 @@
 /// Error returned when a text or value is not valid for one of the shared types.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The text violates the rules for names.
+    /// The text is not 1 to 64 of `a-z`, `0-9`, `.`, `_` and `-`, or does not start with a letter
+    /// or digit.
     #[snafu(display(
         "{found:?} is no {kind}: allowed are 1 to 64 of a-z, 0-9, '.', '_' and '-', starting with a letter or digit"
     ))]
     Name {
-        /// Kind of name that was expected.
+        /// Kind of name that was expected, such as "class name".
         kind: &'static str,
         /// Text that was found, truncated to 80 characters.
         found: SmolStr,
@@ -19,7 +20,7 @@
     /// The text could not be parsed as an identifier.
     #[snafu(display("{found:?} is no {kind}: allowed is {allowed}"))]
     Id {
-        /// Kind of identifier that was expected.
+        /// Kind of identifier that was expected, such as "submission id".
         kind: &'static str,
         /// Text that was found, truncated to 80 characters.
         found: SmolStr,
@@ -29,14 +30,14 @@
     /// The text could not be parsed as a quantity.
     #[snafu(display("{found:?} is no {kind}: allowed is a whole number followed by {unit:?}"))]
     Quantity {
-        /// Kind of quantity that was expected.
+        /// Kind of quantity that was expected, such as "size in bytes".
         kind: &'static str,
         /// Text that was found, truncated to 80 characters.
         found: SmolStr,
-        /// Suffix of the expected unit.
+        /// Suffix of the expected unit, such as "ms".
         unit: &'static str,
     },
-    /// A value is out of range.
+    /// The value of a field is outside the allowed range.
     #[snafu(display("{field} is {found}: allowed is {allowed}"))]
     Range {
         /// Name of the field, including its unit.
@@ -51,7 +52,7 @@
 /// Maximum length of a caller's text that an error repeats, in characters.
 const EXCERPT_CHARS: usize = 80;
 
-/// Returns `text` truncated to the length that an error may repeat.
+/// Returns the first [`EXCERPT_CHARS`] characters of `text`.
 fn excerpt(text: &str) -> SmolStr {
     text.chars().take(EXCERPT_CHARS).collect()
 }
--- a/crates/onyxshed-core/src/event.rs
+++ b/crates/onyxshed-core/src/event.rs
@@ -152,7 +152,7 @@
 }
 
 impl EventKind {
-    /// Returns the number of the kind.
+    /// Returns the three-digit number as which the kind is serialized.
     pub fn number(self) -> u16 {
         self as u16
     }
@@ -170,10 +170,11 @@
     }
 }
 
-/// Occurrence of an event in a process.
+/// One event, with the request, task and other party that it concerns.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Time of the event; timestamps are ordered across processes.
+    /// Time of the event on the hybrid logical clock, which orders an event after the events that
+    /// caused it, also across processes.
     pub hlc: Hlc,
     /// Kind of the event.
     pub kind: EventKind,
@@ -253,7 +254,7 @@
         self
     }
 
-    /// Sets the further details.
+    /// Sets the text with further details, such as the reason for a refusal.
     pub fn detail(mut self, detail: impl Into<SmolStr>) -> Self {
         self.detail = detail.into();
         self
--- a/crates/onyxshed-core/src/hlc.rs
+++ b/crates/onyxshed-core/src/hlc.rs
@@ -30,7 +30,8 @@
     /// Highest wall time known to the process when the timestamp was created, from its own clock or
     /// a received timestamp.
     pub wall: UnixMs,
-    /// Sequence number among the timestamps of a process with the same wall time.
+    /// Number that distinguishes timestamps with the same wall time. The clock starts at 0 when the
+    /// wall time advances, and adds 1 otherwise.
     pub counter: u32,
 }
 
@@ -60,14 +61,16 @@
 /// timestamps of all other hosts.
 const MAX_AHEAD_MS: u64 = 60_000;
 
-/// Hybrid logical clock of a process.
+/// Hybrid logical clock of a process: the highest timestamp that it has created or accepted from a
+/// message.
 #[derive(Debug, Clone, Default)]
 pub struct HlcClock {
     last: Hlc,
 }
 
 impl HlcClock {
-    /// Returns the timestamp of a new event at wall time `wall`; each one is greater than the last.
+    /// Returns the timestamp of a new event that occurs at wall time `wall`. It is greater than the
+    /// last timestamp that this clock created or observed.
     pub fn stamp(&mut self, wall: UnixMs) -> Hlc {
         self.last = if wall > self.last.wall {
             Hlc { wall, counter: 0 }
--- a/crates/onyxshed-core/src/id/name.rs
+++ b/crates/onyxshed-core/src/id/name.rs
@@ -34,7 +34,7 @@
         pub struct $name(SmolStr);
 
         impl $name {
-            /// Returns the name as a string slice.
+            /// Returns the name: 1 to 64 lower-case letters, digits, `.`, `_` and `-`.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
--- a/crates/onyxshed-core/src/id/submission.rs
+++ b/crates/onyxshed-core/src/id/submission.rs
@@ -22,14 +22,14 @@
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, SerializeDisplay, DeserializeFromStr,
 )]
 pub struct SubmissionId {
-    /// ULID chosen by the caller.
+    /// ULID chosen by the caller; contains the time at which the id was created.
     pub ulid: Ulid,
     /// The only incarnation that may start the submission's tasks; `None` for an unbound id.
     pub bound_to: Option<Incarnation>,
 }
 
 impl SubmissionId {
-    /// Creates an unbound id.
+    /// Creates an id that any entry host may claim.
     pub fn unbound(ulid: Ulid) -> Self {
         Self {
             ulid,
@@ -142,7 +142,8 @@
 
 /// Parses a ULID; returns `None` if `text` is malformed or exceeds 128 bits.
 ///
-/// The `ulid` crate silently drops bits beyond 128, so two texts would denote the same submission.
+/// The `ulid` crate silently drops bits beyond 128, so without this check two different texts could
+/// denote the same submission.
 fn parse_ulid(text: &str) -> Option<Ulid> {
     const FIRST_CHAR_MAX: u8 = b'7';
     let is_in_range = text
--- a/crates/onyxshed-core/src/target.rs
+++ b/crates/onyxshed-core/src/target.rs
@@ -13,11 +13,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassTarget {
-    /// Name of the class.
+    /// Class whose jobs the target applies to.
     pub class: ClassName,
-    /// Upstream that runs the tasks of the class.
+    /// Upstream whose executors run the tasks of the class.
     pub upstream: UpstreamName,
-    /// Time from a job's arrival by which it must be finished, in milliseconds, 1 to 600,000.
+    /// Time from a job's arrival within which it should be finished, in milliseconds, 1 to 600,000.
+    /// A job of which a task has started is aborted after twice this time at the latest.
     pub finish_within_ms: Millis,
     /// Whether tasks of the class may run more than once; defaults to `false` if absent.
     #[serde(default)]
@@ -25,7 +26,7 @@
 }
 
 impl ClassTarget {
-    /// Checks that `finish_within_ms` is in its range.
+    /// Checks that `finish_within_ms` is between 1 ms and [`FINISH_WITHIN_MAX`].
     ///
     /// # Errors
     ///
--- a/crates/onyxshed-dispatch/src/dispatch.rs
+++ b/crates/onyxshed-dispatch/src/dispatch.rs
@@ -27,7 +27,7 @@
 use crate::output::{AttemptId, Output, RequestId};
 use crate::table::JobTable;
 
-/// Attempt that has not ended.
+/// One start of a task on an executor, until its end is known.
 #[derive(Debug, Clone)]
 struct Attempt {
     task: TaskId,
@@ -41,7 +41,7 @@
     query_interval_us: Micros,
 }
 
-/// State machine of one entry host.
+/// State machine that decides which tasks an entry host starts, and how each request is answered.
 #[derive(Debug)]
 pub struct Dispatch {
     own_incarnation: Incarnation,
@@ -63,7 +63,7 @@
     gone: BTreeSet<Incarnation>,
     /// Requests that wait for the answer of a peer.
     forwarded_requests: BTreeMap<RequestId, forward::ForwardedRequest>,
-    /// Total size of the payloads of jobs that have not ended.
+    /// Total size of the payloads of jobs that have not ended, in bytes.
     running_bytes: u64,
     is_draining: bool,
     /// Time by which an [`Input::Tick`] is needed.
@@ -219,8 +219,8 @@
         self.refuse_unreachable_forwards();
     }
 
-    /// Answers a request. Unless a peer's answer names another incarnation to which the caller can
-    /// bind new ids, the answer names this one.
+    /// Answers a request. The answer names the incarnation to which the caller can bind new ids:
+    /// the incarnation in a peer's answer if it names any, otherwise this one.
     fn answer(&mut self, request: RequestId, mut answer: Answer) {
         answer.bind_to = answer.bind_to.or(Some(self.own_incarnation));
         self.outputs.push(Output::Answer { request, answer });
--- a/crates/onyxshed-dispatch/src/dispatch/admit.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/admit.rs
@@ -11,7 +11,7 @@
 use crate::job::{ClaimingJob, Job, JobHead};
 use crate::output::RequestId;
 
-/// Factor on the class's target after which a job that has begun is aborted.
+/// Multiple of the class's target time after which a job is aborted even if its tasks have started.
 ///
 /// The target is the time by which a job should be finished. Aborting a job that has begun wastes
 /// the work already done, so it may take twice the target. A deadline set by the caller is not
@@ -29,11 +29,12 @@
     Claim,
     /// Accept the job without a claim: the log can't be read, and the class's tasks may run twice.
     StartUnclaimed,
-    /// Accept the job and take over the claim of a holder that is gone: its tasks may run twice.
+    /// Accept the job and take over the claim of this incarnation, which is gone; only for a class
+    /// whose tasks may run twice.
     TakeOver(Incarnation),
-    /// Forward the submission to its holder.
+    /// Forward the submission to the incarnation that holds it.
     Forward(Incarnation),
-    /// Refuse the submission.
+    /// Refuse the submission with this code.
     Refuse(ResultCode),
 }
 
@@ -100,7 +101,8 @@
         }
     }
 
-    /// Creates the head of a job; returns `None` if its class is not configured.
+    /// Creates the [`JobHead`] of a submission, with its deadlines counted from `now`; returns
+    /// `None` if its class is not configured.
     pub(super) fn job_head(
         &self,
         now: Now,
@@ -164,12 +166,13 @@
     }
 }
 
-/// Returns the code with which to refuse a submission for which this host has not won the claim.
+/// Returns the code with which to refuse a submission for which this host has not won the claim:
+/// `code`, or [`ResultCode::EarlierCopyOpen`] if an earlier copy may have run.
 ///
 /// An earlier copy may be running on another host without this host knowing. If the caller then got
 /// "not run", it would submit the work under another id, and the work would be done twice. "Not
-/// run" therefore requires either the caller's statement that there is no earlier copy, or a
-/// readable log that contains no claim.
+/// run" therefore requires the caller's statement that there is no earlier copy, or, if the caller
+/// states nothing, a readable log that contains no claim.
 pub(super) fn unclaimed_refusal_code(
     code: ResultCode,
     copy: CopyMark,
--- a/crates/onyxshed-dispatch/src/dispatch/attempt.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/attempt.rs
@@ -66,7 +66,8 @@
         self.finish_attempt(now, id, report);
     }
 
-    /// Records the end of an attempt, and applies its consequences to the task and the job.
+    /// Removes an attempt that has ended, reports its end to the policy, and stores the result or
+    /// applies the policy's decision on a retry.
     fn finish_attempt(&mut self, now: Now, id: AttemptId, report: AttemptReport) {
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
--- a/crates/onyxshed-dispatch/src/dispatch/caller.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/caller.rs
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Handles a request for the answer of a job.
+    /// Answers a fetch with the final answer of a job, or that the job is running. If the job is
+    /// not in the table, the request is forwarded to the holder or refused.
     pub(super) fn fetch(
         &mut self,
         now: Now,
@@ -137,7 +138,9 @@
         }
     }
 
-    /// Handles a request to cancel a job.
+    /// Cancels a job that is running or being claimed. If the job has ended, the request gets its
+    /// final answer; if the job is not in the table, the request is forwarded to the holder or
+    /// refused.
     pub(super) fn cancel(
         &mut self,
         now: Now,
@@ -165,7 +168,7 @@
     /// Cancels a job whose claim is under way.
     ///
     /// If only one copy was ever sent, its waiters are answered immediately. The answer to the
-    /// cancel request, and to the waiters of several copies, concerns every copy, and one may be
+    /// cancel request, and to the waiters of several copies, concerns every copy, and a copy may be
     /// running on another host: these requests wait until the log decides which host holds the
     /// submission.
     fn cancel_claiming(&mut self, request: RequestId, id: SubmissionId) {
@@ -185,7 +188,8 @@
         }
     }
 
-    /// Forwards a fetch or cancel of a job that is not in the table to its holder, if there is one.
+    /// Forwards a fetch or cancel of a job that is not in the table to the holder of its
+    /// submission. Refuses it if no other holder is known, or if a peer forwarded it.
     fn forward_to_holder(
         &mut self,
         now: Now,
--- a/crates/onyxshed-dispatch/src/dispatch/claim.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/claim.rs
@@ -1,5 +1,6 @@
-//! Outcomes of claims: a claim that was won starts its job, one that was lost forwards it to the
-//! winner, and one that failed refuses the job or starts it without a claim.
+//! Applies the outcomes of claims. If the claim is won, its job starts; if another host won it, the
+//! job's requests are forwarded to that host; if it failed, the job is refused or starts without a
+//! claim.
 
 use onyxshed_core::{Event, EventKind, Incarnation, Now, Offset, ResultCode, SubmissionId};
 use onyxshed_policy::QueuedTask;
@@ -122,7 +123,7 @@
 
     /// Takes over a job that may run twice from a holder that is gone.
     ///
-    /// If the log can't decide which host replaces the holder, the job starts without a claim,
+    /// Unless a claim that replaces the holder's can be queued, the job starts without a claim,
     /// which its class permits.
     pub(super) fn take_over(
         &mut self,
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Forwards every request of a job to the host that won the claim.
+    /// Removes a job, and forwards each of its requests to the host that won the claim.
     fn forward_to_winner(&mut self, id: SubmissionId, holder: Incarnation) {
         let Some(job) = self.take_claiming(id) else {
             return;
--- a/crates/onyxshed-dispatch/src/dispatch/completion.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/completion.rs
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Aborts a running job with the code that matches the evidence on whether its tasks started.
+    /// Ends a running job with the code from `codes` that matches the evidence on whether its tasks
+    /// have started.
     pub(super) fn abort(&mut self, now: Now, id: SubmissionId, codes: AbortCodes, detail: &str) {
         let Some(Job::Running(job)) = self.jobs.get(id) else {
             return;
--- a/crates/onyxshed-dispatch/src/dispatch/forward.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/forward.rs
@@ -48,9 +48,9 @@
     /// Refuses the forwarded requests whose holder is not live.
     ///
     /// If the holder freezes or is cut off after it has received the request, the caller would
-    /// otherwise wait half a minute on a connection without data. Requests keep waiting while the
-    /// membership considers the holder live; it detects within seconds that the holder is not. A
-    /// later answer of the holder is dropped.
+    /// otherwise wait half a minute on a connection without data. A request keeps waiting while the
+    /// membership considers the holder live; the membership detects within seconds that a holder no
+    /// longer is. A later answer of the holder is dropped.
     pub(super) fn refuse_unreachable_forwards(&mut self) {
         let is_holder_live = |forwarded: &ForwardedRequest| {
             let member = self.members.get(&forwarded.to);
--- a/crates/onyxshed-dispatch/src/dispatch/pump.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/pump.rs
@@ -83,7 +83,7 @@
         is_hedge: bool,
     ) -> bool {
         // A host that was frozen past the horizon must not start the task, because other hosts have
-        // forgotten its claim by now. The age of the id shows this regardless of the cause.
+        // forgotten its claim by now. The age of the id shows this, whatever delayed the host.
         if !self.may_start(now, task.submission) {
             self.abort(
                 now,
@@ -143,7 +143,8 @@
         true
     }
 
-    /// Appends the claims that are due; returns the time at which the next batch is due.
+    /// Appends the claims that are due. Returns the time at which to ask the claim book again;
+    /// `None` if a batch is appended now or no time is known.
     fn append_claims(&mut self, now: Now) -> Option<Mono> {
         match self.book.next_batch(now) {
             BatchStep::Append(batch) => {
--- a/crates/onyxshed-dispatch/src/dispatch/query.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/query.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Schedules the next query of an attempt, and sends one now unless a stop is under way.
+    /// Schedules the next query of an attempt, and sends a query now unless a stop is under way.
     fn send_query(&mut self, now: Now, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
--- a/crates/onyxshed-dispatch/src/dispatch/status.rs
+++ b/crates/onyxshed-dispatch/src/dispatch/status.rs
@@ -13,7 +13,8 @@
         self.wake_at
     }
 
-    /// Returns the configuration in force; `None` until the control process has sent one.
+    /// Returns the configuration in force; `None` until the control process has sent a
+    /// configuration.
     pub fn config(&self) -> Option<&Config> {
         self.config.as_ref()
     }
@@ -39,7 +40,7 @@
         self.jobs.live_count()
     }
 
-    /// Returns the number of submissions that are remembered, running and ended.
+    /// Returns the number of submissions that are remembered: being claimed, running or ended.
     pub fn remembered_jobs(&self) -> usize {
         self.jobs.len()
     }
--- a/crates/onyxshed-dispatch/src/input.rs
+++ b/crates/onyxshed-dispatch/src/input.rs
@@ -15,9 +15,10 @@
 /// End of an attempt, as observed by the entry process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptReport {
-    /// How the attempt ended.
+    /// How the attempt ended, for example finished, refused or lost.
     pub outcome: AttemptOutcome,
-    /// Result of the task or reason of its failure, as sent by the executor.
+    /// Result of the task or reason of its failure, as sent by the executor; empty if the
+    /// connection was lost.
     pub body: Vec<u8>,
     /// Run time of the task as reported by the executor, in microseconds; `None` if not reported.
     pub service_us: Option<Micros>,
@@ -49,14 +50,14 @@
     pub body: Vec<u8>,
 }
 
-/// Event that the state machine processes, with its data.
+/// Input of [`Dispatch::handle`](crate::Dispatch::handle): a request, a reply or a change of state.
 #[derive(Debug, Clone)]
 pub enum Input {
     /// A caller, or a peer on a caller's behalf, submits a job.
     Submit {
         /// Request to answer.
         request: RequestId,
-        /// Submitted job.
+        /// Submitted job: its id, class, deadline and task payloads.
         submission: Submission,
         /// Whether a peer forwarded the request.
         is_forwarded: bool,
@@ -114,7 +115,7 @@
     },
     /// The claims stream could not be read.
     LogLost,
-    /// Appending a batch of claims ended.
+    /// An append requested by [`Output::Append`](crate::Output::Append) ended.
     AppendEnded {
         /// Number of the batch, as in the [`ClaimBatch`](onyxshed_wire::record::ClaimBatch).
         batch: u64,
@@ -122,21 +123,21 @@
         /// in the log.
         result: Result<Offset, AppendFailure>,
     },
-    /// An attempt ended.
+    /// An attempt requested by [`Output::Start`](crate::Output::Start) ended.
     AttemptEnded {
         /// Attempt that ended.
         attempt: AttemptId,
-        /// Result of the attempt.
+        /// Outcome of the attempt, with the result and the load that the executor reported.
         report: AttemptReport,
     },
-    /// A stop sent to an executor ended.
+    /// A stop requested by [`Output::Stop`](crate::Output::Stop) ended, with or without a reply.
     StopEnded {
         /// Attempt that was to be stopped.
         attempt: AttemptId,
         /// Reply of the executor; `None` if it did not answer.
         report: Option<StopReport>,
     },
-    /// A query for the status of a task ended.
+    /// A query requested by [`Output::Query`](crate::Output::Query) ended, with or without a reply.
     QueryEnded {
         /// Attempt whose task was queried.
         attempt: AttemptId,
--- a/crates/onyxshed-dispatch/src/job.rs
+++ b/crates/onyxshed-dispatch/src/job.rs
@@ -1,7 +1,8 @@
 //! Jobs of an entry host and their stages: claiming, running and ended.
 //!
-//! Each stage has its own type, and moving to the next stage consumes the current one. An ended job
-//! therefore can't start a task, and a job that is being claimed has no results.
+//! Each stage has its own type, and moving a job to the next stage consumes the value of the
+//! current stage. An ended job therefore can't start a task, and a job that is being claimed has no
+//! results.
 
 mod claiming;
 mod ended;
@@ -15,19 +16,19 @@
 use onyxshed_wire::ContentHash;
 use onyxshed_wire::caller::CopyMark;
 
-/// Properties of a job that are fixed when it is accepted.
+/// Id, content, class and deadlines of a job. Only `copy` can change after the job is accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobHead {
-    /// Id of the submission.
+    /// Id that the caller assigned to the submission.
     pub id: SubmissionId,
     /// Hash of the submission's content.
     pub content: ContentHash,
-    /// Class of the job.
+    /// Class of the job, whose configured target limits both deadlines.
     pub class: ClassName,
     /// Whether the job's tasks may run more than once.
     pub may_run_twice: bool,
-    /// Statement of the caller on whether it sent earlier copies of the submission; the strongest
-    /// of all copies received.
+    /// Whether the caller may have sent earlier copies of the submission: the highest mark of the
+    /// copies received until the claim is decided.
     pub copy: CopyMark,
     /// Time by which the job should be finished; a job of which no task has started by then is
     /// aborted.
--- a/crates/onyxshed-dispatch/src/job/claiming.rs
+++ b/crates/onyxshed-dispatch/src/job/claiming.rs
@@ -9,7 +9,7 @@
 /// Job that waits until the log decides which host holds the submission.
 #[derive(Debug)]
 pub struct ClaimingJob {
-    /// Properties of the job that do not change.
+    /// Id, content, class and deadlines of the job.
     pub head: JobHead,
     /// Payload of each task, in order of their indexes.
     pub payloads: Vec<Rc<Vec<u8>>>,
@@ -20,8 +20,8 @@
 }
 
 impl ClaimingJob {
-    /// Converts the job into one whose tasks may start. `is_claimed` is `false` if it runs without
-    /// a claim, which only a job that may run twice can do.
+    /// Converts the job into a running job, whose tasks may start. `is_claimed` is `false` if this
+    /// host has no claim to the submission, which is possible only for a job that may run twice.
     pub fn into_running(self, is_claimed: bool) -> RunningJob {
         RunningJob::new(self.head, self.payloads, self.waiters, is_claimed)
     }
--- a/crates/onyxshed-dispatch/src/job/ended.rs
+++ b/crates/onyxshed-dispatch/src/job/ended.rs
@@ -15,7 +15,7 @@
     pub content: ContentHash,
     /// Class of the job.
     pub class: ClassName,
-    /// Result code of the job.
+    /// Result code with which the job ended.
     pub code: ResultCode,
     /// Further details for the answer, such as the index of the failed task; may be empty.
     pub detail: SmolStr,
--- a/crates/onyxshed-dispatch/src/job/running.rs
+++ b/crates/onyxshed-dispatch/src/job/running.rs
@@ -25,7 +25,7 @@
 /// Job whose tasks may start, run and end on this host.
 #[derive(Debug)]
 pub struct RunningJob {
-    /// Properties of the job that do not change.
+    /// Id, content, class and deadlines of the job.
     pub head: JobHead,
     /// Payload of each task, in order of their indexes.
     pub payloads: Vec<Rc<Vec<u8>>>,
@@ -35,8 +35,8 @@
     pub attempts: BTreeSet<AttemptId>,
     /// Evidence on whether any task has started.
     pub evidence: StartEvidence,
-    /// Whether this host holds a claim to the submission; a job that may run twice can run without
-    /// one.
+    /// Whether this host has the claim to the submission; only a job that may run twice can run
+    /// without a claim.
     pub is_claimed: bool,
     results: Vec<Option<Vec<u8>>>,
     missing_results: usize,
@@ -98,7 +98,7 @@
         !self.evidence.has_run && !self.evidence.may_have_run && self.attempts.is_empty()
     }
 
-    /// Returns the code that correctly describes the job if it is aborted now.
+    /// Returns the code from `codes` for a job that is aborted now.
     ///
     /// `codes.unstarted` requires proof that no task has started, and `codes.started` that a task
     /// is known to have run. Otherwise the code is `codes.in_doubt`.
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Converts the job into an ended one and returns the requests that wait for its answer.
+    /// Converts the job into an ended one, and returns it with the requests that wait for its
+    /// answer. The results are kept only if `code` is [`ResultCode::Complete`].
     pub fn into_ended(self, code: ResultCode, detail: SmolStr) -> (EndedJob, Vec<RequestId>) {
         let is_complete = code.outcome() == Some(Outcome::Complete);
         let results = is_complete.then(|| self.results.into_iter().flatten().collect());
--- a/crates/onyxshed-dispatch/src/options.rs
+++ b/crates/onyxshed-dispatch/src/options.rs
@@ -1,4 +1,4 @@
-//! Options of the state machine.
+//! Limits and time spans of the state machine, with their defaults.
 
 use onyxshed_core::{Bytes, Millis};
 use onyxshed_policy::PolicyOptions;
@@ -26,9 +26,9 @@
     pub lease_slack_ms: Millis,
     /// Retry delay sent with an answer when no better estimate is known. Default 1 s.
     pub retry_after_ms: Millis,
-    /// Options of the claim book.
+    /// Options of the claim book, which decides which host may start a submission.
     pub claims: ClaimOptions,
-    /// Options of the dispatch policy.
+    /// Options of the dispatch policy, which admits jobs and selects executors.
     pub policy: PolicyOptions,
 }
 
--- a/crates/onyxshed-dispatch/src/output.rs
+++ b/crates/onyxshed-dispatch/src/output.rs
@@ -55,9 +55,10 @@
     },
     /// Forward a request to the peer that holds its submission.
     Forward {
-        /// Request to forward.
+        /// Caller's request; the entry process returns its id in
+        /// [`Input::ForwardEnded`](crate::Input::ForwardEnded).
         request: RequestId,
-        /// Incarnation of the holder.
+        /// Incarnation of the peer that holds the submission.
         to: Incarnation,
         /// Request to send to the holder.
         call: ForwardedCall,
--- a/crates/onyxshed-dispatch/src/table.rs
+++ b/crates/onyxshed-dispatch/src/table.rs
@@ -22,13 +22,14 @@
     due_at: BTreeMap<SubmissionId, Mono>,
     /// Ended jobs by the time in their id.
     ended_by_time: BTreeSet<(UnixMs, SubmissionId)>,
-    /// Ended jobs whose results are kept, oldest first.
+    /// Ended jobs in the order in which they ended, for dropping the oldest results first. May
+    /// contain jobs that were removed since.
     results_by_age: VecDeque<SubmissionId>,
     kept_result_bytes: u64,
 }
 
 impl JobTable {
-    /// Returns the number of jobs in any stage.
+    /// Returns the total number of jobs in all stages.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
@@ -59,8 +60,8 @@
         self.jobs.insert(id, job);
     }
 
-    /// Inserts a job that has ended and drops the oldest results until
-    /// all results together have at most `max_bytes`.
+    /// Inserts a job that has ended, and drops the oldest results until all results together have
+    /// at most `max_bytes`.
     pub fn insert_ended(&mut self, id: SubmissionId, ended: EndedJob, max_bytes: Bytes) {
         self.set_due_at(id, None);
         self.ended_by_time.insert((id.time(), id));
--- a/crates/onyxshed-dispatch/tests/search/executors.rs
+++ b/crates/onyxshed-dispatch/tests/search/executors.rs
@@ -64,7 +64,7 @@
         is_running
     }
 
-    /// Returns the status of a task.
+    /// Returns the status that an executor reports for a task.
     pub fn status(&self, executor: u8, task: TaskId) -> TaskStatus {
         match self.tasks.get(&(executor, task)) {
             None => TaskStatus::NotSeen,
--- a/crates/onyxshed-dispatch/tests/search/host.rs
+++ b/crates/onyxshed-dispatch/tests/search/host.rs
@@ -12,13 +12,13 @@
 /// Maximum difference between wall clocks, in milliseconds.
 pub const SKEW_MS: u64 = 200;
 
-/// Simulated entry host.
+/// Simulated entry host; inputs are queued while it is frozen.
 pub struct Host {
-    /// State machine of the host.
+    /// State machine under test.
     pub machine: Dispatch,
     /// Current incarnation of the host.
     pub incarnation: Incarnation,
-    /// Offset of the host's wall clock, in milliseconds.
+    /// Difference between the host's wall clock and the simulation time, in milliseconds.
     pub skew_ms: i64,
     /// Simulation time until which the host is frozen, in milliseconds.
     pub frozen_until_ms: u64,
--- a/crates/onyxshed-dispatch/tests/search/simulation.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation.rs
@@ -24,16 +24,14 @@
 use super::executors::{Executors, StartReply, result_of};
 use super::host::{Host, SKEW_MS};
 
-/// Number of hosts.
 const HOSTS: usize = 3;
 
-/// Number of executors.
 const EXECUTORS: u8 = 2;
 
 /// Simulation time at the start, in milliseconds.
 const BEGIN_MS: u64 = 1_000_000_000;
 
-/// Options of a simulation.
+/// Which faults occur in a simulation, and whether its ids are bound.
 #[derive(Debug, Clone)]
 pub struct SimulationOptions {
     /// Whether hosts crash and freeze and the log becomes unreachable.
@@ -194,7 +192,8 @@
         self.check();
     }
 
-    /// Runs until no work is left, then checks that every request was answered once.
+    /// Repairs the log, and runs for up to 20,000 rounds until every request at a live host is
+    /// answered and only log reads are in transit. Fails if a request is still unanswered.
     pub fn run_to_completion(&mut self) {
         self.is_log_down = false;
         for _ in 0..20_000 {
@@ -238,7 +237,8 @@
         Host::new(Incarnation(self.next_incarnation), skew_ms)
     }
 
-    /// Sends the configuration, the executors and the members to every host.
+    /// Sends the configuration, the executors and the members to every host, and schedules a read
+    /// of the log on it.
     pub(super) fn configure_all(&mut self) {
         let target: ClassTarget = ClassTarget {
             class: "stock-sync".parse().expect("the name is valid"),
--- a/crates/onyxshed-dispatch/tests/search/simulation/checks.rs
+++ b/crates/onyxshed-dispatch/tests/search/simulation/checks.rs
@@ -52,7 +52,9 @@
         );
     }
 
-    /// Checks an answer that reached a caller.
+    /// Checks that an answer names its submission and contains every result if it is complete, and
+    /// no results if it is neither complete nor "not run". Records the submission if the answer is
+    /// "not run" and `is_final`.
     pub(super) fn check_answer(&mut self, id: SubmissionId, is_final: bool, answer: &Answer) {
         self.trace.push(format!(
             "caller of {id} got {:?} {}",
@@ -104,7 +106,8 @@
         is_waiting || is_in_transit
     }
 
-    /// Checks the executors' records.
+    /// Checks that no task was started twice, and none of a submission whose final answer was "not
+    /// run".
     pub(super) fn check(&self) {
         for (task, starts) in &self.executors.starts {
             assert!(
--- a/crates/onyxshed-entry/src/claim_log.rs
+++ b/crates/onyxshed-entry/src/claim_log.rs
@@ -23,8 +23,8 @@
 /// How long to wait after a failed read.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Handle to the platform's stream of claims: appends for the engine, and feeds it the records that
-/// are read.
+/// Handle to the platform's stream of claims. Appends the engine's claims, and passes the records
+/// read from the stream to the engine.
 pub struct ClaimLog {
     kernel: Kernel,
     engine: Rc<Engine>,
@@ -122,7 +122,7 @@
 }
 
 impl ClaimLogService {
-    /// Creates the service.
+    /// Creates the service, which reads the stream of claims while the process runs.
     pub fn new(log: Rc<ClaimLog>) -> Self {
         ClaimLogService { log }
     }
--- a/crates/onyxshed-entry/src/control_port.rs
+++ b/crates/onyxshed-entry/src/control_port.rs
@@ -90,9 +90,9 @@
         Ok(self.status(&engine))
     }
 
-    /// Returns whether all other hosts that the control process knows, as peers or from the
-    /// platform's list, are live, or [`PEERS_WAIT_MAX`] has passed since the first list of
-    /// executors.
+    /// Returns whether as many peers are live as the control process knows, from heartbeats or from
+    /// the platform's list. Returns true in any case once [`PEERS_WAIT_MAX`] has passed since the
+    /// first list of executors.
     ///
     /// Without this check, a new host may receive a repeated submission of a job that another host
     /// holds before it has learned of that host. It would then answer that the holder can't be
--- a/crates/onyxshed-entry/src/engine.rs
+++ b/crates/onyxshed-entry/src/engine.rs
@@ -28,7 +28,7 @@
 /// How often a drain checks whether the last job has ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Handle to the dispatch state machine.
+/// Handle to the dispatch state machine, by which the other services pass inputs to it.
 pub struct Engine {
     kernel: Kernel,
     dispatch: RefCell<Dispatch>,
@@ -171,7 +171,7 @@
 }
 
 impl EngineService {
-    /// Creates the service.
+    /// Creates the service, which ticks the engine's state machine until the process ends.
     pub fn new(engine: Rc<Engine>) -> Self {
         EngineService { engine }
     }
--- a/crates/onyxshed-entry/src/peers.rs
+++ b/crates/onyxshed-entry/src/peers.rs
@@ -26,7 +26,7 @@
 /// Timeout of opening a connection to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A connection to a peer is reused only if it has answered within this time.
+/// Maximum time since the last answer on a connection to a peer that is reused.
 const REUSE_WITHIN: Duration = Duration::from_secs(2);
 
 /// Maximum number of idle connections kept to one peer.
@@ -128,7 +128,7 @@
 }
 
 impl PeerService {
-    /// Creates the service.
+    /// Creates the service; connections to peers are opened when a request is forwarded.
     pub fn new(peers: Rc<Peers>) -> Self {
         PeerService { peers }
     }
--- a/crates/onyxshed-entry/src/process.rs
+++ b/crates/onyxshed-entry/src/process.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Creates the services of the process.
+/// Creates the services of the process; the kernel sorts them by their dependencies.
 fn services(context: &ServiceContext, settings: &EntrySettings) -> Vec<Box<dyn Service>> {
     let kernel = &context.kernel;
     let telemetry = context.telemetry.clone();
@@ -80,8 +80,9 @@
     ]
 }
 
-/// Registers the status source: the dispatch state machine's counts and the age of the snapshot that
-/// it works with.
+/// Registers the function that supplies the process's own part of the status: the configuration's
+/// revision, the dispatch state machine's counts, the number of executors and the age of the last
+/// snapshot from the control process.
 fn register_status_source(kernel: &Kernel, telemetry: &Telemetry, engine: &Rc<Engine>) {
     let (kernel, engine) = (kernel.clone(), engine.clone());
     telemetry.set_status_source(Box::new(move || {
--- a/crates/onyxshed-entry/src/upstreams.rs
+++ b/crates/onyxshed-entry/src/upstreams.rs
@@ -24,8 +24,8 @@
 pub struct UpstreamOptions {
     /// Maximum number of idle connections kept to one executor. Default 16.
     pub connections_per_executor: usize,
-    /// A task that may not run twice is sent only over a connection that has answered within this time.
-    /// Default 2 s.
+    /// Maximum time since the last reply on a connection that is reused for a task that may not run
+    /// twice. Default 2 s.
     pub reuse_within: Duration,
     /// Timeout of a stop and of a status query. Default 1 s.
     pub stop_timeout: Duration,
@@ -175,7 +175,7 @@
 }
 
 impl UpstreamService {
-    /// Creates the service.
+    /// Creates the service; connections to executors are opened when a task is started.
     pub fn new(upstreams: Rc<Upstreams>) -> Self {
         UpstreamService { upstreams }
     }
--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -63,7 +63,7 @@
 pub struct CallerOptions {
     /// Address on which callers connect.
     pub address: SocketAddr,
-    /// Limits of the HTTP server.
+    /// Limits of the HTTP server, such as the maximum number of connections.
     pub server: ServerOptions,
     /// How long a stopping host waits for unfinished jobs, from the start of its drain.
     pub drain_timeout: Duration,
@@ -96,7 +96,7 @@
 }
 
 impl SubmissionContext {
-    /// Creates a log event about the submission.
+    /// Creates a log event with the request id, the job id and the route of the submission.
     fn event(&self, kind: EventKind) -> Event {
         Event::new(kind)
             .request(self.request_id.clone())
@@ -338,7 +338,7 @@
         last
     }
 
-    /// Returns whether a request is in progress.
+    /// Returns whether the HTTP server is handling a request of a caller.
     fn is_busy(&self) -> bool {
         let stats = self.stats.get();
         stats.is_some_and(|stats| stats.in_flight.get() > 0)
@@ -386,7 +386,7 @@
 }
 
 impl CallerService {
-    /// Creates the service.
+    /// Creates the service, which listens on `options.address`.
     pub fn new(options: CallerOptions) -> Self {
         CallerService { options }
     }
--- a/crates/onyxshed-host/src/decisions.rs
+++ b/crates/onyxshed-host/src/decisions.rs
@@ -4,7 +4,7 @@
 use onyxshed_pool::{Decision, ExecutorId, FencingToken, TaskId};
 use smol_str::{SmolStr, format_smolstr};
 
-/// Returns the log event of a decision that was made under a fencing token.
+/// Returns the log event of a decision; `token` is the fencing token under which it was made.
 pub fn event_of(decision: &Decision, token: FencingToken) -> Event {
     match decision {
         Decision::RunOrdered {
--- a/crates/onyxshed-host/src/directory.rs
+++ b/crates/onyxshed-host/src/directory.rs
@@ -45,7 +45,8 @@
 /// HTTP status with which the store rejects a call because there are too many.
 const TOO_MANY_REQUESTS: u16 = 429;
 
-/// Returns the name of a pool's group in the store.
+/// Returns the name of a pool's group in the store: "pool", the zone and the index, separated by
+/// dots.
 pub fn group_of(pool: &PoolId) -> SmolStr {
     format_smolstr!("pool.{}.{}", pool.zone, pool.index)
 }
@@ -65,12 +66,13 @@
     ThisProcess,
     /// An earlier process at this host's address, with its member name. That process has ended.
     EarlierProcess(SmolStr),
-    /// Another host, with its address if the member name contains a valid one.
+    /// Another host, with its address; `None` if the member name contains no valid address.
     Other(Option<SocketAddr>),
 }
 
 impl Owner {
-    /// Classifies a member from the view of the host whose member name is `own_member`.
+    /// Classifies the member that holds a pool from the view of the host whose member name is
+    /// `own_member`; `None` is classified as [`Owner::Vacant`].
     pub fn classify(member: Option<SmolStr>, own_member: &str) -> Owner {
         let Some(member) = member else {
             return Owner::Vacant;
@@ -86,7 +88,7 @@
     }
 }
 
-/// Parses the address in a member's name. Returns `None` if there is no valid one.
+/// Parses the address in a member's name. Returns `None` if the name contains no valid address.
 pub fn address_of(member: &str) -> Option<SocketAddr> {
     member.split_once('/')?.0.parse().ok()
 }
@@ -156,7 +158,8 @@
         })
     }
 
-    /// Returns the pools of this host's zone that had no owner at their last lookup.
+    /// Returns the pools of this host's zone that, at their last lookup, had no owner or were
+    /// assigned to this process although it does not serve them.
     pub fn vacant_local_pools(&self) -> Vec<PoolId> {
         let vacant = self.vacant.borrow();
         let local = vacant.iter().filter(|pool| pool.zone == self.zone);
@@ -250,7 +253,7 @@
         self.links.owner_changed().notify();
     }
 
-    /// Returns the notifier that signals that a lookup has found a pool without an owner, or one
+    /// Returns the notifier that signals that a lookup has found a pool without an owner, or a pool
     /// that the store assigns to an earlier process of this host.
     pub fn pool_available(&self) -> &Notifier {
         &self.pool_available
@@ -275,7 +278,8 @@
     }
 
     /// Applies an owner record: `member` is the member name of a pool's new owner. Ignored if that
-    /// owner is a process of this host or if this host serves the pool.
+    /// name contains no valid address, if the owner is a process of this host, or if this host
+    /// serves the pool.
     pub fn observe_owner_record(&self, pool: &PoolId, member: SmolStr) {
         let is_other = matches!(
             Owner::classify(Some(member.clone()), &self.member),
@@ -286,7 +290,7 @@
         }
     }
 
-    /// Applies the result of an owner lookup, or an owner record.
+    /// Applies the result of an owner lookup, or an owner record; `owner` is a member name.
     fn apply_owner(&self, pool: &PoolId, owner: Option<SmolStr>) {
         match Owner::classify(owner, &self.member) {
             // The store is out of date: the successor has not registered yet.
--- a/crates/onyxshed-host/src/directory/lookup.rs
+++ b/crates/onyxshed-host/src/directory/lookup.rs
@@ -23,8 +23,8 @@
 /// never owns such a pool.
 const SETTLED_REMOTE_INTERVAL: Millis = Millis(20_000);
 
-/// Number of pools up to which these intervals apply; with more pools they are multiplied by the
-/// number of pools divided by this number, rounded up.
+/// Number of pools up to which the intervals above apply; with more pools they are multiplied by
+/// the number of pools divided by this number, rounded up.
 const POOLS_AT_FULL_RATE: usize = 4;
 
 /// Pause of the lookup loop while no pool needs a lookup, for example because this host owns the
--- a/crates/onyxshed-host/src/engine.rs
+++ b/crates/onyxshed-host/src/engine.rs
@@ -41,7 +41,8 @@
 /// for each of the start and stop orders that are usually sent together.
 const IDLE_CONNECTIONS: usize = 4;
 
-/// How long a stopping owner waits for the jobs of its pool to end.
+/// How long a stopping owner waits for the jobs of its pool to end after it has stopped accepting
+/// jobs.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// How long a stopping owner continues to serve without a successor after its own callers are gone.
@@ -375,7 +376,8 @@
         pool.as_ref().map(|pool| pool.load(boot_clock::now()))
     }
 
-    /// Adds or updates an executor as the platform lists it.
+    /// Adds or updates an executor as the platform lists it, and replaces its idle connections if
+    /// its address has changed.
     pub fn record_listed_executor(self: &Rc<Self>, id: ExecutorId, facts: ExecutorFacts) {
         self.update_connections(&id, &facts);
         self.dispatch_event(|pool| pool.record_listed_executor(boot_clock::now(), id, facts));
@@ -425,7 +427,7 @@
 }
 
 impl EngineService {
-    /// Creates the service.
+    /// Creates the service that registers and drains `engine`.
     pub fn new(engine: Rc<Engine>) -> Self {
         EngineService { engine }
     }
--- a/crates/onyxshed-host/src/evacuations.rs
+++ b/crates/onyxshed-host/src/evacuations.rs
@@ -17,7 +17,7 @@
 /// Name of the gauge for the number of the deployment's zones that this host knows to be evacuated.
 pub const EVACUATED_ZONES: &str = "onyxshed_evacuated_zones";
 
-/// Handle to the known evacuations.
+/// Evacuations known to this host. Logs every change, and counts the evacuated zones in a gauge.
 pub struct ZoneEvacuations {
     kernel: Kernel,
     zones: Vec<SmolStr>,
@@ -37,7 +37,7 @@
         })
     }
 
-    /// Returns whether a zone is evacuated.
+    /// Returns whether this host knows that a zone is evacuated.
     pub fn contains(&self, zone: &str) -> bool {
         self.known.borrow().contains(zone)
     }
@@ -53,7 +53,7 @@
         self.known.borrow()
     }
 
-    /// Returns the records that are sent to peers.
+    /// Returns the records of all known evacuations, which are sent to peers.
     pub fn records(&self) -> Vec<EvacuationRecord> {
         self.known.borrow().records()
     }
--- a/crates/onyxshed-host/src/links.rs
+++ b/crates/onyxshed-host/src/links.rs
@@ -61,7 +61,7 @@
     pub host: SmolStr,
 }
 
-/// Handle to the links to all pools' owners.
+/// Links to the owners of the pools that this host does not own.
 pub struct Links {
     kernel: Kernel,
     engine: Rc<Engine>,
@@ -71,7 +71,7 @@
     selector: RefCell<PoolSelector>,
     remote: RefCell<BTreeMap<PoolId, Rc<RemoteLink>>>,
     last_submission: Cell<u64>,
-    /// Pools for which this process has ever known an owner.
+    /// Pools for which this process has known an owner or has read the owner record.
     known_pools: RefCell<BTreeSet<PoolId>>,
     /// Previous owners that a successor has replaced, which the store may still list.
     superseded: RefCell<BTreeMap<PoolId, SocketAddr>>,
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Returns the incarnation of this host.
+    /// Returns the incarnation of this host, under which it submits jobs to owners.
     pub fn incarnation(&self) -> PeerIncarnation {
         self.engine.incarnation()
     }
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Returns whether this host owns a pool whose zone is not evacuated, or reaches the owner of
-    /// one.
+    /// Returns whether this host owns a pool whose zone is not evacuated, or has a link to the
+    /// owner of such a pool.
     pub fn can_reach_pool(&self) -> bool {
         let remote = self.remote.borrow();
         let answering = remote.iter().filter(|(_, link)| link.is_up());
@@ -186,8 +186,8 @@
             || pools.any(|pool| self.is_in_service(pool))
     }
 
-    /// Returns whether callers should be sent to another host, since this one reaches no pool. This
-    /// is not the case while every zone is evacuated, since every host rejects callers then.
+    /// Returns whether callers should be sent to another host, because this host reaches no pool.
+    /// Returns `false` while every zone is evacuated, since every host rejects callers then.
     pub fn should_divert_callers(&self) -> bool {
         !self.can_reach_pool() && !self.evacuations.covers_deployment()
     }
@@ -239,19 +239,20 @@
         self.is_up(pool) && !self.selector.borrow().needs_replacement(pool)
     }
 
-    /// Returns whether this process has ever known an owner of a pool.
+    /// Returns whether [`Self::record_owner`] was called for a pool. If so, the pool's owner record
+    /// need not be read again.
     pub fn has_known_owner(&self, pool: &PoolId) -> bool {
         self.known_pools.borrow().contains(pool)
     }
 
-    /// Records that this process knows an owner of a pool, or has read the pool's owner record or
-    /// found none.
+    /// Records that this process has known an owner of a pool, or has read the pool's owner record,
+    /// even if there was none.
     pub fn record_owner(&self, pool: &PoolId) {
         self.known_pools.borrow_mut().insert(pool.clone());
     }
 
-    /// Waits until the first connection to the owner of a pool has succeeded or failed. Returns
-    /// whether the owner answers.
+    /// Waits until the first connection to the owner of a pool has succeeded or failed, for at most
+    /// `timeout`. Returns whether the owner answers.
     pub async fn probe_owner(&self, pool: &PoolId, timeout: Duration) -> bool {
         let Some(link) = self.remote.borrow().get(pool).cloned() else {
             return false;
@@ -266,7 +267,8 @@
         link.filter(|link| link.is_up())
     }
 
-    /// Returns the pools whose owners answer, with the owners' addresses.
+    /// Returns the pools whose owners answer, with the owners' addresses. Includes the pool that
+    /// this host serves.
     pub fn owners(&self) -> Vec<(PoolId, SocketAddr)> {
         let remote = self.remote.borrow();
         let up = remote.iter().filter(|(_, link)| link.is_up());
@@ -366,7 +368,7 @@
 }
 
 impl LinkService {
-    /// Creates the service.
+    /// Creates the service, which listens on the address in the options of `links`.
     pub fn new(links: Rc<Links>) -> Self {
         LinkService { links }
     }
--- a/crates/onyxshed-host/src/links/port.rs
+++ b/crates/onyxshed-host/src/links/port.rs
@@ -31,11 +31,11 @@
 pub struct DeploymentState {
     /// Links to the owners of pools.
     pub links: Rc<Links>,
-    /// The operators' manifest.
+    /// The newest manifest that this host knows.
     pub manifest: Rc<ManifestHolder>,
-    /// Shard layouts of the zones.
+    /// The shard layouts that this host knows.
     pub shard_layouts: Rc<ShardLayouts>,
-    /// Evacuated zones.
+    /// The evacuations of zones that this host knows.
     pub evacuations: Rc<ZoneEvacuations>,
 }
 
--- a/crates/onyxshed-host/src/links/remote.rs
+++ b/crates/onyxshed-host/src/links/remote.rs
@@ -96,7 +96,7 @@
         link
     }
 
-    /// Returns the owner's address.
+    /// Returns the address to which the link connects; it never changes.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -301,7 +301,8 @@
         self.links.kernel.emit(event.detail(detail));
     }
 
-    /// Submits a job to the owner and waits for its end. Dropping the future cancels the job.
+    /// Submits a job to the owner and waits for its end. Returns `NotRun` if the link is down or
+    /// its session cannot be renewed. Dropping the future cancels the job.
     pub async fn run(self: Rc<Self>, job: JobRequest) -> JobEnd {
         let not_owner = JobEnd::NotRun(NotRunReason::NotOwner, Millis(0));
         let Some(last_known) = self.connection.borrow().clone() else {
--- a/crates/onyxshed-host/src/manifest.rs
+++ b/crates/onyxshed-host/src/manifest.rs
@@ -64,8 +64,8 @@
         self.apply(value, "the store");
     }
 
-    /// Applies a manifest in the store's format; `source` names its source in the log. Logs and
-    /// ignores one that cannot be parsed.
+    /// Applies a manifest in the store's format; `source` names its source in the log. A manifest
+    /// that cannot be parsed is logged and ignored.
     pub fn apply(&self, text: &[u8], source: &str) {
         match Manifest::parse(text) {
             Ok(manifest) => self.install(manifest, text, source),
--- a/crates/onyxshed-host/src/measures.rs
+++ b/crates/onyxshed-host/src/measures.rs
@@ -20,7 +20,8 @@
     Stop,
 }
 
-/// Handles to the histograms of this host, one per label value.
+/// Handles to the histograms of this host: a histogram for each way in which a job ends, and for
+/// each kind of order.
 pub struct HostMetrics {
     completed: Histogram,
     failed: Histogram,
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Records the reply to a job and the time since the job's arrival.
+    /// Records the time from a job's arrival to its reply, in the histogram for the way in which
+    /// the job ended.
     pub fn record_reply(&self, end: &JobEnd, took: Micros) {
         let histogram = match end {
             JobEnd::Completed => &self.completed,
@@ -62,7 +64,7 @@
         histogram.record(seconds(took));
     }
 
-    /// Records the answer to an order and the time that it took.
+    /// Records the time that an executor took to answer an order, in the histogram for its kind.
     pub fn record_order(&self, kind: OrderKind, took: Micros) {
         let histogram = match kind {
             OrderKind::Start => &self.start,
--- a/crates/onyxshed-host/src/ownership.rs
+++ b/crates/onyxshed-host/src/ownership.rs
@@ -58,7 +58,7 @@
 }
 
 impl OwnershipService {
-    /// Creates the service.
+    /// Creates the service. From its start, it tries to own a pool until the process ends.
     pub fn new(
         options: OwnershipOptions,
         shard_layouts: Rc<ShardLayouts>,
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -49,7 +49,7 @@
 /// the handover. The next owner has joined by then and sends its request within one or two calls.
 const HANDOVER_WAIT: Millis = Millis(1_000);
 
-/// State machine of this host as a contender for a pool of its zone, or as the owner of one.
+/// State machine of this host, which contends for a pool of its zone or owns such a pool.
 pub(super) struct Contender {
     kernel: Kernel,
     pub(super) engine: Rc<Engine>,
@@ -486,7 +486,8 @@
         }
     }
 
-    /// Leaves the group of a pool that this host no longer owns, and resets the membership.
+    /// Leaves the group of a pool that this host no longer owns, and resets the group's generation
+    /// and the past members.
     async fn leave(&mut self, pool: PoolId) -> OwnershipStep {
         self.directory.trigger_lookups();
         // Without an answer the membership expires after its time to live.
--- a/crates/onyxshed-host/src/ownership/successor.rs
+++ b/crates/onyxshed-host/src/ownership/successor.rs
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Hands the pool over to another owner if the store has appointed one in the meantime.
-    /// Otherwise the store is about to assign the pool to this successor.
+    /// Hands the pool over to another owner if the store has appointed another owner in the
+    /// meantime. Otherwise the store is about to assign the pool to this successor.
     async fn yield_to_holder(&mut self, pool: PoolId, past_members: &[SmolStr]) -> OwnershipStep {
         match self.read_holder(&pool).await {
             Some(Some(holder)) if holder != self.member && !past_members.contains(&holder) => {
--- a/crates/onyxshed-host/src/peer_state.rs
+++ b/crates/onyxshed-host/src/peer_state.rs
@@ -2,7 +2,7 @@
 //!
 //! A host that starts while the store is down knows neither routes nor owners. The platform's
 //! settings list up to three peers that may know them. Their state may be out of date: records from
-//! the store replace it, and a manifest is never replaced by an older one.
+//! the store replace it, and a manifest is never replaced by an older manifest.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -105,8 +105,8 @@
         while self.manifest.get().is_none() {
             for seed in self.seeds.iter().filter(|seed| **seed != own_address) {
                 let answer = with_timeout(ANSWER_TIMEOUT, self.query(*seed)).await;
-                // A peer that does not answer is skipped; one without a manifest does not end the
-                // loop.
+                // A peer that does not answer is skipped; a peer without a manifest does not end
+                // the loop.
                 if let Some(Ok(state)) = answer {
                     self.apply_state(*seed, &state);
                 }
--- a/crates/onyxshed-host/src/process.rs
+++ b/crates/onyxshed-host/src/process.rs
@@ -176,10 +176,10 @@
     end.into()
 }
 
-/// Returns the options of the pool.
+/// Returns the default options of a pool, adjusted to the platform's settings.
 ///
-/// The lease is capped at the longest one that executors grant: they shorten a longer lease, and a
-/// run would then end while its owner still considers it leased.
+/// The lease is capped at the longest lease that executors grant: they shorten a longer lease, and
+/// a run would then end while its owner still considers it leased.
 fn pool_options(settings: &HostSettings) -> PoolOptions {
     let options = PoolOptions::default();
     PoolOptions {
--- a/crates/onyxshed-host/src/shard_layouts.rs
+++ b/crates/onyxshed-host/src/shard_layouts.rs
@@ -28,7 +28,7 @@
 /// deployment.
 const LONG_POLL_WAIT: Millis = Millis(10_000);
 
-/// Handle to the known shard layouts.
+/// The shard layouts that this host knows; a zone without a known layout has the default layout.
 pub struct ShardLayouts {
     zones: Vec<SmolStr>,
     known: RefCell<BTreeMap<SmolStr, ShardLayout>>,
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Returns the shard layout of a zone, which is the default one if none is known.
+    /// Returns the shard layout of a zone, or the default layout if none is known.
     pub fn layout_of(&self, zone: &str) -> ShardLayout {
         self.known.borrow().get(zone).copied().unwrap_or_default()
     }
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Publishes the next version of a zone's shard layout in the store. Does nothing if the
-    /// version in the store is not the one before it.
+    /// Publishes `layout` in the store as the next version of a zone's shard layout. Does nothing
+    /// if the version in the store is not the version before `layout.version`.
     ///
     /// The write is conditional on the topic's end being unchanged since the read: two owners that
     /// reshard the zone under the same version would each claim the same executors.
@@ -105,7 +105,7 @@
 
     /// Reads and applies the published layouts once. Returns the offset at which the topic ends.
     pub async fn refresh(&self, store: &mut Store) -> onyxshed_adapter::Result<u64> {
-        // No layout has been published yet.
+        // Without the topic, no layout has been published yet.
         let Some(newest) = store.read_newest_if_exists(TOPIC, ANSWER_TIMEOUT).await? else {
             return Ok(0);
         };
@@ -137,7 +137,7 @@
 }
 
 impl ShardLayoutService {
-    /// Creates the service.
+    /// Creates the service, which reads the layouts from the store at address `store`.
     pub fn new(shard_layouts: Rc<ShardLayouts>, store: SocketAddr) -> Self {
         ShardLayoutService {
             shard_layouts,
--- a/crates/onyxshed-host/src/store_watch.rs
+++ b/crates/onyxshed-host/src/store_watch.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Records a successful call.
+    /// Records a successful call. If the last call failed, logs that the store answers again.
     pub fn record_answer(&self) {
         let Some(lost_at) = self.lost_at.take() else {
             return;
@@ -72,7 +72,7 @@
         self.lost_at.get().is_some()
     }
 
-    /// Records a failed call.
+    /// Records a failed call. If the last call did not fail, logs that the store is lost.
     pub fn record_failure(&self, error: &Error) {
         if self.is_lost() {
             return;
--- a/crates/onyxshed-http/src/bounded.rs
+++ b/crates/onyxshed-http/src/bounded.rs
@@ -70,7 +70,7 @@
     }
 
     /// Begins waiting for a request: `idle_timeout` until its first byte, then `head_timeout` for
-    /// the rest of its head.
+    /// the rest of its head, which may have at most `head_max_bytes`.
     pub fn begin_idle(&self, idle_timeout: Duration, head_timeout: Duration, head_max_bytes: u64) {
         let mut bounds = self.lock();
         bounds.begin_phase(Phase::Idle, Some(idle_timeout), head_max_bytes);
@@ -105,7 +105,8 @@
         self.lock().head.bytes_after_head()
     }
 
-    /// Returns the current phase.
+    /// Returns the phase begun last; the first byte received in [`Phase::Idle`] begins
+    /// [`Phase::Head`].
     pub fn phase(&self) -> Phase {
         self.lock().phase
     }
@@ -120,7 +121,7 @@
         self.lock().read_total_bytes
     }
 
-    /// Returns the wrapped stream.
+    /// Returns the wrapped stream, to which the limits do not apply.
     pub fn inner(&self) -> &TcpStream {
         &self.inner
     }
@@ -143,8 +144,8 @@
         self.timer = None;
     }
 
-    /// Registers the task for the deadline. Returns an error if the deadline has passed, else
-    /// pending.
+    /// Returns a timeout error if the phase's deadline has passed. Otherwise returns pending, and
+    /// the task is woken at the deadline, if there is one.
     fn poll_deadline(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<usize>> {
         let Some(deadline) = self.deadline else {
             return Poll::Pending;
--- a/crates/onyxshed-http/src/connections.rs
+++ b/crates/onyxshed-http/src/connections.rs
@@ -53,7 +53,8 @@
         self.replaced_count.get()
     }
 
-    /// Returns the most recently used connection that the policy allows, or a new one.
+    /// Returns the most recently used idle connection that the policy allows, or a new one. Closes
+    /// the idle connections that it finds closed or not allowed.
     pub async fn get(&self, policy: ReusePolicy) -> Result<Connection, CallError> {
         while let Some(connection) = self.take_idle() {
             if is_reusable(&connection, policy).await {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Closes every idle connection, for instance after one of them became unresponsive.
+    /// Closes every idle connection, for instance after a call to the same address has timed out.
     pub fn clear(&self) {
         let closed = self.idle.borrow_mut().drain(..).count() as u64;
         self.replaced_count.set(self.replaced_count.get() + closed);
--- a/crates/onyxshed-http/src/message.rs
+++ b/crates/onyxshed-http/src/message.rs
@@ -15,17 +15,17 @@
 }
 
 impl Call {
-    /// Returns the method.
+    /// Returns the HTTP method of the request.
     pub fn method(&self) -> Method {
         self.head.method()
     }
 
-    /// Returns the path of the URL.
+    /// Returns the path of the URL, without the query.
     pub fn path(&self) -> &str {
         self.head.url().path()
     }
 
-    /// Returns the value of a query parameter, or `None` if it is absent.
+    /// Returns the first value of a query parameter, decoded, or `None` if it is absent.
     pub fn query(&self, name: &str) -> Option<SmolStr> {
         let mut pairs = self.head.url().query_pairs();
         pairs
@@ -73,7 +73,7 @@
         Reply::bytes(status, body).header("content-type", mime::JSON.to_string())
     }
 
-    /// Adds a header.
+    /// Adds a header. Of several headers of the same name, the server sends only the last.
     pub fn header(mut self, name: impl Into<SmolStr>, value: impl Into<SmolStr>) -> Self {
         self.headers.push((name.into(), value.into()));
         self
--- a/crates/onyxshed-http/src/server.rs
+++ b/crates/onyxshed-http/src/server.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// A future that yields a reply.
+/// The future that a [`Handler`] returns for a request; it yields the reply.
 pub type PendingReply = Pin<Box<dyn Future<Output = Reply>>>;
 
 /// A function that handles requests. Its future is dropped if the request is cancelled; see
@@ -81,10 +81,10 @@
 /// A function that creates the reply to a request that the server itself rejects.
 pub type RejectReply = Rc<dyn Fn(ResultCode) -> Reply>;
 
-/// Counters of a server.
+/// Current load of a server, and its total number of rejections.
 #[derive(Debug, Default)]
 pub struct ServerStats {
-    /// Open connections.
+    /// Open connections, including those above the limit while they get a rejection reply.
     pub connections: Cell<usize>,
     /// Requests whose reply has not been written yet.
     pub in_flight: Cell<usize>,
@@ -104,7 +104,7 @@
     idle: Rc<IdleStreams>,
 }
 
-/// Bytes beyond the largest body that a transfer encoding may add to it.
+/// Number of bytes that a transfer encoding may add to a body, beyond the limit on the body's size.
 const FRAMING_SLACK_BYTES: u64 = 64 << 10;
 
 impl Server {
@@ -280,7 +280,8 @@
     }
 }
 
-/// Waits until the peer has closed the connection. Returns a reply that no peer will read.
+/// Waits until the peer has closed the connection, and forever if it has sent further bytes.
+/// Returns a reply that no peer will read.
 async fn wait_for_disconnect(stream: &BoundedStream) -> Reply {
     /// The conventional status of a request whose client closed the connection.
     const CLIENT_CLOSED_REQUEST: u16 = 499;
--- a/crates/onyxshed-kernel/src/error.rs
+++ b/crates/onyxshed-kernel/src/error.rs
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Returns the numbered result code.
+    /// Returns the numbered result code: [`ResultCode::ServiceMissing`],
+    /// [`ResultCode::ServiceFailed`] or the code of the service that failed to start.
     pub fn code(&self) -> ResultCode {
         match self {
             Error::NotRegistered { .. }
--- a/crates/onyxshed-kernel/src/kernel.rs
+++ b/crates/onyxshed-kernel/src/kernel.rs
@@ -71,7 +71,7 @@
         &self.inner.clock
     }
 
-    /// Returns the event bus.
+    /// Returns the bus to which services emit events and on which they subscribe to them.
     pub fn bus(&self) -> &Bus {
         &self.inner.bus
     }
@@ -81,12 +81,12 @@
         self.inner.bus.emit(event);
     }
 
-    /// Returns the readiness state of the process.
+    /// Returns the readiness of the process, which services can block with a reason.
     pub fn readiness(&self) -> &Readiness {
         &self.inner.readiness
     }
 
-    /// Returns the registry of service handles.
+    /// Returns the registry in which services find each other's handles by name.
     pub fn registry(&self) -> &Registry {
         &self.inner.registry
     }
--- a/crates/onyxshed-kernel/src/order.rs
+++ b/crates/onyxshed-kernel/src/order.rs
@@ -1,4 +1,5 @@
-//! The order in which services start.
+//! Sorts the services of a process into the order in which they start. They are drained and stopped
+//! in the reverse order.
 
 use std::collections::BTreeSet;
 
--- a/crates/onyxshed-kernel/src/process.rs
+++ b/crates/onyxshed-kernel/src/process.rs
@@ -23,7 +23,7 @@
 use crate::service::Service;
 use crate::signal::StopRequest;
 
-/// Options of a process run.
+/// Name, drain timeout, ready line and pause detection of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunOptions {
     /// Name of the binary, written in the ready line and in the events of the process.
@@ -38,7 +38,7 @@
 }
 
 impl RunOptions {
-    /// Creates options with the defaults.
+    /// Creates options for the binary `name`, with the defaults of all other options.
     pub fn new(name: impl Into<SmolStr>) -> Self {
         RunOptions {
             name: name.into(),
@@ -63,7 +63,7 @@
 }
 
 impl RunEnd {
-    /// Returns the exit code.
+    /// Returns the exit code that the variant's description states.
     pub fn exit_number(&self) -> u8 {
         match self {
             RunEnd::Drained => 0,
@@ -110,8 +110,8 @@
     state: State,
 }
 
-/// The line on standard output that reports to the parent process that this one is ready, and on
-/// which addresses.
+/// The line on standard output by which the parent process learns that this process is ready, and
+/// the addresses that it listens on.
 #[derive(Debug, Serialize)]
 struct ReadyLine<'a> {
     ready: &'a str,
--- a/crates/onyxshed-kernel/src/service.rs
+++ b/crates/onyxshed-kernel/src/service.rs
@@ -20,7 +20,7 @@
         ServiceName(name)
     }
 
-    /// Returns the name as text.
+    /// Returns the text that was passed to [`ServiceName::new`], as events and errors show it.
     pub const fn as_str(self) -> &'static str {
         self.0
     }
--- a/crates/onyxshed-kernel/src/signal.rs
+++ b/crates/onyxshed-kernel/src/signal.rs
@@ -6,7 +6,7 @@
 
 use crate::error::{Error, Result};
 
-/// A request to stop the process.
+/// A request to stop the process, after a drain or immediately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopRequest {
     /// SIGTERM or SIGINT: finish the work in flight, then stop. Further requests of this kind do
@@ -16,7 +16,7 @@
     AtOnce,
 }
 
-/// Installs handlers for SIGTERM, SIGINT and SIGQUIT.
+/// Installs handlers for SIGTERM, SIGINT and SIGQUIT and returns the stream of received signals.
 pub(crate) fn listen() -> Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Quit]).map_err(|error| Error::SignalHandlers {
         reason: error.to_string().into(),
--- a/crates/onyxshed-load/src/bench.rs
+++ b/crates/onyxshed-load/src/bench.rs
@@ -29,13 +29,14 @@
     pub overhead_bound: DirectReport,
     /// Overhead of one task at a time, each claimed in the platform's log first.
     pub overhead_claimed: DirectReport,
-    /// Greatest throughput of the entry host, for several numbers of callers and job sizes.
+    /// Throughput of the entry host in closed loops, for several combinations of the number of
+    /// callers, the job size and whether ids are bound.
     pub throughput: Vec<Throughput>,
     /// Memory and processor time of the entry process while it holds 10,000 requests in flight.
     pub held: IdleReport,
 }
 
-/// Load and results of a run of one mix on one zone of real processes.
+/// Result of [`run_mix`]: the offered load and what the callers measured.
 #[derive(Debug, Clone, Serialize)]
 pub struct MixRun {
     /// Offered load as a fraction of the executors' capacity.
@@ -50,7 +51,7 @@
 /// Pause between two tasks that need a claim. An entry host may append 30 times a second, so at 20
 /// tasks a second no claim waits for its append budget.
 const CLAIM_PAUSE: Duration = Duration::from_millis(50);
-/// Duration of each closed loop.
+/// Time during which the callers of each closed loop send jobs.
 pub(crate) const CLOSED_LOOP_SPAN: Duration = Duration::from_secs(4);
 const HELD_REQUESTS: u32 = 10_000;
 
@@ -105,7 +106,8 @@
     compare(options).await
 }
 
-/// Loads the first entry host of the set in a closed loop.
+/// Loads the first entry host of the set in a closed loop of `CLOSED_LOOP_SPAN`: each of `callers`
+/// callers sends its next job, of `tasks` tasks, after the answer to the previous one.
 pub async fn run_closed_loop(
     executor: &LocalExecutor<'static>,
     set: &LocalSet,
@@ -125,7 +127,9 @@
     measure_throughput(executor, Rc::new(options)).await
 }
 
-/// Holds `count` requests in flight at a newly started entry host.
+/// Holds `count` requests in flight at a newly started entry host, and returns its memory and
+/// processor time before and during the hold. The answers are awaited only if `awaits_answers` is
+/// true.
 pub async fn hold_requests(
     executor: &LocalExecutor<'static>,
     binaries: PathBuf,
@@ -154,10 +158,10 @@
     hold_connections(executor, Rc::new(options)).await
 }
 
-/// Options of a mix on one zone.
+/// Options of [`run_mix`].
 #[derive(Debug, Clone)]
 pub struct MixOptions {
-    /// Folder of the binaries.
+    /// Folder that contains the binaries of the processes to start.
     pub binaries: PathBuf,
     /// The mix that jobs are drawn from.
     pub mix: Mix,
@@ -176,7 +180,8 @@
 const ZONE_EXECUTORS: usize = 16;
 const NETWORK_US: u64 = 200;
 
-/// Runs a mix on one zone of real processes.
+/// Starts a zone of `ZONE_ENTRIES` entry hosts, sends it jobs of the mix at the offered load, and
+/// returns what the callers measured.
 pub async fn run_mix(executor: &LocalExecutor<'static>, options: &MixOptions) -> Result<MixRun> {
     let zone = LocalOptions::zone(
         options.binaries.clone(),
--- a/crates/onyxshed-load/src/caller.rs
+++ b/crates/onyxshed-load/src/caller.rs
@@ -21,7 +21,7 @@
     /// Whether ids are bound to the entry host that they are sent to, as soon as an answer has
     /// given its incarnation. Default false.
     pub may_bind: bool,
-    /// Time that each call may take beyond the target of the job's class. Default 5 s.
+    /// Time by which the timeout of each call exceeds the target of the job's class. Default 5 s.
     pub wait_past_target: Duration,
 }
 
@@ -54,7 +54,7 @@
 
 /// The next step of a caller after an answer or a failed call.
 enum CallerStep {
-    /// Ends with the final answer, or without one.
+    /// Ends the submission: with its final answer, or with `None` if no final answer was received.
     Done(Option<Answer>),
     /// Polls the job's answer at the same entry host after this time.
     Poll(Duration),
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Submits a job and polls or sends it again until its final answer. Returns `None` if no
-    /// answer came in time or the last permitted call failed.
+    /// Submits a job, and polls or sends it again until its final answer. Returns `None` if a call
+    /// timed out or the last permitted call failed.
     pub async fn submit(&self, draw: u64, job: &Submission, target: Duration) -> Option<Answer> {
         let timeout = target + self.options.wait_past_target;
         let mut job = job.clone();
--- a/crates/onyxshed-load/src/claims.rs
+++ b/crates/onyxshed-load/src/claims.rs
@@ -24,7 +24,7 @@
 use crate::run::{class_name, new_ulid, payload};
 use crate::tally::histogram;
 
-/// How ids of submissions are made.
+/// Whether the ids of submissions are bound to an entry host, and to which one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IdKind {
@@ -39,9 +39,9 @@
 /// Results of the jobs with one kind of id, either in normal operation or during the outage.
 #[derive(Debug, Clone, Serialize)]
 pub struct ClaimRun {
-    /// Kind of the ids.
+    /// Whether the ids of the jobs were bound, and to which entry host.
     pub ids: IdKind,
-    /// Whether the platform was down.
+    /// Whether the platform refused every connection during these jobs.
     pub is_platform_down: bool,
     /// Number of jobs sent.
     pub sent: u32,
--- a/crates/onyxshed-load/src/cli/args.rs
+++ b/crates/onyxshed-load/src/cli/args.rs
@@ -9,7 +9,7 @@
 use crate::mix::Mix;
 use crate::plan::Burst;
 
-/// Returns the definition of the whole command line.
+/// Returns the clap command of `onyxshed-load` with all subcommands and their options.
 pub fn command() -> Command {
     Command::new("onyxshed-load")
         .version(clap::crate_version!())
--- a/crates/onyxshed-load/src/cli/values.rs
+++ b/crates/onyxshed-load/src/cli/values.rs
@@ -25,7 +25,7 @@
     args.get_one::<T>(name).cloned()
 }
 
-/// Reads the options of `run`.
+/// Converts the parsed arguments of the subcommand `run` into its options.
 pub fn run_options(args: &ArgMatches) -> RunOptions {
     let entries = args.get_many("entry").into_iter().flatten();
     let bursts = args.get_many("burst").into_iter().flatten();
@@ -56,7 +56,7 @@
     })
 }
 
-/// Reads the options of `local`.
+/// Converts the parsed arguments of the subcommand `local` into its options.
 pub fn whole_path_options(args: &ArgMatches) -> WholePathOptions {
     WholePathOptions {
         binaries: binaries(args),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Reads the options of `bench --mix`.
+/// Converts the parsed arguments of `bench --mix` into the options of [`crate::bench::run_mix`].
 pub fn mix_options(args: &ArgMatches, binaries: PathBuf, mix: Mix) -> MixOptions {
     MixOptions {
         binaries,
--- a/crates/onyxshed-load/src/direct.rs
+++ b/crates/onyxshed-load/src/direct.rs
@@ -22,14 +22,14 @@
 use crate::run::{class_name, new_ulid, payload};
 use crate::tally::histogram;
 
-/// Options of the comparison.
+/// Options of [`compare`].
 #[derive(Debug, Clone)]
 pub struct DirectOptions {
     /// Address of the executor to call.
     pub executor: SocketAddr,
     /// Address of the entry host to compare with. Without it, only the executor is measured.
     pub entry: Option<SocketAddr>,
-    /// Class of the submitted tasks.
+    /// Name of the published class with which the tasks are submitted and started.
     pub class: SmolStr,
     /// Number of tasks on each path.
     pub count: u32,
@@ -48,7 +48,7 @@
     pub direct_us: Percentiles,
     /// Response times through the entry host; `None` if there is none.
     pub entry_us: Option<Percentiles>,
-    /// Difference of the two, percentile by percentile; `None` if there is no entry host.
+    /// `entry_us` minus `direct_us`, percentile by percentile; `None` if there is no entry host.
     pub added_us: Option<Percentiles>,
     /// Number of calls whose task did not finish.
     pub failed: u64,
@@ -178,7 +178,7 @@
 }
 
 impl Percentiles {
-    /// Subtracts another distribution's percentiles, one by one.
+    /// Returns the difference of each percentile, which is not the percentile of the differences.
     fn subtract(&self, other: &Percentiles) -> Percentiles {
         Percentiles {
             p50: self.p50 - other.p50,
--- a/crates/onyxshed-load/src/idle.rs
+++ b/crates/onyxshed-load/src/idle.rs
@@ -18,14 +18,14 @@
 use crate::process::{Usage, read_usage};
 use crate::run::{class_name, new_ulid, payload};
 
-/// Options of `idle`.
+/// Options of [`hold_connections`].
 #[derive(Debug, Clone)]
 pub struct IdleOptions {
     /// Address of the measured process.
     pub address: SocketAddr,
     /// Id of the measured process. Without it, memory and processor time are reported as 0.
     pub pid: Option<u32>,
-    /// Number of connections.
+    /// Number of connections to open.
     pub count: u32,
     /// Class of the one job that is sent on each connection. Without it the connections stay idle.
     pub class: Option<SmolStr>,
@@ -111,7 +111,7 @@
     connections
 }
 
-/// Submits one job and returns whether it was complete.
+/// Submits one job and returns whether it was answered as complete.
 async fn submit(mut connection: Connection, options: Rc<IdleOptions>) -> bool {
     let class = options.class.as_deref().unwrap_or_default();
     let job = Submission {
--- a/crates/onyxshed-load/src/local.rs
+++ b/crates/onyxshed-load/src/local.rs
@@ -43,7 +43,7 @@
 
 /// The two processes of an entry host, and their addresses.
 pub struct LocalEntry {
-    /// Address for callers.
+    /// Address at which the entry process accepts jobs of callers.
     pub callers: SocketAddr,
     /// Admin address of the entry process.
     pub admin: SocketAddr,
@@ -114,7 +114,7 @@
         self.folder.path()
     }
 
-    /// Returns the address for callers of each entry host.
+    /// Returns the addresses at which the entry hosts accept jobs, in the order of `entries`.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|entry| entry.callers).collect()
     }
--- a/crates/onyxshed-load/src/local/options.rs
+++ b/crates/onyxshed-load/src/local/options.rs
@@ -7,10 +7,10 @@
 use crate::mix::Mix;
 use crate::run::class_name;
 
-/// Options of a set of local processes.
+/// Numbers, sizes and configuration of the processes that [`super::LocalSet::start`] starts.
 #[derive(Debug, Clone)]
 pub struct LocalOptions {
-    /// Folder of the binaries.
+    /// Folder that contains the binaries of the processes to start.
     pub binaries: PathBuf,
     /// Number of entry hosts, each with its control process.
     pub entries: usize,
@@ -23,9 +23,10 @@
     pub slots: u32,
     /// Maximum number of tasks in the queue of an executor process.
     pub executor_queue: u32,
-    /// Speeds of the executor processes, assigned in turn.
+    /// Speeds of the executor processes, as fractions of the fastest kind's speed. The list is
+    /// repeated if it is shorter than the number of processes.
     pub speeds: Vec<f64>,
-    /// The upstream of all executors.
+    /// Name of the upstream that all executors belong to.
     pub upstream: UpstreamName,
     /// The classes to publish.
     pub classes: Vec<ClassTarget>,
--- a/crates/onyxshed-load/src/local/settings.rs
+++ b/crates/onyxshed-load/src/local/settings.rs
@@ -75,7 +75,7 @@
     found.ok_or_else(|| Error::start("no free port was found"))
 }
 
-/// Writes the settings files of one entry host.
+/// Writes the settings files of one entry host into `folder` and returns their paths.
 pub(super) fn write(
     folder: &Path,
     index: usize,
--- a/crates/onyxshed-load/src/mix.rs
+++ b/crates/onyxshed-load/src/mix.rs
@@ -19,13 +19,13 @@
 /// The jobs of one class in a mix.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ClassLoad {
-    /// Name of the class.
+    /// Name of the class in published targets and in submissions.
     pub class: &'static str,
     /// Fraction of all jobs that belong to the class, 0 to 1.
     pub share: f64,
     /// Maximum number of tasks in a job. Small jobs are more common than large ones.
     pub tasks_max: u16,
-    /// Service times of ordinary tasks.
+    /// Service times of the tasks that are not slow; `slow_share` is the fraction that is slow.
     pub service: ServiceTimeRange,
     /// Fraction of tasks that take several seconds, 0 to 1.
     pub slow_share: f64,
@@ -41,7 +41,7 @@
     max_ms: 4_000,
 };
 
-/// A deployment whose work is generated.
+/// One of the two deployments whose work the load tool generates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mix {
     /// Fleet commands for counter tablets.
--- a/crates/onyxshed-load/src/plan.rs
+++ b/crates/onyxshed-load/src/plan.rs
@@ -16,7 +16,7 @@
     pub factor: f64,
 }
 
-/// Options of a plan.
+/// Options of [`plan`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlanOptions {
     /// The mix that classes, job sizes and service times are drawn from.
@@ -29,7 +29,7 @@
     pub bursts: Vec<Burst>,
     /// Factor that every service time is multiplied by.
     pub time_scale: f64,
-    /// Seed of the random numbers.
+    /// Seed of the random numbers; equal options and seeds result in the same jobs.
     pub seed: u64,
 }
 
--- a/crates/onyxshed-load/src/plot.rs
+++ b/crates/onyxshed-load/src/plot.rs
@@ -30,7 +30,7 @@
     pub unit: &'static str,
     /// Start of the scale; smaller values have no bar.
     pub floor: f64,
-    /// Names of the groups.
+    /// Names of the groups, drawn below their bars.
     pub groups: Vec<SmolStr>,
     /// The series, each with one value per group.
     pub series: Vec<Series>,
--- a/crates/onyxshed-load/src/report.rs
+++ b/crates/onyxshed-load/src/report.rs
@@ -10,16 +10,16 @@
 use crate::error::{Result, WriteSnafu};
 use crate::tally::{ClassTally, RATIO_UNIT, Tally, Wasted, float};
 
-/// The results of a run.
+/// Results of one run of a mix, as its callers measured them.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Name of the mix.
+    /// Name of the mix that the jobs were drawn from.
     pub mix: String,
     /// Seed of the plan.
     pub seed: u64,
     /// Time during which jobs arrived, in seconds.
     pub span_s: f64,
-    /// Results by class.
+    /// Results by class, in the order of [`crate::mix::Mix::classes`].
     pub classes: Vec<ClassReport>,
     /// Wasted messages by kind.
     pub wasted: Wasted,
@@ -37,15 +37,15 @@
 pub struct ClassReport {
     /// Name of the class.
     pub class: &'static str,
-    /// Number of jobs.
+    /// Number of jobs that ended, with or without an answer.
     pub jobs: u64,
-    /// Number of tasks.
+    /// Number of tasks in those jobs.
     pub tasks: u64,
     /// Percentage of jobs that were complete within the target.
     pub hit_percent: f64,
-    /// Percentiles of the response time divided by the ideal.
+    /// Percentiles of the response time of complete jobs divided by the ideal.
     pub ratio: Percentiles,
-    /// Percentiles of the response time, in milliseconds.
+    /// Percentiles of the response time of complete jobs, in milliseconds.
     pub took_ms: Percentiles,
     /// Number of jobs without an answer.
     pub unanswered: u64,
@@ -56,13 +56,13 @@
 /// Number of final answers with one result code.
 #[derive(Debug, Clone, Serialize)]
 pub struct CodeCount {
-    /// The result code.
+    /// Number of the result code in the answers.
     pub code: u16,
     /// Number of jobs with that code.
     pub jobs: u64,
 }
 
-/// Percentiles of a distribution.
+/// Percentiles of measured values, in the unit that the name of the containing field states.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Percentiles {
     /// Median.
@@ -97,7 +97,7 @@
 const US_PER_MS: f64 = 1_000.0;
 
 impl Report {
-    /// Returns the report of a run.
+    /// Builds the report from the counts of a run. `span_s` is the time during which jobs arrived.
     pub fn new(tally: &Tally, seed: u64, span_s: f64, sender_lag_max_us: u64) -> Self {
         let loads = tally.mix.classes().iter();
         let good: u64 = tally.classes.iter().map(|class| class.good_tasks).sum();
--- a/crates/onyxshed-load/src/run.rs
+++ b/crates/onyxshed-load/src/run.rs
@@ -17,7 +17,7 @@
 use crate::report::Report;
 use crate::tally::{JobEnd, Tally};
 
-/// Options of a run.
+/// Options of [`run`].
 #[derive(Debug, Clone)]
 pub struct RunOptions {
     /// Addresses of the entry hosts; jobs are spread evenly over them.
--- a/crates/onyxshed-load/src/sim.rs
+++ b/crates/onyxshed-load/src/sim.rs
@@ -19,22 +19,24 @@
 use simulation::{RunResult, Simulation, ZoneOptions};
 use summary::{Cell, Summary};
 
-/// Options of a simulation.
+/// Options of [`simulate`]: the scenarios, the seeds and the simulated zone.
 #[derive(Debug, Clone)]
 pub struct SimOptions {
     /// The mix that jobs are drawn from.
     pub mix: Mix,
     /// Seeds of the runs; every pair of a scenario and a policy runs once with each.
     pub seeds: Vec<u64>,
-    /// The scenarios to run.
+    /// The scenarios to run, each with every policy and seed.
     pub scenarios: Vec<Scenario>,
-    /// Time during which jobs arrive, in seconds; faults last for the middle third.
+    /// Time during which jobs arrive, in seconds. Faults start after its first third; those that
+    /// are temporary end after its second third.
     pub span_s: f64,
     /// Size and network delays of the zone.
     pub zone: ZoneOptions,
 }
 
-/// Runs every scenario with every policy and seed, and returns the results.
+/// Runs every scenario with every policy and seed. The summary has one cell for each pair of a
+/// scenario and a policy.
 pub fn simulate(options: &SimOptions) -> Summary {
     let mut summary = Summary::new(options);
     for scenario in &options.scenarios {
--- a/crates/onyxshed-load/src/sim/executor.rs
+++ b/crates/onyxshed-load/src/sim/executor.rs
@@ -2,12 +2,12 @@
 
 use std::collections::VecDeque;
 
-/// The fault of an executor.
+/// The fault of a simulated executor, which the start and the end of a scenario's fault change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
     /// No fault.
     Healthy,
-    /// Every task takes 20 times as long.
+    /// Every task runs 20 times as long as without the fault.
     Slow,
     /// Every task fails shortly after its start.
     Failing,
@@ -35,15 +35,15 @@
 /// A modelled executor. Attempts are indexes into the simulation's list of attempts.
 #[derive(Debug)]
 pub struct ModelExecutor {
-    /// Number of tasks that run at the same time.
+    /// Maximum number of attempts that run at the same time.
     pub slots: usize,
     /// Speed as a fraction of the fastest kind's.
     pub speed: f64,
-    /// The fault of the executor.
+    /// The fault that is active now.
     pub health: Health,
-    /// Running attempts.
+    /// Attempts that occupy a slot.
     pub running: Vec<usize>,
-    /// Queued attempts.
+    /// Attempts that wait for a slot, the oldest first.
     pub queue: VecDeque<usize>,
 }
 
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Returns the run time of a task, in microseconds.
+    /// Returns how long this executor, with its speed and fault, runs a task that takes
+    /// `service_us` on the fastest kind, in microseconds.
     pub fn run_time_us(&self, service_us: f64) -> u64 {
         match self.health {
             Health::Failing => FAILS_AFTER_US,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Removes an attempt. Returns false if it was neither running nor queued.
+    /// Removes an attempt from its slot or the queue. Returns false if it was in neither.
     pub fn remove(&mut self, attempt: usize) -> bool {
         let before = self.running.len() + self.queue.len();
         self.running.retain(|other| *other != attempt);
--- a/crates/onyxshed-load/src/sim/policies.rs
+++ b/crates/onyxshed-load/src/sim/policies.rs
@@ -9,7 +9,7 @@
 };
 use serde::Serialize;
 
-/// Kind of a compared policy.
+/// The policies that [`super::simulate`] compares.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PolicyKind {
@@ -45,7 +45,7 @@
 pub enum HostPolicy {
     /// The dispatcher's own policy.
     Policy(Box<Policy>),
-    /// A baseline policy.
+    /// One of the two baselines: round robin or least outstanding.
     Baseline(Baseline),
 }
 
@@ -66,7 +66,8 @@
 const RETRIES_MAX: u32 = 2;
 
 impl HostPolicy {
-    /// Returns the policy of one of `hosts` entry hosts.
+    /// Creates the policy of one of `hosts` entry hosts. The seed sets the random numbers of the
+    /// dispatcher's policy and the executor with which a baseline starts.
     pub fn new(policy: PolicyKind, seed: u64, hosts: u32) -> Self {
         match policy {
             PolicyKind::Onyxshed => {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Sets the known executors.
+    /// Replaces the list of executors on which tasks may be started.
     pub fn set_executors(&mut self, now: Now, executors: &[ExecutorInfo]) {
         match self {
             HostPolicy::Policy(policy) => policy.set_executors(now, executors),
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Sets the number of entry hosts that share the executors.
+    /// Sets the number of entry hosts that share the executors. The baselines ignore it.
     pub fn set_zone_hosts(&mut self, now: Now, zone_hosts: u32) {
         if let HostPolicy::Policy(policy) = self {
             policy.set_zone_hosts(now, zone_hosts);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Enqueues a task.
+    /// Adds a task of an admitted job to the policy's queue.
     pub fn enqueue(&mut self, now: Now, queued: QueuedTask) {
         match self {
             HostPolicy::Policy(policy) => policy.enqueue(now, queued),
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Removes a task from the queue.
+    /// Removes a task from the queue, if it is there, because its job has ended.
     pub fn withdraw(&mut self, task: TaskId) {
         match self {
             HostPolicy::Policy(policy) => {
--- a/crates/onyxshed-load/src/sim/scenario.rs
+++ b/crates/onyxshed-load/src/sim/scenario.rs
@@ -1,8 +1,9 @@
-//! The scenarios of the simulation: the load, and the fault in the middle third of a run.
+//! The scenarios of the simulation: the load of a run, and the overload or the fault that starts
+//! after its first third.
 
 use crate::plan::Burst;
 
-/// A scenario.
+/// The load of a simulated run, and the overload or fault that starts after its first third.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
     /// Constant load at this percentage of capacity.
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Returns the periods with a different arrival rate.
+    /// Returns the period of the overload or the burst in a run of `span_s` seconds; empty for the
+    /// other scenarios.
     pub fn bursts(self, span_s: f64) -> Vec<Burst> {
         let from_s = span_s / 3.0;
         let (to_s, factor) = match self {
@@ -113,7 +115,8 @@
         }]
     }
 
-    /// Returns the end of the overload in seconds, or `None` for a scenario without one.
+    /// Returns the end of the overload or the burst, in seconds from the start of a run of `span_s`
+    /// seconds, or `None` for a scenario without one.
     pub fn overload_end_s(self, span_s: f64) -> Option<f64> {
         self.bursts(span_s).first().map(|burst| burst.to_s)
     }
--- a/crates/onyxshed-load/src/sim/simulation.rs
+++ b/crates/onyxshed-load/src/sim/simulation.rs
@@ -95,7 +95,8 @@
 const RACK: usize = 8;
 
 impl Simulation {
-    /// Returns a simulation before its first arrival.
+    /// Creates a simulation in which the arrivals of all planned jobs and the scenario's fault are
+    /// scheduled.
     pub fn new(
         options: &SimOptions,
         scenario: Scenario,
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Starts the run of an attempt that holds a slot.
+    /// Starts the run of an attempt that has a slot, and schedules the end of the run.
     fn start_run(&mut self, attempt: usize) {
         let Attempt {
             executor,
@@ -267,8 +268,8 @@
         }
     }
 
-    /// Returns the current counts of wasted messages. Those outside the middle third are not
-    /// reported.
+    /// Returns the counts to which a message wasted now is added: the reported ones in the middle
+    /// third of the run, otherwise those that are discarded.
     fn wasted(&mut self) -> &mut Wasted {
         match self.is_in_middle(self.now_us) {
             true => &mut self.result.tally.wasted,
--- a/crates/onyxshed-load/src/sim/simulation/fault.rs
+++ b/crates/onyxshed-load/src/sim/simulation/fault.rs
@@ -8,7 +8,8 @@
 use crate::sim::executor::Health;
 use crate::sim::scenario::Scenario;
 
-/// Index of the only faulty executor. It is of the fastest kind, which receives the most work.
+/// Index of the executor that becomes faulty in scenarios with one faulty executor. It is of the
+/// fastest kind, which receives the most work.
 const FAULTY_EXECUTOR: usize = 2;
 /// Index of the entry host that fails.
 const FAILED_HOST: usize = 0;
@@ -101,8 +102,8 @@
         executor.queue.clear();
     }
 
-    /// Fails the executors of one rack. Their connections are reset, so their attempts are lost at
-    /// once.
+    /// Fails the executors of one rack. Their connections are reset, so their attempts are lost
+    /// immediately.
     fn fail_rack(&mut self) {
         for index in 0..RACK.min(self.executors.len()) {
             let executor = &mut self.executors[index];
@@ -158,7 +159,8 @@
         }
     }
 
-    /// Returns the current factor for the service times of a class.
+    /// Returns the factor for the service times of a class: 10 for [`CHANGED_CLASS`] while the
+    /// fault of [`Scenario::ServiceTimesShift`] is active, otherwise 1.
     pub(super) fn service_factor(&self, class: usize) -> f64 {
         const FACTOR: f64 = 10.0;
         let is_shifted = self.is_fault_active && self.scenario == Scenario::ServiceTimesShift;
--- a/crates/onyxshed-load/src/sim/simulation/host.rs
+++ b/crates/onyxshed-load/src/sim/simulation/host.rs
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Delivers a job to the entry host that its draw selects, or to the next one that is up.
+    /// Delivers a job to the entry host that its draw and its number of repeats select, or to the
+    /// next one that is up. Without such a host, the job ends unanswered.
     pub(super) fn deliver_job(&mut self, job: usize) {
         let now = self.now();
         let count = self.hosts.len();
@@ -93,7 +94,7 @@
     }
 
     /// Handles the refusal of a job. Its caller sends it again after the wait in the answer, up to
-    /// a maximum number of times.
+    /// [`REPEATS_MAX`] times.
     fn refuse_job(&mut self, job: usize, code: ResultCode, wait: Millis) {
         self.wasted().refusals += 1;
         if self.jobs[job].repeats >= REPEATS_MAX {
@@ -257,7 +258,8 @@
         }
     }
 
-    /// Ends the job of a queued task that the policy has removed.
+    /// Ends the job of a queued task that the policy has removed: with `code`, or with
+    /// [`ResultCode::DeadlinePassed`] if an attempt at one of the job's tasks has been started.
     fn expire_job(&mut self, job: usize, code: ResultCode) {
         if self.jobs[job].has_ended || !self.jobs[job].is_running {
             return;
--- a/crates/onyxshed-load/src/sim/simulation/parts.rs
+++ b/crates/onyxshed-load/src/sim/simulation/parts.rs
@@ -9,7 +9,8 @@
 use crate::plan::PlannedJob;
 use crate::sim::policies::HostPolicy;
 
-/// An event of the simulation.
+/// An event that is scheduled for a time of the simulation. Its fields are indexes into the
+/// simulation's lists of jobs, attempts and entry hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
     /// A job reaches an entry host.
@@ -24,7 +25,7 @@
     StopDelivery { attempt: usize },
     /// The deadline of a job passes.
     Deadline { job: usize },
-    /// The time comes at which a policy asked for its next decision.
+    /// The time is reached at which a host's policy asked to be called again.
     Wake { host: usize },
     /// The fault of the scenario starts.
     FaultStart,
@@ -36,7 +37,8 @@
     CancelWave,
 }
 
-/// An attempt at a task on an executor.
+/// An attempt at a task on an executor. `host`, `job` and `executor` are indexes into the
+/// simulation's lists.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) host: usize,
@@ -72,10 +74,10 @@
     pub(super) attempts: Vec<usize>,
 }
 
-/// An entry host.
+/// A simulated entry host.
 pub(super) struct Host {
     pub(super) policy: HostPolicy,
-    /// Whether the host has not failed.
+    /// Whether the host runs; false from the time at which the scenario makes it fail.
     pub(super) is_up: bool,
     /// Time of the next [`Event::Wake`], if one is scheduled.
     pub(super) wake_at: Option<Mono>,
--- a/crates/onyxshed-load/src/sim/summary.rs
+++ b/crates/onyxshed-load/src/sim/summary.rs
@@ -31,7 +31,7 @@
 /// Results of one scenario with one policy.
 #[derive(Debug, Clone, Serialize)]
 pub struct Cell {
-    /// Name of the scenario.
+    /// Name of the scenario, as [`Scenario::name`] returns it.
     pub scenario: String,
     /// Policy under which the scenario was run.
     pub rival: PolicyKind,
--- a/crates/onyxshed-load/src/slopes.rs
+++ b/crates/onyxshed-load/src/slopes.rs
@@ -26,10 +26,10 @@
 use crate::tally::float;
 use fit::{Fit, Slope};
 
-/// Options of `slopes`.
+/// Options of [`measure_slopes`].
 #[derive(Debug, Clone)]
 pub struct SlopeOptions {
-    /// Folder of the binaries.
+    /// Folder that contains the binaries of the processes to start.
     pub binaries: PathBuf,
     /// If given, only experiments whose name contains this text are run.
     pub only: Option<SmolStr>,
--- a/crates/onyxshed-load/src/slopes/fit.rs
+++ b/crates/onyxshed-load/src/slopes/fit.rs
@@ -33,7 +33,7 @@
 }
 
 impl Slope {
-    /// Returns a quantity without points.
+    /// Returns a [`Slope`] without points.
     pub fn new(name: &'static str, x_unit: &'static str, y_unit: &'static str) -> Self {
         Slope {
             name,
@@ -43,12 +43,13 @@
         }
     }
 
-    /// Adds a measured point.
+    /// Adds a point: the quantity `y`, measured at the size `x`.
     pub fn add_point(&mut self, x: f64, y: f64) {
         self.points.push((x, y));
     }
 
-    /// Fits a line. It is flat if there are fewer than two different values of x.
+    /// Returns the line fitted by least squares. It is horizontal if there are fewer than two
+    /// different values of x.
     pub fn fit(&self) -> Fit {
         let count = self.points.len().max(1) as f64;
         let mean = |pick: fn(&(f64, f64)) -> f64| self.points.iter().map(pick).sum::<f64>() / count;
--- a/crates/onyxshed-load/src/slopes/members.rs
+++ b/crates/onyxshed-load/src/slopes/members.rs
@@ -79,8 +79,8 @@
         .sum()
 }
 
-/// Returns the bytes sent so far on all open connections between control processes, in both
-/// directions.
+/// Returns the bytes sent, since they were opened, on all open connections between control
+/// processes, in both directions.
 fn peer_bytes(set: &LocalSet) -> Result<u64> {
     let output = Command::new("ss")
         .args(["-tinHO"])
--- a/crates/onyxshed-load/src/tally.rs
+++ b/crates/onyxshed-load/src/tally.rs
@@ -25,7 +25,7 @@
     pub class: usize,
     /// Number of tasks in the job.
     pub tasks: u64,
-    /// Result code of the final answer, or `None` if no answer came.
+    /// Result code of the final answer, or `None` if there was no final answer.
     pub code: Option<ResultCode>,
     /// Time from the planned arrival to the final answer, in microseconds.
     pub took_us: u64,
@@ -83,16 +83,15 @@
     pub repeats: u64,
     /// Polls of jobs that were still running.
     pub polls: u64,
-    /// Attempts at tasks whose previous attempt was refused or lost.
+    /// Attempts at tasks whose previous attempt failed, was refused or was lost.
     pub retries: u64,
     /// Second attempts at slow tasks, started while the first one ran.
     pub hedges: u64,
     /// Refusals by executors.
     pub executor_refusals: u64,
-    /// Attempts that were stopped because their job or task had already ended, with the messages
-    /// that stopped them.
+    /// Requests to stop an attempt because its job or task had already ended.
     pub stops: u64,
-    /// Attempts that failed or brought no answer in time.
+    /// Attempts that failed, were not sent or were not answered in time.
     pub lost_starts: u64,
 }
 
@@ -117,14 +116,14 @@
     }
 }
 
-/// Results of a run.
+/// Results of a run, which are updated as its jobs end.
 #[derive(Debug, Clone)]
 pub struct Tally {
     /// The mix that the jobs were drawn from.
     pub mix: Mix,
     /// Results by class, in the order of [`Mix::classes`].
     pub classes: Vec<ClassTally>,
-    /// Wasted messages.
+    /// Messages wasted in the run, by kind.
     pub wasted: Wasted,
 }
 
@@ -138,7 +137,7 @@
         }
     }
 
-    /// Records the end of one job.
+    /// Adds the end of one job to the counts and histograms of its class.
     pub fn record(&mut self, end: &JobEnd) {
         self.classes[end.class].record(end);
     }
--- a/crates/onyxshed-load/src/throughput.rs
+++ b/crates/onyxshed-load/src/throughput.rs
@@ -21,7 +21,7 @@
 use crate::run::{class_name, new_ulid, payload};
 use crate::tally::{float, histogram};
 
-/// Options of a closed loop.
+/// Options of [`measure_throughput`].
 #[derive(Debug, Clone)]
 pub struct ThroughputOptions {
     /// Address of the entry host.
@@ -40,7 +40,7 @@
     pub may_bind: bool,
 }
 
-/// Throughput of an entry host and what it cost.
+/// Throughput of an entry host in a closed loop, with its processor time and memory.
 #[derive(Debug, Clone, Serialize)]
 pub struct Throughput {
     /// Number of callers.
--- a/crates/onyxshed-load/src/whole_path.rs
+++ b/crates/onyxshed-load/src/whole_path.rs
@@ -25,7 +25,7 @@
 use crate::report::write_json;
 use crate::run::{RunOptions, class_name, run};
 
-/// Options of `local`.
+/// Options of [`run_whole_path`].
 #[derive(Debug, Clone)]
 pub struct WholePathOptions {
     /// Folder of the other binaries.
--- a/crates/onyxshed-platform/src/client.rs
+++ b/crates/onyxshed-platform/src/client.rs
@@ -1,4 +1,5 @@
-//! Client of the platform over one connection, which is opened again after it has failed.
+//! Client of the platform over one connection, which is replaced after a failure, or if its last
+//! reply is too old.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -73,7 +74,7 @@
         Page::decode(&reply.body).map_err(decode_error)
     }
 
-    /// Reads the list of hosts.
+    /// Reads the platform's list of hosts, which states its age.
     pub async fn hosts(&mut self) -> Result<HostList> {
         let timeout = self.options.timeout;
         let reply = self
@@ -98,7 +99,8 @@
         }
     }
 
-    /// Takes the open connection if it may be reused, or opens a new one.
+    /// Takes the connection out of the client if it is open and has had a reply within
+    /// `reuse_within`, and opens a new one otherwise.
     async fn connect(&mut self) -> Result<Connection> {
         if let Some(connection) = self.connection.take() {
             let is_recent = connection.time_since_reply() <= self.options.reuse_within;
--- a/crates/onyxshed-platform/src/error.rs
+++ b/crates/onyxshed-platform/src/error.rs
@@ -35,7 +35,8 @@
 }
 
 impl Error {
-    /// Returns the numbered code of the error.
+    /// Returns the numbered result code: [`ResultCode::PlatformUnreachable`],
+    /// [`ResultCode::PlatformRefused`] or [`ResultCode::BadMessage`].
     pub fn code(&self) -> ResultCode {
         match self {
             Error::Unreachable { .. } | Error::AnswerLost { .. } => ResultCode::PlatformUnreachable,
--- a/crates/onyxshed-policy/src/admission.rs
+++ b/crates/onyxshed-policy/src/admission.rs
@@ -18,10 +18,12 @@
 /// Highest quantile that the histograms resolve.
 const QUANTILE_MAX: f64 = 0.99;
 
-/// Factor on the waiting time under overload, because more urgent tasks will be queued ahead.
+/// Factor on the waiting and running time of a job under overload or with a long wait, because more
+/// urgent tasks will be queued ahead of it.
 const OVERLOAD_MARGIN: f64 = 2.0;
 
-/// Inputs of the estimate. Work is in microseconds on one slot of ordinary speed.
+/// Inputs of the estimate of when a job finishes. Work is in microseconds on one slot of ordinary
+/// speed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FinishEstimate {
     /// Work of the job's own class that is queued ahead.
@@ -57,7 +59,9 @@
         }
     }
 
-    /// Returns how long until the job could finish in time; `None` if it can when admitted now.
+    /// Returns the delay after which the caller should retry: the time by which the estimated
+    /// finish exceeds the deadline, limited to 250 ms to 60 s. Returns `None` if the job can finish
+    /// in time when it is admitted now.
     pub fn retry_after(&self, now: Mono, deadline: Mono) -> Option<Micros> {
         let left_us = as_us(deadline.since(now));
         let excess_us = self.finish_us() - left_us;
--- a/crates/onyxshed-policy/src/budget.rs
+++ b/crates/onyxshed-policy/src/budget.rs
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Adds the tokens of one finished task.
+    /// Adds the tokens that one finished task yields, up to the maximum.
     pub fn record_finished(&mut self) {
         self.tokens = (self.tokens + self.per_finished).min(self.max_tokens);
     }
 
-    /// Takes one token; returns false if there is none.
+    /// Removes one token and returns whether one was available.
     pub fn try_take(&mut self) -> bool {
         let has_token = self.tokens >= 1.0;
         if has_token {
@@ -36,7 +36,7 @@
         has_token
     }
 
-    /// Returns whether a token is available.
+    /// Returns whether [`Budget::try_take`] would succeed; removes no token.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
--- a/crates/onyxshed-policy/src/class.rs
+++ b/crates/onyxshed-policy/src/class.rs
@@ -20,15 +20,15 @@
 /// Target of one class and the state learned from its tasks on this host.
 #[derive(Debug)]
 pub struct Class {
-    /// Configured target.
+    /// Target that operators have configured; it also names the class's upstream.
     pub target: ClassTarget,
     /// Whether the class is still configured; if not, its remaining tasks are still run.
     pub is_configured: bool,
-    /// Learned service times.
+    /// Service times learned from the finished tasks; reset when the upstream changes.
     pub estimate: ClassEstimate,
-    /// Rate of arriving work.
+    /// Rate of arriving work, from which the shares of competing classes are computed.
     pub offered_load: OfferedLoad,
-    /// Failure rates per executor, and recent failed jobs.
+    /// Failure rates per executor, and the jobs that failed since a task last finished.
     pub faults: ClassFaults,
     /// Number of attempts of the class that have not ended.
     pub in_flight: u32,
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Replaces the target. If the upstream changes, the estimates and failures are reset.
+    /// Replaces the target and marks the class as configured. If the upstream changes, the
+    /// estimates and failures are reset.
     pub fn update(&mut self, target: &ClassTarget) {
         if self.target.upstream != target.upstream {
             self.estimate = ClassEstimate::default();
@@ -71,9 +72,10 @@
     /// Returns the minimum time left with which a task is worth starting, on an executor with the
     /// given `slowdown`; zero as long as too few tasks have finished.
     ///
-    /// A task with less time left is dropped immediately. Under overload the minimum is the median
-    /// service time, because the slot is better used by a task that finishes in time. Otherwise it
-    /// is the time that only 2% of the tasks stay under. With a stale estimate the minimum is zero.
+    /// A task with less time left is dropped immediately. With a stale estimate the minimum is
+    /// zero. With a current estimate it is the median service time under overload, because the slot
+    /// is better used by a task that finishes in time, and without overload the time that only 2%
+    /// of the tasks stay under.
     pub fn min_useful_time(&self, now: Mono, slowdown: f64, is_overloaded: bool) -> Micros {
         if self.estimate.is_stale(now) {
             return Micros(0);
--- a/crates/onyxshed-policy/src/decision.rs
+++ b/crates/onyxshed-policy/src/decision.rs
@@ -7,7 +7,7 @@
 
 pub use crate::executor::breaker::BreakerReason;
 
-/// Maximum number of buffered decisions.
+/// Maximum number of decisions that are kept until the dispatch drains them.
 const DECISIONS_MAX: usize = 1_024;
 
 /// A decision of the policy that is logged for operators.
@@ -15,32 +15,33 @@
 pub enum PolicyDecision {
     /// The breaker of an executor opened: it gets no tasks except probes.
     BreakerOpened {
-        /// Name of the executor.
+        /// Executor whose breaker opened.
         executor: ExecutorName,
         /// Reason for which the breaker opened.
         reason: BreakerReason,
     },
     /// The breaker of an executor closed: it gets tasks again.
     BreakerClosed {
-        /// Name of the executor.
+        /// Executor whose breaker closed; its limit on concurrent tasks restarts from one.
         executor: ExecutorName,
     },
     /// A job was marked unrunnable: its tasks failed on several different executors.
     JobUnrunnable {
-        /// Id of the job.
+        /// Job whose failed tasks are no longer retried.
         submission: SubmissionId,
-        /// Class of the job.
+        /// Class of the job; other jobs of the class are not affected.
         class: ClassName,
     },
     /// A class was marked unrunnable: several of its jobs failed, on several different executors,
     /// and none of its tasks finished in between.
     ClassUnrunnable {
-        /// Name of the class.
+        /// Class that may use at most 1/32 of its upstream's slots, but at least one slot, until
+        /// one of its tasks finishes.
         class: ClassName,
     },
     /// A class that was marked unrunnable has finished a task.
     ClassRunnable {
-        /// Name of the class.
+        /// Class that may use its full share of the slots again.
         class: ClassName,
     },
 }
--- a/crates/onyxshed-policy/src/estimate.rs
+++ b/crates/onyxshed-policy/src/estimate.rs
@@ -100,13 +100,14 @@
     usize::try_from(index).map_or(BUCKETS - 1, |index| index.min(BUCKETS - 1))
 }
 
-/// Returns the lower bound of a bucket in microseconds.
+/// Returns the lower bound of the bucket with the given index, in microseconds.
 fn bucket_lower_us(index: usize) -> f64 {
     let octave = f64::from(FIRST_OCTAVE) + (index / 4) as f64;
     octave.exp2() * (1.0 + (index % 4) as f64 / 4.0)
 }
 
-/// Estimate of one class's service time.
+/// Service times of one class, in two histograms: as measured, and divided by the slowdown of the
+/// executor.
 #[derive(Debug, Clone, Default)]
 pub struct ClassEstimate {
     measured: Histogram,
@@ -139,20 +140,20 @@
         Some(as_us(service).max(1.0) / median_us.max(1.0))
     }
 
-    /// Returns a quantile on an executor of ordinary speed, in microseconds; `None` as long as
-    /// there are too few samples.
+    /// Returns the `q` quantile (0 to 1) of the service time on an executor of ordinary speed, in
+    /// microseconds; `None` as long as there are too few samples.
     pub fn quantile_us(&self, q: f64) -> Option<f64> {
         self.normalized.quantile_us(q)
     }
 
-    /// Returns a quantile of the times as measured, over the mix of executors in use, in
-    /// microseconds; `None` as long as there are too few samples.
+    /// Returns the `q` quantile (0 to 1) of the service times as measured, over the mix of
+    /// executors in use, in microseconds; `None` as long as there are too few samples.
     pub fn measured_quantile_us(&self, q: f64) -> Option<f64> {
         self.measured.quantile_us(q)
     }
 
-    /// Returns the mean on an executor of ordinary speed, in microseconds; `None` as long as there
-    /// are too few samples.
+    /// Returns the mean service time on an executor of ordinary speed, in microseconds; `None` as
+    /// long as there are too few samples.
     pub fn mean_us(&self) -> Option<f64> {
         self.normalized.mean_us()
     }
--- a/crates/onyxshed-policy/src/executor.rs
+++ b/crates/onyxshed-policy/src/executor.rs
@@ -32,7 +32,7 @@
 pub struct Executor {
     /// Identifies the executor for as long as it is known; never reused.
     pub id: ExecutorId,
-    /// Configured properties.
+    /// Properties in the last list of executors that contained this executor.
     pub info: ExecutorInfo,
     /// Number of attempts of this host that have not ended.
     pub in_flight: u32,
@@ -41,11 +41,11 @@
     pub is_removed: bool,
     /// Learned speed relative to the other executors.
     pub speed: Speed,
-    /// Learned limit on concurrent tasks.
+    /// Learned limit on concurrent tasks, at most the number of slots.
     pub limit: Limit,
-    /// Estimated load by other entry hosts.
+    /// Estimated number of tasks of other entry hosts on the executor.
     pub peer_load: PeerLoad,
-    /// Circuit breaker.
+    /// Circuit breaker, which blocks tasks after failures, missing responses or slow tasks.
     pub breaker: Breaker,
     no_response_since: Mono,
     service_time_p99: Micros,
--- a/crates/onyxshed-policy/src/executor/breaker.rs
+++ b/crates/onyxshed-policy/src/executor/breaker.rs
@@ -21,7 +21,7 @@
 /// Minimum number of samples before an executor counts as slow.
 const SLOW_SAMPLES_MIN: u32 = 4;
 
-/// Pause before the first probe, before a jitter of 20%.
+/// Pause before the first probe, without the jitter of up to 20% in either direction.
 const FIRST_PAUSE: Millis = Millis(500);
 
 /// Maximum doublings of the pause of an executor that runs tasks badly: up to 32 seconds.
@@ -65,11 +65,11 @@
 /// The kind of task that may be sent to an executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Gate {
-    /// Any task.
+    /// Any task may be sent.
     Work,
-    /// A single task that finds out whether the executor has recovered.
+    /// A single task may be sent, which shows whether the executor has recovered.
     Probe,
-    /// No task.
+    /// No task may be sent.
     Blocked,
 }
 
@@ -82,7 +82,7 @@
     Closed,
 }
 
-/// Indication about the executor that the end of an attempt gives.
+/// What the end of an attempt indicates about the executor.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Signal {
     /// The executor finished the task.
@@ -110,7 +110,8 @@
     Probing { until: Mono, reason: BreakerReason },
 }
 
-/// Circuit breaker of one executor.
+/// State of one executor's circuit breaker (closed, open, or open with a probe sent) and the counts
+/// that open it.
 #[derive(Debug, Clone)]
 pub struct Breaker {
     state: State,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Returns whether a probe is running.
+    /// Returns whether a probe was sent whose end has not been recorded.
     pub fn is_probing(&self) -> bool {
         matches!(self.state, State::Probing { .. })
     }
@@ -286,9 +287,9 @@
         }
     }
 
-    /// Delays the next probe until that of `other` if that is later, and lengthens later pauses as
-    /// if the openings of `other` had occurred here. No effect unless this breaker is open and
-    /// `other` is not closed.
+    /// Delays the next probe to the time of the next probe of `other`, if that is later, and raises
+    /// the count of openings, which determines later pauses, to that of `other`. No effect unless
+    /// this breaker is open without a probe sent and `other` is not closed.
     pub fn align_with(&mut self, other: &Breaker) {
         if let (State::Open { until, .. }, Some(at)) = (&mut self.state, other.probe_at()) {
             *until = at.max(*until);
--- a/crates/onyxshed-policy/src/executor/limit.rs
+++ b/crates/onyxshed-policy/src/executor/limit.rs
@@ -4,15 +4,16 @@
 /// Factor applied to the limit after a refusal that the reported load does not explain.
 const REFUSED_FACTOR: f64 = 0.7;
 
-/// Factor applied to the limit per round of finished tasks while the ratio of recent to long-run
-/// service time is above `WORSENED_RATIO_MIN`.
+/// Factor applied to the limit per round of finished tasks while the ratio of the recent to the
+/// long-run slowdown is above `WORSENED_RATIO_MIN`.
 const WORSENED_FACTOR: f64 = 0.9;
 
-/// Ratio of recent to long-run service time above which the limit shrinks.
+/// Ratio of the recent to the long-run slowdown above which the limit shrinks.
 const WORSENED_RATIO_MIN: f64 = 2.0;
 
 /// Limit that grows by one task per round and shrinks by a factor. A round is as many finished
-/// tasks as run concurrently.
+/// tasks as run concurrently. After [`Limit::restart_ramp`] the limit grows by one task per
+/// finished task until it reaches the number of slots.
 #[derive(Debug, Clone)]
 pub struct Limit {
     value: f64,
--- a/crates/onyxshed-policy/src/executor/sharing.rs
+++ b/crates/onyxshed-policy/src/executor/sharing.rs
@@ -27,7 +27,7 @@
 pub struct StartRequest {
     /// Learned limit on the concurrent tasks of the executor.
     pub limit: f64,
-    /// This host's tasks in flight on the executor.
+    /// Number of this host's attempts on the executor that have not ended.
     pub in_flight: u32,
     /// Conditions that do not depend on the executor.
     pub conditions: StartConditions,
@@ -62,8 +62,8 @@
         self.reported_at = Some(now);
     }
 
-    /// Records a refusal. An executor that reports an empty queue with it refuses tasks when its
-    /// slots are full instead of queueing them.
+    /// Records the load report of a refusal. An executor that refuses a task while its queue is
+    /// empty does not queue tasks when its slots are full.
     pub fn record_refusal(&mut self, load: &LoadReport) {
         self.refuses_when_full |= load.queued == 0;
     }
--- a/crates/onyxshed-policy/src/faults.rs
+++ b/crates/onyxshed-policy/src/faults.rs
@@ -36,7 +36,7 @@
 /// Identifies an executor for as long as it is known; never reused.
 pub type ExecutorId = u64;
 
-/// Failures of one class.
+/// Failure rates of one class per executor, and whether the class is marked unrunnable.
 #[derive(Debug, Clone, Default)]
 pub struct ClassFaults {
     rates: BTreeMap<ExecutorId, f64>,
@@ -57,7 +57,8 @@
 }
 
 impl ClassFaults {
-    /// Returns whether the class is marked unrunnable.
+    /// Returns whether the class is marked unrunnable. The policy then limits the slots that its
+    /// tasks may use.
     pub fn is_unrunnable(&self) -> bool {
         self.is_unrunnable
     }
@@ -170,7 +171,8 @@
         self.failed_on.contains_key(&job)
     }
 
-    /// Returns whether the job is marked unrunnable.
+    /// Returns whether the job has failed on `UNRUNNABLE_EXECUTORS` executors. Its failed tasks are
+    /// then not retried.
     pub fn is_unrunnable(&self, job: SubmissionId) -> bool {
         self.failed_on
             .get(&job)
--- a/crates/onyxshed-policy/src/placement.rs
+++ b/crates/onyxshed-policy/src/placement.rs
@@ -16,7 +16,7 @@
 
 use crate::fleet::ExecutorKey;
 
-/// An algorithm that selects executors.
+/// Algorithm that selects the executor of a task, set in [`PolicyOptions`](crate::PolicyOptions).
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PlacementKind {
     /// Least expected finish by learned speeds, with limits and breakers.
@@ -75,10 +75,10 @@
     }
 }
 
-/// An executor that can take the task now.
+/// An executor with a free slot on which the task to be placed may start now.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate {
-    /// Key of the executor.
+    /// Key of the executor in the fleet.
     pub key: ExecutorKey,
     /// Number of attempts of this host in flight on the executor.
     pub in_flight: u32,
@@ -90,7 +90,7 @@
     pub is_probe: bool,
 }
 
-/// Result of placing one task.
+/// Executor on which a queued task starts, or why it does not start now.
 #[derive(Debug, Clone, Copy)]
 pub enum Choice {
     /// The task starts on this executor.
@@ -100,7 +100,7 @@
     /// Every executor that could take the task is one that it must avoid, because an attempt of the
     /// task failed or was refused there.
     Avoided,
-    /// No executor can take the task.
+    /// No executor has a free slot for the task.
     Full,
 }
 
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Returns the algorithm in use.
+    /// Returns the algorithm in use, which decides whether the guards apply
+    /// ([`PlacementKind::is_guarded`]).
     pub fn kind(&self) -> PlacementKind {
         self.kind
     }
@@ -136,7 +137,7 @@
     }
 }
 
-/// Selects one of several equally good candidates at random.
+/// Returns one of the equally good candidates, selected at random; `None` if there are none.
 fn pick_random(equal: &[Candidate], rng: &mut SmallRng) -> Option<Candidate> {
     match equal {
         [] => None,
--- a/crates/onyxshed-policy/src/policy.rs
+++ b/crates/onyxshed-policy/src/policy.rs
@@ -27,7 +27,7 @@
 use crate::upstream::Upstream;
 use crate::work::{ExecutorInfo, ExpiredTask};
 
-/// Settings of a [`Policy`].
+/// Limit of the queue and placement algorithm of a [`Policy`], fixed when it is created.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PolicyOptions {
     /// Maximum number of queued tasks, over all upstreams. Default 20,000.
@@ -177,7 +177,7 @@
         self.wasted_messages
     }
 
-    /// Returns the number of queued tasks.
+    /// Returns the number of queued tasks over all upstreams, delayed ones included.
     pub fn queued_tasks(&self) -> usize {
         self.queued_on.len()
     }
--- a/crates/onyxshed-policy/src/policy/end.rs
+++ b/crates/onyxshed-policy/src/policy/end.rs
@@ -32,8 +32,9 @@
 impl Policy {
     /// Records the end of an attempt and decides whether its task is retried.
     ///
-    /// For [`AttemptOutcome::Finished`] the returned step has no meaning.
-    /// [`Policy::executors_running`] returns the copies that still run and can be stopped.
+    /// For [`AttemptOutcome::Finished`] the returned step has no meaning. Other copies of a
+    /// finished task may still run; [`Policy::executors_running`] returns their executors, so that
+    /// the dispatch can stop them.
     pub fn apply_attempt_end(&mut self, now: Now, end: &AttemptEnd) -> RetryStep {
         let now = now.mono;
         let key = self.fleet.key(&end.executor);
@@ -52,7 +53,7 @@
         step
     }
 
-    /// Updates the executor, its breaker, the class and the job with the result of an attempt.
+    /// Records the result of an attempt in the state of its executor, breaker, class and job.
     fn record_outcome(&mut self, now: Mono, end: &AttemptEnd, attempt: Attempt) {
         let key = attempt.key;
         let has_responded = !matches!(end.outcome, AttemptOutcome::Unsent | AttemptOutcome::Lost);
--- a/crates/onyxshed-policy/src/policy/hedge.rs
+++ b/crates/onyxshed-policy/src/policy/hedge.rs
@@ -18,7 +18,7 @@
 const HEDGE_RETRY_DELAY: Millis = Millis(5);
 
 impl Policy {
-    /// Plans a hedge for a task that was just started.
+    /// Plans a hedge for a task that was just started, if [`Policy::hedge_due_at`] allows one.
     pub(super) fn plan_hedge(&mut self, now: Mono, task: TaskId) {
         let Some(at) = self.hedge_due_at(now, task) else {
             return;
--- a/crates/onyxshed-policy/src/policy/intake.rs
+++ b/crates/onyxshed-policy/src/policy/intake.rs
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Queues a task on the upstream of its class.
+    /// Queues a task on the upstream of its class and adds its expected work to the offered load. A
+    /// task of an unknown class is dropped and reported by the next [`Policy::take_expired`].
     pub fn enqueue(&mut self, now: Now, task: QueuedTask) {
         let class = self.classes.get_mut(&task.class);
         if let Some(class) = class
@@ -76,8 +77,8 @@
 
     /// Withdraws a task: removes it from the queue, and prevents retries and hedges if it runs.
     ///
-    /// Returns `false` if the task was neither queued nor dropped from the queue without having
-    /// been reported.
+    /// Returns whether the task was queued, or was dropped from the queue and not yet returned by
+    /// [`Policy::take_expired`].
     pub fn withdraw(&mut self, task: TaskId) -> bool {
         if let Some(running) = self.running.get_mut(&task) {
             running.is_over = true;
@@ -149,7 +150,7 @@
         Some(upstream_name)
     }
 
-    /// Returns the queued tasks of a job.
+    /// Returns the tasks of a job that are queued on any upstream, delayed ones included.
     pub(super) fn queued_tasks_of(
         &self,
         submission: SubmissionId,
@@ -207,7 +208,8 @@
         self.placement.kind().is_guarded() && !is_sample && upstream.capacity.usable > 0
     }
 
-    /// Returns whether the queue has no room for a job of the class.
+    /// Returns whether the queue has no room for a job of `tasks` tasks: the tasks exceed the free
+    /// places, or the class would exceed its part of the queue.
     fn is_full(&self, upstream: &Upstream, name: &ClassName, tasks: usize) -> bool {
         let left = self.options.queue_max.saturating_sub(self.queued_on.len());
         let of_class = upstream.queue.class_len(name) + tasks;
--- a/crates/onyxshed-policy/src/policy/place.rs
+++ b/crates/onyxshed-policy/src/policy/place.rs
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Selects an executor for a hedge of a task that runs on `at`.
+    /// Selects an executor for a hedge of a task that runs on `at`: another executor, and not one
+    /// that would be probed. Returns `None` if no such executor has a free slot.
     pub(super) fn find_for_hedge(
         &mut self,
         now: Mono,
@@ -121,7 +122,8 @@
         }
     }
 
-    /// Returns whether an executor can take the task now.
+    /// Returns the executor as a candidate for the task, or whether the task must avoid it or it
+    /// has no slot for the task now.
     fn fit(
         &self,
         now: Mono,
--- a/crates/onyxshed-policy/src/policy/start.rs
+++ b/crates/onyxshed-policy/src/policy/start.rs
@@ -96,7 +96,8 @@
         first.map_or(NextStep::Idle, NextStep::WaitUntil)
     }
 
-    /// Tries to start a queued task of an upstream; returns `None` if no task can start.
+    /// Tries to start a queued task of an upstream. Returns `None` if no task can start or if none
+    /// was started within `PLACEMENT_TRIES_MAX` tries.
     fn start_from(&mut self, now: Mono, name: &UpstreamName) -> Option<NextStep> {
         self.refresh_upstream(now, name);
         if self.upstreams.get(name)?.scan == ScanScope::Only(Vec::new()) {
--- a/crates/onyxshed-policy/src/policy/turn.rs
+++ b/crates/onyxshed-policy/src/policy/turn.rs
@@ -9,8 +9,7 @@
 use crate::queue::{ShareUse, Ticket};
 use crate::upstream::Upstream;
 
-/// Delay before a task is considered again after every executor with a free slot was one that the
-/// task must avoid.
+/// Delay before a task is considered again if it must avoid every executor that has a free slot.
 const AVOIDED_RETRY_DELAY: Millis = Millis(5);
 
 /// Fraction of an upstream's slots that a class marked as unrunnable may use; at least one slot.
@@ -86,14 +85,15 @@
             .is_some_and(|finish_estimate| finish_estimate.retry_after(now, deadline).is_some())
     }
 
-    /// Drops the first task of a class, to be reported as expired.
+    /// Drops the first ready task of a class, which the next [`Policy::take_expired`] returns.
     pub(super) fn drop_first(&mut self, name: &UpstreamName, class: &ClassName) {
         if let Some(ticket) = self.pop_first(name, class) {
             self.dropped.push(ticket.to_expired());
         }
     }
 
-    /// Removes and returns the first task of a class.
+    /// Removes the first ready task of a class from the queue of the upstream `name` and returns
+    /// it; `None` if there is none.
     pub(super) fn pop_first(&mut self, name: &UpstreamName, class: &ClassName) -> Option<Ticket> {
         let ticket = self.upstreams.get_mut(name)?.queue.pop(class)?;
         self.untrack_queued(ticket.work.task);
--- a/crates/onyxshed-policy/src/queue.rs
+++ b/crates/onyxshed-policy/src/queue.rs
@@ -167,7 +167,7 @@
     }
 
     /// Returns the class whose first task starts next; `None` if no class has a ready task that may
-    /// start. `share_use` returns how a class uses its fair share.
+    /// start. `share_use` returns how a class would use its fair share with one more task.
     pub fn next_class(&self, share_use: impl Fn(&ClassName) -> ShareUse) -> Option<&ClassName> {
         let candidates = self.ready.iter().filter_map(|(class, tickets)| {
             let (rank, ticket) = tickets.first_key_value()?;
@@ -181,13 +181,15 @@
         candidates.min().map(|(_, _, class)| class)
     }
 
-    /// Returns the first ready task of a class.
+    /// Returns the ready task of a class with the earliest deadline; `None` if no task of it is
+    /// ready.
     pub fn peek(&self, class: &ClassName) -> Option<&Ticket> {
         let (_, ticket) = self.ready.get(class)?.first_key_value()?;
         Some(ticket)
     }
 
-    /// Removes and returns the first ready task of a class.
+    /// Removes and returns the ready task of a class with the earliest deadline; `None` if no task
+    /// of it is ready.
     pub fn pop(&mut self, class: &ClassName) -> Option<Ticket> {
         let tickets = self.ready.get_mut(class)?;
         let (_, ticket) = tickets.pop_first()?;
@@ -198,7 +200,7 @@
         Some(ticket)
     }
 
-    /// Removes and returns a task, ready or delayed.
+    /// Removes and returns a task, ready or delayed; `None` if it is not queued.
     pub fn remove(&mut self, task: TaskId) -> Option<Ticket> {
         match self.positions.remove(&task)? {
             Position::Delayed { class, at } => {
@@ -265,11 +267,11 @@
 /// How a class would use its fair share of an upstream's slots with one more task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShareUse {
-    /// The class stays within its share.
+    /// The class stays within its share: its first task counts as due early.
     Below,
-    /// The class exceeds its share.
+    /// The class exceeds its share: its first task counts as due at its deadline.
     Reached,
-    /// The class may not start a task now.
+    /// The class may not start a task now: [`Queue::next_class`] skips it.
     Blocked,
 }
 
--- a/crates/onyxshed-policy/src/running.rs
+++ b/crates/onyxshed-policy/src/running.rs
@@ -5,7 +5,7 @@
 use crate::fleet::ExecutorKey;
 use crate::queue::Ticket;
 
-/// One copy of a task on one executor.
+/// One copy of a task, sent to one executor and not yet ended.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt {
     /// Executor that the copy was sent to.
--- a/crates/onyxshed-policy/src/upstream.rs
+++ b/crates/onyxshed-policy/src/upstream.rs
@@ -10,7 +10,7 @@
 use crate::queue::Queue;
 use crate::span::to_micros;
 
-/// Age after which the capacity is recomputed.
+/// Age after which the capacity is recomputed, since speeds and breakers change.
 const CAPACITY_TTL: Millis = Millis(100);
 
 /// Retry tokens per finished task.
@@ -65,11 +65,11 @@
 #[derive(Debug, Clone, Default)]
 pub struct Capacity {
     tiers: Vec<CapacityTier>,
-    /// Executors that are configured, have slots and are not draining.
+    /// Number of executors that are configured, have slots and are not draining.
     pub schedulable: usize,
-    /// Executors that get tasks other than probes.
+    /// Number of schedulable executors that get tasks other than probes.
     pub usable: usize,
-    /// When the first probe may be sent; `None` if no breaker is open.
+    /// When the first probe may be sent; `None` if no schedulable executor has an open breaker.
     pub probe_at: Option<Mono>,
 }
 
@@ -85,22 +85,23 @@
         self.tiers.last().map_or(0.0, |tier| tier.effective_slots)
     }
 
-    /// Returns the slowdown of the fastest usable executor.
+    /// Returns the slowdown of the fastest usable executor; 1 if none is usable.
     pub fn fastest_slowdown(&self) -> f64 {
         self.tiers
             .first()
             .map_or(ORDINARY_SLOWDOWN, |tier| tier.slowdown)
     }
 
-    /// Returns the mean slowdown of the usable executors.
+    /// Returns the mean slowdown of the usable executors, over slots weighted by speed; 1 if none
+    /// is usable.
     pub fn mean_slowdown(&self) -> f64 {
         self.tiers.last().map_or(ORDINARY_SLOWDOWN, |tier| {
             tier.slots / tier.effective_slots.max(f64::MIN_POSITIVE)
         })
     }
 
-    /// Returns the totals over the executors clearly faster than `slowdown`; `None` if there are
-    /// none.
+    /// Returns the totals over the usable executors whose slowdown is below `slowdown` divided by
+    /// `FASTER_RATIO_MIN`; `None` if there are none.
     pub fn faster_than(&self, slowdown: f64) -> Option<FasterExecutors> {
         let below = slowdown / FASTER_RATIO_MIN;
         let count = self.tiers.partition_point(|tier| tier.slowdown < below);
@@ -148,7 +149,7 @@
 /// Queue, executors, budgets and capacity of one upstream, from the point of view of this host.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Queued tasks.
+    /// Tasks that wait for an executor of this upstream, including delayed tasks.
     pub queue: Queue,
     /// Keys of its executors, in ascending order.
     pub members: Vec<ExecutorKey>,
@@ -156,7 +157,7 @@
     pub scan: ScanScope,
     /// Capacity, at most `CAPACITY_TTL` old when it is read after a refresh.
     pub capacity: Capacity,
-    /// Rate of arriving work.
+    /// Rate of arriving work of all classes; above the capacity, the upstream is overloaded.
     pub offered_load: OfferedLoad,
     /// Retry tokens, which finished tasks refill.
     pub retries: Budget,
@@ -164,7 +165,8 @@
     pub hedges: Budget,
     /// When the upstream is checked again without an event; `None` if no wakeup is scheduled.
     pub wake_at: Option<Mono>,
-    /// Rotation of the last scan that had more executors than one scan checks.
+    /// Position, among the executors to be checked, at which the last scan began that had more of
+    /// them than one scan checks. It advances with each such scan.
     pub scan_offset: usize,
     capacity_valid_until: Mono,
     mean_us: f64,
@@ -189,7 +191,7 @@
 }
 
 impl Upstream {
-    /// Returns whether the capacity is stale.
+    /// Returns whether the capacity is older than `CAPACITY_TTL` or was invalidated.
     pub fn is_capacity_stale(&self, now: Mono) -> bool {
         self.capacity_valid_until <= now
     }
@@ -219,7 +221,9 @@
         }
     }
 
-    /// Records a finished task, and its service time normalized by the executor's speed.
+    /// Adds the retry and hedge tokens of a finished task, and updates the mean service time by
+    /// `normalized_us`, the service time divided by the executor's slowdown. `None` if the executor
+    /// reported no service time.
     pub fn record_finished(&mut self, normalized_us: Option<f64>) {
         self.retries.record_finished();
         self.hedges.record_finished();
--- a/crates/onyxshed-policy/src/work.rs
+++ b/crates/onyxshed-policy/src/work.rs
@@ -10,7 +10,7 @@
 /// An executor that tasks can be placed on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExecutorInfo {
-    /// Name of the executor.
+    /// Name of the executor, which [`NextStep::Start`] and [`AttemptEnd`] refer to.
     pub name: ExecutorName,
     /// Upstream that the executor serves.
     pub upstream: UpstreamName,
@@ -27,36 +27,37 @@
 /// A task to be queued for an executor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QueuedTask {
-    /// Id of the task.
+    /// Id of the task: the submission of its job and the index of the task in the job.
     pub task: TaskId,
     /// Class of the task, which must be configured.
     pub class: ClassName,
     /// Time by which the task must finish; a queued task that can no longer meet it is dropped.
     pub deadline: Mono,
-    /// Whether the task may run more than once.
+    /// Whether the task may run more than once. Only such a task is hedged, or retried after an
+    /// attempt that may have started it.
     pub may_run_twice: bool,
 }
 
-/// Decision whether a new job is admitted.
+/// Decision of [`Policy::admit`](crate::Policy::admit) whether a new job is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// The job is admitted.
     Accept,
     /// The job is refused; none of its tasks has run.
     Refuse {
-        /// Reason for the refusal.
+        /// Result code that says why the job is refused.
         code: ResultCode,
         /// Time after which the caller should retry.
         retry_after_ms: Millis,
     },
 }
 
-/// The next action of the dispatch.
+/// The next action of the dispatch, returned by [`Policy::next`](crate::Policy::next).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextStep {
     /// Send the task to the executor.
     Start {
-        /// Id of the task.
+        /// Task to send.
         task: TaskId,
         /// Executor to send the task to.
         executor: ExecutorName,
@@ -88,14 +89,15 @@
     Lost,
 }
 
-/// The end of an attempt.
+/// The end of an attempt, which the dispatch passes to
+/// [`Policy::apply_attempt_end`](crate::Policy::apply_attempt_end).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptEnd {
-    /// Id of the task.
+    /// Task of which the attempt was a copy.
     pub task: TaskId,
     /// Executor that the attempt was sent to.
     pub executor: ExecutorName,
-    /// How the attempt ended.
+    /// Outcome of the attempt, on which a retry and the signal to the breaker depend.
     pub outcome: AttemptOutcome,
     /// Run time of the task as reported by the executor; `None` if it reported none.
     pub service_us: Option<Micros>,
--- a/crates/onyxshed-policy/tests/policy/faults.rs
+++ b/crates/onyxshed-policy/tests/policy/faults.rs
@@ -17,7 +17,8 @@
 /// Minimum share of deadlines that a class meets while executors fail.
 const HITS_MIN: f64 = 0.95;
 
-/// Maximum share of messages that contribute to no answer while executors fail.
+/// Maximum number of messages that contribute to no answer, per answered task, while executors
+/// fail.
 const WASTED_MAX: f64 = 0.10;
 
 fn fleet_with(fault: Fault, indices: std::ops::Range<usize>) -> Vec<ModelExecutor> {
--- a/crates/onyxshed-policy/tests/policy/model.rs
+++ b/crates/onyxshed-policy/tests/policy/model.rs
@@ -37,7 +37,7 @@
     Wake(usize),
 }
 
-/// State of the whole model.
+/// The model with its entry hosts, executors, callers and pending events.
 pub struct Model {
     pub policies: Vec<Policy>,
     pub tallies: Vec<Tally>,
--- a/crates/onyxshed-policy/tests/policy/parts.rs
+++ b/crates/onyxshed-policy/tests/policy/parts.rs
@@ -12,11 +12,11 @@
 use onyxshed_core::{ClassTarget, TaskId};
 use onyxshed_policy::ExecutorInfo;
 
-/// Fault of an executor.
+/// Fault that an executor of the model has during [`ModelExecutor::fault_ms`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     None,
-    /// Tasks take this many times as long.
+    /// Tasks take longer by this factor.
     Slow(f64),
     /// Every task fails immediately.
     FailsAll,
@@ -98,7 +98,7 @@
     }
 }
 
-/// A job that has not ended.
+/// A job that was admitted and has not ended.
 #[derive(Debug)]
 pub struct Job {
     pub stream: usize,
@@ -109,7 +109,7 @@
     pub is_done: Vec<bool>,
 }
 
-/// Results of one stream's jobs.
+/// Counts of one stream's jobs by their results.
 #[derive(Default, Clone)]
 pub struct Tally {
     pub offered: u64,
--- a/crates/onyxshed-pool/examples/decision-cost.rs
+++ b/crates/onyxshed-pool/examples/decision-cost.rs
@@ -27,7 +27,7 @@
 /// Simulated time between two ticks, in microseconds.
 const TICK_US: u64 = 20_000;
 
-/// A pool and its executing runs.
+/// A pool whose runs end on demand, and the runs that execute, oldest first.
 struct Harness {
     pool: Pool,
     rng: SmallRng,
--- a/crates/onyxshed-pool/src/executor.rs
+++ b/crates/onyxshed-pool/src/executor.rs
@@ -30,7 +30,7 @@
     pub started_at: Option<UnixMs>,
 }
 
-/// State of a run that was ordered.
+/// Whether a run was ordered, executes according to the executor, or is being stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RunState {
     /// The start order was sent, and the executor has not confirmed that the run executes.
@@ -137,8 +137,8 @@
         span
     }
 
-    /// Removes one failure, because its task also failed on other executors. The executor is no
-    /// longer avoided once no failure is left.
+    /// Removes one failure, because the task that failed here also failed on other executors. If no
+    /// failure is left, the executor is no longer avoided.
     pub fn clear_failure(&mut self, now: Mono) {
         self.failures = self.failures.saturating_sub(1);
         if self.failures == 0 {
@@ -202,7 +202,8 @@
         }
     }
 
-    /// Updates the clock offset by a clock reading from an answer that arrived at `now`.
+    /// Replaces the clock offset by the one that follows from a clock reading in an answer that
+    /// arrived at `now`.
     ///
     /// The clock was read before the answer was sent, so the estimate lags behind the real clock by at most
     /// the transit time. A lease computed from it is never longer than intended.
--- a/crates/onyxshed-pool/src/id.rs
+++ b/crates/onyxshed-pool/src/id.rs
@@ -152,8 +152,9 @@
     }
 }
 
-/// Identifier of a session: a period in which heartbeats of an entry host reach an owner without a
-/// time-out. 0 means no session, as for the owner's own host.
+/// Identifier of a session of an entry host with an owner: the time during which no gap between its
+/// heartbeats reaches `peer_timeout_ms` and the owner's process is not paused. 0 means no session,
+/// as for the owner's own host.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Session(pub u64);
 
--- a/crates/onyxshed-pool/src/job.rs
+++ b/crates/onyxshed-pool/src/job.rs
@@ -14,13 +14,14 @@
     pub peer: PeerIncarnation,
     /// The entry host's number for this submission.
     pub submission: SubmissionNumber,
-    /// Identifier of the job.
+    /// Identifier of the job, chosen by its caller; a resubmission of the job has the same
+    /// identifier.
     pub job: JobId,
     /// Upstream whose executors run the job.
     pub upstream: SmolStr,
     /// Work specification that is passed to the executors unchanged.
     pub spec: SmolStr,
-    /// Number of tasks.
+    /// Number of tasks; their indices start at 0.
     pub tasks: u16,
     /// Resources that each task needs.
     pub demand: Resources,
@@ -62,7 +63,8 @@
         Micros(stretched_us + Micros::from(self.objective).0)
     }
 
-    /// Returns the total work of the job, in thousandths of a core times milliseconds.
+    /// Returns the total work of the job according to the caller's estimate, in thousandths of a
+    /// core times milliseconds.
     pub fn work(&self) -> u64 {
         u64::from(self.tasks) * u64::from(self.demand.cpu_millis.max(1)) * self.estimate.0
     }
@@ -136,28 +138,29 @@
 /// Outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobEnd {
-    /// Every task is done.
+    /// A run of every task has completed.
     Completed,
     /// Runs of a task failed [`JobRequest::attempts_max`] times.
     Failed,
     /// No task ran. The caller may retry after the given delay.
     NotRun(NotRunReason, Millis),
-    /// Some tasks may have run. Runs that may still execute end shortly afterwards.
+    /// Tasks of the job may have run. Runs that still execute are stopped, or end when their leases
+    /// expire.
     Unknown(UnknownReason),
 }
 
-/// State of a task.
+/// Whether a task waits for an executor, has a current run or is done.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum TaskState {
     /// The task waits for an executor.
     Waiting,
     /// A run of the task was ordered from this executor and may execute.
     Running(ExecutorId),
-    /// The task is done.
+    /// A run of the task has completed.
     Done,
 }
 
-/// A task of a job.
+/// State of one task and the history of its runs.
 #[derive(Debug, Clone)]
 pub(crate) struct Task {
     pub state: TaskState,
@@ -180,7 +183,7 @@
     pub tasks: Vec<Task>,
     pub waiting: u16,
     pub done: u16,
-    /// Whether any run was ordered.
+    /// Whether a run of any task was ordered; if not, the job can end as not run.
     pub has_started: bool,
     /// Mean over the completed tasks of ln(actual / expected run time), and the number of these tasks.
     pub log_ratio: (f64, u32),
@@ -262,7 +265,7 @@
         u16::try_from(index).ok()
     }
 
-    /// Returns the identifier of the task at an index.
+    /// Returns the identifier of a task: the identifier of the job with the task's index.
     pub fn task_id(&self, index: u16) -> TaskId {
         TaskId {
             job: self.request.job,
@@ -288,7 +291,7 @@
         })
     }
 
-    /// Makes a running task wait for an executor again.
+    /// Makes a task whose run has ended without success wait for an executor again.
     pub fn requeue_task(&mut self, index: u16) {
         self.tasks[usize::from(index)].state = TaskState::Waiting;
         self.waiting += 1;
--- a/crates/onyxshed-pool/src/message.rs
+++ b/crates/onyxshed-pool/src/message.rs
@@ -18,7 +18,7 @@
 pub struct StartOrder {
     /// Task to run.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run; a repeated order for the same run has the same number.
     pub run: RunNumber,
     /// Work specification of the job, passed to the executor unchanged.
     pub spec: SmolStr,
@@ -32,9 +32,9 @@
 /// Order to an executor to stop a run, or not to start it if its start order arrives later.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StopOrder {
-    /// Task of the run.
+    /// Task whose run is to stop.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run to stop, counted from 1.
     pub run: RunNumber,
     /// Fencing token of the owner that sends the order.
     pub token: FencingToken,
@@ -57,7 +57,7 @@
     pub answer_within: Millis,
 }
 
-/// Why an executor did not start a run.
+/// Why an executor refused a start order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefuseReason {
     /// The executor has received an order with a higher fencing token, so another host owns the
@@ -71,7 +71,7 @@
     NoRoom,
     /// The executor rejects orders for now (HTTP status 429 or 503).
     Unhealthy,
-    /// The answer has any other status or reason.
+    /// The executor refused the order with a status or reason that no other variant covers.
     Other,
 }
 
@@ -121,9 +121,9 @@
 /// An executing run in an executor's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunningRun {
-    /// Task of the run.
+    /// Task that the run executes.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run, from its start order.
     pub run: RunNumber,
     /// Progress of the run, if the executor reports it.
     pub progress: Option<Percent>,
@@ -135,22 +135,22 @@
     /// Number of this end. The executor counts the ends of all runs, and counts anew after a
     /// restart.
     pub number: u64,
-    /// Task of the run.
+    /// Task that the run executed.
     pub task: TaskId,
-    /// Number of the run.
+    /// Number of the run, from its start order.
     pub run: RunNumber,
-    /// How the run ended.
+    /// Whether the run completed, failed or was stopped.
     pub end: RunEnd,
 }
 
 /// The runs that an executor lists in a report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExecutorLists {
-    /// Reading of the executor's clock.
+    /// Reading of the executor's clock, taken before it sent the report.
     pub clock: UnixMs,
     /// Start time of the reporting incarnation on the executor's clock, if reported.
     pub started_at: Option<UnixMs>,
-    /// Executing runs.
+    /// Runs that execute on the executor, including runs that other owners ordered.
     pub running: Vec<RunningRun>,
     /// Ended runs that no hold order has acknowledged yet.
     pub finished: Vec<FinishedRun>,
@@ -162,7 +162,7 @@
 /// Content of an executor's answer to a hold order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExecutorReport {
-    /// The executing and ended runs.
+    /// The executing runs and the ended runs that are not acknowledged yet.
     Lists(ExecutorLists),
     /// The executor has received an order with a higher fencing token, so another host owns the
     /// pool.
@@ -174,7 +174,7 @@
 /// Answer to a hold order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HoldAnswer {
-    /// The executor answered in time.
+    /// An answer arrived in time: the executor's lists, or the reason why there are none.
     Report(ExecutorReport),
     /// No answer arrived within [`HoldOrder::wait`] plus [`HoldOrder::answer_within`].
     Unknown,
@@ -183,26 +183,29 @@
 /// Output of the state machine, to be carried out by the host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a start order.
+    /// Send the start order to the executor and pass its answer to
+    /// [`crate::Pool::apply_start_answer`].
     Start(ExecutorId, StartOrder),
-    /// Send a stop order.
+    /// Send the stop order to the executor and pass its answer to
+    /// [`crate::Pool::apply_stop_answer`].
     Stop(ExecutorId, StopOrder),
-    /// Send a hold order after a pause.
+    /// Send the hold order to the executor after the given pause and pass its answer to
+    /// [`crate::Pool::apply_hold_answer`].
     Hold(ExecutorId, HoldOrder, Millis),
     /// Report the outcome of a job to its entry host.
     End {
-        /// Incarnation of the entry host.
+        /// Incarnation of the entry host that submitted the job.
         peer: PeerIncarnation,
         /// The entry host's number for the submission.
         submission: SubmissionNumber,
         /// Identifier of the job.
         job: JobId,
-        /// Outcome of the job.
+        /// Outcome of the job, which the entry host reports to the caller.
         end: JobEnd,
     },
     /// Step down as owner, because another host owns the pool.
     StepDown,
-    /// Log a decision.
+    /// Write the decision to the log of the host.
     Log(Decision),
 }
 
@@ -215,9 +218,9 @@
         task: TaskId,
         /// Number of the run.
         run: RunNumber,
-        /// Executor of the run.
+        /// Executor that gets the start order.
         executor: ExecutorId,
-        /// Expected run time on this executor.
+        /// Expected run time on this executor, including its slowdown and the cost of remote data.
         expected: Micros,
         /// Time since the job arrived at its entry host.
         waited: Micros,
@@ -230,7 +233,7 @@
         run: RunNumber,
         /// Executor of the run.
         executor: ExecutorId,
-        /// Why the task was requeued.
+        /// Why the task was requeued, as text for the log.
         reason: &'static str,
     },
     /// An executor reported a run that this owner did not order or no longer tracks; a stop order
@@ -249,9 +252,9 @@
         task: TaskId,
         /// Number of the run.
         run: RunNumber,
-        /// Executor of the run.
+        /// Executor from which the run is moved.
         executor: ExecutorId,
-        /// Estimated remaining time of the run.
+        /// Estimated minimum remaining time of the run on this executor.
         remaining: Micros,
     },
     /// Every run of earlier owners on the executor has ended, so it can get tasks of this owner.
@@ -263,7 +266,7 @@
     ExecutorRecovered(ExecutorId),
     /// An executor gets no tasks for the given time because of failures.
     ExecutorAvoided(ExecutorId, Millis),
-    /// An executor is draining and gets no new tasks.
+    /// The platform now lists an executor as draining; it gets no new tasks.
     ExecutorDraining(ExecutorId),
     /// An executor that the platform no longer lists was removed from the pool.
     ExecutorForgotten(ExecutorId),
--- a/crates/onyxshed-pool/src/offered_load.rs
+++ b/crates/onyxshed-pool/src/offered_load.rs
@@ -22,7 +22,7 @@
 }
 
 impl OfferedLoad {
-    /// Records the work of an arriving job.
+    /// Records the work of an arriving job, in thousandths of a core times milliseconds.
     pub fn record(&mut self, now: Mono, work: u64) {
         self.advance(now);
         self.buckets[bucket_index(self.newest_bucket)] += work;
--- a/crates/onyxshed-pool/src/options.rs
+++ b/crates/onyxshed-pool/src/options.rs
@@ -25,10 +25,10 @@
     /// Like `hold_wait_ms`, for an executor on which nothing runs; default 400 ms. A run that starts
     /// during the wait has its own lease, which outlasts the wait.
     pub idle_wait_ms: Millis,
-    /// Maximum rate by which an executor's clock is slow, in thousandths; default 30. The platform
-    /// guarantees 20.
+    /// Maximum rate by which an executor's clock may lag behind, in thousandths; default 30. The
+    /// platform guarantees at most 20.
     pub clock_drift_millis: u64,
-    /// Allowance for the transit time of an order in the bound on its lease; default 30 ms.
+    /// Allowance for the transit time of an order in [`PoolOptions::lease_bound`]; default 30 ms.
     pub lease_margin_ms: Millis,
     /// Maximum number of start orders for a run; default 3. If none is answered, the run is
     /// stopped.
--- a/crates/onyxshed-pool/src/peers.rs
+++ b/crates/onyxshed-pool/src/peers.rs
@@ -17,7 +17,7 @@
     is_unresponsive: bool,
 }
 
-/// Sessions of entry hosts, by their incarnations.
+/// The current session and last contact of each entry host, by the host's incarnation.
 #[derive(Debug, Default)]
 pub struct PeerSessions {
     peers: BTreeMap<PeerIncarnation, Peer>,
--- a/crates/onyxshed-pool/src/pool.rs
+++ b/crates/onyxshed-pool/src/pool.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns the fencing token of this owner.
+    /// Returns the fencing token of this owner, which all its orders contain.
     pub fn token(&self) -> FencingToken {
         self.token
     }
@@ -208,7 +208,8 @@
         self.send_hold(now, &id, Millis(0));
     }
 
-    /// Records that the platform no longer lists an executor.
+    /// Records that the platform no longer lists an executor. It is still used for
+    /// `unlisted_grace_ms` while it answers.
     pub fn record_unlisted_executor(&mut self, now: Mono, id: &ExecutorId) -> Vec<Action> {
         if let Some(executor) = self.executors.get_mut(id) {
             executor.unlisted_at.get_or_insert(now);
@@ -312,7 +313,7 @@
         ));
     }
 
-    /// Sends a hold order after `pause`, which requests the next report. If the executor is
+    /// Sends a hold order, which requests the next report, after `pause`. If the executor is
     /// acquired, responsive and not idle, the order also renews the leases of its runs.
     fn send_hold(&mut self, now: Mono, id: &ExecutorId, pause: Millis) {
         let token = self.token;
@@ -349,8 +350,8 @@
         self.actions.push(Action::Hold(id.clone(), order, pause));
     }
 
-    /// Ends every job of which no task has started with the outcome "not run", and returns their
-    /// number.
+    /// Ends every job of which no run was ordered with the outcome "not run", and returns the
+    /// number of ended jobs.
     fn return_unstarted_jobs(&mut self, reason: NotRunReason) -> usize {
         let unstarted = self.jobs.iter().filter(|(_, job)| !job.has_started);
         let unstarted: Vec<JobId> = unstarted.map(|(id, _)| *id).collect();
--- a/crates/onyxshed-pool/src/pool/evacuation.rs
+++ b/crates/onyxshed-pool/src/pool/evacuation.rs
@@ -17,11 +17,11 @@
 /// Which tasks may start in the pool's zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ZoneStatus {
-    /// All tasks.
+    /// All tasks may start.
     InService,
-    /// Only tasks of jobs that have started, until the given time.
+    /// Only tasks of jobs that have started may start, until the given time.
     Draining(Mono),
-    /// No tasks.
+    /// No tasks may start.
     Evacuated,
 }
 
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Ends the grace period once it is over, and with it the jobs that still have waiting tasks.
+    /// Ends the grace period once its time is over. From then on, ends the jobs that have waiting
+    /// tasks as unknown.
     pub(super) fn expire_evacuation_grace(&mut self, now: Mono) {
         match self.zone_status {
             ZoneStatus::InService => return,
--- a/crates/onyxshed-pool/src/pool/fit.rs
+++ b/crates/onyxshed-pool/src/pool/fit.rs
@@ -19,7 +19,7 @@
 /// processor that would remain free, in thousandths of a core.
 pub(super) type Fit = (Micros, u32);
 
-/// An executor that accepts tasks, with its free resources and its slowdown.
+/// Free resources and slowdown of an executor that accepts tasks.
 pub(super) struct AvailableExecutor {
     pub id: ExecutorId,
     pub free: Resources,
@@ -38,8 +38,8 @@
     }
 }
 
-/// Returns the largest free processor share of an executor, in thousandths of a core. Returns `None` if
-/// the slice is empty.
+/// Returns the largest free processor share of one of the executors, in thousandths of a core, or
+/// `None` if the slice is empty.
 pub(super) fn max_free_cpu_millis(available: &[AvailableExecutor]) -> Option<u32> {
     available
         .iter()
--- a/crates/onyxshed-pool/src/pool/handover.rs
+++ b/crates/onyxshed-pool/src/pool/handover.rs
@@ -1,10 +1,10 @@
 //! Handover of a pool to its next owner while both owners are running.
 //!
-//! This covers planned stops and a store that assigns the pool to another host. The runs of the old
-//! owner are leased under its fencing token, and the first order of the next owner raises the token at
-//! an executor and fences the old owner off. The next owner therefore asks which executors are still in
-//! use and sends no orders to those. The old owner completes the jobs that it has started, starts no
-//! others, and releases each executor once nothing runs on it.
+//! A handover takes place when an owner is stopped as planned or the store elects another host. The
+//! runs of the old owner are leased under its fencing token, and the first order of the next owner
+//! raises the token at an executor and fences the old owner off. The next owner therefore asks
+//! which executors are still in use and sends no orders to those. The old owner completes the jobs
+//! that it has started, starts no others, and releases each executor once nothing runs on it.
 
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
     Releasing,
 }
 
-/// What the previous owner of the pool still uses.
+/// Executors that the previous owner of the pool still uses, as far as this new owner knows.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) enum Predecessor {
     /// There is no previous owner, or it has released every executor.
@@ -67,7 +67,8 @@
     }
 
     /// Selects a successor if one is needed, and returns the transfer for the host `incarnation`,
-    /// from which a heartbeat just arrived. Returns `None` if that host is not the successor.
+    /// from which a heartbeat just arrived. Returns `None` if that host is not the successor, if
+    /// this owner has stepped down, or if its token permits no further successor.
     ///
     /// `members` are the member names, in the pool's group in the store, of this owner and of the
     /// earlier owners that the store may still regard as the owner.
@@ -100,10 +101,12 @@
         self.stage == HandoverStage::Releasing
     }
 
-    /// Releases the idle executors to the next owner, whose token is `next`, and returns the executors that
-    /// are still in use here.
+    /// Hands the executors over to the next owner, whose token is `next`, and returns the actions
+    /// and the executors that this owner still uses. The host calls this for each query of the next
+    /// owner.
     ///
-    /// Jobs that have started are completed by this owner; the others end as not run.
+    /// The first call ends the jobs that have not started as not run; this owner completes the
+    /// others. Idle executors are released once no started job has waiting tasks.
     pub fn release(&mut self, now: Mono, next: FencingToken) -> (Vec<Action>, Vec<ExecutorId>) {
         self.detect_pause(now);
         if self.token.successor() == Some(next) {
--- a/crates/onyxshed-pool/src/pool/orders.rs
+++ b/crates/onyxshed-pool/src/pool/orders.rs
@@ -11,9 +11,9 @@
 /// not be reached. A full executor ends its next run within about that time.
 const FULL_BACKOFF: Millis = Millis(15);
 
-/// What happens to a run after the answer to its start order.
+/// Next step for a run after the answer to its start order.
 enum RunStep {
-    /// Nothing: the run executes, or the answer is obsolete.
+    /// The run stays as it is: it executes or has ended, or the answer is obsolete.
     Keep,
     /// The run does not execute and never will, for the given reason: the task is requeued.
     Requeue(&'static str),
@@ -27,7 +27,8 @@
 }
 
 impl Pool {
-    /// Applies the answer to a start order.
+    /// Applies the answer to the start order of the run `number` of a task: the run is confirmed,
+    /// ordered again or stopped, or its task is requeued.
     pub fn apply_start_answer(
         &mut self,
         now: Mono,
@@ -177,7 +178,8 @@
         self.send_stop(id, task, number);
     }
 
-    /// Applies the answer to a stop order.
+    /// Applies the answer to the stop order of the run `number` of a task. A run whose stop order
+    /// was accepted stays tracked until a later report does not list it.
     pub fn apply_stop_answer(
         &mut self,
         now: Mono,
@@ -249,7 +251,8 @@
         actions
     }
 
-    /// Records a failed run of a job in an executor's health.
+    /// Records a failed run of a job in an executor's health and logs if the executor is avoided
+    /// for it.
     pub(super) fn record_run_failure(&mut self, now: Mono, id: &ExecutorId, job: JobId) {
         let Some(executor) = self.executors.get_mut(id) else {
             return;
--- a/crates/onyxshed-pool/src/pool/progress.rs
+++ b/crates/onyxshed-pool/src/pool/progress.rs
@@ -20,7 +20,8 @@
 /// Number of stopped runs of a task from which on the task is no longer moved off a slow executor.
 const MOVES_MAX: u32 = 2;
 
-/// Time from a stop order until the run is known to have ended.
+/// Assumed time from a stop order until a report shows that the run has ended; the new run of the
+/// task starts after it.
 const STOP_CONFIRM_TIME: Millis = Millis(60);
 
 /// An executing run and the earliest time at which it can end.
@@ -67,8 +68,10 @@
         }
     }
 
-    /// Returns whether a new run on an executor that is not slow would end within the job's target,
-    /// or while the job's answer is useful, and the current run would not.
+    /// Returns whether the task should be moved to another executor. A new run there must end
+    /// within the job's target, or while the job's answer is useful, and the current run must miss
+    /// that limit. An executor that is not slow must be available, and fewer than `MOVES_MAX` runs
+    /// of the task may have been stopped before.
     fn is_better_elsewhere(&self, now: Mono, forecast: &Forecast) -> bool {
         let task = forecast.task;
         let Some(job) = self.jobs.get(&task.job) else {
--- a/crates/onyxshed-pool/src/pool/stalled.rs
+++ b/crates/onyxshed-pool/src/pool/stalled.rs
@@ -18,8 +18,9 @@
 const STALLED_GRACE: Millis = Millis(100);
 
 impl Pool {
-    /// Ends the jobs that have been stalled for [`STALLED_GRACE`]: no usable executor can run their
-    /// tasks, and they have tasks that need a new or a responsive executor.
+    /// Ends the jobs that have been stalled for [`STALLED_GRACE`]. A job is stalled if no usable
+    /// executor can run its tasks, and it has waiting tasks or runs on an executor that is
+    /// unresponsive or was removed.
     pub(super) fn end_stalled_jobs(&mut self, now: Mono) {
         let before = std::mem::take(&mut self.stalled_since);
         let stalled = self
--- a/crates/onyxshed-pool/src/pool/watch.rs
+++ b/crates/onyxshed-pool/src/pool/watch.rs
@@ -1,4 +1,5 @@
-//! Periodic work: time-outs, load shedding and stuck runs.
+//! Work that the host triggers periodically by [`Pool::tick`]: time-outs of entry hosts and
+//! executors, load shedding, and stopping of stuck runs.
 
 use onyxshed_core::{Micros, Millis, Mono};
 
--- a/crates/onyxshed-pool/src/pool_selector.rs
+++ b/crates/onyxshed-pool/src/pool_selector.rs
@@ -46,12 +46,13 @@
 }
 
 impl PoolSelector {
-    /// Stores the load report of a pool.
+    /// Replaces the load of a pool, including adjustments for submitted jobs, by a new report.
     pub fn update_load(&mut self, pool: &PoolId, load: PoolLoad) {
         self.loads.insert(pool.clone(), load);
     }
 
-    /// Removes a pool whose owner is unreachable.
+    /// Removes the load of a pool whose owner is unreachable, so that no job is submitted to the
+    /// pool before its next report.
     pub fn remove_pool(&mut self, pool: &PoolId) {
         self.loads.remove(pool);
     }
@@ -68,7 +69,9 @@
         load.is_some_and(|load| load.needs_replacement)
     }
 
-    /// Adjusts the load of a pool for a job that was submitted to it, until the owner's next report.
+    /// Adjusts the load of a pool for a submitted job: subtracts the processor of the tasks that
+    /// fit from the free part, and adds the other tasks to the waiting work. The owner's next
+    /// report replaces these figures.
     pub fn record_dispatch(
         &mut self,
         pool: &PoolId,
--- a/crates/onyxshed-pool/src/speed.rs
+++ b/crates/onyxshed-pool/src/speed.rs
@@ -16,19 +16,19 @@
 /// Logarithm of the slowdown above which an executor is slow: a factor of three.
 const SLOW_LOG_RATIO: f64 = 1.1;
 
-/// Logarithm of the factor by which the sample of an unfinished run must exceed the current
-/// slowdown, or 1 if that is higher, to show that the executor has become slow. The factor is five,
-/// since the estimate of a single run may be far too low.
+/// Logarithm of the factor by which the sample of an unfinished run must exceed the larger of the
+/// current slowdown and 1 to show that the executor has become slow. The factor is five, since the
+/// estimate of a single run may be far too low.
 const UNFINISHED_LOG_RATIO: f64 = 1.6;
 
-/// Half-life of the estimate, in seconds. A slow executor gets no long tasks and could not show that it
-/// has recovered; the decay lets it get tasks again.
+/// Half-life of the slowdown's logarithm, in seconds. A slow executor gets no long tasks and could
+/// not show that it has recovered; because of the decay, it gets tasks again.
 const HALF_LIFE_S: f64 = 6.0;
 
 /// Bound on samples: they are clamped to the range from 1/20 to 20.
 const RATIO_MAX: f64 = 20.0;
 
-/// Exponentially decaying estimate of an executor's slowdown.
+/// Estimate of an executor's slowdown, which decays towards 1 while no samples are added.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Slowdown {
     log_ratio: f64,
@@ -37,7 +37,8 @@
 }
 
 impl Slowdown {
-    /// Updates the estimate by a completed run.
+    /// Updates the estimate by a completed run that took `took` and would take `estimate` on an
+    /// executor with slowdown 1.
     pub fn observe(&mut self, now: Mono, took: Micros, estimate: Micros) {
         let sample = log_ratio(took, estimate);
         let current = self.decayed_log_ratio(now);
@@ -91,7 +92,7 @@
     value as f64
 }
 
-/// Multiplies a duration by a factor.
+/// Multiplies a duration by a factor; the result is rounded down and at least zero.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub(crate) fn scaled(span: Micros, factor: f64) -> Micros {
     Micros((as_f64(span.0) * factor).max(0.0) as u64)
--- a/crates/onyxshed-pool/src/successor.rs
+++ b/crates/onyxshed-pool/src/successor.rs
@@ -22,7 +22,7 @@
 /// ms.
 const OFFER_TTL: Millis = Millis(600);
 
-/// Offer of a host to own the pool.
+/// Offer of a host to own the pool, contained in its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SuccessorOffer {
     /// Address at which the host accepts requests as an owner.
@@ -34,7 +34,7 @@
 /// Transfer of a pool's ownership to a successor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnershipTransfer {
-    /// Fencing token of the successor.
+    /// Fencing token for the successor: the token of the transferring owner plus one.
     pub token: FencingToken,
     /// Member names, in the pool's group in the store, of the owners that the store may still
     /// regard as the owner: the last owner that it elected, and every successor since.
@@ -131,7 +131,7 @@
         best.map(|(incarnation, _)| *incarnation)
     }
 
-    /// Records that the successor is taking over the pool.
+    /// Records that the successor, if one was selected, has requested the executors.
     pub fn record_takeover(&mut self) {
         if let Some(successor) = &mut self.successor {
             successor.has_begun_takeover = true;
--- a/crates/onyxshed-pool/src/summary.rs
+++ b/crates/onyxshed-pool/src/summary.rs
@@ -14,13 +14,14 @@
 /// Summary that an entry host logs when it answers a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobSummary {
-    /// Outcome of the job.
+    /// Outcome with which the caller was answered.
     pub end: JobEnd,
     /// Time from the job's arrival to its answer.
     pub took: Millis,
-    /// Time within which the job should have ended, according to the caller's estimate.
+    /// Time from arrival within which the job should have ended, according to the caller's
+    /// estimate.
     pub target: Millis,
-    /// Number of tasks.
+    /// Number of tasks in the job.
     pub tasks: u16,
     /// Caller's estimate of a task's run time.
     pub estimate: Millis,
--- a/crates/onyxshed-pool/tests/pool/fixture.rs
+++ b/crates/onyxshed-pool/tests/pool/fixture.rs
@@ -8,7 +8,7 @@
     SubmissionNumber, TaskId,
 };
 
-/// Incarnation of the host under test.
+/// Incarnation of the host that owns the pool under test; its jobs need no session.
 pub const OWN: PeerIncarnation = PeerIncarnation(1);
 
 /// Incarnation of another entry host.
@@ -100,7 +100,7 @@
     })
 }
 
-/// A pool under test and the actions that it has returned so far.
+/// A pool under test and the actions that it has returned and no `take_` method has removed.
 pub struct Harness {
     pub pool: Pool,
     pub actions: Vec<Action>,
@@ -194,7 +194,7 @@
         self.actions.extend(actions);
     }
 
-    /// Removes and returns the start orders, with their executors' names.
+    /// Removes and returns the start orders, with the names of their executors.
     pub fn take_starts(&mut self) -> Vec<(String, StartOrder)> {
         self.take_matching(|action| match action {
             Action::Start(id, order) => Some((id.to_string(), order.clone())),
@@ -202,7 +202,7 @@
         })
     }
 
-    /// Removes and returns the stop orders.
+    /// Removes and returns the stop orders, with the names of their executors.
     pub fn take_stops(&mut self) -> Vec<(String, StopOrder)> {
         self.take_matching(|action| match action {
             Action::Stop(id, order) => Some((id.to_string(), order.clone())),
@@ -210,7 +210,8 @@
         })
     }
 
-    /// Removes and returns the hold orders.
+    /// Removes and returns the hold orders, with the names of their executors but without their
+    /// pauses.
     pub fn take_holds(&mut self) -> Vec<(String, HoldOrder)> {
         self.take_matching(|action| match action {
             Action::Hold(id, order, _) => Some((id.to_string(), order.clone())),
@@ -218,7 +219,7 @@
         })
     }
 
-    /// Removes and returns the outcomes of jobs.
+    /// Removes and returns the outcomes that the pool has reported for jobs.
     pub fn take_ends(&mut self) -> Vec<(JobId, JobEnd)> {
         self.take_matching(|action| match action {
             Action::End { job, end, .. } => Some((*job, *end)),
--- a/crates/onyxshed-pool/tests/pool/load.rs
+++ b/crates/onyxshed-pool/tests/pool/load.rs
@@ -14,7 +14,7 @@
 use crate::fixture::{job, resources};
 use crate::simulation::{MessageFaults, Simulation, Timeouts};
 
-/// Arrival of the first jobs, when every executor has been acquired.
+/// Time of the first arrivals, by which every executor has been acquired.
 const BEGIN_MS: u64 = 2_000;
 
 /// Duration of the load.
@@ -90,13 +90,13 @@
     (class, request, true_ms)
 }
 
-/// Parameters of a simulated load.
+/// Rate of arriving jobs, faults and time-outs of a simulation.
 #[derive(Debug, Clone, Copy)]
 struct Load {
     jobs_per_s: u64,
     message_faults: MessageFaults,
     timeouts: Timeouts,
-    /// How long callers wait.
+    /// Time after which callers stop waiting for the answers to their jobs.
     deadline: Millis,
 }
 
@@ -112,7 +112,7 @@
     }
 }
 
-/// Simulates a load to its end and checks the answers.
+/// Simulates a load until 20 s after the end of the arrivals and checks the answers.
 fn simulate(load: Load, seed: u64) -> Simulation {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut simulation = Simulation::new(seed, executors(), 2);
--- a/crates/onyxshed-pool/tests/pool/lost.rs
+++ b/crates/onyxshed-pool/tests/pool/lost.rs
@@ -1,4 +1,4 @@
-//! Pools that lose all their executors at once.
+//! Pools that lose all their executors at the same time.
 
 use onyxshed_core::Millis;
 use onyxshed_pool::{ExecutorFacts, HoldAnswer, JobEnd, JobId, NotRunReason, UnknownReason};
--- a/crates/onyxshed-pool/tests/pool/simulation.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation.rs
@@ -35,9 +35,9 @@
 /// How long an owner waits for the answer to an order before it counts as missing.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeouts {
-    /// For start and stop orders.
+    /// Time-out for start and stop orders, from their sending.
     pub order: Millis,
-    /// For reports, in addition to the wait of the hold order.
+    /// Time-out for reports, in addition to the wait of the hold order.
     pub report: Millis,
 }
 
@@ -113,7 +113,7 @@
     paused_until: Mono,
 }
 
-/// A caller's job.
+/// A job of a caller, with its latest submission and its answer.
 pub struct Call {
     pub request: JobRequest,
     pub class: usize,
@@ -232,12 +232,13 @@
         Micros(self.rng.random_range(400..1_600))
     }
 
-    /// Schedules a fault.
+    /// Schedules a fault to be injected at the time `at`.
     pub fn schedule_fault(&mut self, at: Mono, fault: Fault) {
         self.schedule_at(at, Event::Fault(fault));
     }
 
-    /// Schedules a caller's job.
+    /// Schedules the first submission of a caller's job at the time `at`. `true_ms` are the run
+    /// times of its tasks on an executor of speed 1.
     pub fn schedule_call(
         &mut self,
         at: Mono,
@@ -264,7 +265,7 @@
         self.schedule_at(at, Event::Submitted(job));
     }
 
-    /// Runs the simulation until a time.
+    /// Processes the events up to and including the time `until`, which then is the current time.
     pub fn run_until(&mut self, until: Mono) {
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
             if at > until {
--- a/crates/onyxshed-pool/tests/pool/slow.rs
+++ b/crates/onyxshed-pool/tests/pool/slow.rs
@@ -19,7 +19,8 @@
 const SLOW_FACTOR: f64 = 8.0;
 const SEEDS: u64 = 3;
 
-/// Results of one class's jobs that arrived while executors were slow.
+/// Number of one class's jobs that arrived while executors were slow, and of those that met their
+/// objectives.
 #[derive(Debug, Clone, Copy, Default)]
 struct Served {
     total: u32,
--- a/crates/onyxshed-proof/src/caller.rs
+++ b/crates/onyxshed-proof/src/caller.rs
@@ -73,7 +73,8 @@
     UntilRun,
 }
 
-/// Submits a job and returns the result of its final answer.
+/// Submits a job, polls for its answer, and submits it again if `policy` requires that. Returns the
+/// result of the last request.
 pub async fn submit(
     address: SocketAddr,
     submission: Submission,
--- a/crates/onyxshed-proof/src/cluster.rs
+++ b/crates/onyxshed-proof/src/cluster.rs
@@ -27,7 +27,8 @@
 pub use hosts::{EntryHostUnit, ProcessKind};
 pub use topology::{ClusterOptions, Topology};
 
-/// The processes of one test.
+/// The processes of one test, and the folder of their settings and logs. Dropping the value kills
+/// the processes and removes the folder.
 #[derive(Debug)]
 pub struct Cluster {
     pub(crate) options: ClusterOptions,
@@ -118,7 +119,7 @@
         self.hosts.keys().cloned().collect()
     }
 
-    /// Returns the folder that holds settings and logs.
+    /// Returns the folder that contains the settings and logs of the processes.
     pub(crate) fn folder(&self) -> &Path {
         self.folder.path()
     }
--- a/crates/onyxshed-proof/src/cluster/executors.rs
+++ b/crates/onyxshed-proof/src/cluster/executors.rs
@@ -15,7 +15,7 @@
 use super::Cluster;
 use super::topology::{Topology, UPSTREAM};
 
-/// One executor.
+/// One executor of a cluster.
 #[derive(Debug)]
 pub struct ExecutorUnit {
     /// The process of the stand-in.
@@ -34,8 +34,8 @@
         self.is_listed.then(|| self.host.clone())
     }
 
-    /// Returns all task starts in order. They are read from the executor's log, which can still be
-    /// read after the process was killed.
+    /// Returns all task starts that the executor recorded, in order. They are read from the
+    /// executor's log, which can still be read after the process was killed.
     pub fn starts(&self) -> Vec<StartRecord> {
         let log = self.process.log();
         let records = log.lines().map(serde_json::from_str);
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Returns the task starts of all executors.
+    /// Returns the task starts that all executors recorded, in the order of the executors' names.
     pub fn starts(&self) -> Vec<StartRecord> {
         let units = self.executors.values();
         units.flat_map(ExecutorUnit::starts).collect()
--- a/crates/onyxshed-proof/src/cluster/hosts.rs
+++ b/crates/onyxshed-proof/src/cluster/hosts.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// One entry host.
+/// One entry host of a cluster and its two processes.
 #[derive(Debug)]
 pub struct EntryHostUnit {
     /// Name of the host, such as `a1`.
@@ -228,7 +228,8 @@
         others.filter_map(|(_, unit)| unit.peer_route).collect()
     }
 
-    /// Kills a process of a host.
+    /// Kills a process of a host with SIGKILL. [`Cluster::restart`] starts another one in its
+    /// place.
     pub fn kill_process(&mut self, process_kind: ProcessKind, host: &str) -> Result<()> {
         let unit = self.host(host)?;
         unit.process(process_kind)?.kill()?;
--- a/crates/onyxshed-proof/src/cluster/operator.rs
+++ b/crates/onyxshed-proof/src/cluster/operator.rs
@@ -28,7 +28,8 @@
 }
 
 impl Cluster {
-    /// Runs `onyxshed target put` and waits until it exits.
+    /// Runs `onyxshed target put` and waits until it exits. The change is based on the revision
+    /// `based_on`, or on the current revision of the log if that is `None`.
     pub async fn put_target(
         &self,
         target: &ClassTarget,
--- a/crates/onyxshed-proof/src/error.rs
+++ b/crates/onyxshed-proof/src/error.rs
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Creates an error for a request of the test itself.
+    /// Creates an [`Error::Call`] for a request of the test itself that failed.
     pub fn call(request: impl Into<SmolStr>, reason: impl ToString) -> Self {
         Error::Call {
             request: request.into(),
--- a/crates/onyxshed-proof/src/process.rs
+++ b/crates/onyxshed-proof/src/process.rs
@@ -23,7 +23,7 @@
 /// Number of lines from the end of a process's log that are shown when a test fails.
 const LOG_TAIL_LINES: usize = 120;
 
-/// A running process.
+/// A process that a test started. It is killed when this value is dropped.
 #[derive(Debug)]
 pub struct Process {
     name: SmolStr,
@@ -182,12 +182,12 @@
         Ok(self.exit_status()?.is_some() || self.log().contains(EventKind::ProcessDraining.name()))
     }
 
-    /// Returns the process's log, empty if it can't be read.
+    /// Returns the whole text of the process's log, empty if it can't be read.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Returns the last lines of the process's log.
+    /// Returns the last 120 lines of the process's log.
     pub fn log_tail(&self) -> String {
         let text = self.log();
         let lines: Vec<&str> = text.lines().collect();
--- a/crates/onyxshed-proof/src/scenario/checks.rs
+++ b/crates/onyxshed-proof/src/scenario/checks.rs
@@ -21,7 +21,8 @@
 use super::steps::class_target;
 
 impl ScenarioRun {
-    /// Waits until a condition is met.
+    /// Waits until a condition is met, for at most [`WAIT_TIMEOUT`]. The error contains the state
+    /// that was observed last.
     pub(super) async fn wait(&mut self, condition: &Condition) -> Result<()> {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
--- a/crates/onyxshed-proof/src/scenario/grammar.rs
+++ b/crates/onyxshed-proof/src/scenario/grammar.rs
@@ -51,7 +51,7 @@
     "expect",
 ];
 
-/// Parses one statement.
+/// Parses one statement, which is a whole line of a scenario without its indentation.
 pub(super) fn statement(input: &mut &str) -> ModalResult<Step> {
     match FIRST_WORDS[one_of(input, FIRST_WORDS)?] {
         "given" => given(input).map(Step::Given),
--- a/crates/onyxshed-proof/src/scenario/language.rs
+++ b/crates/onyxshed-proof/src/scenario/language.rs
@@ -137,7 +137,7 @@
 pub enum Jobs {
     /// The jobs with these names.
     Named(Vec<SmolStr>),
-    /// All jobs that were submitted so far.
+    /// All jobs that earlier statements have submitted.
     Every,
 }
 
--- a/crates/onyxshed-proof/src/scenario/play.rs
+++ b/crates/onyxshed-proof/src/scenario/play.rs
@@ -8,12 +8,12 @@
 use super::language::{Line, Script};
 use super::scenario_run::ScenarioRun;
 
-/// The failure of a scenario.
+/// Where and why a scenario failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Failure {
     /// The statement that failed, or `at the end` if one of the checks of [`crate::truth`] failed.
     pub at: String,
-    /// The reason of the failure.
+    /// The error of the statement or the check, as text.
     pub reason: String,
     /// The jobs with the results of their requests, and the last lines of the logs.
     pub seen: String,
