--- a/crates/onyxshed-proof/src/scenario/scenario_run.rs
+++ b/crates/onyxshed-proof/src/scenario/scenario_run.rs
@@ -31,7 +31,7 @@
     pub exchange: Rc<RefCell<Exchange>>,
 }
 
-/// A job of a scenario.
+/// A job that a scenario has created, and the requests that were sent for it.
 #[derive(Debug)]
 pub struct Job {
     /// The submission that callers of the job send.
@@ -89,13 +89,13 @@
         }
     }
 
-    /// Starts the cluster.
+    /// Starts the cluster with the options that `given` statements have set.
     pub async fn start(&mut self, topology: &Topology) -> Result<()> {
         self.cluster = Some(Cluster::start(topology, self.options.clone()).await?);
         Ok(())
     }
 
-    /// Returns the cluster.
+    /// Returns the cluster that [`ScenarioRun::start`] has started.
     ///
     /// # Errors
     ///
@@ -105,12 +105,14 @@
         self.cluster.as_mut().ok_or_else(missing)
     }
 
-    /// Returns the last lines of every process's log.
+    /// Returns the last lines of every process's log, or an empty text if the cluster is not
+    /// started.
     pub fn logs(&self) -> String {
         self.cluster.as_ref().map(Cluster::logs).unwrap_or_default()
     }
 
-    /// Returns the names of the selected jobs.
+    /// Returns the names of the jobs that a statement applies to. Named jobs need not have been
+    /// submitted.
     pub fn job_names(&self, jobs: &Jobs) -> Vec<SmolStr> {
         match jobs {
             Jobs::Named(names) => names.clone(),
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Returns the submitted job with this name.
+    /// Returns the job with this name. Fails if it was not submitted.
     pub fn job(&self, name: &SmolStr) -> Result<&Job> {
         let missing = || Error::unmet(format_smolstr!("{name} was not submitted"));
         self.jobs.get(name).ok_or_else(missing)
@@ -218,7 +220,8 @@
         Ok(())
     }
 
-    /// Returns the task starts of all executors.
+    /// Returns the task starts that all executors have recorded. Fails if the cluster is not
+    /// started.
     pub fn starts(&mut self) -> Result<Starts> {
         Ok(Starts::new(self.cluster()?.starts()))
     }
--- a/crates/onyxshed-proof/src/scenario/steps.rs
+++ b/crates/onyxshed-proof/src/scenario/steps.rs
@@ -28,7 +28,8 @@
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl ScenarioRun {
-    /// Executes one statement.
+    /// Executes one statement. Requests about jobs are only sent; later statements wait for their
+    /// answers.
     pub async fn play(&mut self, step: &Step) -> Result<()> {
         match step {
             Step::Given(setting) => {
@@ -255,7 +256,7 @@
     }
 }
 
-/// Creates the class target of a publication.
+/// Returns the class target that a publication describes, with [`UPSTREAM`] as its upstream.
 pub(super) fn class_target(publication: &Publication) -> Result<ClassTarget> {
     let upstream = UPSTREAM.parse();
     Ok(ClassTarget {
--- a/crates/onyxshed-proof/src/scenario/tokens.rs
+++ b/crates/onyxshed-proof/src/scenario/tokens.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Parses the given words, which must follow.
+/// Parses the words of `words` one after another. Fails at the first word that does not follow.
 pub(super) fn expect_words(input: &mut &str, words: &'static str) -> ModalResult<()> {
     for word in words.split(' ') {
         one_of(input, &[word])?;
@@ -56,7 +56,8 @@
     Ok(())
 }
 
-/// Parses the given word if it follows. Returns whether it did.
+/// Parses the word `allowed` if it follows, and returns whether it did. Otherwise, no input is
+/// consumed.
 pub(super) fn accept_word(input: &mut &str, allowed: &'static str) -> bool {
     let checkpoint = input.checkpoint();
     if word(input) == Ok(allowed) {
@@ -106,7 +107,7 @@
     fail_described(input, "a name such as a1 or xa1")
 }
 
-/// Parses names up to and including the word `end`.
+/// Parses one or more names and the word `end` after them, which is not part of the result.
 pub(super) fn names_until(input: &mut &str, end: &'static str) -> ModalResult<Vec<SmolStr>> {
     let mut names = vec![name(input)?];
     while !accept_word(input, end) {
@@ -115,7 +116,7 @@
     Ok(names)
 }
 
-/// Parses names up to the end of the line or the word `until`.
+/// Parses one or more names, up to the end of the line or the word `until`, which is not consumed.
 pub(super) fn names_to_end(input: &mut &str) -> ModalResult<Vec<SmolStr>> {
     let mut names = vec![name(input)?];
     while !input.is_empty() && !input.starts_with("until") {
--- a/crates/onyxshed-proof/src/zone.rs
+++ b/crates/onyxshed-proof/src/zone.rs
@@ -20,7 +20,8 @@
 /// Name of the class whose tasks may run twice.
 pub const MAY_RUN_TWICE: &str = "draw";
 
-/// Starts zone `a` with one executor and publishes both classes.
+/// Starts zone `a` with one executor, and publishes the classes [`AT_MOST_ONCE`] and
+/// [`MAY_RUN_TWICE`].
 pub async fn start(entry_hosts: u32, options: ClusterOptions) -> Cluster {
     let topology = Topology {
         zones: vec!["a".into()],
@@ -99,7 +100,8 @@
     }
 }
 
-/// Returns the time line of a process of an entry host.
+/// Fetches the time line of one process of an entry host: the events that it has recorded and still
+/// keeps.
 pub async fn timeline(
     cluster: &mut Cluster,
     host: &str,
--- a/crates/onyxshed-proof/tests/doors_outward.rs
+++ b/crates/onyxshed-proof/tests/doors_outward.rs
@@ -19,7 +19,8 @@
 use serde_json::json;
 use ulid::Ulid;
 
-/// Returns named replies that are no valid HTTP, or that don't match their head.
+/// Returns replies, each with a name for the summary, that are not valid HTTP or whose body does
+/// not match their head.
 fn broken_replies(headers: &str) -> Vec<(&'static str, CannedReply)> {
     let reply = |more: &str, body: &str| format!("HTTP/1.1 200 OK\r\n{headers}{more}\r\n{body}");
     let chunked = "Transfer-Encoding: chunked\r\n";
@@ -73,7 +74,8 @@
     ]
 }
 
-/// Returns named replies of an executor that are valid HTTP with invalid headers.
+/// Returns replies of an executor, each with a name for the summary, that are valid HTTP with
+/// invalid headers.
 fn executor_replies() -> Vec<(&'static str, CannedReply)> {
     let reply = |headers: &str| -> CannedReply {
         format!("HTTP/1.1 200 OK\r\n{headers}Content-Length: 2\r\n\r\nok").into()
@@ -113,7 +115,8 @@
     }
 }
 
-/// Replaces the executor by a server with this reply, and returns the outcome of a job that reaches it.
+/// Replaces the executor `xa1` in the host list by an executor called `name`, a server that always
+/// sends `reply`, and returns the outcome of a job whose task is sent to that server.
 async fn outcome_with_reply(cluster: &mut Cluster, name: &str, reply: CannedReply) -> String {
     let fake = FakeServer::start(vec![reply]);
     let unit = cluster
@@ -176,7 +179,8 @@
     block_on(zone::wait_until("the real executor serves a job", served));
 }
 
-/// Returns replies of the platform that are invalid HTTP, errors, or have invalid bodies.
+/// Returns replies of the platform that are not valid HTTP, have an error status or have an invalid
+/// body.
 fn platform_replies() -> Vec<CannedReply> {
     let deep = "[".repeat(100_000);
     let gap = r#"{"oldest":0,"next":9,"records":[{"offset":1,"at_ms":0,"data":""},{"offset":3,"at_ms":0,"data":""}]}"#;
--- a/crates/onyxshed-proof/tests/stop.rs
+++ b/crates/onyxshed-proof/tests/stop.rs
@@ -78,9 +78,10 @@
 
 #[test]
 fn only_sigquit_aborts_work_in_flight() {
-    // A task of 25 s is in flight when an operator sends SIGTERM twice. The host reports that it is not
-    // ready, immediately rejects new jobs as "not run", and continues to wait for the task. Only SIGQUIT
-    // ends the process: the caller's connection is closed, and the exit code is the one of SIGQUIT.
+    // A task of 25 s is in flight when an operator sends SIGTERM twice. The host reports that it is
+    // not ready, immediately rejects new jobs as "not run", and continues to wait for the task.
+    // Only SIGQUIT ends the process: the caller's connection is closed, and the process exits with
+    // `QUIT_CODE`.
     let mut cluster = block_on(zone::start(1, ClusterOptions::default()));
     let address = zone::caller_address(&mut cluster, "a1");
     block_on(zone::run_one_job(address, zone::AT_MOST_ONCE));
--- a/crates/onyxshed-proof/tests/support/cases.rs
+++ b/crates/onyxshed-proof/tests/support/cases.rs
@@ -32,7 +32,7 @@
     body.to_string().into_bytes()
 }
 
-/// Creates a GET request.
+/// Creates a GET request with the lines `headers` after its `Host` header.
 pub fn get(path: &str, headers: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: x\r\n{headers}\r\n").into_bytes()
 }
@@ -142,7 +142,7 @@
         .collect()
 }
 
-/// Returns requests with an invalid head, which every HTTP port answers alike.
+/// Returns requests with an invalid head, to which every HTTP port sends the same answers.
 pub fn bad_heads() -> Vec<Case> {
     let endless_line = [b"GET / HTTP/1.1\r\nx: ".as_slice(), &[b'a'; 200_000]].concat();
     let endless_lines = format!("GET / HTTP/1.1\r\n{}", "x: y\r\n".repeat(40_000));
--- a/crates/onyxshed-proof/tests/support/raw.rs
+++ b/crates/onyxshed-proof/tests/support/raw.rs
@@ -32,7 +32,8 @@
     read_all(&mut stream)
 }
 
-/// Reads until the server closes or resets the connection.
+/// Reads until the server closes or resets the connection, and returns everything that was
+/// received. Panics if nothing is received for [`READ_TIMEOUT`].
 pub fn read_all(stream: &mut TcpStream) -> Vec<u8> {
     let mut found = Vec::new();
     match stream.read_to_end(&mut found) {
--- a/crates/onyxshed-proto/src/pool.rs
+++ b/crates/onyxshed-proto/src/pool.rs
@@ -46,7 +46,7 @@
     })
 }
 
-/// Converts the length of a list to the type that messages use.
+/// Returns the length of a list as a `u32`, or an error if it is too large for one.
 pub fn length<T>(list: &[T]) -> capnp::Result<u32> {
     u32::try_from(list.len()).map_err(|error| capnp::Error::failed(error.to_string()))
 }
@@ -135,7 +135,8 @@
     (!text.is_empty()).then_some(text)
 }
 
-/// Returns the number of a reason in messages, which is its index among all reasons of its kind.
+/// Returns the number of a reason in messages: its index in `reasons`, the list of all reasons of
+/// its kind, or 0 if the list does not contain it.
 fn reason_number<T: PartialEq>(reasons: &[T], reason: &T) -> u8 {
     let found = reasons.iter().position(|known| known == reason);
     found
@@ -143,7 +144,7 @@
         .unwrap_or_default()
 }
 
-/// Writes the end of a job.
+/// Writes how a job ended, with the number of the reason if it was not run or its end is unknown.
 pub fn write_end(end: &JobEnd, mut to: pool_end::Builder<'_>) {
     match end {
         JobEnd::Completed => to.set_kind(PoolEndKind::Completed),
@@ -160,7 +161,7 @@
     }
 }
 
-/// Reads the end of a job.
+/// Reads how a job ended. Returns an error if the number of the reason is not known.
 pub fn read_end(from: pool_end::Reader<'_>) -> capnp::Result<JobEnd> {
     let reason = usize::from(from.get_reason());
     let unknown_reason = || capnp::Error::failed("a reason is not known".to_owned());
--- a/crates/onyxshed-proto/src/snapshot.rs
+++ b/crates/onyxshed-proto/src/snapshot.rs
@@ -31,9 +31,11 @@
     pub members: Vec<Member>,
     /// Incarnations of entry hosts that have been declared permanently gone.
     pub gone: Vec<Incarnation>,
-    /// Number of live entry hosts in the receiver's availability zone, including the receiver.
+    /// Number of entry hosts in the receiver's availability zone that are live and not draining,
+    /// including the receiver.
     pub zone_hosts: u32,
-    /// Number of live entry hosts in all availability zones, including the receiver.
+    /// Number of known entry hosts in all availability zones, including the receiver, suspected
+    /// hosts and hosts that only the platform's list contains.
     pub live_hosts: u32,
     /// Stamp of the sender's hybrid logical clock.
     pub hlc: Hlc,
@@ -143,7 +145,7 @@
     })
 }
 
-/// Converts a member's state to the type that messages use.
+/// Converts a member's state to the enum of the schema.
 pub fn encode_state(state: MemberState) -> schema::MemberState {
     match state {
         MemberState::Live => schema::MemberState::Live,
@@ -152,7 +154,7 @@
     }
 }
 
-/// Converts a member's state from the type that messages use.
+/// Converts a member's state from the enum of the schema.
 pub fn decode_state(state: schema::MemberState) -> MemberState {
     match state {
         schema::MemberState::Live => MemberState::Live,
--- a/crates/onyxshed-proto/src/text.rs
+++ b/crates/onyxshed-proto/src/text.rs
@@ -7,7 +7,7 @@
 /// Maximum number of entries in a list of a message.
 pub const LIST_MAX: u32 = 100_000;
 
-/// Parses the text of a field as the type `T`. The name `field` goes into the error.
+/// Parses the text of a field as a `T`. An error about an invalid text contains the name `field`.
 pub fn parse<T>(field: &'static str, text: capnp::Result<capnp::text::Reader<'_>>) -> Result<T>
 where
     T: FromStr,
@@ -18,7 +18,8 @@
         .map_err(|error: T::Err| Error::field(field, error.to_string()))
 }
 
-/// Checks the length of a list before memory is allocated for its entries; returns the length.
+/// Returns the length of a list, or an error if it is above [`LIST_MAX`]. To be called before
+/// memory is allocated for the entries.
 pub fn check_length(field: &'static str, found: u32) -> Result<u32> {
     if found <= LIST_MAX {
         Ok(found)
--- a/crates/onyxshed-settings/src/address.rs
+++ b/crates/onyxshed-settings/src/address.rs
@@ -8,7 +8,7 @@
 use crate::field::Role;
 use crate::position::Position;
 
-/// An address given in a settings file.
+/// An address in a settings file, with the position and path of its field.
 #[derive(Debug, Clone)]
 pub(crate) struct ConfiguredAddress {
     pub(crate) position: Position,
@@ -17,7 +17,8 @@
     pub(crate) role: Role,
 }
 
-/// Parses an address and checks it against its role. Returns `None` if it is invalid.
+/// Parses an address. Returns `None` if it is malformed, has an unspecified IP address in a role
+/// other than [`Role::Listen`], or has port 0 in a role that connects to it.
 pub(crate) fn parse(text: &str, role: Role) -> Option<SocketAddr> {
     let address: SocketAddr = text.parse().ok()?;
     let has_port = address.port() != 0;
@@ -30,7 +31,7 @@
     is_valid.then_some(address)
 }
 
-/// Returns a fault for every address that conflicts with an earlier one.
+/// Returns one fault for every address that conflicts with an earlier one in the file.
 pub(crate) fn duplicates(addresses: &[ConfiguredAddress]) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (index, later) in addresses.iter().enumerate() {
--- a/crates/onyxshed-settings/src/error.rs
+++ b/crates/onyxshed-settings/src/error.rs
@@ -45,7 +45,8 @@
     Unreadable {
         /// The file's name as given.
         file: SmolStr,
-        /// The operating system's or the parser's error message.
+        /// The operating system's or the decoder's error message, or the reason why the content is
+        /// rejected as a whole, such as its size.
         reason: SmolStr,
     },
     /// The file has invalid, missing or unknown fields.
@@ -83,7 +84,8 @@
         }
     }
 
-    /// Returns the numbered result code.
+    /// Returns the numbered result code: [`ResultCode::SettingsUnreadable`] or
+    /// [`ResultCode::SettingsInvalid`].
     pub fn code(&self) -> ResultCode {
         match self {
             SettingsError::Unreadable { .. } => ResultCode::SettingsUnreadable,
--- a/crates/onyxshed-settings/src/field.rs
+++ b/crates/onyxshed-settings/src/field.rs
@@ -31,11 +31,11 @@
 /// The use of an address, which decides which addresses are allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Listened on; port 0 selects a free port.
+    /// The process listens on the address; port 0 selects a free port.
     Listen,
-    /// Listened on and sent to peers, so peers must be able to reach it.
+    /// The process listens on the address and sends it to peers, so they must be able to reach it.
     Advertise,
-    /// Connected to.
+    /// The process connects to the address.
     Dial,
     /// One of a list of addresses to connect to, which may include the process's own.
     Seed,
--- a/crates/onyxshed-settings/src/kind.rs
+++ b/crates/onyxshed-settings/src/kind.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// A fault of one field that follows from the values of others.
+/// A fault of a field whose value is invalid only in combination with those of other fields.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrossFault {
     /// The field at which the fault is reported.
--- a/crates/onyxshed-settings/src/page.rs
+++ b/crates/onyxshed-settings/src/page.rs
@@ -33,7 +33,7 @@
     page
 }
 
-/// Returns a sample file of a kind.
+/// Returns the text of the sample file of a kind, which docs/SETTINGS.md contains.
 pub fn sample(kind: SettingsKind) -> &'static str {
     match kind {
         SettingsKind::Entry => include_str!("../samples/entry.jsonc"),
--- a/crates/onyxshed-soak/src/callers.rs
+++ b/crates/onyxshed-soak/src/callers.rs
@@ -56,7 +56,7 @@
     pub elapsed: Duration,
 }
 
-/// The finished jobs of all callers of one phase.
+/// The jobs that the callers of one phase have submitted and will not submit again.
 pub type SubmittedJobs = Rc<RefCell<Vec<SubmittedJob>>>;
 
 /// Submits jobs one after another until the time `until`. The seed determines the jobs, the pauses
--- a/crates/onyxshed-soak/src/fleet.rs
+++ b/crates/onyxshed-soak/src/fleet.rs
@@ -42,7 +42,7 @@
     pub hosts: usize,
     /// The number of executors in each zone.
     pub executors: usize,
-    /// The accuracy of the executors' clocks.
+    /// Whether the executors' clocks are accurate.
     pub clocks: ExecutorClocks,
 }
 
@@ -294,7 +294,7 @@
         request.await.ok().map(|reply| reply.status)
     }
 
-    /// Waits until every host is ready.
+    /// Waits until every host is ready. Fails after 60 s with the log of a host that is not.
     pub async fn wait_ready(&self) -> Result<()> {
         let started_at = std::time::Instant::now();
         for name in self.host_names() {
--- a/crates/onyxshed-soak/src/fleet/commands.rs
+++ b/crates/onyxshed-soak/src/fleet/commands.rs
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Publishes a version of the manifest whose route has the given latency objective.
+    /// Publishes version `version` of the manifest, whose only route has the latency objective
+    /// `objective_ms`.
     pub async fn put_manifest(&self, version: u64, objective_ms: u64) -> Result<()> {
         let manifest = json!({
             "version": version,
@@ -88,7 +89,7 @@
         self.post_command(control, "control/mode", body).await
     }
 
-    /// Replaces the faults of the store.
+    /// Replaces all faults of the store; the default value of `faults` ends them.
     pub async fn set_store_faults(&self, faults: &StoreFaults) -> Result<()> {
         let body = serde_json::to_vec(faults).expect("the value serializes to JSON");
         let store = self.store.address("store")?;
@@ -103,7 +104,8 @@
             .await
     }
 
-    /// Returns the number of joins and of renewals of memberships in all groups of the store so far.
+    /// Returns the number of joins and of renewals of memberships in all groups since the store
+    /// started.
     pub async fn join_count(&self) -> Result<u64> {
         let store = self.store.address("store")?;
         let path = "control/joins";
--- a/crates/onyxshed-soak/src/run.rs
+++ b/crates/onyxshed-soak/src/run.rs
@@ -30,13 +30,14 @@
 /// The options of one soak.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
-    /// The seed of the plan of faults and of the jobs.
+    /// The seed from which the plan of faults and the jobs are drawn.
     pub seed: u64,
     /// The processes to start.
     pub fleet: FleetOptions,
     /// The number of callers that submit jobs concurrently.
     pub callers: usize,
-    /// The time during which faults are injected.
+    /// The time from the start of the plan within which all faults begin; each lasts for its own
+    /// duration.
     pub length: Duration,
     /// The kinds of faults.
     pub mix: FaultMix,
@@ -75,7 +76,8 @@
     pub logs: Option<String>,
 }
 
-/// Runs one soak on the current thread.
+/// Runs one soak on the current thread. Promises that were broken are listed in the report; an
+/// error means that a process could not be controlled or a host did not become ready.
 pub fn soak(options: &SoakOptions) -> Result<Report> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(options, executor.clone())))
--- a/crates/onyxshed-soak/tests/hosts/evacuation.rs
+++ b/crates/onyxshed-soak/tests/hosts/evacuation.rs
@@ -58,7 +58,8 @@
     wait_until_logged(fleet, &fleet.host_names(), &["PoolLinkUp", "PoolOwned"], 2).await;
 }
 
-/// Waits until the log of each of the hosts contains the words `count` times in total.
+/// Waits until the last 120 lines of each host's log contain `words` at least `count` times in
+/// total.
 async fn wait_until_logged(fleet: &Fleet, hosts: &[SmolStr], words: &[&str], count: usize) {
     let started_at = Instant::now();
     let word_count = |host| {
@@ -100,8 +101,8 @@
     counts
 }
 
-/// Guards against starts of tasks in an evacuated zone, callers there who are not served, and a zone that
-/// stays unused after it is restored.
+/// Guards against starts of tasks in an evacuated zone, against callers in that zone that are not
+/// served, and against a zone that stays unused after it is restored.
 #[test]
 fn callers_of_an_evacuated_zone_are_served_elsewhere_until_it_is_restored() {
     block_on(async {
--- a/crates/onyxshed-soak/tests/hosts/support.rs
+++ b/crates/onyxshed-soak/tests/hosts/support.rs
@@ -55,7 +55,8 @@
         "phases": [{"count": tasks, "cpu": 1_000, "mem_mb": 1, "est_runtime_ms": ms}]})
 }
 
-/// Polls until there is a value and returns it; fails with the condition after the timeout.
+/// Calls `poll` every 20 ms until it returns a value, and returns that value. Panics with
+/// `condition` after [`TIMEOUT`].
 pub async fn wait_until<T>(condition: &str, mut poll: impl AsyncFnMut() -> Option<T>) -> T {
     let started_at = Instant::now();
     loop {
@@ -107,8 +108,9 @@
     .await;
 }
 
-/// Waits until the owner of the pool of a zone with two executors holds both executors, and returns
-/// the owner's index. An owner that is cut off before that can serve no caller.
+/// Waits until the owner of the pool, in a fleet of one zone with two executors, has taken both
+/// executors, and returns the index of the owner's host. An owner that is cut off before that can
+/// serve no caller.
 pub async fn wait_for_owner(fleet: &Fleet) -> usize {
     let names = fleet.host_names();
     let owner = names
--- a/crates/onyxshed-soak/tests/seeds.rs
+++ b/crates/onyxshed-soak/tests/seeds.rs
@@ -24,8 +24,9 @@
     require_no_violations(&report).expect("no promise is broken");
 }
 
-/// One host is stopped twice or three times within its grace. Six seconds after the second stop, the soak
-/// itself killed the process that it had started after the first one, and callers were cut off.
+/// One host is asked to stop twice or three times within the 6 s after which a stopped host is
+/// killed. Six seconds after the second stop, the soak itself killed the process that it had
+/// started after the first stop, and callers were cut off.
 #[rstest]
 #[case(940)]
 #[case(943)]
@@ -40,7 +41,7 @@
 
 /// A job that fails in every run put all three executors of a zone out of use for up to a second,
 /// and jobs that would miss their deadline by then were refused immediately: with these seeds, 35
-/// of 39 and 36 of 42 callers were served after all faults had ended.
+/// of 39 and 36 of 42 jobs were served after all faults had ended, fewer than the required 90%.
 #[rstest]
 #[case(903)]
 #[case(904)]
@@ -73,8 +74,8 @@
     run_without_violations(&options);
 }
 
-/// Guards against starts of tasks in an evacuated zone while owners and executors are killed, and against
-/// callers who are not served after the zones are restored.
+/// Guards against starts of tasks in an evacuated zone while owners and executors are killed, and
+/// against callers that are not served after the zones are restored.
 #[rstest]
 #[case(51)]
 #[case(52)]
--- a/crates/onyxshed-standins/src/error.rs
+++ b/crates/onyxshed-standins/src/error.rs
@@ -36,5 +36,5 @@
     }
 }
 
-/// A result whose error is an [`Error`].
+/// Result of starting a stand-in.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-standins/src/faults/control.rs
+++ b/crates/onyxshed-standins/src/faults/control.rs
@@ -29,7 +29,7 @@
     /// The mode in force.
     #[serde(flatten)]
     pub mode: Mode,
-    /// The number of connections accepted so far.
+    /// The number of connections accepted since the route was opened.
     pub connections: u64,
 }
 
--- a/crates/onyxshed-standins/src/faults/mode.rs
+++ b/crates/onyxshed-standins/src/faults/mode.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// The treatment of a route's connections.
+/// What the proxy does with the connections of a route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "mode", rename_all = "snake_case")]
 pub enum Mode {
@@ -64,7 +64,7 @@
 pub struct SetMode {
     /// Names of routes; a name that ends in `*` matches all routes with that prefix.
     pub routes: Vec<SmolStr>,
-    /// The new mode.
+    /// The mode to set on these routes.
     #[serde(flatten)]
     pub mode: Mode,
 }
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NewRoute {
-    /// The name of the route.
+    /// The name of the route, by which `POST /control/mode` selects it.
     pub name: SmolStr,
     /// The target of new connections. If a route of that name exists, only its target changes.
     pub to: SocketAddr,
--- a/crates/onyxshed-standins/src/faults/route.rs
+++ b/crates/onyxshed-standins/src/faults/route.rs
@@ -74,17 +74,20 @@
         self.mode.get()
     }
 
-    /// Returns the number of connections accepted so far.
+    /// Returns the number of connections accepted since the route was created, including those that
+    /// were closed immediately.
     pub fn connections(&self) -> u64 {
         self.connections.get()
     }
 
-    /// Returns the notifier of mode changes.
+    /// Returns the notifier that wakes the pumps of the route's connections after each change of
+    /// the mode.
     pub(super) fn changed(&self) -> &Notifier {
         &self.changed
     }
 
-    /// Accepts connections and forwards them until dropped.
+    /// Accepts connections and forwards each of them to the target, until the future is dropped. In
+    /// [`Mode::Cut`], new connections are closed immediately.
     pub async fn run(self: Rc<Self>, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
--- a/crates/onyxshed-standins/src/fleet/executor.rs
+++ b/crates/onyxshed-standins/src/fleet/executor.rs
@@ -43,13 +43,13 @@
 /// renew has expired.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The longest time that a run waits before it takes a change of the executor's speed into account.
+/// The longest time until a run in progress detects that the executor's speed has changed.
 const SPEED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The parsed spec of a task.
 #[derive(Debug, Clone, Copy)]
 struct TaskSpec {
-    /// The time that the task takes at speed 1.
+    /// The time that the task needs at speed 1.
     work: Micros,
     /// Whether the task fails at its end.
     fails: bool,
@@ -79,7 +79,7 @@
     pub cpu_millis: u32,
     /// The speed, by which the times in the specs of tasks are divided.
     pub speed: f64,
-    /// The time by which the clock is ahead, in milliseconds.
+    /// The time by which the clock is ahead of the true time, in milliseconds.
     pub clock_ahead_ms: u64,
     /// The part of the elapsed time by which the clock is slow, in thousandths.
     pub clock_slow_millis: u64,
@@ -148,7 +148,8 @@
     run_ended: Notifier,
 }
 
-/// Returns the resources that each task occupies: half of the executor's CPU, so that two fit.
+/// Returns the resources that each task occupies: half of the executor's CPU, so that two tasks can
+/// run at the same time.
 fn demand(capacity_cpu_millis: u32) -> Resources {
     Resources {
         cpu_millis: capacity_cpu_millis / 2,
@@ -198,7 +199,7 @@
         Mono(u64::try_from(us).unwrap_or(u64::MAX))
     }
 
-    /// Writes the executor's entry to the store at an interval until dropped.
+    /// Writes the executor's entry to the store every 500 ms until the future is dropped.
     pub async fn register(self, address: SocketAddr) {
         let options = &self.inner.options;
         let address = options.advertised.unwrap_or(address);
@@ -219,7 +220,8 @@
         }
     }
 
-    /// Checks the lease at an interval until dropped, and stops all runs when it has expired.
+    /// Checks the lease every 10 ms until the future is dropped, and stops all runs when it has
+    /// expired.
     pub async fn watch_leases(self) {
         loop {
             Timer::after(LEASE_CHECK_INTERVAL).await;
@@ -345,8 +347,8 @@
         }
     }
 
-    /// Returns the time that a run still takes at the present speed; `None` if its work is done or it is no
-    /// longer in progress.
+    /// Returns the time that a run still needs at the present speed; `None` if its work is done or
+    /// it is no longer in progress.
     fn remaining_time(&self, task: TaskId, run: RunNumber) -> Option<Duration> {
         let model = self.inner.model.borrow();
         let is_running = model
@@ -357,7 +359,7 @@
         (is_running && remaining.0 > 0).then(|| Duration::from_micros(remaining.0))
     }
 
-    /// Handles a change of the speed, which applies to runs in progress as well.
+    /// Sets the speed that the body of the call contains, also for runs in progress.
     fn set_speed(&self, call: &Call) -> ServerAction {
         match read_json::<f64>(&call.body) {
             Ok(speed) if speed > 0.0 => {
--- a/crates/onyxshed-standins/src/fleet/executor_model.rs
+++ b/crates/onyxshed-standins/src/fleet/executor_model.rs
@@ -20,7 +20,7 @@
     pub number: RunNumber,
     /// The resources that the run occupies.
     pub demand: Resources,
-    /// The time that the run takes at speed 1.
+    /// The time that the run needs at speed 1.
     work: Micros,
     /// The part of `work` that was done at `updated_at`.
     work_done: Micros,
@@ -31,13 +31,13 @@
 }
 
 impl ActiveRun {
-    /// Returns the work done at a time, given the speed since `work_done` was updated last.
+    /// Returns the work done at `now`, if the speed has been `speed` since `updated_at`.
     fn work_done_at(&self, now: Mono, speed: f64) -> Micros {
         let since = scaled(now.since(self.updated_at), speed);
         Micros(self.work_done.0.saturating_add(since.0).min(self.work.0))
     }
 
-    /// Returns the share of the work done at a time.
+    /// Returns the percentage of the work that is done at `now`; 0 for a run that is stuck.
     fn percent_at(&self, now: Mono, speed: f64) -> Percent {
         match self.is_stuck {
             true => Percent::new(0),
@@ -46,7 +46,7 @@
     }
 }
 
-/// Multiplies a duration by a factor.
+/// Multiplies a duration by a factor and rounds the result down.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -59,9 +59,9 @@
 /// The state of one executor.
 #[derive(Debug)]
 pub struct ExecutorModel {
-    /// The resources that are free when nothing runs.
+    /// The resources of the executor, all of which are free when nothing runs.
     pub capacity: Resources,
-    /// The factor by which the executor is faster than an ordinary one.
+    /// The factor by which the time that tasks take at speed 1 is divided.
     pub speed: f64,
     /// The start of this incarnation in milliseconds, as the executor reports it.
     pub started_at_ms: u64,
@@ -73,17 +73,18 @@
     pub is_up: bool,
     /// Whether every run fails; only simulations read and set it.
     pub fails_all: bool,
-    /// Whether the runs that start from now on never end.
+    /// Whether the runs that start while this is set make no progress and never end.
     pub is_stuck: bool,
     /// The runs in progress, by task.
     pub runs: BTreeMap<TaskId, ActiveRun>,
-    /// The highest fencing token seen.
+    /// The highest fencing token of the orders received; orders with a lower token are refused.
     token: u64,
     /// The end of the lease by the executor's clock.
     lease_end_ms: u64,
-    /// The highest run number of each task that is not started any more.
+    /// The run number, by task, up to which no run is started any more, because that run has ended
+    /// or was stopped.
     last_barred_runs: BTreeMap<TaskId, u32>,
-    /// The ends that the owner has not seen.
+    /// The ends of runs whose receipt the owner has not confirmed in a hold order.
     ends: Vec<FinishedRun>,
     /// The number of the newest end; ends are numbered from 1.
     last_end_number: u64,
@@ -110,13 +111,13 @@
         }
     }
 
-    /// Returns the time by the executor's clock, in milliseconds.
+    /// Returns the time that the executor's clock shows at the true time `now`, in milliseconds.
     pub fn clock_ms(&self, now: Mono) -> u64 {
         let ms = now.0 / 1_000;
         self.ahead_ms + ms - ms * self.slow_millis / 1_000
     }
 
-    /// Returns the true time by which the lease has expired.
+    /// Returns the true time, rounded up, at which the lease expires by the executor's clock.
     pub fn lease_expires_at(&self) -> Mono {
         let ms = self.lease_end_ms.saturating_sub(self.ahead_ms);
         Mono((ms * 1_000 / (1_000 - self.slow_millis) + 1) * 1_000)
@@ -132,7 +133,8 @@
         self.lease_end_ms = self.lease_end_ms.max(end.0.min(latest_end_ms));
     }
 
-    /// Simulates a crash and a restart: runs, ends, fences and lease are lost.
+    /// Simulates a crash and a restart: runs, ends, fences and lease are lost, and `started_at_ms`
+    /// increases by 1.
     pub fn restart(&mut self) {
         let started_at_ms = self.started_at_ms + 1;
         *self = ExecutorModel {
@@ -149,7 +151,7 @@
         free
     }
 
-    /// Sets the speed from now on, for runs in progress as well.
+    /// Sets the speed as of `now`, also for the rest of the runs in progress.
     pub fn set_speed(&mut self, now: Mono, speed: f64) {
         for run in self.runs.values_mut() {
             run.work_done = run.work_done_at(now, self.speed);
@@ -228,7 +230,8 @@
         StopAnswer::Accepted
     }
 
-    /// Removes the run of a task and adds its end to the report.
+    /// Removes the run of a task, if it has one, and adds the end to those that are reported to the
+    /// owner.
     pub fn end(&mut self, task: TaskId, end: RunEnd) {
         let Some(run) = self.runs.remove(&task) else {
             return;
@@ -271,7 +274,7 @@
         !self.ends.is_empty()
     }
 
-    /// Returns the report of runs in progress and of ends.
+    /// Returns a report of the runs in progress and of the ends that the owner has not seen.
     pub fn report(&self, now: Mono) -> ExecutorReport {
         let running = self.runs.iter().map(|(task, run)| RunningRun {
             task: *task,
--- a/crates/onyxshed-standins/src/fleet/groups.rs
+++ b/crates/onyxshed-standins/src/fleet/groups.rs
@@ -27,7 +27,7 @@
 }
 
 impl Group {
-    /// Joins a member or renews its membership; returns the generation and the partitions that the
+    /// Adds a member or renews its membership; returns the generation and the partitions that the
     /// member holds.
     ///
     /// A member releases a moving partition with its next join, even if the partition is assigned
@@ -68,7 +68,7 @@
         (self.generation, held.collect())
     }
 
-    /// Removes a member from the group.
+    /// Removes a member and begins a new generation; no effect if it is not in the group.
     pub fn leave(&mut self, now: Instant, name: &SmolStr) {
         self.expire(now);
         if self.members.remove(name).is_some() {
--- a/crates/onyxshed-standins/src/fleet/store.rs
+++ b/crates/onyxshed-standins/src/fleet/store.rs
@@ -88,7 +88,7 @@
     topics: RefCell<BTreeMap<SmolStr, Topic>>,
     groups: RefCell<BTreeMap<SmolStr, Group>>,
     faults: RefCell<StoreFaults>,
-    /// The number of joins and renewals of memberships so far.
+    /// The number of joins and renewals of memberships since the store was created.
     joins: Cell<u64>,
     changed: Notifier,
 }
--- a/crates/onyxshed-standins/src/history.rs
+++ b/crates/onyxshed-standins/src/history.rs
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Sets the value as of now.
+    /// Sets the value; views show it after the lag.
     pub fn set(&mut self, value: T) {
         self.changes.push_back((Instant::now(), value));
         self.drop_unneeded(Instant::now());
--- a/crates/onyxshed-standins/src/platform/log.rs
+++ b/crates/onyxshed-standins/src/platform/log.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Drops all records before an offset.
+    /// Drops the records whose offset is lower than `to`.
     pub fn truncate(&mut self, to: Offset) {
         while self
             .records
--- a/crates/onyxshed-standins/src/platform/state.rs
+++ b/crates/onyxshed-standins/src/platform/state.rs
@@ -83,7 +83,7 @@
     pub appends: u64,
     /// The number of appends that took effect, by stream.
     pub appended: BTreeMap<SmolStr, u64>,
-    /// The number of reads of a stream.
+    /// The number of reads of all streams together.
     pub reads: u64,
     /// The number of reads of the host list.
     pub host_lists: u64,
@@ -93,9 +93,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, expecting = "struct Hosts")]
 pub struct HostSet {
-    /// All executors.
+    /// The executors of all upstreams and zones.
     pub executors: Vec<ExecutorHost>,
-    /// All entry hosts.
+    /// The entry hosts of all zones.
     pub entries: Vec<EntryHost>,
 }
 
@@ -106,7 +106,7 @@
     pub(super) ends: BTreeMap<SmolStr, Offset>,
 }
 
-/// The state of the stand-in.
+/// The log, the host list, the faults in force and the counts of the platform's stand-in.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) options: PlatformOptions,
--- a/crates/onyxshed-standins/src/serve.rs
+++ b/crates/onyxshed-standins/src/serve.rs
@@ -41,7 +41,7 @@
         .context(ListenSnafu { address })
 }
 
-/// Accepts and serves connections until dropped.
+/// Accepts connections and answers their requests with `handler`, until the future is dropped.
 pub async fn serve(listener: TcpListener, executor: Rc<LocalExecutor<'static>>, handler: Handler) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
--- a/crates/onyxshed-standins/src/upstream/options.rs
+++ b/crates/onyxshed-standins/src/upstream/options.rs
@@ -35,7 +35,7 @@
     pub service_ms: Option<u64>,
     /// Whether the task fails at the end of its service time.
     pub fail: bool,
-    /// The result; the payload itself if not set.
+    /// The text that the task returns as its result; the payload itself if not set.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub echo: Option<String>,
     /// The length in bytes to which the result is cut, or filled up with dots.
--- a/crates/onyxshed-standins/src/upstream/service.rs
+++ b/crates/onyxshed-standins/src/upstream/service.rs
@@ -91,7 +91,7 @@
         })
     }
 
-    /// Renews the usage report at its interval until dropped.
+    /// Renews the usage report every `usage_lag_ms` until the future is dropped.
     pub async fn report_usage(self) {
         let lag = self.inner.options.usage_lag_ms.into();
         loop {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Runs a task that holds a slot until it finishes, is stopped or its lease expires.
+    /// Runs a task that has a slot until it finishes, is stopped or its lease expires.
     async fn execute(
         &self,
         start: &StartRequest,
@@ -287,7 +287,8 @@
         }
     }
 
-    /// Waits for the task's service time, scaled by the executor's speed and the slow-down in force.
+    /// Waits for the task's service time, scaled by the executor's speed and the slow-down in
+    /// force. Returns immediately while the fault `fail_all` is in force.
     async fn wait_for_service(&self, requested: &Payload) {
         let options = &self.inner.options;
         let (factor, fails_at_once) = {
--- a/crates/onyxshed-standins/src/upstream/tasks.rs
+++ b/crates/onyxshed-standins/src/upstream/tasks.rs
@@ -23,7 +23,7 @@
     pub starter: Incarnation,
     /// The time of the start by the wall clock of this machine.
     pub at_ms: UnixMs,
-    /// The first characters of the payload.
+    /// The first 64 characters of the payload.
     pub content: SmolStr,
 }
 
@@ -80,7 +80,7 @@
 }
 
 impl TaskTable {
-    /// Creates an empty table.
+    /// Creates the table of an executor with this number of slots and this limit of its queue.
     pub fn new(slots: u32, queue_max: u32) -> Self {
         TaskTable {
             slots,
@@ -114,7 +114,8 @@
         Admission::Wait(wake_receiver)
     }
 
-    /// Records the start of a task that holds a slot; the receiver is closed when the task is to stop.
+    /// Records the start of a task that has a slot; the returned receiver is closed when the task
+    /// is to stop.
     pub fn start(&mut self, record: StartRecord) -> Receiver<()> {
         let (stop, stopped) = async_channel::bounded(1);
         self.phases.insert(record.task, Phase::Running(stop));
@@ -137,8 +138,9 @@
         self.record_end(task, TaskState::Refused, Vec::new());
     }
 
-    /// Stops a task and fences its starts: a start of the same starter with this or a lower attempt number
-    /// that arrives later is refused.
+    /// Stops a task and fences its starts: a start of the same starter with this or a lower attempt
+    /// number that arrives later is refused. Returns the state to report, with the result if the
+    /// task had already ended.
     pub fn stop(&mut self, task: TaskId, attempt: Attempt) -> (TaskState, Vec<u8>) {
         let fence = self.fences.entry((task, attempt.starter)).or_default();
         *fence = attempt.number.max(*fence);
@@ -166,7 +168,8 @@
         }
     }
 
-    /// Returns a report with the numbers of running and queued tasks and the given `is_draining`.
+    /// Returns a report that contains the numbers of running and queued tasks, and `is_draining` as
+    /// passed.
     pub fn load(&self, is_draining: bool) -> LoadReport {
         LoadReport {
             running: self.running,
@@ -180,7 +183,8 @@
         &self.starts
     }
 
-    /// Returns the number of starts so far, including those that are not listed.
+    /// Returns the number of starts since the executor was created, including those that are not
+    /// listed.
     pub fn started(&self) -> u64 {
         self.started
     }
--- a/crates/onyxshed-standins/tests/standins.rs
+++ b/crates/onyxshed-standins/tests/standins.rs
@@ -81,7 +81,7 @@
     String::from_utf8_lossy(&reply.body).into_owned()
 }
 
-/// Waits until the reply to a GET contains a text.
+/// Fetches `path` repeatedly until the reply contains `expected`; panics after [`TIMEOUT`].
 async fn wait_until_contains(address: SocketAddr, path: &str, expected: &str) {
     let deadline = Instant::now() + TIMEOUT;
     while !text(address, Get, path, "").await.contains(expected) {
--- a/crates/onyxshed-state/src/claim.rs
+++ b/crates/onyxshed-state/src/claim.rs
@@ -121,8 +121,8 @@
         )
     }
 
-    /// Decides like [`Self::request_start`], and replaces the claim of `gone` if that incarnation
-    /// holds the submission.
+    /// Decides like [`Self::request_start`], but if `gone` holds the submission, queues a claim
+    /// that replaces the claim of `gone`.
     ///
     /// Only for classes whose tasks may run twice, and only when `gone` is considered permanently
     /// gone. If several hosts replace `gone`, only the first of their claims in the log has an
@@ -201,7 +201,8 @@
         )
     }
 
-    /// Applies the result of appending batch number `batch`.
+    /// Applies the result of appending batch number `batch`, and returns the pending claims that
+    /// have timed out.
     ///
     /// The claims of a batch that was not appended are sent again while their jobs wait. If the
     /// answer was lost, the claims stay pending: the batch may be read back at any time.
@@ -334,8 +335,8 @@
         }
     }
 
-    /// Returns the latest wall time seen. If the wall clock is stepped back, ids whose claims were
-    /// forgotten must not become acceptable again.
+    /// Returns the later of `now` and the latest wall time seen. If the wall clock is stepped back,
+    /// ids whose claims were forgotten must not become acceptable again.
     fn latest_time(&self, now: Now) -> UnixMs {
         self.latest_wall.max(now.wall)
     }
--- a/crates/onyxshed-state/src/claim/batch.rs
+++ b/crates/onyxshed-state/src/claim/batch.rs
@@ -24,7 +24,7 @@
 }
 
 impl Outbox {
-    /// Creates an empty outbox.
+    /// Creates an outbox without releases, whose first batch gets the number 1.
     pub(crate) fn new(incarnation: Incarnation) -> Self {
         Outbox {
             incarnation,
--- a/crates/onyxshed-state/src/claim/options.rs
+++ b/crates/onyxshed-state/src/claim/options.rs
@@ -4,7 +4,7 @@
 
 use crate::error::{Error, Result};
 
-/// Limits of the claim book.
+/// Limits and time spans of the claim book.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimOptions {
     /// Ids older than this are rejected; must be less than half of the log's retention. Default 10
@@ -56,8 +56,8 @@
     ///
     /// An id is accepted until a horizon and a skew after its time, and its first claim is appended
     /// no earlier than two skews before its time. So a record older than a horizon and four skews
-    /// only contains ids that every host rejects. Requiring two horizons leaves time to read a long
-    /// backlog.
+    /// only contains ids that every host rejects. The check requires more than twice the larger of
+    /// the horizon and four skews, which leaves time to read a long backlog.
     pub fn check(&self) -> Result<()> {
         let needed = Millis(2 * self.horizon_ms.0.max(4 * self.skew_ms.0));
         if self.retention_ms > needed {
--- a/crates/onyxshed-state/src/claim/pace.rs
+++ b/crates/onyxshed-state/src/claim/pace.rs
@@ -59,8 +59,7 @@
         self.available_nanos = self.available_nanos.min(self.capacity_nanos);
     }
 
-    /// Returns the earliest time of the next append, which is `now` or earlier if a token is
-    /// available.
+    /// Returns the earliest time of the next append, which is `now` if a token is available.
     pub(crate) fn next_append_at(&mut self, now: Mono) -> Mono {
         self.refill(now);
         let missing_nanos = TOKEN_NANOS.saturating_sub(self.available_nanos);
@@ -68,7 +67,7 @@
         Mono(now.0.saturating_add(wait_us))
     }
 
-    /// Removes one token.
+    /// Removes the token of an append that is made now.
     pub(crate) fn take_token(&mut self) {
         self.available_nanos = self.available_nanos.saturating_sub(TOKEN_NANOS);
     }
--- a/crates/onyxshed-state/src/claim/queue.rs
+++ b/crates/onyxshed-state/src/claim/queue.rs
@@ -27,12 +27,12 @@
 }
 
 impl ClaimQueue {
-    /// Returns the number of pending claims.
+    /// Returns the number of pending claims, whether or not they have been sent.
     pub(crate) fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Returns the pending claim on an id, or `None` if no job waits for one.
+    /// Returns the pending claim on an id, or `None` if no job waits for a claim on it.
     pub(crate) fn get(&self, id: Ulid) -> Option<&PendingClaim> {
         self.pending.get(&id)
     }
--- a/crates/onyxshed-state/src/claim/request.rs
+++ b/crates/onyxshed-state/src/claim/request.rs
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Checks the time of an id against the latest clock, which a process that was frozen may not
-    /// have observed yet. Returns the step with which the id is rejected, or `None` if its time is
-    /// acceptable.
+    /// Returns the step with which an id is rejected because of its time, or `None` if its time is
+    /// acceptable. The age of the id is measured by the later of `now` and the latest wall time
+    /// seen, because a process that was frozen may not have recorded the current time yet.
     fn check_time(&self, now: Now, time: UnixMs) -> Option<ClaimStep> {
         let is_old = self.latest_time(now).since(time) > self.options.horizon_ms;
         if is_old || self.table.is_forgotten(time) {
--- a/crates/onyxshed-state/src/claim/step.rs
+++ b/crates/onyxshed-state/src/claim/step.rs
@@ -26,7 +26,7 @@
     AlreadyStarted,
 }
 
-/// Outcome of a claim.
+/// Outcome of a claim that was pending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// This host holds the submission and may start it.
@@ -72,9 +72,9 @@
     pub pending: usize,
     /// Incarnations whose batch numbers are remembered.
     pub claimants: usize,
-    /// Records that could not be decoded.
+    /// Records of the `claims` stream that could not be decoded.
     pub unreadable: u64,
-    /// Batches that were read after a later one of the same claimant and were ignored.
+    /// Batches that were ignored because a later batch of the same claimant was read before them.
     pub stale_batches: u64,
     /// Claims evicted before they expired, because the book was full.
     pub evicted: u64,
--- a/crates/onyxshed-state/src/claim/table.rs
+++ b/crates/onyxshed-state/src/claim/table.rs
@@ -14,7 +14,7 @@
 /// State of a claim from this host's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ClaimState {
-    /// Another host holds the claim.
+    /// Another incarnation holds the claim.
     Foreign,
     /// This host holds the claim and was allowed to start the job.
     Started,
@@ -68,7 +68,7 @@
 }
 
 impl ClaimTable {
-    /// Creates an empty table.
+    /// Creates an empty table that remembers at most `claims_max` claims.
     pub(crate) fn new(claims_max: usize) -> Self {
         ClaimTable {
             claims_max,
@@ -248,7 +248,7 @@
     }
 }
 
-/// Returns the time of the oldest id.
+/// Returns the time of the oldest id; `None` if there are no entries.
 fn oldest_time<T>(entries: &BTreeMap<Ulid, T>) -> Option<UnixMs> {
     entries
         .first_key_value()
--- a/crates/onyxshed-state/src/config.rs
+++ b/crates/onyxshed-state/src/config.rs
@@ -49,7 +49,7 @@
 pub struct Config {
     /// Number of accepted changes that led to this configuration.
     pub revision: Revision,
-    /// Target of every class.
+    /// Target of each configured class.
     pub classes: BTreeMap<ClassName, ClassTarget>,
 }
 
@@ -71,7 +71,7 @@
     Nothing,
 }
 
-/// Options of a [`ConfigFold`].
+/// Property of the log from which a [`ConfigFold`] derives when to publish the configuration again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigOptions {
     /// How long the log retains a record. Default 30 min.
@@ -119,7 +119,8 @@
     backlog: VecDeque<DeferredChange>,
 }
 
-/// The fold of the `config` stream into the configuration.
+/// The configuration folded from the `config` stream, with the state that is needed to apply
+/// further records.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigFold {
     options: ConfigOptions,
@@ -144,7 +145,7 @@
 }
 
 impl ConfigFold {
-    /// Creates an empty fold.
+    /// Creates a fold that has read no record: its configuration has revision 0 and no classes.
     pub fn new(options: ConfigOptions) -> Self {
         ConfigFold {
             options,
@@ -152,7 +153,8 @@
         }
     }
 
-    /// Returns the configuration in force.
+    /// Returns the configuration in force: the adopted one while its revision is higher than that
+    /// of the folded one, otherwise the folded one.
     pub fn config(&self) -> &Config {
         self.adopted
             .as_ref()
--- a/crates/onyxshed-state/src/config/handover.rs
+++ b/crates/onyxshed-state/src/config/handover.rs
@@ -6,7 +6,8 @@
 use super::outcome::RecentChanges;
 use super::{Config, ConfigFold, FoldOutcome};
 
-/// A configuration with its position in the log, as one process hands it to another.
+/// A configuration with its position in the log, as sent from process to process or read from a
+/// snapshot.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Handover {
@@ -16,7 +17,8 @@
     pub folded_to: Offset,
     /// Ids of the last accepted changes, oldest first.
     pub recent_changes: Vec<ChangeId>,
-    /// Append time of the oldest record that a process starting late needs, if known.
+    /// Append time of the oldest record that a process starting late needs to rebuild the
+    /// configuration; `None` if unknown.
     pub needed_since: Option<UnixMs>,
     /// Whether the configuration is based on all records, with none lost.
     pub is_complete: bool,
@@ -116,8 +118,8 @@
 
     /// Returns the fold that results from `handover` and the backlog.
     ///
-    /// Changes in the backlog that `handover` already accounts for are applied again: accepted ones
-    /// are recognized by their ids, and the others are rejected as before.
+    /// Changes in the backlog that `handover` already accounts for are applied again: accepted
+    /// changes are recognized by their ids, and the others are rejected as before.
     pub(super) fn replay(
         &self,
         handover: &Handover,
--- a/crates/onyxshed-state/src/config/outcome.rs
+++ b/crates/onyxshed-state/src/config/outcome.rs
@@ -7,8 +7,8 @@
 
 /// Number of accepted changes that are remembered by id.
 ///
-/// Snapshots contain all of their ids, so a process that starts late and one that has read every
-/// record ignore the same repeated changes.
+/// Snapshots contain all of their ids, so a process that starts late ignores the same repeated
+/// changes as a process that has read every record.
 pub const RECENT_CHANGES: usize = 256;
 
 /// Number of rejected changes that are remembered by id.
@@ -49,12 +49,12 @@
         self.0.iter().copied().collect()
     }
 
-    /// Returns the number of ids.
+    /// Returns the number of remembered ids, at most [`RECENT_CHANGES`].
     pub(super) fn len(&self) -> u64 {
         self.0.len() as u64
     }
 
-    /// Returns whether the change is among the remembered ones.
+    /// Returns whether a change is among the last [`RECENT_CHANGES`] accepted changes.
     pub(super) fn contains(&self, id: ChangeId) -> bool {
         self.0.contains(&id)
     }
--- a/crates/onyxshed-state/src/config/proposal.rs
+++ b/crates/onyxshed-state/src/config/proposal.rs
@@ -42,7 +42,8 @@
     },
     /// The change violated a rule when it was read.
     Invalid,
-    /// The change is not in the log up to the given end and may be appended again.
+    /// The change is not in the log before the `end` that was passed to [`Proposal::resolve`], and
+    /// may be appended again.
     Repeat(Proposal<Ready>),
     /// The fold does not show the result yet; more of the log has to be read.
     Undecided(Proposal<Sent>),
--- a/crates/onyxshed-state/src/config/rules.rs
+++ b/crates/onyxshed-state/src/config/rules.rs
@@ -12,7 +12,8 @@
 /// Maximum number of classes in a configuration.
 pub const CLASSES_MAX: usize = 10_000;
 
-/// Checks a change against the configuration that it is based on.
+/// Checks that a new target is valid and within [`CLASSES_MAX`], or that the class to remove exists
+/// in `config`.
 pub(super) fn check(config: &Config, body: &ChangeBody) -> Result<()> {
     match body {
         ChangeBody::Put(target) => {
@@ -30,7 +31,7 @@
     }
 }
 
-/// Applies a change that satisfies the rules.
+/// Inserts, replaces or removes the target of a class; `body` must have passed [`check`].
 pub(super) fn apply(classes: &mut BTreeMap<ClassName, ClassTarget>, body: ChangeBody) {
     match body {
         ChangeBody::Put(target) => {
--- a/crates/onyxshed-state/src/config/snapshot.rs
+++ b/crates/onyxshed-state/src/config/snapshot.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Returns whether another history replaces this fold's. `order` compares the other history's
-    /// revision with this fold's.
+    /// Returns whether the history of `handover` replaces that of this fold. `order` is the order
+    /// of the revision of `handover` relative to the revision of this fold.
     pub(super) fn is_superseded_by(&self, handover: &Handover, order: Ordering) -> bool {
         match (self.is_tentative, handover.is_complete) {
             (false, true) => false,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Replaces this fold's history by another one.
+    /// Replaces the history of this fold by that of `handover`.
     ///
     /// Changes that this fold has read after the end of the other fold would have to be decided
     /// again on top of the other fold, and they were not kept. In that case this fold becomes
--- a/crates/onyxshed-state/src/error.rs
+++ b/crates/onyxshed-state/src/error.rs
@@ -19,7 +19,7 @@
     /// The change violates a rule for class targets or for the set of classes.
     #[snafu(display("the change is invalid: {reason}"))]
     Invalid {
-        /// The violated rule.
+        /// Description of the violated rule.
         reason: SmolStr,
     },
     /// The change is based on a revision other than the one in force.
--- a/crates/onyxshed-state/src/lib.rs
+++ b/crates/onyxshed-state/src/lib.rs
@@ -1,4 +1,5 @@
-//! State on which all entry hosts agree, derived from the platform's log without any I/O.
+//! State that entry hosts share, derived without any I/O from the platform's log and from the
+//! heartbeats of peers.
 //!
 //! The log's order is the only arbiter between hosts. [`config`] folds the `config` stream into the
 //! configuration in force; [`claim`] decides from the `claims` stream which host may start a
--- a/crates/onyxshed-state/src/member.rs
+++ b/crates/onyxshed-state/src/member.rs
@@ -177,12 +177,13 @@
         self.peers.values().map(Peer::member).collect()
     }
 
-    /// Returns the last heartbeat of a peer that is not gone.
+    /// Returns the last heartbeat of a peer; `None` if the peer is unknown or gone.
     pub fn heartbeat(&self, incarnation: Incarnation) -> Option<&Heartbeat> {
         self.peers.get(&incarnation).map(|peer| &peer.heartbeat)
     }
 
-    /// Returns the state of an incarnation, `None` if it is unknown.
+    /// Returns the state of an incarnation; `None` if it is unknown. This host's own incarnation is
+    /// always live.
     pub fn state(&self, incarnation: Incarnation) -> Option<MemberState> {
         if incarnation == self.own.incarnation {
             return Some(MemberState::Live);
@@ -229,7 +230,8 @@
         1 + known + listed_only
     }
 
-    /// Applies the platform's list of hosts.
+    /// Replaces the platform's list of hosts by `list`, which was current `list.age_ms` before
+    /// `now`.
     pub fn apply_host_list(&mut self, now: Now, list: &HostList) {
         let as_of = Mono(
             now.mono
--- a/crates/onyxshed-state/src/member/gossip.rs
+++ b/crates/onyxshed-state/src/member/gossip.rs
@@ -22,16 +22,16 @@
     pub gone: Option<Incarnation>,
 }
 
-/// A message to send.
+/// A message to a control process, with the address of that process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingGossip {
     /// Address of the receiver's control process.
     pub to: SocketAddr,
-    /// The message.
+    /// The message to send, with the heartbeats of this host and of other hosts.
     pub gossip: Gossip,
 }
 
-/// Effect of a received message.
+/// Membership changes and answer that result from a received message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GossipOutcome {
     /// Membership changes since the last call that returned events.
@@ -113,8 +113,8 @@
 
     /// Applies a heartbeat of another incarnation of this host.
     ///
-    /// It is either a former incarnation that peers still remember, or a newer one that runs beside
-    /// this process and replaces it.
+    /// It is either a former incarnation that peers still remember, or a newer incarnation that
+    /// runs beside this process and replaces it.
     fn apply_own_host_heartbeat(&mut self, now: Now, heartbeat: &Heartbeat, is_direct: bool) {
         if heartbeat.started_at_ms < self.own.started_at_ms {
             self.gone.insert(heartbeat.incarnation, now.mono);
@@ -125,11 +125,12 @@
         }
     }
 
-    /// Admits a new incarnation in place of an older one of the same host.
+    /// Admits a new incarnation, and removes an older incarnation of the same host. Does nothing if
+    /// the table is full.
     ///
     /// If the wall clock of the host stepped back across its restart, the new incarnation looks
-    /// older. It is then admitted once the former one is suspected and the new one has sent a
-    /// message itself.
+    /// older. It is then admitted once the former incarnation is suspected and the new incarnation
+    /// has sent a message itself.
     fn admit(&mut self, now: Now, heartbeat: &Heartbeat, is_direct: bool) {
         let is_same_host = |peer: &&Peer| peer.heartbeat.host == heartbeat.host;
         if let Some(former) = self.peers.values().find(is_same_host) {
@@ -201,7 +202,8 @@
             .collect()
     }
 
-    /// Returns the configured addresses at which no live peer is known.
+    /// Returns the configured addresses, other than this host's own, at which no live peer is
+    /// known.
     fn unreached_seeds(&self) -> Vec<SocketAddr> {
         let is_reached = |seed: &SocketAddr| {
             let mut live = self.peers.values().filter(|p| p.state == MemberState::Live);
--- a/crates/onyxshed-state/src/member/liveness.rs
+++ b/crates/onyxshed-state/src/member/liveness.rs
@@ -31,7 +31,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Continues with a new incarnation of this host, whose former one is gone.
+    /// Continues with a new incarnation of this host, and records the former incarnation as gone.
     ///
     /// The known peers are kept. A new table would not know that the former incarnation, which
     /// still holds claims, is gone.
--- a/crates/onyxshed-state/tests/support/members.rs
+++ b/crates/onyxshed-state/tests/support/members.rs
@@ -65,7 +65,7 @@
 }
 
 impl Network {
-    /// Creates a network of `count` hosts that only have the address of the first one configured.
+    /// Creates a network of `count` hosts, each configured with only the address of the first host.
     pub fn new(count: u16) -> Self {
         let table = |n| {
             let seeds = vec![address(0, 10_000)];
--- a/crates/onyxshed-telemetry/src/budget.rs
+++ b/crates/onyxshed-telemetry/src/budget.rs
@@ -24,7 +24,7 @@
     dropped: u64,
 }
 
-/// The decision about one line.
+/// Whether a line is written, and whether the number of dropped lines is reported before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LineDecision {
     /// Write the line.
--- a/crates/onyxshed-telemetry/src/log.rs
+++ b/crates/onyxshed-telemetry/src/log.rs
@@ -178,7 +178,8 @@
         .map_err(Error::log)
 }
 
-/// A sink that passes lines on and counts those that have been processed.
+/// A sink that passes lines on to `inner`. Counts each line as completed, and also as dropped if
+/// the write failed.
 struct CountingSink {
     inner: Arc<dyn Sink>,
     counts: Arc<Counts>,
--- a/crates/onyxshed-telemetry/src/metric.rs
+++ b/crates/onyxshed-telemetry/src/metric.rs
@@ -104,7 +104,7 @@
     metrics::counter!(name, label => value)
 }
 
-/// Returns a gauge, whose name must end in its unit.
+/// Returns a gauge, whose name must end in its unit if it has one.
 pub fn gauge(name: &'static str, description: &'static str) -> Gauge {
     metrics::describe_gauge!(name, description);
     metrics::gauge!(name)
--- a/crates/onyxshed-telemetry/src/telemetry.rs
+++ b/crates/onyxshed-telemetry/src/telemetry.rs
@@ -24,7 +24,7 @@
     pub version: SmolStr,
     /// The host on which the process runs.
     pub host: SmolStr,
-    /// The incarnation of the process.
+    /// The incarnation of the process, drawn at random at each start.
     pub boot: Incarnation,
     /// Format and level of the log.
     pub log: LogSettings,
@@ -101,7 +101,7 @@
         *self.status_source.borrow_mut() = Some(source);
     }
 
-    /// Returns the log.
+    /// Returns the log, whose queued lines must be flushed before the process exits.
     pub fn log(&self) -> &Log {
         &self.log
     }
--- a/crates/onyxshed-telemetry/src/timeline.rs
+++ b/crates/onyxshed-telemetry/src/timeline.rs
@@ -31,7 +31,7 @@
     pub party: Option<SmolStr>,
     /// Only events at or after this time.
     pub since_ms: UnixMs,
-    /// Largest number of events, of which the newest are returned. Default 1000.
+    /// Maximum number of events to return; if more match, the newest are returned. Default 1000.
     pub limit: usize,
 }
 
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Adds an event, dropping the oldest if the ring is full.
+    /// Adds an event with its texts truncated to [`TEXT_MAX_BYTES`], and drops the oldest event if
+    /// the ring is full.
     pub fn record(&mut self, event: &Event) {
         while self.events.len() >= self.events_max {
             if let Some(oldest) = self.events.pop_front() {
--- a/crates/onyxshed-wire/src/admin.rs
+++ b/crates/onyxshed-wire/src/admin.rs
@@ -29,7 +29,8 @@
 /// Path to which a `POST` request drains the process.
 pub const DRAIN_PATH: &str = "/v1/drain";
 
-/// Maximum size of an answer, in bytes. A full timeline page of events with long texts is smaller.
+/// Maximum size of an answer that the command line accepts, in bytes. A full timeline page of
+/// events with long texts is smaller.
 pub const ANSWER_MAX_BYTES: u64 = 32 << 20;
 
 /// Answer to `GET /v1/status`.
@@ -84,7 +85,7 @@
 /// Answer to a request that could not be served.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Numbered code of the result.
+    /// Numbered code of the reason why the request was not served.
     pub code: ResultCode,
     /// Description of the code, with details of this case.
     pub text: SmolStr,
--- a/crates/onyxshed-wire/src/caller.rs
+++ b/crates/onyxshed-wire/src/caller.rs
@@ -81,7 +81,8 @@
         }
     }
 
-    /// Returns the fingerprint of the submission's content.
+    /// Returns the fingerprint of the class and the payloads, by which another submission with the
+    /// same id is detected.
     pub fn content(&self) -> ContentHash {
         ContentHash::of(&self.class, &self.tasks)
     }
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Suggests a retry after `wait`.
+    /// Sets `retry_after_ms`, the time after which the caller may submit the job again.
     pub fn retry_after(mut self, wait: Millis) -> Self {
         self.retry_after_ms = Some(wait);
         self
--- a/crates/onyxshed-wire/src/platform.rs
+++ b/crates/onyxshed-wire/src/platform.rs
@@ -13,13 +13,13 @@
 
 use crate::error::{Error, Result};
 
-/// Stream of configuration changes.
+/// Stream of configuration changes and of snapshots of the configuration.
 pub const CONFIG_STREAM: &str = "config";
 
-/// Stream of claims on submissions.
+/// Stream of claims on submissions and of releases of such claims.
 pub const CLAIMS_STREAM: &str = "claims";
 
-/// Path of the list of hosts.
+/// Path of the list of hosts; a `GET` of it is answered with a [`HostList`].
 pub const HOSTS_PATH: &str = "/v1/hosts";
 
 /// Maximum size of a record that the log accepts, in bytes.
@@ -40,7 +40,7 @@
 /// A record as read from the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Offset of the record.
+    /// Offset of the record in its stream.
     pub offset: Offset,
     /// Time of the append, on the platform's clock.
     pub at_ms: UnixMs,
@@ -78,14 +78,14 @@
     pub upstream: UpstreamName,
     /// Availability zone of the executor.
     pub zone: ZoneName,
-    /// Rack of the executor under the platform's name for it; empty if not stated.
+    /// The platform's name of the executor's rack; empty if not stated.
     #[serde(default)]
     pub rack: SmolStr,
     /// Address on which the executor accepts tasks.
     pub address: SocketAddr,
     /// Maximum number of tasks that the executor runs at the same time.
     pub slots: u32,
-    /// State of the executor.
+    /// Whether the executor is in service or draining.
     pub state: HostState,
 }
 
@@ -98,7 +98,7 @@
     pub zone: ZoneName,
     /// Address on which the host's control process accepts connections of its peers.
     pub peer_address: SocketAddr,
-    /// State of the host.
+    /// Whether the host is in service or draining.
     pub state: HostState,
 }
 
--- a/crates/onyxshed-wire/src/record.rs
+++ b/crates/onyxshed-wire/src/record.rs
@@ -33,13 +33,13 @@
     pub body: ChangeBody,
 }
 
-/// Maximum size of one claim in a record with its comma, in bytes.
+/// Maximum size of one claim in an encoded record, including the comma after the claim, in bytes.
 pub const CLAIM_MAX_BYTES: usize = 82;
 
-/// Size of one release in a record with its comma, in bytes.
+/// Size of one release in an encoded record, including the comma after the release, in bytes.
 pub const RELEASE_BYTES: usize = 29;
 
-/// Maximum size of a record of claims without its claims and releases, in bytes.
+/// Maximum size of an encoded record of claims that contains no claim and no release, in bytes.
 pub const CLAIM_RECORD_OVERHEAD_BYTES: usize = 128;
 
 /// The complete configuration, published again before the log drops the changes that led to it.
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigSnapshot {
-    /// Revision of the configuration.
+    /// Revision of the configuration that the snapshot contains.
     pub revision: Revision,
     /// Offset up to which the publisher had applied the log: the snapshot is the result of all records
     /// before this offset.
