--- a/crates/onyxshed-cli/src/args.rs
+++ b/crates/onyxshed-cli/src/args.rs
@@ -18,7 +18,7 @@
 pub enum Action {
     /// Checks a settings file.
     Check {
-        /// Path of the settings file.
+        /// The settings file to check; no process is started with it.
         file: PathBuf,
         /// The kind of process that the settings are for.
         kind: SettingsKind,
@@ -47,7 +47,7 @@
     Timeline(TimelineArgs),
     /// Drains a process: it finishes its work in flight, rejects new work and ends.
     Drain {
-        /// The process to drain.
+        /// The process of the settings that has the name given on the command line.
         process: ProcessAddress,
         /// Whether to wait until the process has ended.
         should_wait: bool,
@@ -70,7 +70,7 @@
 pub struct Publish {
     /// The platform whose log the change is appended to.
     pub platform: PlatformArgs,
-    /// The content of the change.
+    /// What the change does; the command adds a new change id and the base revision before sending.
     pub body: ChangeBody,
     /// The revision that the change is based on; `None` for the one in force.
     pub based_on: Option<Revision>,
@@ -108,7 +108,7 @@
 /// A filtered time line of events, from the processes or from log files.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TimelineArgs {
-    /// Source of the events.
+    /// Whether the events come from the memory of running processes or from log files.
     pub source: EventSource,
     /// Whether to show only events that concern no single request, job or submission (`--beliefs`).
     pub general_events_only: bool,
--- a/crates/onyxshed-cli/src/error.rs
+++ b/crates/onyxshed-cli/src/error.rs
@@ -5,7 +5,7 @@
 use smol_str::SmolStr;
 use snafu::Snafu;
 
-/// Error of a command.
+/// A failed command; [`Error::code`] gives the number from which the exit code is derived.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
@@ -18,13 +18,13 @@
     /// The settings can't be used.
     #[snafu(display("{source}"), context(false))]
     Settings {
-        /// The faults in the settings.
+        /// Why the file is unreadable, or its faults; its result code becomes that of the command.
         source: SettingsError,
     },
     /// A call of the platform failed.
     #[snafu(display("{source}"), context(false))]
     Platform {
-        /// The error of the call.
+        /// The failed call; its result code becomes that of the command.
         source: onyxshed_platform::Error,
     },
     /// The change violates a rule of the configuration; nothing was sent.
@@ -33,22 +33,22 @@
         /// The violated rule.
         reason: SmolStr,
     },
-    /// Another change was accepted first.
+    /// The change is based on a revision that is no longer in force, so it had no effect.
     #[snafu(display(
         "another change was accepted first: this one is based on revision {based_on}, but {found} is in force; check it with `onyxshed target list` and publish again"
     ))]
     ChangeRaced {
         /// The revision that the change was based on.
         based_on: Revision,
-        /// The revision in force.
+        /// The revision that was in force instead of `based_on`.
         found: Revision,
     },
-    /// It is not known whether the change was accepted.
+    /// The time limit passed while the change may be on the log, so its outcome is unknown.
     #[snafu(display(
         "it is not known whether the change was accepted ({reason}); check with `onyxshed target history --change {change_id}` before repeating it"
     ))]
     ChangeUndecided {
-        /// Id of the change.
+        /// Id to look for in the history before the change is repeated.
         change_id: ChangeId,
         /// The last failure before the command ended.
         reason: SmolStr,
@@ -61,7 +61,7 @@
     /// The change is not on the log.
     #[snafu(display("change {change_id} is not on the log yet, so it is not accepted"))]
     ChangeNotSeen {
-        /// Id of the change.
+        /// Id given with `--change`, for which the log has no record.
         change_id: ChangeId,
     },
     /// A log file can't be read.
@@ -75,7 +75,7 @@
     /// The requested item does not exist.
     #[snafu(display("there is no {item}"))]
     NotFound {
-        /// Description of the item.
+        /// What is missing, as a phrase such as `class x in revision 3`.
         item: SmolStr,
     },
     /// The change is accepted but not yet in force in every process.
@@ -93,7 +93,7 @@
     Process {
         /// Name of the process in the settings.
         process: SmolStr,
-        /// Reason of the failure.
+        /// The client's error, an unexpected status, or why the reply can't be decoded.
         reason: SmolStr,
     },
     /// A process has not finished draining in time.
@@ -153,5 +153,5 @@
     }
 }
 
-/// The result of a command.
+/// Result whose error is a failed command, with a numbered result code.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/crates/onyxshed-cli/src/logs.rs
+++ b/crates/onyxshed-cli/src/logs.rs
@@ -8,12 +8,12 @@
 
 use crate::error::{Error, Result};
 
-/// One line of a log.
+/// A line of a log that contains an event.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LogLine {
     /// The host that wrote the line.
     pub host: SmolStr,
-    /// The event on the line.
+    /// The event parsed from the first `{` of the line on.
     #[serde(flatten)]
     pub event: Event,
 }
--- a/crates/onyxshed-cli/src/output.rs
+++ b/crates/onyxshed-cli/src/output.rs
@@ -7,7 +7,7 @@
 pub enum Format {
     /// Tables and sentences.
     Human,
-    /// One JSON document.
+    /// One indented JSON document, for programs.
     Json,
 }
 
--- a/crates/onyxshed-cli/src/run.rs
+++ b/crates/onyxshed-cli/src/run.rs
@@ -14,10 +14,10 @@
 use crate::output::{Format, json};
 use crate::{catalogue, check, command, drain, status, target, timeline, trace};
 
-/// The output of a command.
+/// The text that a command prints, and whether anything is missing from it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CommandOutput {
-    /// Text for standard output.
+    /// Text for standard output, already in the requested format.
     pub text: String,
     /// Code of the error that made the output incomplete; `None` if it is complete.
     pub incomplete: Option<ResultCode>,
--- a/crates/onyxshed-cli/src/target/log.rs
+++ b/crates/onyxshed-cli/src/target/log.rs
@@ -30,16 +30,16 @@
     Undetermined,
 }
 
-/// A change on the log.
+/// A change read from the `config` stream; it may have had no effect, see its outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoggedChange {
-    /// Offset of the record.
+    /// Offset of the record in the `config` stream.
     pub offset: Offset,
     /// When the log appended the record.
     pub at: UnixMs,
-    /// The change in the record.
+    /// The change as sent, with its id and the revision that it is based on.
     pub change: ConfigChange,
-    /// Outcome of the change.
+    /// Outcome; [`ConfigLog::changes`] resolves one that was undetermined when read, if it can.
     pub outcome: RecordOutcome,
 }
 
--- a/crates/onyxshed-cli/src/target/publish.rs
+++ b/crates/onyxshed-cli/src/target/publish.rs
@@ -32,7 +32,7 @@
     is_in_force_everywhere: Option<bool>,
 }
 
-/// The next step for a change.
+/// Whether a change is to be appended, looked for on the log, or is accepted.
 enum NextStep {
     /// Append the change, possibly again.
     Append(Proposal<Ready>),
--- a/crates/onyxshed-cli/src/timeline/collapse.rs
+++ b/crates/onyxshed-cli/src/timeline/collapse.rs
@@ -25,7 +25,7 @@
     pub last: Hlc,
     /// Name of the process in which the events happened.
     pub process: SmolStr,
-    /// Kind of the events.
+    /// Kind that all events on the line share.
     pub kind: EventKind,
     /// Submission that the events concern, if any.
     pub submission: Option<SubmissionId>,
--- a/crates/onyxshed-cli/src/timeline/merge.rs
+++ b/crates/onyxshed-cli/src/timeline/merge.rs
@@ -16,7 +16,7 @@
 pub struct Entry {
     /// Name of the process in the settings, or of the host for events from logs.
     pub process: SmolStr,
-    /// The event.
+    /// The event; in JSON, its fields stand beside `process`.
     #[serde(flatten)]
     pub event: Event,
 }
@@ -43,7 +43,7 @@
 pub struct Gap {
     /// Name of the process in the settings, or `the logs` for unreadable lines of log files.
     pub process: SmolStr,
-    /// Reason for the gap.
+    /// One reason; a process has a gap for each that applies.
     pub missing: GapReason,
 }
 
--- a/crates/onyxshed-cli/src/trace/cause.rs
+++ b/crates/onyxshed-cli/src/trace/cause.rs
@@ -12,7 +12,7 @@
 /// Longest duration of a job that still counts as in time, in thousandths of its target. The log contains only the caller's estimate, which is off by a few hundredths at best.
 const IN_TIME_MAX_PER_MILLE: u64 = 1_050;
 
-/// The cause of an answer.
+/// Why a request got its last answer, as far as the logs show.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Cause {
     /// The job ended in time.
@@ -50,7 +50,7 @@
     CallerCancelled,
     /// The caller sent the request again while it ran.
     Superseded,
-    /// The host was stopped.
+    /// The host was stopped before the job ended, so its outcome is unknown.
     HostStopped,
     /// Operators have evacuated the zone, or all zones.
     ZoneEvacuated,
--- a/crates/onyxshed-cli/tests/publish.rs
+++ b/crates/onyxshed-cli/tests/publish.rs
@@ -233,8 +233,8 @@
 
 #[test]
 fn unreadable_records_are_ignored_and_counted() {
-    // Another program appended to the stream: text that is not JSON, a record of an unknown kind, a
-    // change that violates the rules. Every reader ignores the same records, so publishing still works.
+    // Another program appended to the stream: an empty record, a record of an unknown kind, and two
+    // texts that are not JSON. Every reader ignores the same records, so publishing still works.
     standin::with_platform(async |standin| {
         let mut log = ConfigLog::new(args(standin, 60_000));
         for garbage in ["", "{\"change_v9\":{}}", "[[[[", "\u{0}"] {
--- a/crates/onyxshed-control/src/peers.rs
+++ b/crates/onyxshed-control/src/peers.rs
@@ -37,9 +37,9 @@
 /// Identity of this host among its peers, and the parameters of the gossip.
 #[derive(Debug, Clone)]
 pub struct PeerOptions {
-    /// Name of this host.
+    /// Name of this host, sent to peers in its heartbeat.
     pub host: HostName,
-    /// Zone of this host.
+    /// Zone of this host, sent to peers in its heartbeat.
     pub zone: ZoneName,
     /// Address on which peers are served.
     pub address: SocketAddr,
--- a/crates/onyxshed-core/src/event.rs
+++ b/crates/onyxshed-core/src/event.rs
@@ -11,7 +11,7 @@
 use crate::hlc::Hlc;
 use crate::id::{ClassName, SubmissionId};
 
-/// Severity of an event.
+/// Severity of an event, fixed by its kind ([`EventKind::level`]); later variants are more severe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Level {
     /// A step of a single request; kept in the timeline, and logged only if enabled.
@@ -176,7 +176,7 @@
     /// Time of the event on the hybrid logical clock, which orders an event after the events that
     /// caused it, also across processes.
     pub hlc: Hlc,
-    /// Kind of the event.
+    /// Kind of the event, which determines its number, name and severity.
     pub kind: EventKind,
     /// Submission that the event concerns, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/onyxshed-core/src/id/name.rs
+++ b/crates/onyxshed-core/src/id/name.rs
@@ -73,7 +73,7 @@
     "host name"
 );
 name_type!(
-    /// Name of an availability zone.
+    /// Name of the availability zone in which an entry host or an executor is located.
     ZoneName,
     "zone name"
 );
--- a/crates/onyxshed-core/src/units.rs
+++ b/crates/onyxshed-core/src/units.rs
@@ -36,19 +36,19 @@
 }
 
 unit_type!(
-    /// Duration in microseconds.
+    /// Duration in microseconds; `250us` as text, a bare number when serialized.
     Micros(u64), "span in microseconds", "us"
 );
 unit_type!(
-    /// Duration in milliseconds.
+    /// Duration in milliseconds; `250ms` as text, a bare number when serialized.
     Millis(u64), "span in milliseconds", "ms"
 );
 unit_type!(
-    /// Size in bytes.
+    /// Size in bytes; `4096B` as text, a bare number when serialized.
     Bytes(u64), "size in bytes", "B"
 );
 unit_type!(
-    /// Rate in events per second.
+    /// Rate in events per second; `20/s` as text, a bare number when serialized.
     RatePerS(u32), "rate a second", "/s"
 );
 unit_type!(
--- a/crates/onyxshed-dispatch/src/input.rs
+++ b/crates/onyxshed-dispatch/src/input.rs
@@ -55,7 +55,7 @@
 pub enum Input {
     /// A caller, or a peer on a caller's behalf, submits a job.
     Submit {
-        /// Request to answer.
+        /// Request that waits until the job ends, unless it is refused or too many already wait.
         request: RequestId,
         /// Submitted job: its id, class, deadline and task payloads.
         submission: Submission,
@@ -64,7 +64,7 @@
     },
     /// A caller requests the answer of a job.
     Fetch {
-        /// Request to answer.
+        /// Request that is answered at once if the job is in the table, else forwarded or refused.
         request: RequestId,
         /// Submission that the request concerns.
         id: SubmissionId,
@@ -73,7 +73,7 @@
     },
     /// A caller cancels a job.
     Cancel {
-        /// Request to answer.
+        /// Request that gets the final answer of the job, or a refusal.
         request: RequestId,
         /// Submission that the request concerns.
         id: SubmissionId,
@@ -82,7 +82,7 @@
     },
     /// Forwarding a request to a peer ended, with or without an answer.
     ForwardEnded {
-        /// Request to answer.
+        /// Caller's request, as given in [`Output::Forward`](crate::Output::Forward).
         request: RequestId,
         /// Submission that the request concerns.
         id: SubmissionId,
@@ -125,7 +125,7 @@
     },
     /// An attempt requested by [`Output::Start`](crate::Output::Start) ended.
     AttemptEnded {
-        /// Attempt that ended.
+        /// Id that [`Output::Start`](crate::Output::Start) gave to the attempt.
         attempt: AttemptId,
         /// Outcome of the attempt, with the result and the load that the executor reported.
         report: AttemptReport,
--- a/crates/onyxshed-dispatch/src/job.rs
+++ b/crates/onyxshed-dispatch/src/job.rs
@@ -49,7 +49,7 @@
 }
 
 impl Job {
-    /// Returns the class of the job.
+    /// Returns the class that the submission named, which stays the same in every stage.
     pub fn class(&self) -> &ClassName {
         match self {
             Job::Claiming(job) => &job.head.class,
--- a/crates/onyxshed-dispatch/src/job/ended.rs
+++ b/crates/onyxshed-dispatch/src/job/ended.rs
@@ -13,9 +13,9 @@
 pub struct EndedJob {
     /// Hash of the content that was submitted under the job's id.
     pub content: ContentHash,
-    /// Class of the job.
+    /// Class of the job, copied from its head when the job ended.
     pub class: ClassName,
-    /// Result code with which the job ended.
+    /// Code of the final answer; `AnswerDropped` replaces it for a complete job without results.
     pub code: ResultCode,
     /// Further details for the answer, such as the index of the failed task; may be empty.
     pub detail: SmolStr,
--- a/crates/onyxshed-dispatch/src/output.rs
+++ b/crates/onyxshed-dispatch/src/output.rs
@@ -29,7 +29,7 @@
     Submit(Box<Submission>),
     /// Requests the answer of a job.
     Fetch(SubmissionId),
-    /// Cancels a job.
+    /// Cancels a job, sent as a `DELETE` of the submission's path.
     Cancel(SubmissionId),
 }
 
@@ -48,9 +48,9 @@
 pub enum Output {
     /// Answer a request; each request gets exactly one answer.
     Answer {
-        /// Request to answer.
+        /// Id under which the entry process passed the request in an [`Input`](crate::Input).
         request: RequestId,
-        /// Answer to send.
+        /// Final answer of the job, a refusal, or the notice that the job still runs.
         answer: Answer,
     },
     /// Forward a request to the peer that holds its submission.
@@ -70,13 +70,13 @@
         /// Id that the entry process returns in
         /// [`Input::AttemptEnded`](crate::Input::AttemptEnded).
         attempt: AttemptId,
-        /// Task to start.
+        /// Task of which the attempt runs a copy.
         task: TaskId,
         /// Executor that runs the task.
         executor: ExecutorName,
         /// Class of the task's job.
         class: ClassName,
-        /// Payload of the task.
+        /// Input of the task, as the caller submitted it; shared by all copies of the task.
         payload: Rc<Vec<u8>>,
         /// Time after which the executor stops the task: the time left to the final deadline plus
         /// the lease slack.
@@ -89,7 +89,7 @@
     Stop {
         /// Id that the entry process returns in [`Input::StopEnded`](crate::Input::StopEnded).
         attempt: AttemptId,
-        /// Task to stop.
+        /// Task whose copy on the executor is to stop.
         task: TaskId,
         /// Executor that the task was sent to.
         executor: ExecutorName,
@@ -98,7 +98,7 @@
     Query {
         /// Id that the entry process returns in [`Input::QueryEnded`](crate::Input::QueryEnded).
         attempt: AttemptId,
-        /// Task to query.
+        /// Task whose copy on the executor is queried.
         task: TaskId,
         /// Executor that the task was sent to.
         executor: ExecutorName,
--- a/crates/onyxshed-entry/src/callers.rs
+++ b/crates/onyxshed-entry/src/callers.rs
@@ -20,7 +20,7 @@
 /// The listener on which a request arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ListenerKind {
-    /// The listener for callers.
+    /// The listener for callers; its requests never count as forwarded.
     Caller,
     /// The listener for peers, which may forward requests to this host.
     Peer,
--- a/crates/onyxshed-entry/src/control_port.rs
+++ b/crates/onyxshed-entry/src/control_port.rs
@@ -29,7 +29,7 @@
 /// Identity of this entry process, and the address at which its control process connects.
 #[derive(Debug, Clone)]
 pub struct ControlPortOptions {
-    /// Name of this host.
+    /// Name of this host, reported to the control process with each status.
     pub host: HostName,
     /// Incarnation of this host: this run of its entry process.
     pub incarnation: Incarnation,
--- a/crates/onyxshed-entry/src/upstreams/call.rs
+++ b/crates/onyxshed-entry/src/upstreams/call.rs
@@ -24,9 +24,9 @@
 pub struct StartCall {
     /// The attempt that the call begins.
     pub attempt: AttemptId,
-    /// The task to run.
+    /// The task to run; its id determines the path of the request.
     pub task: TaskId,
-    /// The class of the task.
+    /// The class of the task, sent in a header.
     pub class: ClassName,
     /// The payload of the task, sent as the request's body.
     pub payload: Rc<Vec<u8>>,
@@ -40,9 +40,9 @@
 /// Parameters of the call that stops an attempt on an executor.
 #[derive(Debug, Clone, Copy)]
 pub struct StopCall {
-    /// The attempt to stop.
+    /// The attempt to stop, sent in a header together with the incarnation of the starter.
     pub attempt: AttemptId,
-    /// The task of the attempt.
+    /// The task of the attempt; its id determines the path of the request.
     pub task: TaskId,
 }
 
--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -61,7 +61,7 @@
 /// Address and limits of the callers' interface.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerOptions {
-    /// Address on which callers connect.
+    /// Address on which the host listens for callers, from the host's settings.
     pub address: SocketAddr,
     /// Limits of the HTTP server, such as the maximum number of connections.
     pub server: ServerOptions,
--- a/crates/onyxshed-host/src/directory/lookup.rs
+++ b/crates/onyxshed-host/src/directory/lookup.rs
@@ -35,7 +35,7 @@
 /// Determines the lookup interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnerStatus {
-    /// This host is the owner.
+    /// This host owns the pool, so that the owner is not looked up.
     Owned,
     /// The pool is in this host's zone; its owner answers and is not stopping.
     SettledLocal,
--- a/crates/onyxshed-host/src/links.rs
+++ b/crates/onyxshed-host/src/links.rs
@@ -57,7 +57,7 @@
     pub cpu_millis: u32,
     /// Availability zone of this host.
     pub zone: SmolStr,
-    /// Name of this host.
+    /// Name of this host, which determines the pool to which it submits its jobs first.
     pub host: SmolStr,
 }
 
--- a/crates/onyxshed-host/src/links/remote.rs
+++ b/crates/onyxshed-host/src/links/remote.rs
@@ -265,8 +265,8 @@
     }
 
     /// Requests the release of the pool as its next owner, with fencing token `next`. Returns the
-    /// executors that the previous owner still uses, or `None` if it does not answer or no longer
-    /// owns the pool.
+    /// executors that the previous owner still uses, or `None` if the link is down, no readable
+    /// answer arrives in time, or the previous owner no longer owns the pool.
     pub async fn release(&self, next: FencingToken) -> Option<BTreeSet<ExecutorId>> {
         let client = self
             .connection
--- a/crates/onyxshed-host/src/ownership/contender.rs
+++ b/crates/onyxshed-host/src/ownership/contender.rs
@@ -75,7 +75,7 @@
     Join(PoolId),
     /// Takes over a pool whose last owner has made this host its successor.
     Succeed(PoolId, OwnershipTransfer),
-    /// Renews the ownership of a pool.
+    /// After a pause, registers or renews the ownership of a pool, or gives the pool up.
     Renew(PoolId),
     /// Leaves the group of a pool.
     Leave(PoolId),
--- a/crates/onyxshed-http/src/message.rs
+++ b/crates/onyxshed-http/src/message.rs
@@ -45,7 +45,7 @@
 /// A reply, as a handler returns it or as the client has received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// The HTTP status.
+    /// The HTTP status; the server sends 500 in place of an invalid one.
     pub status: u16,
     /// Headers: in a handler's reply, those besides the ones that the library adds; in a received
     /// reply, the last value of each.
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Creates a reply with a JSON body.
+    /// Creates a reply with a JSON body and its content type. Panics if `body` does not serialize.
     pub fn json(status: u16, body: &impl Serialize) -> Self {
         let body = serde_json::to_vec(body).expect("a reply body always serializes to JSON");
         Reply::bytes(status, body).header("content-type", mime::JSON.to_string())
--- a/crates/onyxshed-http/src/server.rs
+++ b/crates/onyxshed-http/src/server.rs
@@ -30,7 +30,7 @@
 use gauge::GaugeGuard;
 use rejection::{code_of, rejection_error};
 
-/// Limits of a server.
+/// Limits on connections, sizes and durations, and the reaction to a disconnect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerOptions {
     /// Largest number of open connections; default 4096.
--- a/crates/onyxshed-kernel/src/error.rs
+++ b/crates/onyxshed-kernel/src/error.rs
@@ -18,7 +18,7 @@
     /// A service depends on one that is not among the services of this process.
     #[snafu(display("service {needed_by} depends on {name}, which this process does not have"))]
     DependencyMissing {
-        /// The missing service.
+        /// The service that is depended on but not registered.
         name: ServiceName,
         /// The service that depends on it.
         needed_by: ServiceName,
@@ -30,7 +30,7 @@
         name: ServiceName,
         /// The type of the registered handle.
         found: &'static str,
-        /// The requested type.
+        /// The type of handle that the caller asked for.
         requested: &'static str,
     },
     /// Two services have the same name.
--- a/crates/onyxshed-load/src/bench.rs
+++ b/crates/onyxshed-load/src/bench.rs
@@ -158,7 +158,7 @@
     hold_connections(executor, Rc::new(options)).await
 }
 
-/// Options of [`run_mix`].
+/// Mix, load and duration of a run of [`run_mix`]; the size of the zone is fixed.
 #[derive(Debug, Clone)]
 pub struct MixOptions {
     /// Folder that contains the binaries of the processes to start.
@@ -169,7 +169,7 @@
     pub load: f64,
     /// Time during which jobs arrive, in seconds.
     pub span_s: f64,
-    /// Seed of the arrivals.
+    /// Seed of the plan; equal options and seeds result in the same planned jobs.
     pub seed: u64,
     /// Whether ids are bound to the entry host that they are sent to.
     pub may_bind: bool,
--- a/crates/onyxshed-load/src/claims.rs
+++ b/crates/onyxshed-load/src/claims.rs
@@ -43,7 +43,7 @@
     pub ids: IdKind,
     /// Whether the platform refused every connection during these jobs.
     pub is_platform_down: bool,
-    /// Number of jobs sent.
+    /// Number of jobs sent, one after another to the first entry host.
     pub sent: u32,
     /// Number of answers by result code; 0 is the key of answers without a code.
     pub codes: BTreeMap<u16, u32>,
--- a/crates/onyxshed-load/src/error.rs
+++ b/crates/onyxshed-load/src/error.rs
@@ -49,7 +49,7 @@
     /// obtained.
     #[snafu(display("can't start a process: {reason}"))]
     Start {
-        /// The cause.
+        /// Text of the underlying error, or a sentence that says what is missing or went wrong.
         reason: SmolStr,
     },
     /// A process did not answer a call, or its reply can't be used.
@@ -57,7 +57,7 @@
     Unreachable {
         /// The address that was called.
         address: std::net::SocketAddr,
-        /// The cause.
+        /// Text of the error or of the rejected reply, or a sentence that says what is wrong.
         reason: SmolStr,
     },
 }
--- a/crates/onyxshed-load/src/idle.rs
+++ b/crates/onyxshed-load/src/idle.rs
@@ -41,7 +41,7 @@
 /// Memory and processor time of a process while it held the connections.
 #[derive(Debug, Clone, Serialize)]
 pub struct IdleReport {
-    /// Number of connections opened.
+    /// Number of connections opened; `refused` counts the rest of those asked for.
     pub open: u32,
     /// Number of connections that could not be opened.
     pub refused: u32,
--- a/crates/onyxshed-load/src/local/options.rs
+++ b/crates/onyxshed-load/src/local/options.rs
@@ -14,7 +14,7 @@
     pub binaries: PathBuf,
     /// Number of entry hosts, each with its control process.
     pub entries: usize,
-    /// Number of executor processes.
+    /// Number of executor processes; the host list can contain several executors for each.
     pub executors: usize,
     /// Number of executors in the host list per executor process. It is 1 except in measurements
     /// that depend on the number of executors.
@@ -28,7 +28,7 @@
     pub speeds: Vec<f64>,
     /// Name of the upstream that all executors belong to.
     pub upstream: UpstreamName,
-    /// The classes to publish.
+    /// The classes whose targets are published before the entry hosts start.
     pub classes: Vec<ClassTarget>,
     /// Number of appends per second that the platform's stand-in accepts.
     pub appends_per_s: u32,
--- a/crates/onyxshed-load/src/mix.rs
+++ b/crates/onyxshed-load/src/mix.rs
@@ -10,7 +10,7 @@
 /// Range of service times on an executor of the fastest kind, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceTimeRange {
-    /// Shortest service time.
+    /// Shortest service time; draws are uniform on a logarithmic scale up to `max_ms`.
     pub min_ms: u32,
     /// Longest service time.
     pub max_ms: u32,
--- a/crates/onyxshed-load/src/plot.rs
+++ b/crates/onyxshed-load/src/plot.rs
@@ -24,7 +24,7 @@
 /// A plot of grouped bars on a logarithmic scale that starts at `floor`.
 #[derive(Debug, Clone)]
 pub struct Bars {
-    /// Title of the plot.
+    /// Title, drawn above the plot.
     pub title: SmolStr,
     /// Label of the vertical axis: the quantity with its unit.
     pub unit: &'static str,
@@ -39,13 +39,13 @@
 /// A plot of points with the line fitted to them.
 #[derive(Debug, Clone)]
 pub struct FitPlot {
-    /// Title of the plot.
+    /// Title, drawn above the plot.
     pub title: SmolStr,
     /// Label of the horizontal axis: the quantity with its unit.
     pub x_unit: SmolStr,
     /// Label of the vertical axis: the quantity with its unit.
     pub y_unit: SmolStr,
-    /// The measured points.
+    /// The measured points as pairs of x and y, in the units of the axes.
     pub points: Vec<(f64, f64)>,
     /// Value of the line at 0.
     pub intercept: f64,
--- a/crates/onyxshed-load/src/report.rs
+++ b/crates/onyxshed-load/src/report.rs
@@ -15,7 +15,7 @@
 pub struct Report {
     /// Name of the mix that the jobs were drawn from.
     pub mix: String,
-    /// Seed of the plan.
+    /// Seed of the plan; equal options and seeds result in the same planned jobs.
     pub seed: u64,
     /// Time during which jobs arrived, in seconds.
     pub span_s: f64,
@@ -58,20 +58,20 @@
 pub struct CodeCount {
     /// Number of the result code in the answers.
     pub code: u16,
-    /// Number of jobs with that code.
+    /// Number of jobs whose final answer has that code.
     pub jobs: u64,
 }
 
 /// Percentiles of measured values, in the unit that the name of the containing field states.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Percentiles {
-    /// Median.
+    /// Value that half of the values don't exceed, to three significant digits.
     pub p50: f64,
-    /// 90th percentile.
+    /// Value that 90% of the values don't exceed, to three significant digits.
     pub p90: f64,
-    /// 99th percentile.
+    /// Value that 99% of the values don't exceed, to three significant digits.
     pub p99: f64,
-    /// 99.9th percentile.
+    /// Value that 99.9% of the values don't exceed, to three significant digits.
     pub p999: f64,
     /// Largest value.
     pub max: f64,
--- a/crates/onyxshed-load/src/sim/executor.rs
+++ b/crates/onyxshed-load/src/sim/executor.rs
@@ -5,7 +5,7 @@
 /// The fault of a simulated executor, which the start and the end of a scenario's fault change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// No fault.
+    /// No fault: a task runs for its service time divided by the executor's speed.
     Healthy,
     /// Every task runs 20 times as long as without the fault.
     Slow,
--- a/crates/onyxshed-load/src/sim/policies.rs
+++ b/crates/onyxshed-load/src/sim/policies.rs
@@ -23,7 +23,7 @@
 }
 
 impl PolicyKind {
-    /// All policies.
+    /// All policies, in the order of a plot's series.
     pub const ALL: [PolicyKind; 3] = [
         PolicyKind::Onyxshed,
         PolicyKind::RoundRobin,
--- a/crates/onyxshed-load/src/sim/scenario.rs
+++ b/crates/onyxshed-load/src/sim/scenario.rs
@@ -42,7 +42,7 @@
 const BURST_S: f64 = 2.0;
 
 impl Scenario {
-    /// All scenarios.
+    /// All scenarios; [`Scenario::Load`] occurs once for each load that is simulated.
     pub const ALL: [Scenario; 17] = [
         Scenario::Load(50),
         Scenario::Load(80),
--- a/crates/onyxshed-load/src/sim/simulation/parts.rs
+++ b/crates/onyxshed-load/src/sim/simulation/parts.rs
@@ -52,7 +52,7 @@
     pub(super) service_us: u64,
 }
 
-/// A job and its progress.
+/// A planned job, the entry host that accepted it, and its progress.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) planned: PlannedJob,
--- a/crates/onyxshed-load/src/sim/summary.rs
+++ b/crates/onyxshed-load/src/sim/summary.rs
@@ -18,9 +18,9 @@
 /// Results of all scenarios and policies.
 #[derive(Debug, Clone, Serialize)]
 pub struct Summary {
-    /// Name of the mix.
+    /// Name of the mix that the jobs were drawn from.
     pub mix: String,
-    /// Seeds of the runs.
+    /// Seeds of the runs over which each [`Spread`] is taken.
     pub seeds: Vec<u64>,
     /// Time during which jobs arrived in each run, in seconds.
     pub span_s: f64,
@@ -63,7 +63,7 @@
 /// Median and range of a value over the seeds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Spread {
-    /// Median.
+    /// Median; for an even number of values, the greater of the two in the middle.
     pub median: f64,
     /// Smallest value.
     pub min: f64,
--- a/crates/onyxshed-load/src/tally.rs
+++ b/crates/onyxshed-load/src/tally.rs
@@ -38,7 +38,7 @@
 /// Results of one class.
 #[derive(Debug, Clone)]
 pub struct ClassTally {
-    /// Number of jobs that ended.
+    /// Number of jobs that ended, with or without an answer.
     pub jobs: u64,
     /// Number of tasks in those jobs.
     pub tasks: u64,
@@ -87,7 +87,7 @@
     pub retries: u64,
     /// Second attempts at slow tasks, started while the first one ran.
     pub hedges: u64,
-    /// Refusals by executors.
+    /// Attempts at tasks that an executor refused; only simulations count them.
     pub executor_refusals: u64,
     /// Requests to stop an attempt because its job or task had already ended.
     pub stops: u64,
@@ -128,7 +128,7 @@
 }
 
 impl Tally {
-    /// Returns an empty tally.
+    /// Returns a tally whose counts are all 0, with an entry for each class of the mix.
     pub fn new(mix: Mix) -> Self {
         Tally {
             mix,
--- a/crates/onyxshed-load/src/throughput.rs
+++ b/crates/onyxshed-load/src/throughput.rs
@@ -43,7 +43,7 @@
 /// Throughput of an entry host in a closed loop, with its processor time and memory.
 #[derive(Debug, Clone, Serialize)]
 pub struct Throughput {
-    /// Number of callers.
+    /// Number of callers, each with one job at a time.
     pub callers: u32,
     /// Number of tasks in each job.
     pub tasks_per_job: u16,
--- a/crates/onyxshed-load/src/whole_path.rs
+++ b/crates/onyxshed-load/src/whole_path.rs
@@ -32,7 +32,7 @@
     pub binaries: PathBuf,
     /// Number of entry hosts.
     pub entries: usize,
-    /// Number of executors.
+    /// Number of executors; their speeds are in the ratio 1:2:4 in turn.
     pub executors: usize,
     /// Time during which the sample load arrives, in seconds; 0 sends none.
     pub span_s: f64,
--- a/crates/onyxshed-platform/src/client.rs
+++ b/crates/onyxshed-platform/src/client.rs
@@ -11,7 +11,7 @@
 
 use crate::error::{Error, Result};
 
-/// Limits of a [`PlatformClient`].
+/// Time limits of a [`PlatformClient`]'s calls, and limits of its HTTP connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformOptions {
     /// Maximum duration of a call beyond the time for which it asks the platform to wait. Default 2 s.
--- a/crates/onyxshed-policy/src/executor/breaker.rs
+++ b/crates/onyxshed-policy/src/executor/breaker.rs
@@ -78,7 +78,7 @@
 pub enum BreakerChange {
     /// The breaker opened, or opened again after a failed probe.
     Opened(BreakerReason),
-    /// The breaker closed.
+    /// The breaker closed: the executor gets tasks again.
     Closed,
 }
 
@@ -97,7 +97,7 @@
         /// Reason for which the breaker opens if the suspicion is high enough.
         reason: BreakerReason,
     },
-    /// No response arrived.
+    /// No byte of the start was sent, or the connection was lost after the task may have started.
     NoResponse,
     /// The end indicates nothing about the executor, such as a stop by this host.
     Neutral,
--- a/crates/onyxshed-policy/src/queue.rs
+++ b/crates/onyxshed-policy/src/queue.rs
@@ -36,7 +36,7 @@
 }
 
 impl Ticket {
-    /// Creates the ticket of a new task.
+    /// Creates the ticket of a task that is queued for the first time, without failed starts.
     pub fn new(now: Mono, work: QueuedTask) -> Self {
         Ticket {
             work,
@@ -74,11 +74,11 @@
 /// Number of ready tasks of a class and the range of their deadlines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Depth {
-    /// Number of ready tasks.
+    /// Number of ready tasks, at least 1; delayed tasks are not counted.
     pub tasks: usize,
-    /// Earliest deadline.
+    /// Earliest deadline: that of the first ready task of the class.
     pub first_deadline: Mono,
-    /// Latest deadline.
+    /// Latest deadline: that of the last ready task of the class.
     pub last_deadline: Mono,
 }
 
--- a/crates/onyxshed-policy/src/upstream.rs
+++ b/crates/onyxshed-policy/src/upstream.rs
@@ -39,7 +39,7 @@
 pub enum ScanScope {
     /// Any member of the upstream.
     All,
-    /// Only these executors.
+    /// Only these executors; while the list is empty, no queued task of the upstream is started.
     Only(Vec<ExecutorKey>),
 }
 
--- a/crates/onyxshed-policy/src/work.rs
+++ b/crates/onyxshed-policy/src/work.rs
@@ -12,9 +12,9 @@
 pub struct ExecutorInfo {
     /// Name of the executor, which [`NextStep::Start`] and [`AttemptEnd`] refer to.
     pub name: ExecutorName,
-    /// Upstream that the executor serves.
+    /// Upstream that the executor serves; only classes with this upstream use the executor.
     pub upstream: UpstreamName,
-    /// Availability zone of the executor.
+    /// Availability zone of the executor, which is also that of this entry host.
     pub zone: ZoneName,
     /// Rack of the executor; executors of one rack tend to fail together.
     pub rack: SmolStr,
@@ -57,7 +57,7 @@
 pub enum NextStep {
     /// Send the task to the executor.
     Start {
-        /// Task to send.
+        /// Task to send: one from the queue, or a running one if this is a hedge.
         task: TaskId,
         /// Executor to send the task to.
         executor: ExecutorName,
@@ -120,7 +120,7 @@
 /// unknown. An earlier attempt of the task may have started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExpiredTask {
-    /// Id of the task.
+    /// Id of the task: the submission of its job and the index of the task in the job.
     pub task: TaskId,
     /// Deadline with which the task was queued; after a requeue this can be later than the job's first
     /// deadline.
--- a/crates/onyxshed-policy/tests/policy/overload.rs
+++ b/crates/onyxshed-policy/tests/policy/overload.rs
@@ -37,8 +37,9 @@
     insta::assert_snapshot!("overload_200_percent", text);
 }
 
-/// Work of twice the capacity arrives for six seconds and of half the capacity afterwards. Two
-/// seconds after the end of the overload every deadline must be met again.
+/// Work of twice the capacity arrives for six seconds and of half the capacity afterwards. From two
+/// seconds after the end of the overload at least 99% of the jobs of each class must meet their
+/// deadlines.
 #[test]
 fn deadlines_are_met_after_an_overload() {
     let mut streams = two_classes(2.0, 6_000);
@@ -55,7 +56,7 @@
 }
 
 /// One class sends ten times its usual number of jobs, in addition to these, for two seconds. The
-/// other class stays within its fair share and must still meet its deadlines.
+/// other class stays within its fair share, and at least 99% of its jobs must meet their deadlines.
 #[test]
 fn burst_of_one_class_leaves_the_other_on_time() {
     let mut streams = two_classes(0.5, 12_000);
--- a/crates/onyxshed-pool/src/evacuation.rs
+++ b/crates/onyxshed-pool/src/evacuation.rs
@@ -34,7 +34,7 @@
 pub struct EvacuationRecord {
     /// Availability zone to which the record applies.
     pub zone: SmolStr,
-    /// Position of the record in the log.
+    /// Position in the operators' log; a record not after the zone's known one has no effect.
     pub position: LogPosition,
     /// Whether the record evacuates the zone; otherwise it restores the zone.
     pub is_evacuated: bool,
@@ -70,7 +70,7 @@
         self.zones.get(zone).is_some_and(|state| state.is_evacuated)
     }
 
-    /// Returns the zones that are evacuated.
+    /// Returns the zones whose newest known record evacuates them, in the order of their names.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &SmolStr> {
         let evacuated = self.zones.iter().filter(|(_, state)| state.is_evacuated);
         evacuated.map(|(zone, _)| zone)
--- a/crates/onyxshed-pool/src/id.rs
+++ b/crates/onyxshed-pool/src/id.rs
@@ -62,7 +62,7 @@
 pub struct Percent(u8);
 
 impl Percent {
-    /// 100%, the maximum.
+    /// 100%, to which [`Percent::new`] reduces higher values.
     pub const ALL: Percent = Percent(100);
 
     /// Creates a percentage; values above 100 become 100.
--- a/crates/onyxshed-pool/src/job.rs
+++ b/crates/onyxshed-pool/src/job.rs
@@ -108,7 +108,7 @@
     PeerSilent,
     /// The caller's deadline passed.
     TimeOut,
-    /// The caller cancelled the job.
+    /// The entry host cancelled the job, for example because the caller disconnected.
     Cancelled,
     /// A later submission of the job replaced this one.
     Superseded,
@@ -135,7 +135,7 @@
     ];
 }
 
-/// Outcome of a job.
+/// Outcome of a job, determined by the pool's owner or by the entry host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobEnd {
     /// A run of every task has completed.
--- a/crates/onyxshed-pool/src/message.rs
+++ b/crates/onyxshed-pool/src/message.rs
@@ -16,7 +16,7 @@
 /// Order to an executor to start a run of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartOrder {
-    /// Task to run.
+    /// Task to run; together with `run` it identifies the run in reports and stop orders.
     pub task: TaskId,
     /// Number of the run; a repeated order for the same run has the same number.
     pub run: RunNumber,
@@ -75,7 +75,7 @@
     Other,
 }
 
-/// Answer to a start order.
+/// Answer to a start order, passed to [`crate::Pool::apply_start_answer`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StartAnswer {
     /// The executor has started the run, now or on an earlier order.
@@ -93,7 +93,7 @@
     Unknown,
 }
 
-/// Answer to a stop order.
+/// Answer to a stop order, passed to [`crate::Pool::apply_stop_answer`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopAnswer {
     /// The executor stops the run, and does not start it if the start order arrives later.
@@ -107,7 +107,7 @@
     Unknown,
 }
 
-/// How a run ended.
+/// How a run ended, as listed in an executor's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunEnd {
     /// The run completed its task.
@@ -121,7 +121,7 @@
 /// An executing run in an executor's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunningRun {
-    /// Task that the run executes.
+    /// Task from the start order of the run, which another owner may have sent.
     pub task: TaskId,
     /// Number of the run, from its start order.
     pub run: RunNumber,
@@ -135,7 +135,7 @@
     /// Number of this end. The executor counts the ends of all runs, and counts anew after a
     /// restart.
     pub number: u64,
-    /// Task that the run executed.
+    /// Task from the start order of the run.
     pub task: TaskId,
     /// Number of the run, from its start order.
     pub run: RunNumber,
@@ -171,7 +171,7 @@
     OtherIncarnation,
 }
 
-/// Answer to a hold order.
+/// Answer to a hold order, passed to [`crate::Pool::apply_hold_answer`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HoldAnswer {
     /// An answer arrived in time: the executor's lists, or the reason why there are none.
@@ -198,7 +198,7 @@
         peer: PeerIncarnation,
         /// The entry host's number for the submission.
         submission: SubmissionNumber,
-        /// Identifier of the job.
+        /// Identifier that the caller chose for the job.
         job: JobId,
         /// Outcome of the job, which the entry host reports to the caller.
         end: JobEnd,
@@ -214,9 +214,9 @@
 pub enum Decision {
     /// A start order was issued for a new run.
     RunOrdered {
-        /// Task of the run.
+        /// Task that gets the new run.
         task: TaskId,
-        /// Number of the run.
+        /// Number of the new run, counted from 1 for each task.
         run: RunNumber,
         /// Executor that gets the start order.
         executor: ExecutorId,
@@ -227,11 +227,11 @@
     },
     /// A run ended, was lost or never started, and its task was requeued.
     RunEnded {
-        /// Task of the run.
+        /// Task that was requeued.
         task: TaskId,
-        /// Number of the run.
+        /// Number of the run that ended, was lost or never started.
         run: RunNumber,
-        /// Executor of the run.
+        /// Executor that the start order of the run was for.
         executor: ExecutorId,
         /// Why the task was requeued, as text for the log.
         reason: &'static str,
@@ -239,18 +239,18 @@
     /// An executor reported a run that this owner did not order or no longer tracks; a stop order
     /// was issued.
     OrphanStopped {
-        /// Task of the run.
+        /// Task that the executor named in its report.
         task: TaskId,
-        /// Number of the run.
+        /// Number of the run in the executor's report.
         run: RunNumber,
-        /// Executor of the run.
+        /// Executor that reported the run and gets the stop order.
         executor: ExecutorId,
     },
     /// A run on an executor that has become slow is stopped so that its task can run elsewhere.
     RunMoved {
-        /// Task of the run.
+        /// Task that is to run elsewhere.
         task: TaskId,
-        /// Number of the run.
+        /// Number of the run that is stopped.
         run: RunNumber,
         /// Executor from which the run is moved.
         executor: ExecutorId,
--- a/crates/onyxshed-pool/src/pool/orders.rs
+++ b/crates/onyxshed-pool/src/pool/orders.rs
@@ -133,7 +133,8 @@
     }
 
     /// Resends the start order of a run with a new lease. If the executor already has the run, the
-    /// order only extends the lease.
+    /// order only extends the lease. The run is stopped if its job has ended or no lease can be
+    /// given.
     fn resend_start(&mut self, now: Mono, id: &ExecutorId, task: TaskId, number: RunNumber) {
         let lease = self.options.lease_ms;
         let Some(job) = self.jobs.get(&task.job) else {
--- a/crates/onyxshed-pool/src/pool/progress.rs
+++ b/crates/onyxshed-pool/src/pool/progress.rs
@@ -17,7 +17,7 @@
 /// percent, so the forecast for a younger run would be inaccurate.
 const PROGRESS_MIN_AGE: Micros = Micros(40_000);
 
-/// Number of stopped runs of a task from which on the task is no longer moved off a slow executor.
+/// A task that has had this many stopped runs is not moved off a slow executor again.
 const MOVES_MAX: u32 = 2;
 
 /// Assumed time from a stop order until a report shows that the run has ended; the new run of the
--- a/crates/onyxshed-pool/src/shard_layout.rs
+++ b/crates/onyxshed-pool/src/shard_layout.rs
@@ -39,7 +39,7 @@
 /// Identifier of a pool: a shard of a zone's executors.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId {
-    /// Availability zone of the pool.
+    /// Availability zone of the pool's executors; a zone can have several pools.
     pub zone: SmolStr,
     /// Index of the pool among the zone's pools, from 0.
     pub index: u32,
@@ -75,7 +75,7 @@
 pub struct ShardLayout {
     /// Version of the layout: 0 at first, incremented by each change.
     pub version: u32,
-    /// Number of pools, at least 1.
+    /// Number of pools, at least 1; the hash of an executor's id selects its pool.
     pub pools: u32,
 }
 
--- a/crates/onyxshed-pool/src/summary.rs
+++ b/crates/onyxshed-pool/src/summary.rs
@@ -21,7 +21,7 @@
     /// Time from arrival within which the job should have ended, according to the caller's
     /// estimate.
     pub target: Millis,
-    /// Number of tasks in the job.
+    /// Number of tasks in the job, whether or not they ran.
     pub tasks: u16,
     /// Caller's estimate of a task's run time.
     pub estimate: Millis,
--- a/crates/onyxshed-pool/tests/pool/simulation/owners.rs
+++ b/crates/onyxshed-pool/tests/pool/simulation/owners.rs
@@ -194,7 +194,8 @@
         self.apply_actions(next, actions);
     }
 
-    /// Defers an event for a paused owner and drops it for a dead owner. Returns whether it did either.
+    /// Defers an event for a paused owner and drops it for a stopped owner. Returns whether it did
+    /// either.
     pub(super) fn defer_if_away(&mut self, owner: OwnerIndex, event: Event) -> bool {
         if self.owners[owner].is_stopped {
             return true;
--- a/crates/onyxshed-process/src/run.rs
+++ b/crates/onyxshed-process/src/run.rs
@@ -36,7 +36,7 @@
     /// The settings of this kind of process.
     type Settings: Settings;
 
-    /// The name of the binary.
+    /// The name of the binary, used in error messages and as the process name in the telemetry.
     const NAME: &'static str;
 
     /// A one-line description for the help text.
@@ -48,7 +48,7 @@
     /// Extracts the settings that every process has.
     fn common_settings(settings: &Self::Settings) -> CommonSettings;
 
-    /// Creates the services of the process.
+    /// Creates the services, which the kernel then runs until the process ends.
     fn services(settings: &Self::Settings, context: ServiceContext) -> Vec<Box<dyn Service>>;
 }
 
--- a/crates/onyxshed-proof/src/cluster/hosts.rs
+++ b/crates/onyxshed-proof/src/cluster/hosts.rs
@@ -17,7 +17,7 @@
 /// The kinds of processes of an entry host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessKind {
-    /// `onyxshed-entry`.
+    /// `onyxshed-entry`, to which callers submit jobs.
     Entry,
     /// `onyxshed-control`.
     Control,
--- a/crates/onyxshed-proof/src/cluster/topology.rs
+++ b/crates/onyxshed-proof/src/cluster/topology.rs
@@ -9,7 +9,7 @@
 /// Zone `a` has the entry hosts `a1`, `a2` … and the executors `xa1`, `xa2` ….
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Topology {
-    /// The zones' names.
+    /// The zones' names, from which the names of their hosts and executors are formed.
     pub zones: Vec<SmolStr>,
     /// Number of entry hosts in each zone.
     pub entry_hosts: u32,
--- a/crates/onyxshed-proof/src/error.rs
+++ b/crates/onyxshed-proof/src/error.rs
@@ -50,7 +50,7 @@
         /// The condition, and the state that was observed last.
         condition: SmolStr,
     },
-    /// An expectation is not met.
+    /// An expectation or a promise is not met, or a statement can't be carried out.
     #[snafu(display("{detail}"))]
     ExpectationNotMet {
         /// The expectation, and what was found instead.
--- a/crates/onyxshed-proof/src/scenario/grammar.rs
+++ b/crates/onyxshed-proof/src/scenario/grammar.rs
@@ -249,13 +249,13 @@
     }
 }
 
-/// Parses `to entry a1`.
+/// Parses `to entry a1` and returns the host's name.
 fn to_entry(input: &mut &str) -> ModalResult<SmolStr> {
     expect_words(input, "to entry")?;
     name(input)
 }
 
-/// Parses `at entry a1`.
+/// Parses `at entry a1` and returns the host's name.
 fn at_entry(input: &mut &str) -> ModalResult<SmolStr> {
     expect_words(input, "at entry")?;
     name(input)
--- a/crates/onyxshed-proof/src/scenario/language.rs
+++ b/crates/onyxshed-proof/src/scenario/language.rs
@@ -16,9 +16,9 @@
 /// A statement and its line in the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line {
-    /// Line number, counted from 1.
+    /// Line number in the file, counted from 1; blank lines and comments count as well.
     pub number: usize,
-    /// The line as written.
+    /// The line as written, with its indentation.
     pub text: SmolStr,
     /// The parsed statement.
     pub step: Step,
@@ -135,7 +135,7 @@
 /// The jobs that a statement applies to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Jobs {
-    /// The jobs with these names.
+    /// The jobs with these names, which need not have been submitted.
     Named(Vec<SmolStr>),
     /// All jobs that earlier statements have submitted.
     Every,
@@ -144,9 +144,9 @@
 /// The arguments of `submit` and `resubmit`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Submit {
-    /// The jobs to submit.
+    /// The jobs to submit; with new content, a job replaces an earlier one of the same name.
     pub jobs: Jobs,
-    /// The content to submit.
+    /// Whether each job gets new tasks, the tasks sent before, or changed tasks.
     pub content: Content,
     /// The entry hosts to submit to.
     pub to: Receivers,
@@ -154,14 +154,14 @@
     pub is_persistent: bool,
 }
 
-/// The content of a submission.
+/// The tasks that a submission sends, and whether they differ from those sent before.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Content {
-    /// A new job.
+    /// A new job with a new id, which replaces an earlier job of the same name.
     New {
         /// Name of the job's class.
         class: ClassName,
-        /// Number of tasks.
+        /// Number of tasks of each submitted job.
         tasks: usize,
         /// Service time of each task.
         service: Millis,
@@ -211,7 +211,7 @@
 pub enum HostScope {
     /// All hosts whose entry process was not killed.
     Everywhere,
-    /// One host.
+    /// The host with this name.
     At(SmolStr),
 }
 
@@ -239,7 +239,7 @@
     Host(SmolStr),
     /// Both processes of all entry hosts.
     EveryHost,
-    /// The process of an executor.
+    /// The stand-in process of the executor with this name.
     Executor(SmolStr),
 }
 
@@ -296,7 +296,7 @@
 /// A kind of result that a caller's request can have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// An answer with this outcome.
+    /// An answer with this outcome, whatever its result code is.
     Outcome(Outcome),
     /// The request failed without an answer.
     Lost,
--- a/crates/onyxshed-proof/src/scenario/parse.rs
+++ b/crates/onyxshed-proof/src/scenario/parse.rs
@@ -13,7 +13,7 @@
 /// A syntax error in a scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScriptError {
-    /// Line number, counted from 1.
+    /// Line number in the file, counted from 1; blank lines and comments count as well.
     pub line: usize,
     /// Column in characters, counted from 1.
     pub column: usize,
--- a/crates/onyxshed-proto/src/error.rs
+++ b/crates/onyxshed-proto/src/error.rs
@@ -16,7 +16,7 @@
     /// A field contains a value that its type does not allow.
     #[snafu(display("field {field}: {reason}"))]
     Field {
-        /// Name of the field.
+        /// Name of the field in the schema, or `class` for an invalid class target.
         field: &'static str,
         /// Value found and values allowed.
         reason: SmolStr,
@@ -24,7 +24,7 @@
     /// A list is longer than the maximum.
     #[snafu(display("list {field} has {found} entries, allowed are {max}"))]
     TooLong {
-        /// Name of the list.
+        /// Name of the list in the schema.
         field: &'static str,
         /// Number of entries in the list.
         found: u32,
--- a/crates/onyxshed-proto/src/snapshot.rs
+++ b/crates/onyxshed-proto/src/snapshot.rs
@@ -11,7 +11,7 @@
 use crate::onyxshed_capnp::{self as schema, executor, member, snapshot};
 use crate::text::{check_length, parse};
 
-/// An executor and its address.
+/// An executor in the zone of the entry host, and its address.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExecutorEntry {
     /// Description of the executor for placement.
--- a/crates/onyxshed-proto/src/status.rs
+++ b/crates/onyxshed-proto/src/status.rs
@@ -12,9 +12,9 @@
 /// Status that an entry process returns to its control process in reply to a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntryStatus {
-    /// Host of the entry process.
+    /// Host of the entry process, as named in the settings of that process.
     pub host: HostName,
-    /// Incarnation of the entry process.
+    /// Incarnation of the entry process; a new one restarts the control process's member table.
     pub incarnation: Incarnation,
     /// Address on which the entry process accepts requests that its peers forward.
     pub peer_address: SocketAddr,
@@ -22,7 +22,7 @@
     pub config_revision: Option<Revision>,
     /// Numbers of running and queued tasks of the entry process.
     pub load: LoadDigest,
-    /// Whether the entry process is draining.
+    /// Whether the entry process is draining, which the heartbeats of its host report to peers.
     pub is_draining: bool,
     /// Start time of this incarnation, on the host's own wall clock.
     pub started_at_ms: UnixMs,
--- a/crates/onyxshed-settings/src/error.rs
+++ b/crates/onyxshed-settings/src/error.rs
@@ -11,13 +11,13 @@
 /// One fault of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The position of the fault.
+    /// Line and column in the file; faults are reported in this order.
     pub position: Position,
     /// The field's path, such as `log.level` or `processes[1].name`; empty for the whole file.
     pub path: SmolStr,
     /// The value found, as an excerpt of the file or a description.
     pub found: SmolStr,
-    /// The allowed values.
+    /// The allowed values, described in words for the report.
     pub allowed: SmolStr,
 }
 
@@ -106,5 +106,5 @@
     }
 }
 
-/// The result of reading settings.
+/// Result whose error says that a settings file is unreadable, or lists its faults.
 pub type Result<T> = std::result::Result<T, SettingsError>;
--- a/crates/onyxshed-settings/src/field.rs
+++ b/crates/onyxshed-settings/src/field.rs
@@ -50,9 +50,9 @@
     Address(Role),
     /// A list of IP addresses and ports.
     Addresses(Role),
-    /// A whole number.
+    /// A whole number from `min` to `max`, both included.
     Number {
-        /// The unit of the number.
+        /// The unit, named in the description of the allowed values.
         unit: Unit,
         /// Smallest allowed value.
         min: u64,
@@ -70,11 +70,11 @@
 /// The value of a field that is absent from the file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fallback {
-    /// The field is required.
+    /// There is none: a file without the field is invalid.
     Required,
-    /// This number.
+    /// This number, in the unit of the field.
     Number(u64),
-    /// This word.
+    /// This word, for a field that is a [`FieldKind::Choice`].
     Word(&'static str),
     /// An empty list, or a section with all its defaults.
     Empty,
--- a/crates/onyxshed-settings/src/kind.rs
+++ b/crates/onyxshed-settings/src/kind.rs
@@ -31,7 +31,7 @@
 }
 
 impl SettingsKind {
-    /// All kinds.
+    /// All kinds, in the order of the settings page.
     pub const ALL: &'static [SettingsKind] = &[
         SettingsKind::Entry,
         SettingsKind::Control,
--- a/crates/onyxshed-settings/src/kind/operator.rs
+++ b/crates/onyxshed-settings/src/kind/operator.rs
@@ -13,7 +13,7 @@
 pub struct ProcessAddress {
     /// The name of the process in the time line.
     pub name: SmolStr,
-    /// The admin address of the process.
+    /// Address on which the process answers queries of its status and time line, and drains.
     pub admin_address: SocketAddr,
 }
 
--- a/crates/onyxshed-settings/src/kind/shared.rs
+++ b/crates/onyxshed-settings/src/kind/shared.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// All events.
+    /// All events, including the steps of single requests.
     Debug,
     /// State changes, and all higher levels.
     #[default]
@@ -28,7 +28,7 @@
     Error,
 }
 
-/// Settings of the log.
+/// Format and lowest level of the lines that a process logs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
--- a/crates/onyxshed-soak/src/callers.rs
+++ b/crates/onyxshed-soak/src/callers.rs
@@ -22,7 +22,7 @@
 /// The greatest number of times that a job is submitted, including the first.
 const SENDS_MAX: u32 = 6;
 
-/// The timeout of one request.
+/// The time that a caller waits for a reply; then the answer is [`Answer::Unknown`].
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// The number of requests that a caller sends on one connection before it opens another.
@@ -44,9 +44,9 @@
 /// A job that a caller submitted, and the answers to its submissions.
 #[derive(Debug, Clone)]
 pub struct SubmittedJob {
-    /// The id of the job.
+    /// The id of the job: 16 hexadecimal digits, which are also sent as the `request-id` header.
     pub job: SmolStr,
-    /// The number of its tasks.
+    /// The number of its tasks, from 1 to 4.
     pub tasks: u16,
     /// The answer to each submission, in order.
     pub answers: Vec<Answer>,
@@ -77,7 +77,7 @@
     }
 }
 
-/// One caller and its connection.
+/// One caller, which uses a connection for at most `REQUESTS_PER_CONNECTION` requests.
 struct Caller {
     hosts: Vec<SocketAddr>,
     connection: Option<Connection>,
--- a/crates/onyxshed-soak/src/fleet.rs
+++ b/crates/onyxshed-soak/src/fleet.rs
@@ -36,7 +36,7 @@
 /// The size of a fleet and the clocks of its executors.
 #[derive(Debug, Clone)]
 pub struct FleetOptions {
-    /// The number of availability zones.
+    /// The number of availability zones, which are named `z0`, `z1` and so on.
     pub zones: usize,
     /// The number of hosts in each zone.
     pub hosts: usize,
--- a/crates/onyxshed-soak/src/run.rs
+++ b/crates/onyxshed-soak/src/run.rs
@@ -39,7 +39,7 @@
     /// The time from the start of the plan within which all faults begin; each lasts for its own
     /// duration.
     pub length: Duration,
-    /// The kinds of faults.
+    /// The kinds of faults that the plan draws from.
     pub mix: FaultMix,
 }
 
@@ -59,9 +59,9 @@
 /// The results of one soak.
 #[derive(Debug, Clone)]
 pub struct Report {
-    /// The seed of the soak.
+    /// The seed from which the plan of faults and the jobs were drawn.
     pub seed: u64,
-    /// The number of jobs submitted.
+    /// The number of jobs submitted; a job that was submitted again counts once.
     pub jobs: usize,
     /// The number of jobs answered as completed.
     pub completed: usize,
--- a/crates/onyxshed-standins/src/faults/mode.rs
+++ b/crates/onyxshed-standins/src/faults/mode.rs
@@ -24,7 +24,7 @@
     BlackholeBoth,
     /// Forwards each chunk of bytes after a delay.
     Delay {
-        /// The delay in milliseconds.
+        /// The delay of each chunk in either direction, in milliseconds.
         delay_ms: u64,
     },
     /// Closes a connection at the first byte from the target beyond a limit.
--- a/crates/onyxshed-standins/src/faults/pump.rs
+++ b/crates/onyxshed-standins/src/faults/pump.rs
@@ -17,17 +17,17 @@
 
 /// The next action of a pump.
 enum Step {
-    /// Read from the source.
+    /// Read from the source until bytes arrive, the mode changes or the connection is closed.
     Read,
     /// Read nothing until the mode changes or the connection is closed.
     Wait,
-    /// Close the connection.
+    /// Close both streams of the connection and end the pump.
     Close,
 }
 
 /// The event that ended a pump's wait.
 enum PumpEvent {
-    /// A read returned.
+    /// A read returned the number of bytes read, 0 at the end of the stream, or an error.
     ReadDone(io::Result<usize>),
     /// The mode of the route changed or the connection was closed.
     StateChanged,
--- a/crates/onyxshed-standins/src/fleet/executor.rs
+++ b/crates/onyxshed-standins/src/fleet/executor.rs
@@ -92,7 +92,7 @@
 /// The record of the start or the end of a run, for tests.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// The name of the task.
+    /// The text form of the task's id.
     pub task: SmolStr,
     /// The number of the run among those of the task.
     pub run: u32,
@@ -159,7 +159,7 @@
 }
 
 impl FleetExecutor {
-    /// Creates an idle executor.
+    /// Creates an idle executor whose incarnation starts at the present time.
     pub fn new(options: FleetExecutorOptions, executor: Rc<LocalExecutor<'static>>) -> Self {
         let capacity = Resources {
             cpu_millis: options.cpu_millis,
--- a/crates/onyxshed-standins/src/fleet/executor_model.rs
+++ b/crates/onyxshed-standins/src/fleet/executor_model.rs
@@ -13,7 +13,7 @@
 /// The longest lease that an executor accepts, in milliseconds; longer ones are cut to it.
 const LEASE_MAX_MS: u64 = 1_000;
 
-/// One run in progress.
+/// One run in progress, whose work done is computed from the elapsed time and the speed.
 #[derive(Debug, Clone, Copy)]
 pub struct ActiveRun {
     /// The number of the run among those of its task.
@@ -91,7 +91,7 @@
 }
 
 impl ExecutorModel {
-    /// Creates an idle executor.
+    /// Creates an idle executor that can be reached, has no fault and has received no orders.
     pub fn new(capacity: Resources, speed: f64, ahead_ms: u64, slow_millis: u64) -> Self {
         ExecutorModel {
             capacity,
--- a/crates/onyxshed-standins/src/fleet/store.rs
+++ b/crates/onyxshed-standins/src/fleet/store.rs
@@ -94,7 +94,7 @@
 }
 
 impl FleetStore {
-    /// Creates an empty store.
+    /// Creates a store without topics, groups and faults.
     pub fn new() -> Self {
         FleetStore::default()
     }
--- a/crates/onyxshed-standins/src/platform/state.rs
+++ b/crates/onyxshed-standins/src/platform/state.rs
@@ -79,7 +79,7 @@
 /// The numbers of calls since the start of the process.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// The number of appends requested.
+    /// The number of appends requested, including those that `drop_append` dropped.
     pub appends: u64,
     /// The number of appends that took effect, by stream.
     pub appended: BTreeMap<SmolStr, u64>,
--- a/crates/onyxshed-standins/src/upstream/service.rs
+++ b/crates/onyxshed-standins/src/upstream/service.rs
@@ -62,7 +62,7 @@
 }
 
 impl Executor {
-    /// Creates an idle executor.
+    /// Creates an executor without tasks, with the slots and the queue limit of `options`.
     pub fn new(options: UpstreamOptions) -> Self {
         let tasks = TaskTable::new(options.slots, options.queue_max);
         let usage = Usage {
--- a/crates/onyxshed-state/src/claim/step.rs
+++ b/crates/onyxshed-state/src/claim/step.rs
@@ -43,9 +43,9 @@
 /// The outcome of the claim on a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimResult {
-    /// The claimed submission.
+    /// The claimed submission, whose claim is no longer pending.
     pub submission: SubmissionId,
-    /// The outcome of the claim.
+    /// Whether this host may start the submission, and if not, why.
     pub outcome: ClaimOutcome,
 }
 
--- a/crates/onyxshed-state/src/error.rs
+++ b/crates/onyxshed-state/src/error.rs
@@ -29,7 +29,7 @@
     Stale {
         /// The revision on which the operator based the change.
         based_on: Revision,
-        /// The revision in force.
+        /// The revision in force, which differs from `based_on`.
         found: Revision,
     },
     /// The fold is partial, so it can't decide whether the change is valid.
--- a/crates/onyxshed-state/src/member.rs
+++ b/crates/onyxshed-state/src/member.rs
@@ -37,7 +37,7 @@
 /// One incarnation of an entry host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Name of the host.
+    /// Name of the host, taken from its heartbeats.
     pub host: HostName,
     /// Availability zone of the host.
     pub zone: ZoneName,
@@ -45,7 +45,7 @@
     pub incarnation: Incarnation,
     /// Address on which the host's entry process accepts requests forwarded by peers.
     pub peer_address: SocketAddr,
-    /// State of the incarnation.
+    /// State of the incarnation, from this host's point of view.
     pub state: MemberState,
 }
 
@@ -54,14 +54,14 @@
 pub struct LoadDigest {
     /// Number of tasks that are running on upstreams.
     pub running_tasks: u32,
-    /// Number of tasks that are queued.
+    /// Number of tasks that wait for an executor.
     pub queued_tasks: u32,
 }
 
 /// Status of an entry host as sent by the host itself; peers forward it unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Name of the host.
+    /// Name of the host, by which peers find it in the platform's list of hosts.
     pub host: HostName,
     /// Availability zone of the host.
     pub zone: ZoneName,
--- a/crates/onyxshed-state/src/member/gossip.rs
+++ b/crates/onyxshed-state/src/member/gossip.rs
@@ -14,7 +14,7 @@
 /// A message between control processes: a request, or the answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// Heartbeat of the sender.
+    /// Heartbeat of the sender; unlike those in `others`, it comes from the host that it describes.
     pub from: Heartbeat,
     /// Heartbeats of other hosts that the sender knows, the least forwarded ones first.
     pub others: Vec<Heartbeat>,
--- a/crates/onyxshed-state/src/member/liveness.rs
+++ b/crates/onyxshed-state/src/member/liveness.rs
@@ -1,5 +1,5 @@
-//! Detects unresponsive peers from their heartbeats and the platform's list, and pauses of this
-//! process from its own clocks.
+//! Detects unresponsive peers (from their heartbeats and the platform's list of hosts) and pauses
+//! of this process (from its own clocks).
 
 use onyxshed_core::{HostName, Incarnation, Micros, Millis, Mono, Now};
 use onyxshed_wire::platform::HostState;
--- a/crates/onyxshed-telemetry/examples/event-cost.rs
+++ b/crates/onyxshed-telemetry/examples/event-cost.rs
@@ -8,7 +8,7 @@
 use onyxshed_settings::LogSettings;
 use onyxshed_telemetry::{Filter, Telemetry, TelemetryOptions};
 
-/// Number of events measured.
+/// Number of events emitted; the time printed is their average.
 const EVENTS: u32 = 1_000_000;
 
 fn main() {
--- a/crates/onyxshed-telemetry/examples/line-cost.rs
+++ b/crates/onyxshed-telemetry/examples/line-cost.rs
@@ -13,7 +13,7 @@
 /// budget for a second (600).
 const BATCH: u32 = 500;
 
-/// Number of batches.
+/// Number of batches; the time printed is the average over the lines of all batches.
 const BATCHES: u32 = 8;
 
 fn cpu_time() -> Duration {
--- a/crates/onyxshed-telemetry/src/budget.rs
+++ b/crates/onyxshed-telemetry/src/budget.rs
@@ -27,11 +27,11 @@
 /// Whether a line is written, and whether the number of dropped lines is reported before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LineDecision {
-    /// Write the line.
+    /// Write the line without a report of dropped lines before it.
     Write,
     /// First report this number of lines dropped since the last report, then write the line.
     WriteAfterDropped(u64),
-    /// Drop the line.
+    /// Do not write the line: the budget of its level for this second is used up.
     Drop,
 }
 
--- a/crates/onyxshed-telemetry/src/metric.rs
+++ b/crates/onyxshed-telemetry/src/metric.rs
@@ -14,7 +14,7 @@
 /// Counter of events by kind.
 pub const EVENTS_TOTAL: &str = "onyxshed_events_total";
 
-/// Counter of dropped log lines.
+/// Counter of log lines dropped: over the budget, over the queue's limit or by a failed write.
 pub const LOG_DROPPED_TOTAL: &str = "onyxshed_log_lines_dropped_total";
 
 /// Gauge of the memory used by the time line.
--- a/crates/onyxshed-telemetry/src/telemetry.rs
+++ b/crates/onyxshed-telemetry/src/telemetry.rs
@@ -18,9 +18,9 @@
 /// The identity of the process and the limits of its telemetry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TelemetryOptions {
-    /// The name of the binary.
+    /// The name of the binary, shown in the status and with the time line.
     pub process: SmolStr,
-    /// The version of the binary.
+    /// The version of the binary, shown in the status.
     pub version: SmolStr,
     /// The host on which the process runs.
     pub host: SmolStr,
--- a/crates/onyxshed-telemetry/src/timeline.rs
+++ b/crates/onyxshed-telemetry/src/timeline.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// The events that match a filter.
+/// The matching events that fit into the limit of a query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MatchingEvents {
     /// The newest matching events, oldest first.
--- a/crates/onyxshed-telemetry/src/usage.rs
+++ b/crates/onyxshed-telemetry/src/usage.rs
@@ -6,7 +6,7 @@
 
 use crate::metric;
 
-/// Gauge of resident memory.
+/// Gauge of resident memory, in bytes.
 const RESIDENT_BYTES: &str = "process_resident_memory_bytes";
 
 /// Gauge of CPU time; not a counter, because the library's counters hold only whole numbers.
--- a/crates/onyxshed-wire/src/admin.rs
+++ b/crates/onyxshed-wire/src/admin.rs
@@ -26,7 +26,7 @@
 /// Path of the timeline. Its query accepts `submission`, `class`, `party`, `since_ms` and `limit`.
 pub const TIMELINE_PATH: &str = "/v1/timeline";
 
-/// Path to which a `POST` request drains the process.
+/// Path that drains the process when it is called with `POST`.
 pub const DRAIN_PATH: &str = "/v1/drain";
 
 /// Maximum size of an answer that the command line accepts, in bytes. A full timeline page of
@@ -38,7 +38,7 @@
 pub struct Status {
     /// Name of the process's binary.
     pub process: SmolStr,
-    /// Version of the binary.
+    /// Version of the package from which the binary was built, from `CARGO_PKG_VERSION`.
     pub version: SmolStr,
     /// Host on which the process runs.
     pub host: SmolStr,
--- a/crates/onyxshed-wire/src/error.rs
+++ b/crates/onyxshed-wire/src/error.rs
@@ -24,7 +24,7 @@
     /// A header is missing or has an invalid value.
     #[snafu(display("header {header}: {reason}"))]
     Header {
-        /// Name of the header.
+        /// Name of the header, such as `onyxshed-state` for a response's task state.
         header: &'static str,
         /// Value found and values allowed.
         reason: SmolStr,
--- a/crates/onyxshed-wire/src/platform.rs
+++ b/crates/onyxshed-wire/src/platform.rs
@@ -30,10 +30,10 @@
     format!("/v1/streams/{stream}/records")
 }
 
-/// Answer to an append.
+/// Answer to an append, sent once the record is synced to disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppendReply {
-    /// Offset of the appended record.
+    /// Offset of the appended record in its stream.
     pub offset: Offset,
 }
 
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// The host is in service.
+    /// The host is in service: it is not draining.
     Live,
     /// The host is draining and receives no new work.
     Leaving,
@@ -72,11 +72,11 @@
 /// An executor in the list of hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutorHost {
-    /// Name of the executor.
+    /// Name of the executor, by which entry hosts recognize it in later lists.
     pub name: ExecutorName,
     /// Upstream whose tasks the executor runs.
     pub upstream: UpstreamName,
-    /// Availability zone of the executor.
+    /// Availability zone of the executor; only entry hosts in this zone use the executor.
     pub zone: ZoneName,
     /// The platform's name of the executor's rack; empty if not stated.
     #[serde(default)]
@@ -92,9 +92,9 @@
 /// An entry host in the list of hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryHost {
-    /// Name of the host.
+    /// Name of the host, which its heartbeats state as well.
     pub name: HostName,
-    /// Availability zone of the host.
+    /// Availability zone of the host, used for gossip while no heartbeat of it is known.
     pub zone: ZoneName,
     /// Address on which the host's control process accepts connections of its peers.
     pub peer_address: SocketAddr,
@@ -138,7 +138,7 @@
 }
 
 impl HostList {
-    /// Decodes the list of hosts.
+    /// Decodes the JSON answer to `GET /v1/hosts`; `entries` may be absent.
     pub fn decode(body: &[u8]) -> Result<Self> {
         serde_json::from_slice(body).map_err(Error::body)
     }
--- a/crates/onyxshed-wire/src/record.rs
+++ b/crates/onyxshed-wire/src/record.rs
@@ -17,7 +17,7 @@
 pub enum ChangeBody {
     /// Creates or replaces the target of a class.
     Put(ClassTarget),
-    /// Removes a class.
+    /// Removes the class with this name; invalid if there is no such class.
     Remove(ClassName),
 }
 
@@ -29,7 +29,7 @@
     pub change_id: ChangeId,
     /// Revision to which the change applies: the one that the operator saw.
     pub based_on: Revision,
-    /// Effect of the change.
+    /// Effect of the change: the creation, replacement or removal of a class.
     pub body: ChangeBody,
 }
 
@@ -54,7 +54,7 @@
     /// Offset up to which the publisher had applied the log: the snapshot is the result of all records
     /// before this offset.
     pub folded_to: Offset,
-    /// Index of this part, from 0.
+    /// Index of this part, from 0 to `parts` - 1; 0 if the record does not state it.
     #[serde(default)]
     pub part: u16,
     /// Number of parts of the snapshot; 1 if it was not split.
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigRecord {
-    /// A change of the configuration.
+    /// An operator's change, which applies only to the revision that it names.
     ChangeV1(ConfigChange),
     /// A snapshot of the configuration, or a part of one.
     SnapshotV1(ConfigSnapshot),
@@ -88,7 +88,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
-    /// Submission that is claimed.
+    /// Submission whose job the claiming host wants to run; `s` in the JSON object.
     #[serde(rename = "s")]
     pub submission: SubmissionId,
     /// Fingerprint of the submission's content. All hosts reject a submission with the same id and
@@ -110,7 +110,7 @@
     /// Number of the batch, counted by the claiming host. If the reply to the append was lost, the
     /// host recognizes its batch in the log by this number.
     pub batch: u64,
-    /// Claims of the batch.
+    /// Claims of the batch; empty if the batch only contains releases.
     pub claims: Vec<Claim>,
     /// Submissions whose claims the claiming host releases: it has started none of their tasks and
     /// will start none.
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimRecord {
-    /// A batch of claims.
+    /// A batch of claims and releases by one host.
     ClaimsV1(ClaimBatch),
 }
 
@@ -136,7 +136,7 @@
         serde_json::from_str(data).map_err(Error::body)
     }
 
-    /// Encodes the record.
+    /// Encodes the record as JSON, which [`ConfigRecord::decode`] accepts.
     pub fn encode(&self) -> String {
         serde_json::to_string(self).expect("a record can always be written as JSON")
     }
@@ -148,7 +148,7 @@
         serde_json::from_str(data).map_err(Error::body)
     }
 
-    /// Encodes the record.
+    /// Encodes the record as JSON, which [`ClaimRecord::decode`] accepts.
     pub fn encode(&self) -> String {
         serde_json::to_string(self).expect("a record can always be written as JSON")
     }
--- a/crates/onyxshed-wire/src/upstream.rs
+++ b/crates/onyxshed-wire/src/upstream.rs
@@ -135,11 +135,11 @@
 /// Load of an executor, reported with every response.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Number of running tasks.
+    /// Number of running tasks, those of other hosts included; 0 if the response doesn't state it.
     pub running: u32,
-    /// Number of queued tasks.
+    /// Number of queued tasks, those of other hosts included; 0 if the response doesn't state it.
     pub queued: u32,
-    /// Whether the executor is draining.
+    /// Whether the executor is draining; if so, it gets no tasks for a limited time.
     pub is_draining: bool,
 }
 
@@ -159,7 +159,7 @@
 /// A request to start a task, decoded by an executor from path and headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StartRequest {
-    /// Task to start.
+    /// Task to start, from the path of the request.
     pub task: TaskId,
     /// Duration of the lease: the executor may run the task for that long.
     pub lease_ms: Millis,
