--- a/crates/onyxshed-host/src/callers.rs
+++ b/crates/onyxshed-host/src/callers.rs
@@ -298,7 +298,7 @@
     ) -> JobRequest {
         JobRequest {
             peer: self.links.incarnation(),
-            // Replaced by `dispatch` for each pool to which the job is submitted.
+            // Replaced by `submit_to_pools` for each pool to which the job is submitted.
             submission: SubmissionNumber(0),
             job: context.job,
             upstream: route.upstream.clone(),
